--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -19,7 +19,7 @@
 func (n *Node) build() error {
 	c := n.cfg
 	var err error
-	n.book, err = owner.New(owner.Config{
+	n.owners, err = owner.New(owner.Config{
 		Self: c.Instance, Incarnation: c.Incarnation, Place: c.Place,
 		Term: c.Term, Skew: c.Skew, Lag: c.Lag, ListProves: c.ListProves, Checks: c.Checks,
 	})
@@ -52,35 +52,35 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// applied puts a new snapshot in force.
-func (n *Node) applied(now time.Time, s *settings.Snapshot) {
+// applySnapshot puts a new snapshot in force.
+func (n *Node) applySnapshot(now time.Time, s *settings.Snapshot) {
 	old := n.snapshot
 	n.snapshot = s
 	n.applyBlocks(old, s)
 	specs := n.specs(s)
-	n.book.SetSpecs(now, specs)
+	n.owners.SetSpecs(now, specs)
 	n.applyTargets(now, specs)
 	n.applyServices(now, s)
 	n.applyShares(s)
-	n.pump(now)
+	n.serveQueue(now)
 }
 
 // applyBlocks takes in the block documents that differ from those in force.
 func (n *Node) applyBlocks(old, s *settings.Snapshot) {
-	had := make(map[string]settings.BlockDocument)
+	previous := make(map[string]settings.BlockDocument)
 	if old != nil {
 		for _, doc := range old.BlockDocuments() {
-			had[doc.Path] = doc
+			previous[doc.Path] = doc
 		}
 	}
 	for _, doc := range s.BlockDocuments() {
-		before, ok := had[doc.Path]
-		delete(had, doc.Path)
+		before, ok := previous[doc.Path]
+		delete(previous, doc.Path)
 		if !ok || !before.Same(doc) {
 			n.updateBlocks(doc.Path, doc.Blocks)
 		}
 	}
-	for path := range had {
+	for path := range previous {
 		n.updateBlocks(path, nil)
 	}
 }
@@ -136,16 +136,16 @@
 	kept := make(map[owner.TargetKey]string, len(specs))
 	for _, spec := range specs {
 		kept[spec.Key] = spec.Address
-		if _, ok := n.address[spec.Key]; !ok {
+		if _, ok := n.addresses[spec.Key]; !ok {
 			n.probes[spec.Key] = now
 		}
 	}
-	for key := range n.address {
+	for key := range n.addresses {
 		if _, ok := kept[key]; !ok {
 			delete(n.probes, key)
 		}
 	}
-	n.address = kept
+	n.addresses = kept
 }
 
 // applyServices refits what is kept of each service. Targets that were there
@@ -160,13 +160,13 @@
 	for _, id := range s.Services() {
 		compiled, _ := s.Service(id)
 		site, _ := compiled.Site(n.cfg.Place)
-		state := n.service(now, id)
-		first := state.rev == 0
-		state.refit(compiled, site, max(s.Version(settings.ServicePath(id)), 1))
+		state := n.state(now, id)
+		first := state.version == 0
+		state.update(compiled, site, max(s.Version(settings.ServicePath(id)), 1))
 		for _, key := range state.keys {
 			state.health.Add(now, key, first)
 		}
-		n.recap(now, state)
+		n.updateCap(now, state)
 	}
 }
 
@@ -176,22 +176,22 @@
 	}
 }
 
-// rights is all that the services' caps depend on beside the settings.
-type rights struct {
+// capBasis is all that the services' caps depend on beside the settings.
+type capBasis struct {
 	revision uint64 // of what the book lets this instance use
-	tenure   owner.State
+	lease    owner.State
 }
 
-// recapAll follows changes of ownership and tenure. A tick mostly brings
+// updateCaps follows changes of ownership and tenure. A tick mostly brings
 // neither, and then costs nothing for each service.
-func (n *Node) recapAll(now time.Time) {
-	r := rights{revision: n.book.Revision(now), tenure: n.book.Tenure(now)}
-	if r == n.capped {
+func (n *Node) updateCaps(now time.Time) {
+	r := capBasis{revision: n.owners.Revision(now), lease: n.owners.Tenure(now)}
+	if r == n.capBasis {
 		return
 	}
-	n.capped = r
+	n.capBasis = r
 	for _, id := range n.snapshot.Services() {
-		n.recap(now, n.service(now, id))
+		n.updateCap(now, n.state(now, id))
 	}
 }
 
@@ -211,7 +211,7 @@
 			continue
 		}
 		n.probes[key] = now.Add(n.cfg.Probe)
-		n.decide(Probe{Target: key, Address: n.address[key], Asked: now})
+		n.decide(Probe{Target: key, Address: n.addresses[key], Asked: now})
 	}
 }
 
@@ -222,9 +222,9 @@
 	}
 }
 
-// spareProbe puts a target's probe off after an answer to a real request, which
+// postponeProbe puts a target's probe off after an answer to a real request, which
 // tells more. The baselines go by each target's report, so they keep asking.
-func (n *Node) spareProbe(now time.Time, key owner.TargetKey) {
+func (n *Node) postponeProbe(now time.Time, key owner.TargetKey) {
 	if _, ok := n.probes[key]; ok && !n.baseline() {
 		n.probes[key] = now.Add(n.cfg.Probe)
 	}
@@ -243,23 +243,23 @@
 	if !ok || !slices.Contains(s.keys, ev.Target) {
 		return
 	}
-	n.lookedAt(now, ev)
+	n.resolveAbort(now, ev)
 	if ev.Err {
 		s.health.Observe(now, ev.Target, health.Failed, 0)
 		return
 	}
-	n.hear(now, ev.Target, ev.Asked)
+	n.targetResponded(now, ev.Target, ev.Asked)
 	n.reports[ev.Target] = ev.Busy
 	s.health.Claim(now, ev.Target, ev.Healthy, ev.Slots, ev.Busy)
 	s.health.Probed(now, ev.Target, ev.Healthy)
-	n.pump(now)
+	n.serveQueue(now)
 }
 
 // weight is how many slots of a target its health, and what it said itself, let this instance use.
 func (n *Node) weight(now time.Time, key owner.TargetKey) int {
-	if _, why := n.barred(now, key); why != "" {
+	if _, why := n.unavailableUntil(now, key); why != "" {
 		return 0
 	}
-	s := n.service(now, key.Service)
+	s := n.state(now, key.Service)
 	return s.health.Weight(now, key, s.limits[key])
 }
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -10,15 +10,15 @@
 
 // arrived takes in a new request and decides its first step.
 func (n *Node) arrived(now time.Time, ev Arrived) {
-	f := &flight{id: ev.ID, req: ev.Request, origin: ev.Origin}
-	n.flights[f.id] = f
+	f := &inFlight{id: ev.ID, req: ev.Request, origin: ev.Origin}
+	n.requests[f.id] = f
 	if n.snapshot == nil {
-		n.refuseBlind(now, f, ReasonNoSettings)
+		n.refuseUnconfigured(now, f, ReasonNoSettings)
 		return
 	}
 	service, ok := n.snapshot.Service(f.req.Service)
 	if !ok {
-		n.refuseBlind(now, f, ReasonNoService)
+		n.refuseUnconfigured(now, f, ReasonNoService)
 		return
 	}
 	f.service = service
@@ -27,28 +27,28 @@
 	if limit := now.Add(service.Timeout()); f.req.Deadline.IsZero() || f.req.Deadline.After(limit) {
 		f.req.Deadline = limit
 	}
-	f.until = f.waitUntil(now)
-	n.service(now, f.req.Service).budget.Request(now)
-	if !f.idempotent && f.origin != FromPeer && !n.claim(now, f) {
+	f.queueUntil = f.queueDeadline(now)
+	n.state(now, f.req.Service).budget.Request(now)
+	if !f.idempotent && f.origin != FromPeer && !n.beginKey(now, f) {
 		return
 	}
 	if !f.req.Again.IsZero() {
-		f.sooner(f.req.Again)
+		f.lowerRetryAt(f.req.Again)
 		n.refuse(now, f, ReasonOverloaded)
 		return
 	}
 	if f.origin == FromPeer {
-		f.covered = n.covered(now, f)
+		f.granted = n.useGrant(now, f)
 	}
-	n.place(now, f, "")
+	n.route(now, f, "")
 }
 
-// refuseBlind refuses a request of which this instance knows no service. An
+// refuseUnconfigured refuses a request of which this instance knows no service. An
 // earlier one with the same key may have run at the key's home.
-func (n *Node) refuseBlind(now time.Time, f *flight, reason Reason) {
+func (n *Node) refuseUnconfigured(now time.Time, f *inFlight, reason Reason) {
 	if f.req.Key != "" && f.origin != FromPeer {
-		f.sooner(now.Add(retryFull))
-		n.unknown(f, reason)
+		f.lowerRetryAt(now.Add(retryFull))
+		n.refuseUnknown(f, reason)
 		return
 	}
 	n.refuse(now, f, reason)
@@ -73,9 +73,9 @@
 	return n.blocks.Lookup(a)
 }
 
-// claim begins the key of a non-idempotent request. It returns false when the
+// beginKey begins the key of a non-idempotent request. It returns false when the
 // request has had its decision: it is forwarded, repeated or refused.
-func (n *Node) claim(now time.Time, f *flight) bool {
+func (n *Node) beginKey(now time.Time, f *inFlight) bool {
 	if f.req.Key == "" {
 		n.refuse(now, f, ReasonNoKey)
 		return false
@@ -87,100 +87,100 @@
 	}
 	verdict := n.once.Begin(now, key, f.req.Print, f.req.Name)
 	if verdict.Kind == once.VerdictRun {
-		f.key, f.keyed, f.turn = key, true, verdict.Attempt
+		f.key, f.keyed, f.keyAttempt = key, true, verdict.Attempt
 		return true
 	}
 	if verdict.Kind == once.VerdictForeign {
 		n.forward(now, f, key)
 		return false
 	}
-	n.judge(now, f, verdict)
+	n.answerVerdict(now, f, verdict)
 	return false
 }
 
-// judge answers a keyed request that must not run, or not again.
-func (n *Node) judge(now time.Time, f *flight, v once.Verdict) {
+// answerVerdict answers a keyed request that must not run, or not again.
+func (n *Node) answerVerdict(now time.Time, f *inFlight, v once.Verdict) {
 	switch v.Kind {
 	case once.VerdictAnswered:
-		delete(n.flights, f.id)
+		delete(n.requests, f.id)
 		n.decide(Repeat{ID: f.id, Answer: v.Outcome})
 	case once.VerdictRunning:
-		f.sooner(now.Add(retryRunning))
-		n.unknown(f, ReasonKeyRunning)
+		f.lowerRetryAt(now.Add(retryRunning))
+		n.refuseUnknown(f, ReasonKeyRunning)
 	case once.VerdictUnknown:
-		n.unknown(f, ReasonKeyUnknown)
+		n.refuseUnknown(f, ReasonKeyUnknown)
 	case once.VerdictExpired:
 		// The record may be gone with the key's deadline, so nothing is known of an earlier run.
-		n.unknown(f, ReasonKeyExpired)
+		n.refuseUnknown(f, ReasonKeyExpired)
 	case once.VerdictClosed:
 		n.refuse(now, f, ReasonStopping)
 	case once.VerdictFull:
-		f.sooner(now.Add(retryFull))
+		f.lowerRetryAt(now.Add(retryFull))
 		n.refuse(now, f, ReasonKeysFull)
 	case once.VerdictGone:
-		n.unknown(f, ReasonHomeGone)
+		n.refuseUnknown(f, ReasonHomeGone)
 	default:
 		n.refuse(now, f, ReasonBadKey)
 	}
 }
 
 // forward sends a request to the incarnation that its key is bound to.
-func (n *Node) forward(now time.Time, f *flight, key once.Key) {
+func (n *Node) forward(now time.Time, f *inFlight, key once.Key) {
 	peer, ok := n.peer(key.Instance())
 	switch {
 	case f.origin == FromForward, ok && peer.Incarnation != key.Incarnation():
-		n.unknown(f, ReasonHomeGone)
+		n.refuseUnknown(f, ReasonHomeGone)
 	case !ok:
-		f.sooner(now.Add(retryFull))
-		n.unknown(f, ReasonHomeCut)
+		f.lowerRetryAt(now.Add(retryFull))
+		n.refuseUnknown(f, ReasonHomeUnreachable)
 	default:
 		f.stage, f.peer = stageForward, peer.ID
 		n.decide(Forward{ID: f.id, Peer: peer, Deadline: f.req.Deadline, Home: f.home, Reason: ReasonKeyHome})
 	}
 }
 
-// returnTime is kept back of a peer's request for its refusal to get back in
+// refusalMargin is kept back of a peer's request for its refusal to get back in
 // time. One that comes late is no proof any more that nothing ran.
-const returnTime = 100 * time.Millisecond
+const refusalMargin = 100 * time.Millisecond
 
-// waitUntil is how long f may wait in the queue.
-func (f *flight) waitUntil(now time.Time) time.Time {
+// queueDeadline is how long f may wait in the queue.
+func (f *inFlight) queueDeadline(now time.Time) time.Time {
 	if f.origin == FromCaller {
-		return f.wait()
+		return f.startDeadline()
 	}
-	left := f.wait().Sub(now)
-	return f.wait().Add(-min(returnTime, left/4))
+	left := f.startDeadline().Sub(now)
+	return f.startDeadline().Add(-min(refusalMargin, left/4))
 }
 
 // hold puts a request in the queue, or refuses it at once when its deadline
 // can't be met there.
-func (n *Node) hold(now time.Time, f *flight) {
-	if n.requeue(now, f) {
-		n.decide(Hold{ID: f.id, Until: f.until, Passed: f.passed})
+func (n *Node) hold(now time.Time, f *inFlight) {
+	if n.enqueue(now, f) {
+		n.decide(Hold{ID: f.id, Until: f.queueUntil, Passed: f.passed})
 	}
 }
 
-// requeue puts a request in the queue. It returns false if it was refused.
-func (n *Node) requeue(now time.Time, f *flight) bool {
+// enqueue puts a request in the queue. It returns false if it was refused.
+func (n *Node) enqueue(now time.Time, f *inFlight) bool {
 	verdict := n.queue.Push(now, queue.Item{
 		ID:       uint64(f.id),
 		Service:  f.req.Service,
 		Bulk:     f.service.Bulk(),
 		Way:      queue.Way{Shifted: f.shifted(n.cfg.Place), Bound: f.origin == FromPeer},
-		Deadline: f.until,
+		Deadline: f.queueUntil,
 	})
 	if verdict.Kind != queue.VerdictQueued {
-		f.sooner(verdict.RetryAt)
-		n.refuse(now, f, f.reason())
+		f.lowerRetryAt(verdict.RetryAt)
+		n.refuse(now, f, f.refusalReason())
 		return false
 	}
 	f.stage = stageQueued
 	return true
 }
 
-func (f *flight) reason() Reason {
-	if f.held == "" {
+func (f *inFlight) refusalReason() Reason {
+	if f.heldReason == "" {
 		return ReasonFull
 	}
-	return f.held
+	return f.heldReason
 }
--- a/internal/core/baseline.go
+++ b/internal/core/baseline.go
@@ -14,7 +14,7 @@
 func (n *Node) baseline() bool { return n.cfg.Policy != PolicyOwner }
 
 // tryBaseline sends the request to a target of this place.
-func (n *Node) tryBaseline(now time.Time, f *flight, reason Reason) (Reason, bool) {
+func (n *Node) tryBaseline(now time.Time, f *inFlight, reason Reason) (Reason, bool) {
 	keys := n.untried(now, f)
 	if len(keys) == 0 {
 		return ReasonNoTargets, false
@@ -31,10 +31,10 @@
 	return "", true
 }
 
-func (n *Node) untried(now time.Time, f *flight) []owner.TargetKey {
+func (n *Node) untried(now time.Time, f *inFlight) []owner.TargetKey {
 	var keys []owner.TargetKey
-	for _, key := range n.service(now, f.req.Service).keys {
-		_, why := n.barred(now, key)
+	for _, key := range n.state(now, f.req.Service).keys {
+		_, why := n.unavailableUntil(now, key)
 		if why == "" && !f.hasTried(key.Name) && !n.snapshot.TargetDrained(f.req.Service, key.Name) {
 			keys = append(keys, key)
 		}
@@ -45,30 +45,30 @@
 // probedTargets says which targets this instance probes.
 func (n *Node) probedTargets(now time.Time) []owner.TargetKey {
 	if !n.baseline() {
-		return n.book.Owned()
+		return n.owners.Owned()
 	}
 	var keys []owner.TargetKey
 	for _, id := range n.snapshot.Services() {
-		keys = append(keys, n.service(now, id).keys...)
+		keys = append(keys, n.state(now, id).keys...)
 	}
 	return keys
 }
 
-// sending names what a hand-off to another place needs.
-type sending int
+// handOffMode names what a hand-off to another place needs.
+type handOffMode int
 
 const (
-	sendGrant  sending = iota // a grant, or to be the first to ask for one
-	sendHard                  // the same, and granted slots are kept free of other requests
-	sendWindow                // a few at first, more only as far as answers come
-	sendAlways                // nothing
+	handOffGranted  handOffMode = iota // a grant, or to be the first to ask for one
+	handOffReserved                    // the same, and granted slots are kept free of other requests
+	handOffWindow                      // a few at first, more only as far as answers come
+	handOffAlways                      // nothing
 )
 
-func (s sending) ungranted() bool { return s == sendWindow || s == sendAlways }
+func (s handOffMode) ungranted() bool { return s == handOffWindow || s == handOffAlways }
 
 // chooseUngranted finds a peer of another place by a baseline.
-func (n *Node) chooseUngranted(now time.Time, f *flight, place string, peers []Peer) (Peer, Reason) {
-	if n.cfg.sending == sendAlways {
+func (n *Node) chooseUngranted(now time.Time, f *inFlight, place string, peers []Peer) (Peer, Reason) {
+	if n.cfg.handOff == handOffAlways {
 		return peers[n.cfg.Rand.IntN(len(peers))], ReasonUngranted
 	}
 	p, why := n.choosePeer(now, f, place)
@@ -76,8 +76,8 @@
 }
 
 // reserved is how many free slots are kept for granted requests: none but in a baseline.
-func (n *Node) reserved(now time.Time, id settings.ServiceID, covered bool) int {
-	if n.cfg.sending != sendHard || covered {
+func (n *Node) reserved(now time.Time, id settings.ServiceID, granted bool) int {
+	if n.cfg.handOff != handOffReserved || granted {
 		return 0
 	}
 	return n.grants.Outstanding(now, id)
--- a/internal/core/caller_test.go
+++ b/internal/core/caller_test.go
@@ -11,7 +11,7 @@
 
 // caller makes requests for one place's callers.
 type caller struct {
-	w       *world
+	w       *simulation
 	id      int
 	place   int
 	address netip.Addr
@@ -28,22 +28,22 @@
 
 // call is one intended request, with the truth about it.
 type call struct {
-	c        *caller
-	name     string
-	service  string
-	key      string
-	tries    int
-	doubtful bool // an attempt with the present key may have run
-	answered bool
-	harmed   bool // the world itself lost a message of it, or a target failed it
-	over     bool
-	asked    int // attempts sent
-	told     int // answers that came back
-	begun    time.Duration
-
-	ran  map[string]int // works begun, by key
-	all  int            // works begun
-	wait time.Duration  // how long attempts may take
+	c          *caller
+	name       string
+	service    string
+	key        string
+	tries      int
+	mayHaveRun bool // an attempt with the present key may have run
+	answered   bool
+	disrupted  bool // the world itself lost a message of it, or a target failed it
+	over       bool
+	attempts   int // attempts sent
+	answers    int // answers that came back
+	begun      time.Duration
+
+	runsByKey map[string]int // works begun, by key
+	runs      int            // works begun
+	wait      time.Duration  // how long attempts may take
 }
 
 const (
@@ -52,7 +52,7 @@
 	quietEvery = 300 * time.Millisecond // the same after the faults
 )
 
-func newCaller(w *world, id int) *caller {
+func newCaller(w *simulation, id int) *caller {
 	place := id % len(w.places)
 	c := &caller{w: w, id: id, place: place, cached: make(map[string]*lookup)}
 	c.address = netip.AddrFrom4([4]byte{10, byte(place), 0, byte(1 + id)})
@@ -63,7 +63,7 @@
 // next makes a request now and then, sometimes many at once.
 func (c *caller) next() {
 	w := c.w
-	if w.now > load {
+	if w.now > loadEnd {
 		return
 	}
 	many := 1
@@ -78,7 +78,7 @@
 		c.begin(service)
 	}
 	mean := callEvery
-	if w.now > quiet {
+	if w.now > faultsEnd {
 		mean = quietEvery
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()*float64(mean)), c.next)
@@ -88,7 +88,7 @@
 	c.n++
 	k := &call{
 		c: c, service: service, begun: c.w.now, name: fmt.Sprintf("c%d.%d", c.id, c.n),
-		ran: make(map[string]int), wait: c.w.between(200*time.Millisecond, 2500*time.Millisecond),
+		runsByKey: make(map[string]int), wait: c.w.between(200*time.Millisecond, 2500*time.Millisecond),
 	}
 	c.w.calls = append(c.w.calls, k)
 	k.start()
@@ -105,7 +105,7 @@
 	if k.service == serviceWrite {
 		k.key = l.keys[len(l.keys)-1]
 		l.keys = l.keys[:len(l.keys)-1]
-		k.doubtful = false
+		k.mayHaveRun = false
 	}
 	k.try(l.instances[0])
 	if k.key != "" && k.c.w.chance(0.05) {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (w *world) pickName() string { return w.names[w.rng.IntN(len(w.names))] }
+func (w *simulation) pickName() string { return w.names[w.rng.IntN(len(w.names))] }
 
 // lookup answers from what is kept, or asks any instance that can be reached.
 func (c *caller) lookup(service string) *lookup {
@@ -124,7 +124,7 @@
 	}
 	for range 8 {
 		p := w.live[w.pickName()]
-		if p == nil || p.paused || w.links.cut[[2]int{endCallers, p.place}] > 0 {
+		if p == nil || p.paused || w.links.cut[[2]int{endpointCallers, p.place}] > 0 {
 			continue
 		}
 		ans, err := p.node.Lookup(p.local(), serviceID(service), c.address, 6)
@@ -145,7 +145,7 @@
 func (k *call) try(name string) {
 	w := k.c.w
 	k.tries++
-	k.asked++
+	k.attempts++
 	req := core.Request{
 		Service: serviceID(k.service), Method: "GET", Path: "/", Caller: k.c.address,
 		Name: fmt.Sprintf("%s.%d", k.name, k.tries), Key: k.key, Replayable: !w.chance(0.1),
@@ -154,15 +154,15 @@
 		req.Method = "POST"
 		req.Print = once.NewFingerprint(req.Method, k.name, nil)
 	}
-	a := &asked{k: k, key: k.key, name: req.Name}
+	a := &callerAttempt{k: k, key: k.key, name: req.Name}
 	place := w.home[name]
 	w.tracef("caller asks %s for %s", name, req.Name)
-	w.after(k.wait+time.Second, func() { a.back(answer{kind: core.Failed, reason: "no answer"}) })
-	w.after(w.delay(endCallers, place), func() { a.arrive(req, name) })
+	w.after(k.wait+time.Second, func() { a.receive(answer{kind: core.Failed, reason: "no answer"}) })
+	w.after(w.delay(endpointCallers, place), func() { a.arrive(req, name) })
 }
 
-// asked is one attempt as its caller sees it.
-type asked struct {
+// callerAttempt is one attempt as its caller sees it.
+type callerAttempt struct {
 	k    *call
 	key  string
 	name string
@@ -170,52 +170,52 @@
 	x    *exchange
 }
 
-func (a *asked) arrive(req core.Request, name string) {
+func (a *callerAttempt) arrive(req core.Request, name string) {
 	w := a.k.c.w
 	p := w.live[name]
-	if p == nil || w.links.cut[[2]int{endCallers, w.home[name]}] > 0 {
-		a.back(answer{kind: core.NotRun, reason: "refused connection"})
+	if p == nil || w.links.cut[[2]int{endpointCallers, w.home[name]}] > 0 {
+		a.receive(answer{kind: core.NotRun, reason: "refused connection"})
 		return
 	}
 	p.deliver(func() {
 		a.x = p.receive(core.FromCaller, req, a.k, a.k.wait, func(ans answer) {
 			if w.chance(0.02) {
-				a.k.harmed = true
+				a.k.disrupted = true
 				return // lost on its way back
 			}
-			w.after(w.delay(p.place, endCallers), func() { a.back(ans) })
+			w.after(w.delay(p.place, endpointCallers), func() { a.receive(ans) })
 		})
 	})
 }
 
-// back takes the answer of one attempt and decides what the caller does next.
-func (a *asked) back(ans answer) {
+// receive takes the answer of one attempt and decides what the caller does next.
+func (a *callerAttempt) receive(ans answer) {
 	if a.over {
 		return
 	}
 	a.over = true
 	k, w := a.k, a.k.c.w
-	k.told++
+	k.answers++
 	w.tracef("caller got for %s: %d %s", a.name, ans.kind, ans.reason)
 	if a.x != nil && !a.x.done && !a.x.p.dead {
 		x := a.x
-		w.after(w.delay(endCallers, x.p.place), func() { x.p.deliver(x.cancel) })
+		w.after(w.delay(endpointCallers, x.p.place), func() { x.p.deliver(x.cancel) })
 	}
-	w.check.told(a, ans)
+	w.check.attemptAnswered(a, ans)
 	switch {
 	case ans.kind == core.Answered:
 		k.answered = true
 		return
-	case k.over || k.answered || w.now > load:
+	case k.over || k.answered || w.now > loadEnd:
 		return
 	case ans.kind == core.Failed && a.key == k.key:
-		k.doubtful = true
+		k.mayHaveRun = true
 	}
-	k.again(ans)
+	k.retry(ans)
 }
 
-// again tries elsewhere with the same key, or afresh if nothing ran for sure.
-func (k *call) again(ans answer) {
+// retry tries elsewhere with the same key, or afresh if nothing ran for sure.
+func (k *call) retry(ans answer) {
 	w := k.c.w
 	if k.tries >= maxTries {
 		k.over = true
@@ -228,7 +228,7 @@
 	w.after(wait, func() {
 		switch {
 		case k.answered || k.over:
-		case k.key != "" && !k.doubtful && k.asked == k.told && w.chance(0.4):
+		case k.key != "" && !k.mayHaveRun && k.attempts == k.answers && w.chance(0.4):
 			k.start()
 		default:
 			k.try(w.pickName())
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -13,8 +13,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// world is the size of what a node of a benchmark knows.
-type world struct {
+// benchSize is the size of what a node of a benchmark knows.
+type benchSize struct {
 	places   int // in the settings
 	services int // with a site in the node's place
 	others   int // services without one
@@ -25,8 +25,8 @@
 	blocks   int // prefixes, a thousand in a document
 }
 
-// usual is a place of the size that docs/CAPACITY.md reckons with.
-var usual = world{places: 23, services: 10, targets: 12, spread: 3, roster: 9, peers: 776, blocks: 1000}
+// defaultSize is a place of the size that docs/CAPACITY.md reckons with.
+var defaultSize = benchSize{places: 23, services: 10, targets: 12, spread: 3, roster: 9, peers: 776, blocks: 1000}
 
 const (
 	benchTeam   = "shop"
@@ -37,7 +37,7 @@
 
 func placeName(i int) string { return fmt.Sprintf("place-%03d", i) }
 
-func (w world) documents() []settings.Document {
+func (w benchSize) documents() []settings.Document {
 	var docs []settings.Document
 	add := func(path, body string) {
 		docs = append(docs, settings.Document{Path: path, Version: 1, Body: []byte(body)})
@@ -58,7 +58,7 @@
 }
 
 // service is a service's document, with sites from the given place on.
-func (w world) service(i, first int) (path, body string) {
+func (w benchSize) service(i, first int) (path, body string) {
 	var b strings.Builder
 	b.WriteString("class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n")
 	for p := range w.spread {
@@ -80,7 +80,7 @@
 	return b.String()
 }
 
-func (w world) snapshot(b testing.TB) *settings.Snapshot {
+func (w benchSize) snapshot(b testing.TB) *settings.Snapshot {
 	s, err := settings.Compile(w.documents())
 	if err != nil {
 		b.Fatal(err)
@@ -88,7 +88,7 @@
 	return s
 }
 
-func (w world) peerList() []Peer {
+func (w benchSize) peerList() []Peer {
 	var peers []Peer
 	for i := range w.roster - 1 {
 		peers = append(peers, Peer{ID: fmt.Sprintf("entry-%04d", i+1), Incarnation: 1, Place: placeName(0), Address: "10.0.0.1:1", Callers: "10.0.0.1:2"})
@@ -101,7 +101,7 @@
 
 // node is a node that owns its part of the place, confirmed for an hour by the acks
 // of all the others, as in steady state.
-func (w world) node(b testing.TB) *Node {
+func (w benchSize) node(b testing.TB) *Node {
 	n, err := New(Config{Instance: "entry-0000", Incarnation: 1, Place: placeName(0), Domain: "domain-00", Region: "region-0", Term: time.Hour}, benchStart)
 	if err != nil {
 		b.Fatal(err)
@@ -124,7 +124,7 @@
 	return n
 }
 
-func (w world) vary(b *testing.B, sizes []int, set func(*world, int), run func(*testing.B, world)) {
+func (w benchSize) vary(b *testing.B, sizes []int, set func(*benchSize, int), run func(*testing.B, benchSize)) {
 	for _, size := range sizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			v := w
@@ -134,7 +134,7 @@
 	}
 }
 
-func benchTick(b *testing.B, w world) {
+func benchTick(b *testing.B, w benchSize) {
 	n := w.node(b)
 	now := benchStart.Add(time.Minute)
 	for b.Loop() {
@@ -144,27 +144,27 @@
 }
 
 func BenchmarkCapacityTickServices(b *testing.B) {
-	usual.vary(b, []int{1, 10, 30}, func(w *world, n int) { w.services = n }, benchTick)
+	defaultSize.vary(b, []int{1, 10, 30}, func(w *benchSize, n int) { w.services = n }, benchTick)
 }
 
 func BenchmarkCapacityTickTargets(b *testing.B) {
-	usual.vary(b, []int{3, 30, 300}, func(w *world, n int) { w.targets, w.services = n, 1 }, benchTick)
+	defaultSize.vary(b, []int{3, 30, 300}, func(w *benchSize, n int) { w.targets, w.services = n, 1 }, benchTick)
 }
 
 func BenchmarkCapacityTickRoster(b *testing.B) {
-	usual.vary(b, []int{3, 9, 30}, func(w *world, n int) { w.roster = n }, benchTick)
+	defaultSize.vary(b, []int{3, 9, 30}, func(w *benchSize, n int) { w.roster = n }, benchTick)
 }
 
 func BenchmarkCapacityTickOthers(b *testing.B) {
-	usual.vary(b, []int{10, 100, 1000}, func(w *world, n int) { w.others = n }, benchTick)
+	defaultSize.vary(b, []int{10, 100, 1000}, func(w *benchSize, n int) { w.others = n }, benchTick)
 }
 
 func BenchmarkCapacityTickPeers(b *testing.B) {
-	usual.vary(b, []int{10, 100, 776}, func(w *world, n int) { w.peers = n }, benchTick)
+	defaultSize.vary(b, []int{10, 100, 776}, func(w *benchSize, n int) { w.peers = n }, benchTick)
 }
 
 // benchRequest brings requests in and ends them, each served by an own target.
-func benchRequest(b *testing.B, w world) {
+func benchRequest(b *testing.B, w benchSize) {
 	n := w.node(b)
 	now := benchStart.Add(time.Minute)
 	id := settings.ServiceID{Team: benchTeam, Name: "s0"}
@@ -179,18 +179,18 @@
 }
 
 func BenchmarkCapacityStepTargets(b *testing.B) {
-	usual.vary(b, []int{3, 30, 300}, func(w *world, n int) { w.targets, w.services = n, 1 }, benchRequest)
+	defaultSize.vary(b, []int{3, 30, 300}, func(w *benchSize, n int) { w.targets, w.services = n, 1 }, benchRequest)
 }
 
 func BenchmarkCapacityStepServices(b *testing.B) {
-	usual.vary(b, []int{1, 10, 30}, func(w *world, n int) { w.services = n }, benchRequest)
+	defaultSize.vary(b, []int{1, 10, 30}, func(w *benchSize, n int) { w.services = n }, benchRequest)
 }
 
 func BenchmarkCapacityStepPlaces(b *testing.B) {
-	usual.vary(b, []int{3, 23, 230}, func(w *world, n int) { w.places, w.spread = n, n }, benchRequest)
+	defaultSize.vary(b, []int{3, 23, 230}, func(w *benchSize, n int) { w.places, w.spread = n, n }, benchRequest)
 }
 
-func benchLookup(b *testing.B, w world) {
+func benchLookup(b *testing.B, w benchSize) {
 	n := w.node(b)
 	id := settings.ServiceID{Team: benchTeam, Name: "s0"}
 	caller := netip.MustParseAddr("1.0.0.1")
@@ -202,20 +202,20 @@
 }
 
 func BenchmarkCapacityCoreLookupPeers(b *testing.B) {
-	usual.vary(b, []int{10, 100, 776}, func(w *world, n int) { w.peers = n }, benchLookup)
+	defaultSize.vary(b, []int{10, 100, 776}, func(w *benchSize, n int) { w.peers = n }, benchLookup)
 }
 
 func BenchmarkCapacityCoreLookupPlaces(b *testing.B) {
-	usual.vary(b, []int{3, 23, 230}, func(w *world, n int) { w.places, w.spread = n, n }, benchLookup)
+	defaultSize.vary(b, []int{3, 23, 230}, func(w *benchSize, n int) { w.places, w.spread = n, n }, benchLookup)
 }
 
 // A tick does nothing for each service unless what it rests on has changed.
 func TestTickFollowsRights(t *testing.T) {
-	n := usual.node(t)
+	n := defaultSize.node(t)
 	id := settings.ServiceID{Team: benchTeam, Name: "s0"}
 	grown := func(at time.Time) int {
 		n.Step(at, Tick{})
-		return n.service(at, id).ramp.Counts(at.Add(time.Second)).Budget
+		return n.state(at, id).ramp.Counts(at.Add(time.Second)).Budget
 	}
 	now := benchStart.Add(time.Minute)
 	confirmed := grown(now)
@@ -229,9 +229,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	owned := len(n.book.Owned())
+	owned := len(n.owners.Owned())
 	n.Step(now.Add(3*time.Hour), RosterHeard{Roster: next})
-	if got := len(n.book.Owned()); got <= owned {
+	if got := len(n.owners.Owned()); got <= owned {
 		t.Errorf("got %d owned targets after a member left, want more than %d", got, owned)
 	}
 	probed := map[owner.TargetKey]int{}
@@ -242,7 +242,7 @@
 			}
 		}
 	}
-	for _, key := range n.book.Owned() {
+	for _, key := range n.owners.Owned() {
 		if got := probed[key]; got != 5 {
 			t.Errorf("got %d probes of %v in 5 s, want 5", got, key)
 		}
@@ -263,16 +263,16 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			n := usual.node(t)
+			n := defaultSize.node(t)
 			n.cfg.Policy = tt.policy
-			key := n.book.Owned()[0]
+			key := n.owners.Owned()[0]
 			id := key.Service
 			n.Step(benchStart.Add(time.Second), Tick{})
 			probes := 0
 			for i := range 1000 {
 				now := benchStart.Add(time.Second + time.Duration(i)*10*time.Millisecond)
 				if i%50 == 0 {
-					n.observe(now, &flight{req: Request{Service: id, Deadline: now.Add(time.Second)}, target: key}, Finished{Result: tt.result, Proof: once.ProofRefusal})
+					n.recordAttempt(now, &inFlight{req: Request{Service: id, Deadline: now.Add(time.Second)}, target: key}, Finished{Result: tt.result, Proof: once.ProofRefusal})
 				}
 				for _, d := range n.Step(now, Tick{}) {
 					if p, ok := d.(Probe); ok && p.Target == key {
@@ -299,7 +299,7 @@
 // parsed, and as the node's table, in bytes.
 func BenchmarkCapacityBlockMemory(b *testing.B) {
 	sizes := []int{1000, 10_000, 100_000, 260_000}
-	usual.vary(b, sizes, func(w *world, n int) { w.blocks, w.places = n, 230 }, func(b *testing.B, w world) {
+	defaultSize.vary(b, sizes, func(w *benchSize, n int) { w.blocks, w.places = n, 230 }, func(b *testing.B, w benchSize) {
 		for b.Loop() {
 			empty := heapInUse()
 			docs := w.documents()
--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -11,8 +11,8 @@
 // checker holds what happened in truth against what is promised. It looks at
 // targets, callers and the platform, and never asks a node what it believes.
 type checker struct {
-	w     *world
-	fault string // the first violation
+	w         *simulation
+	violation string // the first violation
 
 	notRun map[string]bool // by name of a caller's request: it was told so
 	begun  map[string]int
@@ -20,16 +20,16 @@
 	finals int
 }
 
-func newChecker(w *world) *checker {
+func newChecker(w *simulation) *checker {
 	return &checker{w: w, notRun: make(map[string]bool), begun: make(map[string]int), held: newVersions(w)}
 }
 
 func (c *checker) failf(format string, args ...any) {
-	if c.fault != "" {
+	if c.violation != "" {
 		return
 	}
-	c.fault = fmt.Sprintf("at %v: ", c.w.now) + fmt.Sprintf(format, args...)
-	c.w.tracef("VIOLATION %s", c.fault)
+	c.violation = fmt.Sprintf("at %v: ", c.w.now) + fmt.Sprintf(format, args...)
+	c.w.tracef("VIOLATION %s", c.violation)
 }
 
 // started takes in that a target has begun a request.
@@ -42,7 +42,7 @@
 	}
 	c.once(x.call, x.req.Key)
 	c.w.counts["works"]++
-	if !c.w.jumps {
+	if !c.w.clocksJump {
 		c.limits(k.t)
 		c.drained(k)
 	}
@@ -53,13 +53,13 @@
 	if k.service != serviceWrite {
 		return
 	}
-	k.ran[key]++
-	k.all++
-	if k.ran[key] > 1 {
-		c.failf("%s has begun %d times with one key", k.name, k.ran[key])
+	k.runsByKey[key]++
+	k.runs++
+	if k.runsByKey[key] > 1 {
+		c.failf("%s has begun %d times with one key", k.name, k.runsByKey[key])
 	}
-	if k.all > 1 {
-		c.failf("%s has begun %d times in all: a refusal said that it had not run", k.name, k.all)
+	if k.runs > 1 {
+		c.failf("%s has begun %d times in all: a refusal said that it had not run", k.name, k.runs)
 	}
 }
 
@@ -68,7 +68,7 @@
 func (c *checker) drained(k *work) {
 	since, ok := c.w.isDrained(k.t)
 	p := k.a.x.p
-	if !ok || c.w.now <= since+3*time.Second || p.touched >= since {
+	if !ok || c.w.now <= since+3*time.Second || p.lastImpeded >= since {
 		return
 	}
 	c.failf("%s gets %s from %s, drained since %v", k.t.key.Name, k.a.x.req.Name, p, since)
@@ -104,19 +104,19 @@
 	if ans.kind != core.NotRun {
 		return
 	}
-	if x.asker != nil && x.asker.over && x.left >= 200*time.Millisecond && c.w.now > quiet+recovery {
+	if x.upstream != nil && x.upstream.over && x.timeLimit >= 200*time.Millisecond && c.w.now > faultsEnd+recovery {
 		c.failf("%s refuses %s (%s) too late to be heard", x.p, x.req.Name, ans.reason)
 	}
 	if x.ran {
 		c.failf("%s says that %s has not run (%s), but it has", x.p, x.req.Name, ans.reason)
 	}
-	if x.origin != core.FromPeer && !x.word && x.req.Key != "" && x.call.ran[x.req.Key] > 0 {
+	if x.origin != core.FromPeer && !x.homeRefused && x.req.Key != "" && x.call.runsByKey[x.req.Key] > 0 {
 		c.failf("%s says that %s has not run (%s), but its key has", x.p, x.req.Name, ans.reason)
 	}
 }
 
-// told takes in what a caller is told of one attempt.
-func (c *checker) told(a *asked, ans answer) {
+// attemptAnswered takes in what a caller is attemptAnswered of one attempt.
+func (c *checker) attemptAnswered(a *callerAttempt, ans answer) {
 	switch ans.kind {
 	case core.Answered:
 		if !strings.HasPrefix(ans.body, a.k.name+".") {
@@ -130,8 +130,8 @@
 	}
 }
 
-// forward checks the documents that a process puts in force.
-func (c *checker) forward(p *proc) {
+// documentsApplied checks the documents that a process puts in force.
+func (c *checker) documentsApplied(p *proc) {
 	for _, path := range c.w.store.paths {
 		v, old := p.snapshot.Version(path), p.versions[path]
 		if v == old {
@@ -146,14 +146,14 @@
 			c.failf("%s has another version %d of %s than was accepted", p, v, path)
 		}
 		p.versions[path] = v
-		c.held.left(p.place, path, old)
+		c.held.released(p.place, path, old)
 	}
 }
 
-// gone takes in that a process has ended.
-func (c *checker) gone(p *proc) {
+// processEnded takes in that a process has ended.
+func (c *checker) processEnded(p *proc) {
 	for _, path := range c.w.store.paths {
-		c.held.left(p.place, path, p.versions[path])
+		c.held.released(p.place, path, p.versions[path])
 	}
 }
 
@@ -162,7 +162,7 @@
 	if n := len(p.exchanges); n > 0 {
 		c.failf("%s stops with %d requests inside", p, n)
 	}
-	for _, t := range c.w.order {
+	for _, t := range c.w.sortedTargets {
 		for _, k := range t.works {
 			if k.a.x.p == p && !k.a.over {
 				c.failf("%s stops with %s at a target", p, k.a.x.req.Name)
@@ -184,7 +184,7 @@
 		}
 		c.recovered(p)
 	}
-	c.answeredAgain()
+	c.answersResume()
 }
 
 // recovered checks that a process has all its rights back.
@@ -195,14 +195,14 @@
 		c.failf("%s has not recovered: confirmed %v, roster %+v", p, p.node.Confirmed(p.local()), r)
 	}
 	for _, service := range []string{serviceRead, serviceWrite} {
-		c.wholeSite(p.place, service)
+		c.fullSiteFree(p.place, service)
 	}
 }
 
-// wholeSite checks that the instances of a place may use all of a service's
+// fullSiteFree checks that the instances of a place may use all of a service's
 // limit, together.
-func (c *checker) wholeSite(place int, service string) {
-	free, want := 0, c.w.ample(service).sites[place].limit
+func (c *checker) fullSiteFree(place int, service string) {
+	free, want := 0, c.w.fullPlan(service).sites[place].limit
 	for _, name := range c.w.names {
 		if c.w.home[name] != place {
 			continue
@@ -222,12 +222,12 @@
 	}
 }
 
-// answeredAgain checks that calls are answered after the faults, but for those
+// answersResume checks that calls are answered after the faults, but for those
 // that the world itself harmed: their end is unknown in truth.
-func (c *checker) answeredAgain() {
+func (c *checker) answersResume() {
 	asked, answered := 0, 0
 	for _, k := range c.w.calls {
-		if k.begun > quiet+recovery && k.begun < load-time.Second && (k.answered || !k.harmed) {
+		if k.begun > faultsEnd+recovery && k.begun < loadEnd-time.Second && (k.answered || !k.disrupted) {
 			asked++
 			if k.answered {
 				answered++
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -22,7 +22,7 @@
 	ListProves bool          // the platform's list names a process until it has ended for certain
 	Lag        time.Duration // bound on how long the platform's list names a dead instance
 	Cache      time.Duration // how long callers may keep the answer of a look-up
-	Spill      time.Duration // predicted wait at home over which another place is tried
+	ShiftWait  time.Duration // predicted wait at home over which another place is tried
 	Probe      time.Duration // time between probes of one target
 	Settle     time.Duration // how long a target may go on with an attempt that was broken off
 	Grace      time.Duration // time after the start before a silent peer counts as dead
@@ -34,7 +34,7 @@
 	Seed       [32]byte    // of the keys' numbers; never the same in two incarnations
 	Checks     *invariant.Counter
 
-	sending sending // a baseline; set by measurements only
+	handOff handOffMode // a baseline; set by measurements only
 }
 
 // Policy names a way of choosing where a request goes.
@@ -52,7 +52,7 @@
 	setDuration(&c.Term, 3*time.Second)
 	setDuration(&c.Lag, 30*time.Second)
 	setDuration(&c.Cache, 5*time.Second)
-	setDuration(&c.Spill, 60*time.Millisecond)
+	setDuration(&c.ShiftWait, 60*time.Millisecond)
 	setDuration(&c.Probe, time.Second)
 	setDuration(&c.Grace, 5*time.Second)
 	setDuration(&c.Settle, 250*time.Millisecond)
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	// evidenceTime is how long a target's end is remembered.
-	evidenceTime = 10 * time.Minute
-	// toldAnswer is how many targets have to have ended under a request until its answer
+	// crashRetention is how long a target's end is remembered.
+	crashRetention = 10 * time.Minute
+	// minCrashesToReport is how many targets have to have ended under a request until its answer
 	// is told to others: one end more would come near to holding it back.
-	toldAnswer = 2
-	// otherEntries is how many instances of each other place are told, which tell the rest
+	minCrashesToReport = 2
+	// notifiedPerPlace is how many instances of each other place are told, which tell the rest
 	// of theirs: one of them may die.
-	otherEntries = 2
+	notifiedPerPlace = 2
 )
 
-// endings is what the node knows of requests that end targets.
-type endings struct {
-	book     *crash.Book
-	recent   crash.Recent
-	breaches map[owner.TargetKey]*breach
-	told     []remembered // reports of the book, by when they are forgotten
-	number   int          // of this instance's last report
+// crashTracker is what the node knows of requests that end targets.
+type crashTracker struct {
+	book       *crash.Book
+	recent     crash.Recent
+	aborts     map[owner.TargetKey]*abortedExchange
+	reports    []storedReport // reports of the book, by when they are forgotten
+	lastReport int            // of this instance's last report
 }
 
-// breach is the requests whose attempts a target broke off, until it is known whether that
+// abortedExchange is the requests whose attempts a target broke off, until it is known whether that
 // has ended.
-type breach struct {
-	at     time.Time // of the first
-	prints []crash.Print
+type abortedExchange struct {
+	at           time.Time // of the first
+	fingerprints []crash.Print
 }
 
-// remembered is a report that is kept until a time.
-type remembered struct {
+// storedReport is a report that is kept until a time.
+type storedReport struct {
 	until  time.Time
 	report CrashReport
 }
@@ -69,161 +69,161 @@
 func (TellCrashes) decision() {}
 func (CrashesHeard) event()   {}
 
-func newEndings() endings {
-	return endings{book: crash.NewBook(), breaches: make(map[owner.TargetKey]*breach)}
+func newCrashTracker() crashTracker {
+	return crashTracker{book: crash.NewBook(), aborts: make(map[owner.TargetKey]*abortedExchange)}
 }
 
-// endsTargets refuses a request that ends the targets which run it, whichever way it came.
+// refusePoison refuses a request that ends the targets which run it, whichever way it came.
 // It returns false if it is none.
-func (n *Node) endsTargets(now time.Time, f *flight) bool {
-	if n.endings.book.Guilty()[f.req.Sent] == 0 {
+func (n *Node) refusePoison(now time.Time, f *inFlight) bool {
+	if n.crashes.book.Guilty()[f.req.Sent] == 0 {
 		return false
 	}
-	f.sooner(now.Add(evidenceTime))
-	n.refuse(now, f, ReasonEndsTargets)
+	f.lowerRetryAt(now.Add(crashRetention))
+	n.refuse(now, f, ReasonPoisonRequest)
 	return true
 }
 
-// broke notes that a target broke an attempt off, and asks whether it is still there.
-func (n *Node) broke(now time.Time, f *flight) {
-	if n.endings.recent.Has(now, f.req.Sent) {
+// recordAbort notes that a target recordAbort an attempt off, and asks whether it is still there.
+func (n *Node) recordAbort(now time.Time, f *inFlight) {
+	if n.crashes.recent.Has(now, f.req.Sent) {
 		return
 	}
-	b := n.endings.breaches[f.target]
+	b := n.crashes.aborts[f.target]
 	if b == nil {
-		b = &breach{at: now}
-		n.endings.breaches[f.target] = b
+		b = &abortedExchange{at: now}
+		n.crashes.aborts[f.target] = b
 	}
-	if !slices.Contains(b.prints, f.req.Sent) {
-		b.prints = append(b.prints, f.req.Sent)
+	if !slices.Contains(b.fingerprints, f.req.Sent) {
+		b.fingerprints = append(b.fingerprints, f.req.Sent)
 	}
-	n.decide(Probe{Target: f.target, Address: n.address[f.target], Asked: now, Look: true})
+	n.decide(Probe{Target: f.target, Address: n.addresses[f.target], Asked: now, Look: true})
 }
 
-// lookedAt takes in whether a target that broke attempts off was still there when it was
+// resolveAbort takes in whether a target that broke attempts off was still there when it was
 // asked. What breaks later is another breach.
-func (n *Node) lookedAt(now time.Time, ev Probed) {
-	b := n.endings.breaches[ev.Target]
+func (n *Node) resolveAbort(now time.Time, ev Probed) {
+	b := n.crashes.aborts[ev.Target]
 	if b == nil || ev.Asked.Before(b.at) || ev.Err && !ev.Refused {
 		return
 	}
-	delete(n.endings.breaches, ev.Target)
+	delete(n.crashes.aborts, ev.Target)
 	if !ev.Refused {
 		return
 	}
-	e := &n.endings
-	e.number++
-	name := fmt.Sprintf("%s/%d-%d", n.cfg.Instance, n.cfg.Incarnation, e.number)
-	r := CrashReport{Key: name, Report: crash.Report{Target: ev.Target.Service.String() + "/" + ev.Target.Name + "@" + name, Prints: b.prints}}
-	n.remember(now, r)
-	n.tellAll(CrashNews{Place: n.cfg.Place, Reports: []CrashReport{r}})
+	e := &n.crashes
+	e.lastReport++
+	name := fmt.Sprintf("%s/%d-%d", n.cfg.Instance, n.cfg.Incarnation, e.lastReport)
+	r := CrashReport{Key: name, Report: crash.Report{Target: ev.Target.Service.String() + "/" + ev.Target.Name + "@" + name, Prints: b.fingerprints}}
+	n.storeReport(now, r)
+	n.notifyAll(CrashNews{Place: n.cfg.Place, Reports: []CrashReport{r}})
 }
 
-// remember puts a report into the book. It returns false if that has it.
-func (n *Node) remember(now time.Time, r CrashReport) bool {
-	e := &n.endings
-	if slices.ContainsFunc(e.told, func(m remembered) bool { return m.report.Key == r.Key }) {
+// storeReport puts a report into the book. It returns false if that has it.
+func (n *Node) storeReport(now time.Time, r CrashReport) bool {
+	e := &n.crashes
+	if slices.ContainsFunc(e.reports, func(m storedReport) bool { return m.report.Key == r.Key }) {
 		return false
 	}
 	e.book.Put(r.Key, crash.Unwritten, r.Report)
-	e.told = append(e.told, remembered{until: now.Add(evidenceTime), report: r})
-	if len(e.told) > crash.MostReports {
-		n.forgetFirst()
+	e.reports = append(e.reports, storedReport{until: now.Add(crashRetention), report: r})
+	if len(e.reports) > crash.MostReports {
+		n.dropOldestReport()
 	}
 	return true
 }
 
-func (n *Node) forgetFirst() {
-	e := &n.endings
-	e.book.Remove(e.told[0].report.Key)
-	e.told = e.told[1:]
+func (n *Node) dropOldestReport() {
+	e := &n.crashes
+	e.book.Remove(e.reports[0].report.Key)
+	e.reports = e.reports[1:]
 }
 
-// forgetCrashes forgets what is old.
-func (n *Node) forgetCrashes(now time.Time) {
-	e := &n.endings
-	for len(e.told) > 0 && !now.Before(e.told[0].until) {
-		n.forgetFirst()
+// expireCrashes forgets what is old.
+func (n *Node) expireCrashes(now time.Time) {
+	e := &n.crashes
+	for len(e.reports) > 0 && !now.Before(e.reports[0].until) {
+		n.dropOldestReport()
 	}
-	maps.DeleteFunc(e.breaches, func(_ owner.TargetKey, b *breach) bool { return now.Sub(b.at) > n.cfg.Probe })
+	maps.DeleteFunc(e.aborts, func(_ owner.TargetKey, b *abortedExchange) bool { return now.Sub(b.at) > n.cfg.Probe })
 }
 
-// succeeded notes that a request was answered: it ends no targets.
-func (n *Node) succeeded(now time.Time, f *flight, ev Finished) {
+// recordSuccess notes that a request was answered: it ends no targets.
+func (n *Node) recordSuccess(now time.Time, f *inFlight, ev Finished) {
 	if ev.Status >= http.StatusMultipleChoices {
 		return
 	}
 	p := f.req.Sent
-	n.endings.recent.Add(now, p)
-	known := n.endings.book.Count(p)
-	if known == 0 {
+	n.crashes.recent.Add(now, p)
+	count := n.crashes.book.Count(p)
+	if count == 0 {
 		return
 	}
-	n.endings.book.Answered(p, crash.Unwritten)
-	if known >= toldAnswer {
-		n.tellAll(CrashNews{Place: n.cfg.Place, Answered: []crash.Print{p}})
+	n.crashes.book.Answered(p, crash.Unwritten)
+	if count >= minCrashesToReport {
+		n.notifyAll(CrashNews{Place: n.cfg.Place, Answered: []crash.Print{p}})
 	}
 }
 
-// crashesHeard takes in what a peer tells, and passes it on in this place if it comes from
+// crashesReceived takes in what a peer tells, and passes it on in this place if it comes from
 // another.
-func (n *Node) crashesHeard(now time.Time, news CrashNews) {
-	fresh := CrashNews{Answered: news.Answered}
-	for _, r := range news.Reports {
-		if n.remember(now, r) {
-			fresh.Reports = append(fresh.Reports, r)
+func (n *Node) crashesReceived(now time.Time, update CrashNews) {
+	relay := CrashNews{Answered: update.Answered}
+	for _, r := range update.Reports {
+		if n.storeReport(now, r) {
+			relay.Reports = append(relay.Reports, r)
 		}
 	}
-	for _, p := range news.Answered {
-		n.endings.book.Answered(p, crash.Unwritten)
+	for _, p := range update.Answered {
+		n.crashes.book.Answered(p, crash.Unwritten)
 	}
-	if news.Place != "" && news.Place != n.cfg.Place && len(fresh.Reports)+len(fresh.Answered) > 0 {
-		n.tell(n.peers.local[n.cfg.Place], fresh)
+	if update.Place != "" && update.Place != n.cfg.Place && len(relay.Reports)+len(relay.Answered) > 0 {
+		n.notify(n.peers.byPlace[n.cfg.Place], relay)
 	}
 }
 
-// tellAll tells the other instances of this place, and some of each other place.
-func (n *Node) tellAll(news CrashNews) {
-	peers := slices.Clone(n.peers.local[n.cfg.Place])
-	for _, place := range slices.Sorted(maps.Keys(n.peers.local)) {
-		if list := n.peers.local[place]; place != n.cfg.Place {
-			peers = append(peers, list[:min(len(list), otherEntries)]...)
+// notifyAll tells the other instances of this place, and some of each other place.
+func (n *Node) notifyAll(update CrashNews) {
+	peers := slices.Clone(n.peers.byPlace[n.cfg.Place])
+	for _, place := range slices.Sorted(maps.Keys(n.peers.byPlace)) {
+		if list := n.peers.byPlace[place]; place != n.cfg.Place {
+			peers = append(peers, list[:min(len(list), notifiedPerPlace)]...)
 		}
 	}
-	n.tell(peers, news)
+	n.notify(peers, update)
 }
 
-func (n *Node) tell(peers []Peer, news CrashNews) {
+func (n *Node) notify(peers []Peer, update CrashNews) {
 	if len(peers) > 0 {
-		n.decide(TellCrashes{Peers: peers, News: news})
+		n.decide(TellCrashes{Peers: peers, News: update})
 	}
 }
 
-// tellNewcomers tells what is known to instances of this place that have just started: one
+// notifyNewPeers tells what is known to instances of this place that have just started: one
 // of those that were there before does, the first by name.
-func (n *Node) tellNewcomers(before, after peerList) {
-	if len(n.endings.told) == 0 {
+func (n *Node) notifyNewPeers(before, after peerList) {
+	if len(n.crashes.reports) == 0 {
 		return
 	}
-	var fresh []Peer
-	for _, p := range after.local[n.cfg.Place] {
+	var newPeers []Peer
+	for _, p := range after.byPlace[n.cfg.Place] {
 		old, ok := before.byID[p.ID]
 		switch {
 		case !ok || old.Incarnation != p.Incarnation:
-			fresh = append(fresh, p)
+			newPeers = append(newPeers, p)
 		case p.ID < n.cfg.Instance:
 			return
 		}
 	}
-	news := CrashNews{}
-	for _, m := range n.endings.told {
+	update := CrashNews{}
+	for _, m := range n.crashes.reports {
 		// Without the requests that were answered since: the newcomer doesn't know of that.
-		r := CrashReport{Key: m.report.Key, Report: n.endings.book.Report(m.report.Key)}
+		r := CrashReport{Key: m.report.Key, Report: n.crashes.book.Report(m.report.Key)}
 		if len(r.Prints) > 0 {
-			news.Reports = append(news.Reports, r)
+			update.Reports = append(update.Reports, r)
 		}
 	}
-	if len(news.Reports) > 0 {
-		n.tell(fresh, news)
+	if len(update.Reports) > 0 {
+		n.notify(newPeers, update)
 	}
 }
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -17,41 +17,41 @@
 
 // Reasons of decisions.
 const (
-	ReasonOwnFree     Reason = "own-free"        // a target that this instance owns has a free slot
-	ReasonPeerFree    Reason = "peer-free"       // a peer of the place has said it has room
-	ReasonGrant       Reason = "grant"           // an owner of another place has granted it
-	ReasonUngranted   Reason = "ungranted"       // tried without a grant, so that one is asked for
-	ReasonNoGrant     Reason = "no-grant"        // no owner of the place has granted anything
-	ReasonReleased    Reason = "released"        // what was granted has no use any more
-	ReasonQueue       Reason = "queue"           // a slot came free for a waiting request
-	ReasonRetry       Reason = "retry"           // the attempt before ran nothing
-	ReasonKeyHome     Reason = "key-home"        // the key belongs to another instance
-	ReasonFull        Reason = "full"            // every way is at its limit
-	ReasonDeadline    Reason = "deadline"        // the deadline can't be met
-	ReasonGone        Reason = "caller-gone"     // the caller broke the request off
-	ReasonShiftCap    Reason = "shift-cap"       // the shift cap holds the request back
-	ReasonDrained     Reason = "drained"         // all that could serve it is being drained
-	ReasonNoService   Reason = "no-service"      // no such service
-	ReasonNoTargets   Reason = "no-targets"      // no target within reach
-	ReasonNoKey       Reason = "no-key"          // a non-idempotent request came without a key
-	ReasonBadKey      Reason = "bad-key"         // the key is malformed, forged, or of another request
-	ReasonKeyExpired  Reason = "key-expired"     // the key's deadline has passed
-	ReasonKeyRunning  Reason = "key-running"     // the first request with the key is under way
-	ReasonKeyUnknown  Reason = "key-unknown"     // the first request with the key ended without an answer
-	ReasonHomeGone    Reason = "key-home-gone"   // the key's home has gone; its records went with it
-	ReasonHomeCut     Reason = "key-home-cut"    // the key's home can't be reached now
-	ReasonKeysFull    Reason = "keys-full"       // no memory for another record
-	ReasonTargetError Reason = "target-failed"   // the target failed after the request was sent
-	ReasonStopping    Reason = "stopping"        // the instance is in a planned stop
-	ReasonNoSettings  Reason = "no-settings"     // no configuration has arrived yet
-	ReasonBadRequest  Reason = "bad-request"     // the request can't be understood
-	ReasonRepeat      Reason = "repeat"          // the recorded answer of the key's first request
-	ReasonNotKept     Reason = "answer-not-kept" // the key's request was answered, but the answer was too large to keep
-	ReasonEndsTargets Reason = "ends-targets"    // it has ended the targets that ran it
-	ReasonResting     Reason = "resting"         // the targets have asked for rest
-	ReasonLimited     Reason = "limited"         // the targets have named limits, and had as much
-	ReasonOverloaded  Reason = "overloaded"      // this process has more to do than its processors can
-	ReasonNoEnd       Reason = "answer-no-end"   // the end of the target's answer can't be told from a cut
+	ReasonOwnFree         Reason = "own-free"        // a target that this instance owns has a free slot
+	ReasonPeerFree        Reason = "peer-free"       // a peer of the place has said it has room
+	ReasonGrant           Reason = "grant"           // an owner of another place has granted it
+	ReasonUngranted       Reason = "ungranted"       // tried without a grant, so that one is asked for
+	ReasonNoGrant         Reason = "no-grant"        // no owner of the place has granted anything
+	ReasonReleased        Reason = "released"        // what was granted has no use any more
+	ReasonQueue           Reason = "queue"           // a slot came free for a waiting request
+	ReasonRetry           Reason = "retry"           // the attempt before ran nothing
+	ReasonKeyHome         Reason = "key-home"        // the key belongs to another instance
+	ReasonFull            Reason = "full"            // every way is at its limit
+	ReasonDeadline        Reason = "deadline"        // the deadline can't be met
+	ReasonCallerGone      Reason = "caller-gone"     // the caller broke the request off
+	ReasonShiftCap        Reason = "shift-cap"       // the shift cap holds the request back
+	ReasonDrained         Reason = "drained"         // all that could serve it is being drained
+	ReasonNoService       Reason = "no-service"      // no such service
+	ReasonNoTargets       Reason = "no-targets"      // no target within reach
+	ReasonNoKey           Reason = "no-key"          // a non-idempotent request came without a key
+	ReasonBadKey          Reason = "bad-key"         // the key is malformed, forged, or of another request
+	ReasonKeyExpired      Reason = "key-expired"     // the key's deadline has passed
+	ReasonKeyRunning      Reason = "key-running"     // the first request with the key is under way
+	ReasonKeyUnknown      Reason = "key-unknown"     // the first request with the key ended without an answer
+	ReasonHomeGone        Reason = "key-home-gone"   // the key's home has gone; its records went with it
+	ReasonHomeUnreachable Reason = "key-home-cut"    // the key's home can't be reached now
+	ReasonKeysFull        Reason = "keys-full"       // no memory for another record
+	ReasonTargetError     Reason = "target-failed"   // the target failed after the request was sent
+	ReasonStopping        Reason = "stopping"        // the instance is in a planned stop
+	ReasonNoSettings      Reason = "no-settings"     // no configuration has arrived yet
+	ReasonBadRequest      Reason = "bad-request"     // the request can't be understood
+	ReasonRepeat          Reason = "repeat"          // the recorded answer of the key's first request
+	ReasonNotKept         Reason = "answer-not-kept" // the key's request was answered, but the answer was too large to keep
+	ReasonPoisonRequest   Reason = "ends-targets"    // it has ended the targets that ran it
+	ReasonBackingOff      Reason = "resting"         // the targets have asked for rest
+	ReasonLimited         Reason = "limited"         // the targets have named limits, and had as much
+	ReasonOverloaded      Reason = "overloaded"      // this process has more to do than its processors can
+	ReasonNoEnd           Reason = "answer-no-end"   // the end of the target's answer can't be told from a cut
 )
 
 // Passed is a way that was weighed and not taken.
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -13,7 +13,7 @@
 	}
 	p.dead = true
 	p.w.live[p.name] = nil
-	p.w.check.gone(p)
+	p.w.check.processEnded(p)
 	p.w.tracef("%s dies", p)
 	closed := p.w.chance(0.6)
 	for id := core.ID(1); id <= p.lastID; id++ {
@@ -36,7 +36,7 @@
 	if p.dead || !p.paused {
 		return
 	}
-	p.paused, p.touched = false, p.w.now
+	p.paused, p.lastImpeded = false, p.w.now
 	p.w.tracef("%s wakes with %d events", p, len(p.inbox))
 	inbox := p.inbox
 	p.inbox = nil
--- a/internal/core/exchange_test.go
+++ b/internal/core/exchange_test.go
@@ -18,38 +18,38 @@
 
 // exchange carries one request inside a process, as a shell does.
 type exchange struct {
-	p       *proc
-	id      core.ID
-	origin  core.Origin
-	req     core.Request
-	call    *call // the truth behind it
-	reply   func(answer)
-	attempt *attempt      // under way, or nil
-	asker   *attempt      // of the peer that sent it; nil for a caller's
-	left    time.Duration // when it came
-	gone    bool          // the one who asked waits no more
-	done    bool
-	word    bool // its key's home has just said that it has not run
-	ran     bool // a target has begun work on an attempt of this exchange
+	p           *proc
+	id          core.ID
+	origin      core.Origin
+	req         core.Request
+	call        *call // the truth behind it
+	reply       func(answer)
+	attempt     *attempt      // under way, or nil
+	upstream    *attempt      // of the peer that sent it; nil for a caller's
+	timeLimit   time.Duration // when it came
+	senderGone  bool          // the one who asked waits no more
+	done        bool
+	homeRefused bool // its key's home has just said that it has not run
+	ran         bool // a target has begun work on an attempt of this exchange
 }
 
 // attempt is one try at a target or a peer.
 type attempt struct {
-	x    *exchange
-	home bool // it asks the key's home
-	over bool
-	at   owner.TargetKey // the target that it went to; none if it went to a peer
-	cut  bool            // its connection to the target was cut
-	work *work           // at a target
-	far  *exchange       // at a peer
-	from time.Time
+	x            *exchange
+	home         bool // it asks the key's home
+	over         bool
+	target       owner.TargetKey // the target that it went to; none if it went to a peer
+	reset        bool            // its connection to the target was cut
+	work         *work           // at a target
+	peerExchange *exchange       // at a peer
+	started      time.Time
 }
 
 // receive takes a request in. left is the time that its headers give it.
 func (p *proc) receive(origin core.Origin, req core.Request, c *call, left time.Duration, reply func(answer)) *exchange {
 	p.lastID++
 	req.Deadline = p.local().Add(left)
-	x := &exchange{p: p, id: p.lastID, origin: origin, left: left, req: req, call: c, reply: reply}
+	x := &exchange{p: p, id: p.lastID, origin: origin, timeLimit: left, req: req, call: c, reply: reply}
 	p.exchanges[x.id] = x
 	p.w.tracef("%s gets %s (origin %d)", p, req.Name, origin)
 	p.step(core.Arrived{ID: x.id, Origin: origin, Request: req})
@@ -73,10 +73,10 @@
 
 // begin opens an attempt, unless its deadline has passed already.
 func (x *exchange) begin(deadline time.Time) (*attempt, time.Duration) {
-	a := &attempt{x: x, from: x.p.local()}
+	a := &attempt{x: x, started: x.p.local()}
 	x.attempt = a
-	left := deadline.Sub(a.from)
-	if left <= 0 || x.gone {
+	left := deadline.Sub(a.started)
+	if left <= 0 || x.senderGone {
 		a.result(core.Finished{Result: core.NotRun, Proof: once.ProofNoByte})
 		return nil, 0
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	t := w.targets[d.Address]
-	a.at = d.Target
+	a.target = d.Target
 	left = left.Truncate(time.Millisecond)
 	w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() { t.receive(a, left) })
 }
@@ -126,8 +126,8 @@
 		return // sent into the void on a connection that still looked open
 	}
 	q.deliver(func() {
-		a.far = q.receive(origin, req, a.x.call, left, func(ans answer) { a.answered(q, ans) })
-		a.far.asker = a
+		a.peerExchange = q.receive(origin, req, a.x.call, left, func(ans answer) { a.answered(q, ans) })
+		a.peerExchange.upstream = a
 	})
 }
 
@@ -135,7 +135,7 @@
 func (a *attempt) answered(q *proc, ans answer) {
 	w := a.x.p.w
 	if !w.open(q, a.x.p) || w.chance(0.01) {
-		a.x.call.harmed = true
+		a.x.call.disrupted = true
 		return
 	}
 	w.after(w.delay(q.place, a.x.p.place), func() { a.result(a.finished(ans)) })
@@ -178,7 +178,7 @@
 	if a.work != nil {
 		a.work.abandon()
 	}
-	if far := a.far; far != nil {
+	if far := a.peerExchange; far != nil {
 		w := a.x.p.w
 		w.after(w.delay(a.x.p.place, far.p.place), func() { far.p.deliver(far.cancel) })
 	}
@@ -187,15 +187,15 @@
 // finish passes a result to the node, and a whole answer to the one who asked.
 func (x *exchange) finish(a *attempt, ev core.Finished) {
 	x.attempt = nil
-	x.word = a.home && ev.Result == core.NotRun && ev.Proof == once.ProofRefusal
+	x.homeRefused = a.home && ev.Result == core.NotRun && ev.Proof == once.ProofRefusal
 	ev.ID = x.id
-	ev.Took = x.p.local().Sub(a.from)
+	ev.Took = x.p.local().Sub(a.started)
 	x.p.w.tracef("%s: %s ended, result %d %s", x.p, x.req.Name, ev.Result, ev.Reason)
 	if ev.Result == core.Answered || ev.Final {
 		x.final(answer{kind: ev.Result, body: string(ev.Body)})
 	}
 	x.p.step(ev)
-	if ev.Result == core.Failed && a.at != (owner.TargetKey{}) {
+	if ev.Result == core.Failed && a.target != (owner.TargetKey{}) {
 		a.awaitEnd()
 	}
 }
@@ -204,16 +204,16 @@
 // or that it was cut.
 func (a *attempt) awaitEnd() {
 	w := a.x.p.w
-	tell := func() {
+	report := func() {
 		w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() {
-			a.x.p.deliver(func() { a.x.p.step(core.Ended{ID: a.x.id, Target: a.at, Cut: a.cut}) })
+			a.x.p.deliver(func() { a.x.p.step(core.Ended{ID: a.x.id, Target: a.target, Cut: a.reset}) })
 		})
 	}
-	if a.work != nil && !a.work.over && !a.cut {
-		a.work.left = tell
+	if a.work != nil && !a.work.over && !a.reset {
+		a.work.onEnd = report
 		return
 	}
-	tell()
+	report()
 }
 
 // cancel tells that the one who asked has gone. Keyed requests run on.
@@ -221,7 +221,7 @@
 	if x.done || x.req.Key != "" {
 		return
 	}
-	x.gone = true
+	x.senderGone = true
 	if x.attempt != nil {
 		x.attempt.giveUp()
 		return
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -6,17 +6,17 @@
 const faultEvery = 900 * time.Millisecond
 
 // scheduleFaults plans faults until the quiet phase, when all is mended.
-func (w *world) scheduleFaults() {
-	for at := warmUp; at < quiet-time.Second; {
+func (w *simulation) scheduleFaults() {
+	for at := warmUp; at < faultsEnd-time.Second; {
 		w.after(at, w.fault)
 		at += time.Duration(w.rng.ExpFloat64() * float64(faultEvery))
 	}
-	w.after(quiet, w.mend)
+	w.after(faultsEnd, w.repair)
 }
 
 // fault lets something go wrong. What it breaks is mended by the quiet phase.
-func (w *world) fault() {
-	length := min(w.faultLength(), quiet-w.now)
+func (w *simulation) fault() {
+	length := min(w.faultLength(), faultsEnd-w.now)
 	switch w.rng.IntN(18) {
 	case 0:
 		w.partition(length)
@@ -27,7 +27,7 @@
 	case 3:
 		w.cutCallers(length)
 	case 4, 5:
-		w.separate(length)
+		w.isolate(length)
 	case 6:
 		w.lossy(length)
 	case 7:
@@ -41,18 +41,18 @@
 	case 12:
 		w.stopOne()
 	case 13:
-		w.hurtTarget(length)
+		w.degradeTarget(length)
 	case 14, 15:
 		w.suspect(length)
 	default:
 		w.operate()
 	}
-	if w.jumps && w.chance(0.2) {
+	if w.clocksJump && w.chance(0.2) {
 		w.jump()
 	}
 }
 
-func (w *world) faultLength() time.Duration {
+func (w *simulation) faultLength() time.Duration {
 	if w.chance(0.3) {
 		return w.between(4*time.Second, 16*time.Second)
 	}
@@ -60,15 +60,15 @@
 }
 
 // cutFor cuts the way from one end to another for a while.
-func (w *world) cutFor(a, b int, d time.Duration) {
+func (w *simulation) cutFor(a, b int, d time.Duration) {
 	w.links.cut[[2]int{a, b}]++
 	w.after(d, func() { w.links.cut[[2]int{a, b}]-- })
 }
 
-func (w *world) pickPlace() int { return w.rng.IntN(len(w.places)) }
+func (w *simulation) pickPlace() int { return w.rng.IntN(len(w.places)) }
 
 // partition cuts a place off from the others, both ways or one.
-func (w *world) partition(d time.Duration) {
+func (w *simulation) partition(d time.Duration) {
 	p := w.pickPlace()
 	way := w.rng.IntN(3)
 	w.tracef("fault: place %d is cut off from the others, way %d, %v", p, way, d)
@@ -81,44 +81,44 @@
 		}
 	}
 	if w.chance(0.4) {
-		w.cutFor(p, endPlatform, d)
-		w.cutFor(endPlatform, p, d)
+		w.cutFor(p, endpointPlatform, d)
+		w.cutFor(endpointPlatform, p, d)
 	}
 }
 
 // cutOff cuts a place off from the platform, both ways or one.
-func (w *world) cutOff(d time.Duration) {
+func (w *simulation) cutOff(d time.Duration) {
 	p := w.pickPlace()
 	way := w.rng.IntN(3)
 	w.tracef("fault: place %d is cut off from the platform, way %d, %v", p, way, d)
 	if way != 1 {
-		w.cutFor(p, endPlatform, d)
+		w.cutFor(p, endpointPlatform, d)
 	}
 	if way != 2 {
-		w.cutFor(endPlatform, p, d)
+		w.cutFor(endpointPlatform, p, d)
 	}
 }
 
-func (w *world) outage(d time.Duration) {
+func (w *simulation) outage(d time.Duration) {
 	w.tracef("fault: platform is down, %v", d)
 	w.store.down = true
 	w.after(d, func() { w.store.down = false })
 }
 
-func (w *world) cutCallers(d time.Duration) {
+func (w *simulation) cutCallers(d time.Duration) {
 	p := w.pickPlace()
 	w.tracef("fault: callers can't reach place %d, %v", p, d)
-	w.cutFor(endCallers, p, d)
+	w.cutFor(endpointCallers, p, d)
 }
 
-// separate cuts one instance off from its peers, from some of them, or from
+// isolate cuts one instance off from its peers, from some of them, or from
 // the platform.
-func (w *world) separate(d time.Duration) {
+func (w *simulation) isolate(d time.Duration) {
 	a := w.pickName()
 	w.tracef("fault: %s is separated, %v", a, d)
 	all := w.chance(0.6)
 	if all && w.chance(0.4) {
-		d = min(w.between(lag+goneLag, 4*lag), quiet-w.now)
+		d = min(w.between(lag+goneLag, 4*lag), faultsEnd-w.now)
 	}
 	for _, b := range append([]string{""}, w.names...) {
 		if b == a || (!all && w.chance(0.5)) {
@@ -132,7 +132,7 @@
 }
 
 // suspect makes one instance's membership wrongly leave out another for a while.
-func (w *world) suspect(d time.Duration) {
+func (w *simulation) suspect(d time.Duration) {
 	p, name := w.live[w.pickName()], w.pickName()
 	if p != nil {
 		w.tracef("fault: %s wrongly takes %s for dead, %v", p, name, d)
@@ -140,31 +140,31 @@
 	}
 }
 
-func (w *world) apartFor(a, b string, d time.Duration) {
+func (w *simulation) apartFor(a, b string, d time.Duration) {
 	w.links.apart[[2]string{a, b}]++
 	w.after(d, func() { w.links.apart[[2]string{a, b}]-- })
 }
 
-func (w *world) lossy(d time.Duration) {
+func (w *simulation) lossy(d time.Duration) {
 	w.links.loss = w.rng.Float64() * 0.6
 	w.tracef("fault: loss of %.2f, %v", w.links.loss, d)
 	w.after(d, func() { w.links.loss = 0 })
 }
 
-func (w *world) slowLinks(d time.Duration) {
+func (w *simulation) slowLinks(d time.Duration) {
 	w.links.slow = w.between(20*time.Millisecond, time.Second)
 	w.tracef("fault: slow links, up to %v more, %v", w.links.slow, d)
 	w.after(d, func() { w.links.slow = 0 })
 }
 
-func (w *world) crash(name string, d time.Duration) {
+func (w *simulation) crash(name string, d time.Duration) {
 	if p := w.live[name]; p != nil {
 		p.kill()
 		w.after(d, func() { w.start(name) })
 	}
 }
 
-func (w *world) crashPlace(d time.Duration) {
+func (w *simulation) crashPlace(d time.Duration) {
 	place := w.pickPlace()
 	for _, name := range w.names {
 		if w.home[name] == place {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (w *world) pauseOne(d time.Duration) {
+func (w *simulation) pauseOne(d time.Duration) {
 	p := w.live[w.pickName()]
 	if p == nil || p.paused {
 		return
@@ -184,26 +184,26 @@
 }
 
 // stopOne stops an instance in plan; it starts anew afterwards.
-func (w *world) stopOne() {
+func (w *simulation) stopOne() {
 	if p := w.live[w.pickName()]; p != nil {
 		p.deliver(p.stop)
 	}
 }
 
-func (w *world) hurtTarget(d time.Duration) {
-	t := w.order[w.rng.IntN(len(w.order))]
+func (w *simulation) degradeTarget(d time.Duration) {
+	t := w.sortedTargets[w.rng.IntN(len(w.sortedTargets))]
 	if w.chance(0.5) {
 		w.tracef("fault: %s is down, %v", t.key.Name, d)
 		t.down = true
 	} else {
 		w.tracef("fault: %s is ill, %v", t.key.Name, d)
-		t.ill = true
+		t.degraded = true
 	}
-	w.after(d, func() { t.down, t.ill = false, false })
+	w.after(d, func() { t.down, t.degraded = false, false })
 }
 
 // jump moves a process's clock.
-func (w *world) jump() {
+func (w *simulation) jump() {
 	if p := w.live[w.pickName()]; p != nil {
 		by := w.upTo(4*time.Second) - 2*time.Second
 		w.tracef("fault: clock of %s jumps by %v", p, by)
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestGoneCallerBlamesNobody breaks attempts off, by the target's fault or the
+// TestGoneCallerKeepsTargetHealth breaks attempts off, by the target's fault or the
 // caller's.
-func TestGoneCallerBlamesNobody(t *testing.T) {
+func TestGoneCallerKeepsTargetHealth(t *testing.T) {
 	tests := map[string]struct {
 		gone bool
 		want string
@@ -46,7 +46,7 @@
 			n := testNode(t, nil)
 			n.Step(begin, request(1, "10.1.0.1"))
 			tt.ev.ID = 1
-			if got := word(n.Step(begin, tt.ev)); got != tt.want {
+			if got := decisionName(n.Step(begin, tt.ev)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if got := n.Open(); got != 0 {
--- a/internal/core/gossip_test.go
+++ b/internal/core/gossip_test.go
@@ -10,15 +10,15 @@
 
 // ping is a heartbeat, with all that may ride on one.
 type ping struct {
-	from     *proc
-	sent     time.Time // by the sender's clock
-	leaving  bool
-	roster   owner.Roster
-	release  owner.Release
-	rooms    []core.Room
-	docs     []settings.Document // rarely
-	whole    bool                // docs is all that the sender has
-	tellsAll bool                // the roster itself goes along
+	from       *proc
+	sent       time.Time // by the sender's clock
+	leaving    bool
+	roster     owner.Roster
+	release    owner.Release
+	freeSlots  []core.Room
+	docs       []settings.Document // rarely
+	allDocs    bool                // docs is all that the sender has
+	withRoster bool                // the roster itself goes along
 }
 
 // ping sends heartbeats to every other instance, with room and, now and then,
@@ -31,11 +31,11 @@
 		}
 		m := ping{
 			from: p, sent: p.local(), leaving: p.leaving, roster: p.node.Roster(),
-			release: p.node.Release(), rooms: p.node.Rooms(p.local()), tellsAll: p.w.chance(0.1),
+			release: p.node.Release(), freeSlots: p.node.Rooms(p.local()), withRoster: p.w.chance(0.1),
 		}
 		if p.w.chance(0.2) {
 			m.docs = p.someDocs()
-			m.whole = len(m.docs) == p.docs.Len()
+			m.allDocs = len(m.docs) == p.docs.Len()
 		}
 		p.w.datagram(p, to, func() { to.pinged(m) })
 	}
@@ -53,8 +53,8 @@
 
 // pinged takes a heartbeat in. An ack is a promise that the node has to allow.
 func (p *proc) pinged(m ping) {
-	p.hear(m.from, m.leaving)
-	if m.docs != nil && (p.snapshot != nil || m.whole) {
+	p.seen(m.from, m.leaving)
+	if m.docs != nil && (p.snapshot != nil || m.allDocs) {
 		p.takeDocs(m.docs) // the first documents come whole, or callers' blocks may lack
 	}
 	if m.from.place != p.place {
@@ -64,8 +64,8 @@
 		p.ack(m)
 	}
 	p.step(core.Released{Release: m.release})
-	p.step(core.RoomHeard{Peer: m.from.name, Rooms: m.rooms})
-	if m.tellsAll {
+	p.step(core.RoomHeard{Peer: m.from.name, Rooms: m.freeSlots})
+	if m.withRoster {
 		p.step(core.RosterHeard{Roster: m.roster})
 	}
 }
@@ -73,18 +73,18 @@
 func (p *proc) ack(m ping) {
 	version := p.node.Roster().Version
 	p.w.datagram(p, m.from, func() {
-		m.from.hear(p, p.leaving)
+		m.from.seen(p, p.leaving)
 		m.from.step(core.PeerAcked{Peer: p.name, Incarnation: p.incarnation, Sent: m.sent, Roster: version})
 	})
 }
 
-// hear notes that a peer lives.
-func (p *proc) hear(from *proc, leaving bool) {
-	h := p.heard[from.name]
+// seen notes that a peer lives.
+func (p *proc) seen(from *proc, leaving bool) {
+	h := p.lastSeen[from.name]
 	if h != nil && h.incarnation > from.incarnation {
 		return
 	}
-	p.heard[from.name] = &heard{at: p.local(), incarnation: from.incarnation, leaving: leaving}
+	p.lastSeen[from.name] = &lastSeen{at: p.local(), incarnation: from.incarnation, leaving: leaving}
 }
 
 // readRoster reads the place's roster from the platform.
@@ -95,7 +95,7 @@
 		p.asking = false
 		p.rosterDue = p.local().Add(next)
 	}
-	p.w.store.ask(p, func() func() {
+	p.w.store.call(p, func() func() {
 		r := p.w.store.rosters[p.place]
 		return func() {
 			p.step(core.RosterRead{Roster: r, Sent: sent})
@@ -111,7 +111,7 @@
 // swapRoster asks the platform for a change of the roster.
 func (p *proc) swapRoster(d core.SwapRoster) {
 	p.w.tracef("%s asks for %s of version %d (removes %q)", p, d.Reason, d.Next.Version, d.Removed)
-	p.w.store.ask(p, func() func() {
+	p.w.store.call(p, func() func() {
 		landed := p.w.store.swap(p.place, d.Next)
 		return func() {
 			p.rosterDue = time.Time{}
@@ -125,7 +125,7 @@
 // register renews the line in the platform's list, and reads the list.
 func (p *proc) register() {
 	sent := p.local()
-	p.w.store.ask(p, func() func() {
+	p.w.store.call(p, func() func() {
 		p.w.store.register(p.name, p.incarnation)
 		list := p.w.store.list(p.place)
 		return func() { p.step(core.Listed{Instances: list, Sent: sent}) }
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -40,11 +40,11 @@
 	if _, ok := service.Site(n.cfg.Place); !ok || n.stopping || n.snapshot.PlaceDrained(a.Service, n.cfg.Place) {
 		return Offer{}
 	}
-	o := Offer{Free: n.freeSlots(now, a.Service)}
+	o := Offer{Free: n.healthyFreeSlots(now, a.Service)}
 	if peer.Place == n.cfg.Place || peer.Leaving {
 		return o
 	}
-	o.Grant = n.grants.Grant(now, grant.Ask{Peer: a.Peer, Place: peer.Place, Use: use, Want: a.Want}, n.grantRoom(now, use))
+	o.Grant = n.grants.Grant(now, grant.Ask{Peer: a.Peer, Place: peer.Place, Use: use, Want: a.Want}, n.grantCapacity(now, use))
 	o.Until = now.Add(n.grants.Life())
 	return o
 }
@@ -54,43 +54,43 @@
 	return grant.Use{Service: id, Shifted: home != "" && home != n.cfg.Place}
 }
 
-// grantRoom is what could be granted if nothing were. Requests that wait here
+// grantCapacity is what could be granted if nothing were. Requests that wait here
 // come first.
-func (n *Node) grantRoom(now time.Time, use grant.Use) grant.Room {
+func (n *Node) grantCapacity(now time.Time, use grant.Use) grant.Room {
 	waiting := n.queue.Waiting(use.Service)
 	return grant.Room{
-		Slots:   n.freeSlots(now, use.Service) + n.soonFree(now, use.Service) - waiting,
-		Shifted: n.service(now, use.Service).ramp.Ahead(now, now.Add(n.grants.Life())) - waiting,
-		Spare:   n.book.Spare(now) + n.soonFree(now, use.Service) - n.queue.Len(),
+		Slots:   n.healthyFreeSlots(now, use.Service) + n.soonFreeSlots(now, use.Service) - waiting,
+		Shifted: n.state(now, use.Service).ramp.Ahead(now, now.Add(n.grants.Life())) - waiting,
+		Spare:   n.owners.Spare(now) + n.soonFreeSlots(now, use.Service) - n.queue.Len(),
 		Weight:  n.snapshot.Share,
 	}
 }
 
-// freeSlots is how many requests of a service could go to targets now, as far
+// healthyFreeSlots is how many requests of a service could go to targets now, as far
 // as their health lets them.
-func (n *Node) freeSlots(now time.Time, id settings.ServiceID) int {
+func (n *Node) healthyFreeSlots(now time.Time, id settings.ServiceID) int {
 	free := 0
-	for _, key := range n.service(now, id).keys {
-		free += max(min(n.book.Free(now, key), n.weight(now, key)-n.book.InFlight(key)), 0)
+	for _, key := range n.state(now, id).keys {
+		free += max(min(n.owners.Free(now, key), n.weight(now, key)-n.owners.InFlight(key)), 0)
 	}
-	return min(free, n.book.Spare(now))
+	return min(free, n.owners.Spare(now))
 }
 
-// ahead is how long a granted request may have to wait for a slot when it
+// grantLead is how long a granted request may have to wait for a slot when it
 // arrives. A grant is on its way for longer than that, so without it slots
 // would stand idle until the request comes.
-const ahead = 20 * time.Millisecond
+const grantLead = 20 * time.Millisecond
 
-// soonFree is how many slots usually come free in that time.
-func (n *Node) soonFree(now time.Time, id settings.ServiceID) int {
-	if n.cfg.sending == sendHard {
+// soonFreeSlots is how many slots usually come free in that time.
+func (n *Node) soonFreeSlots(now time.Time, id settings.ServiceID) int {
+	if n.cfg.handOff == handOffReserved {
 		return 0
 	}
-	s := n.service(now, id)
+	s := n.state(now, id)
 	soon := 0.0
 	for _, key := range s.keys {
-		if usual := s.health.Latency(key); usual > 0 {
-			soon += float64(n.book.Usable(now, key)) * min(1, float64(ahead)/float64(usual))
+		if latency := s.health.Latency(key); latency > 0 {
+			soon += float64(n.owners.Usable(now, key)) * min(1, float64(grantLead)/float64(latency))
 		}
 	}
 	return int(math.Round(soon))
@@ -101,34 +101,34 @@
 	return n.grants.Outstanding(now, id)
 }
 
-// covered notes that a peer handed a request off, and says whether it held a grant.
-func (n *Node) covered(now time.Time, f *flight) bool {
+// useGrant notes that a peer handed a request off, and says whether it held a grant.
+func (n *Node) useGrant(now time.Time, f *inFlight) bool {
 	return n.grants.Used(now, f.req.From, n.useHere(f.req.Service, f.home))
 }
 
-// grantHeard takes in what a peer offered.
-func (n *Node) grantHeard(now time.Time, ev GrantHeard) {
+// grantReceived takes in what a peer offered.
+func (n *Node) grantReceived(now time.Time, ev GrantHeard) {
 	peer, ok := n.peer(ev.Peer)
 	if !ok || peer.Incarnation != ev.Incarnation {
 		return
 	}
 	if peer.Place == n.cfg.Place {
-		n.freeHeard(ev)
+		n.localSlotsReceived(ev)
 		return
 	}
 	a := destination{place: peer.Place, use: grant.Use{Service: ev.Service, Shifted: ev.Home != peer.Place}}
 	n.holdings.Heard(ev.Peer, a.use, ev.Grant, ev.Until)
 	if ev.ID == 0 && ev.Grant == 0 {
-		n.roomOf(ev.Peer, ev.Service).until = now.Add(askRefuse + time.Duration(n.cfg.Rand.Int64N(int64(askRefuse))))
+		n.slotsOf(ev.Peer, ev.Service).backOffUntil = now.Add(askBackOff + time.Duration(n.cfg.Rand.Int64N(int64(askBackOff))))
 	}
-	n.pump(now)
+	n.serveQueue(now)
 }
 
-// freeHeard takes in the free slots of a peer of this place, after a hand-off.
-func (n *Node) freeHeard(ev GrantHeard) {
-	if f, ok := n.flights[ev.ID]; ok && f.stage == stagePeer {
-		f.heard = true
-		r := n.roomOf(ev.Peer, ev.Service)
-		r.free, r.until = ev.Free, time.Time{}
+// localSlotsReceived takes in the free slots of a peer of this place, after a hand-off.
+func (n *Node) localSlotsReceived(ev GrantHeard) {
+	if f, ok := n.requests[ev.ID]; ok && f.stage == stagePeer {
+		f.slotsReported = true
+		r := n.slotsOf(ev.Peer, ev.Service)
+		r.free, r.backOffUntil = ev.Free, time.Time{}
 	}
 }
--- a/internal/core/grant_test.go
+++ b/internal/core/grant_test.go
@@ -13,7 +13,7 @@
 	n := testNode(t, nil)
 	n.Step(begin, Applied{Snapshot: testSnapshot(t, "place: east\n")})
 	n.Step(begin, PeersChanged{Peers: []Peer{westPeer(1)}})
-	if got := handed(n.Step(begin, request(1, "10.1.0.1"))); got != ReasonUngranted {
+	if got := handOffReason(n.Step(begin, request(1, "10.1.0.1"))); got != ReasonUngranted {
 		t.Fatalf("got %q for the first request, want %q", got, ReasonUngranted)
 	}
 	return n
@@ -24,11 +24,11 @@
 }
 
 func westGrant(n int, until time.Time) GrantHeard {
-	return GrantHeard{Peer: "i2", Incarnation: 1, Service: lossService, Home: "east", Grant: n, Until: until}
+	return GrantHeard{Peer: "i2", Incarnation: 1, Service: ordersID, Home: "east", Grant: n, Until: until}
 }
 
-// handed is the reason of the hand-off among decisions, if any.
-func handed(decisions []Decision) Reason {
+// handOffReason is the reason of the hand-off among decisions, if any.
+func handOffReason(decisions []Decision) Reason {
 	for _, d := range decisions {
 		if h, ok := d.(Hand); ok {
 			return h.Reason
@@ -62,7 +62,7 @@
 			for _, ev := range tt.events {
 				n.Step(begin, ev)
 			}
-			if got := handed(n.Step(tt.at, request(2, "10.1.0.1"))); got != tt.want {
+			if got := handOffReason(n.Step(tt.at, request(2, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -74,12 +74,12 @@
 	n.Step(begin, westGrant(2, begin.Add(time.Second)))
 	want := []Reason{ReasonGrant, ReasonGrant, ""}
 	for i, w := range want {
-		if got := handed(n.Step(begin, request(ID(i+2), "10.1.0.1"))); got != w {
+		if got := handOffReason(n.Step(begin, request(ID(i+2), "10.1.0.1"))); got != w {
 			t.Errorf("request %d: got %q, want %q", i, got, w)
 		}
 	}
 	decisions := n.Step(begin, westGrant(1, begin.Add(time.Second)))
-	if got := handed(decisions); got != ReasonQueue {
+	if got := handOffReason(decisions); got != ReasonQueue {
 		t.Errorf("got %v, want the waiting request handed off", decisions)
 	}
 }
@@ -124,7 +124,7 @@
 	tests := map[string]struct {
 		caller string
 		want   int
-	}{"shifted": {"10.1.0.1", maxTrying}, "at home there": {"10.2.0.1", maxTryingHome}}
+	}{"shifted": {"10.1.0.1", maxUngranted}, "at home there": {"10.2.0.1", maxUngrantedHome}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			n := testNode(t, nil)
@@ -132,7 +132,7 @@
 			n.Step(begin, PeersChanged{Peers: []Peer{westPeer(1)}})
 			got := 0
 			for id := range ID(9) {
-				if handed(n.Step(begin, request(id+1, tt.caller))) != "" {
+				if handOffReason(n.Step(begin, request(id+1, tt.caller))) != "" {
 					got++
 				}
 			}
@@ -170,7 +170,7 @@
 			if tt.stop {
 				n.Step(at, Stopping{})
 			}
-			tt.ask.Service = lossService
+			tt.ask.Service = ordersID
 			if got := n.Offer(at, tt.ask).Grant; got != tt.want {
 				t.Errorf("got %d granted, want %d", got, tt.want)
 			}
@@ -192,7 +192,7 @@
 	for i := range 9 {
 		r := request(ID(i+1), "10.1.0.1")
 		r.Origin, r.Request.From, r.Request.Home, r.Request.Name = FromPeer, "i2", "east", fmt.Sprint(i)
-		if word(n.Step(at, r)) == "serve" {
+		if decisionName(n.Step(at, r)) == "serve" {
 			served++
 		}
 	}
@@ -210,13 +210,13 @@
 		t.Run(name, func(t *testing.T) {
 			n := testNode(t, nil)
 			n.Step(begin, PeersChanged{Peers: []Peer{{ID: "i9", Incarnation: 1, Place: "east", Domain: "east", Region: "coast"}}})
-			n.Step(begin, RoomHeard{Peer: "i9", Rooms: []Room{{Service: lossService, Free: 1}}})
+			n.Step(begin, RoomHeard{Peer: "i9", Rooms: []Room{{Service: ordersID, Free: 1}}})
 			for id := range ID(3) { // two slots here, one hand-off
 				n.Step(begin, request(id+1, "10.1.0.1"))
 			}
-			n.Step(begin, GrantHeard{ID: 3, Peer: "i9", Incarnation: 1, Service: lossService, Free: tt.free})
+			n.Step(begin, GrantHeard{ID: 3, Peer: "i9", Incarnation: 1, Service: ordersID, Free: tt.free})
 			n.Step(begin, Finished{ID: 3, Result: Answered})
-			if got := word(n.Step(begin, request(4, "10.1.0.1"))); got != tt.want {
+			if got := decisionName(n.Step(begin, request(4, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
--- a/internal/core/home_test.go
+++ b/internal/core/home_test.go
@@ -20,11 +20,11 @@
 		},
 		"no connection": {
 			Finished{Result: NotRun, Proof: once.ProofNoConn},
-			Refuse{Unknown: true, Reason: ReasonHomeCut},
+			Refuse{Unknown: true, Reason: ReasonHomeUnreachable},
 		},
-		"no answer":        {Finished{Result: Failed}, Refuse{Unknown: true, Reason: ReasonHomeCut}},
+		"no answer":        {Finished{Result: Failed}, Refuse{Unknown: true, Reason: ReasonHomeUnreachable}},
 		"unknown, by home": {Finished{Result: Failed, Reason: ReasonKeyUnknown}, Refuse{Unknown: true, Reason: ReasonKeyUnknown}},
-		"not sent":         {Finished{Result: NotRun, Proof: once.ProofNoByte}, Refuse{Unknown: true, Reason: ReasonHomeCut}},
+		"not sent":         {Finished{Result: NotRun, Proof: once.ProofNoByte}, Refuse{Unknown: true, Reason: ReasonHomeUnreachable}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -57,9 +57,9 @@
 	return ev
 }
 
-// TestBlindRefusalOfKey: an instance that does not know the service can't say
+// TestRefusalWithoutService: an instance that does not know the service can't say
 // that a key has not run.
-func TestBlindRefusalOfKey(t *testing.T) {
+func TestRefusalWithoutService(t *testing.T) {
 	for name, want := range map[string]bool{"a key": true, "": false} {
 		n := testNode(t, nil)
 		ev := keyedAtHome(t, n)
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestIdleBesideOldLine: the line of an earlier incarnation does not keep a
+// TestIdleWithPreviousIncarnation: the line of an earlier incarnation does not keep a
 // planned stop from ending.
-func TestIdleBesideOldLine(t *testing.T) {
+func TestIdleWithPreviousIncarnation(t *testing.T) {
 	n := testNode(t, func(c *Config) { c.Incarnation = 2 })
 	n.Step(begin, Stopping{})
 	if !n.Idle() {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -12,7 +12,7 @@
 
 // versions tells which versions of a document are in force somewhere in a place.
 type versions struct {
-	w    *world
+	w    *simulation
 	last map[heldKey]time.Duration // when a process last gave a version up
 	late []time.Duration           // by place: when a process last had one that had been replaced for longer than settled
 }
@@ -23,12 +23,12 @@
 	version uint64
 }
 
-func newVersions(w *world) *versions {
+func newVersions(w *simulation) *versions {
 	return &versions{w: w, last: make(map[heldKey]time.Duration)}
 }
 
-// left notes that a process has given a version up.
-func (h *versions) left(place int, path string, version uint64) {
+// released notes that a process has given a version up.
+func (h *versions) released(place int, path string, version uint64) {
 	if version == 0 {
 		return
 	}
@@ -39,7 +39,7 @@
 // noteLate notes a version that is in force for longer than the design says.
 func (h *versions) noteLate(place int, path string, version uint64) {
 	all := h.w.store.docs[path]
-	if int(version) < len(all) && h.w.now > all[version].at+settled {
+	if int(version) < len(all) && h.w.now > all[version].at+maxStaleness {
 		if h.late == nil {
 			h.late = make([]time.Duration, len(h.w.places))
 		}
@@ -47,8 +47,8 @@
 	}
 }
 
-// of are the versions in force in a place, or whose work may still go on.
-func (h *versions) of(place int, path string) []uint64 {
+// active are the versions in force in a place, or whose work may still go on.
+func (h *versions) active(place int, path string) []uint64 {
 	var list []uint64
 	now := make(map[uint64]bool)
 	for _, name := range h.w.names {
@@ -75,11 +75,11 @@
 	if h.late == nil || h.late[place] == 0 {
 		return false
 	}
-	return h.w.now <= h.late[place]+settled+2*longest()+slack
+	return h.w.now <= h.late[place]+maxStaleness+2*longest()+slack
 }
 
 // site reads one version of a service's document.
-func (w *world) site(path string, version uint64, place int) (settings.Site, int) {
+func (w *simulation) site(path string, version uint64, place int) (settings.Site, int) {
 	service := w.store.parsed(path, version).Service()
 	s, _ := service.Site(w.places[place])
 	return s, service.Shift()
@@ -88,7 +88,7 @@
 // limits checks the target's slots, and the limits of its service and place.
 func (c *checker) limits(t *target) {
 	path := settings.ServicePath(t.key.Service)
-	list := c.held.of(t.place, path)
+	list := c.held.active(t.place, path)
 	allowance, limit, sum := 0, 0, 0
 	most := make(map[owner.TargetKey]int)
 	for _, v := range list {
@@ -107,7 +107,7 @@
 		c.failf("%s has %d in flight, its allowance is %d (versions %v)", t.key.Name, len(t.works), allowance, list)
 	}
 	site, all := 0, 0
-	for _, o := range c.w.order {
+	for _, o := range c.w.sortedTargets {
 		if o.place != t.place {
 			continue
 		}
@@ -128,7 +128,7 @@
 func (c *checker) placeLimit(place, all int) {
 	path := settings.PlacePath(c.w.places[place])
 	limit := 0
-	list := c.held.of(place, path)
+	list := c.held.active(place, path)
 	for _, v := range list {
 		limit = max(limit, c.w.store.parsed(path, v).Place().Limit)
 	}
@@ -147,19 +147,19 @@
 		p.admitted[service] = counts
 	}
 	counts[window]++
-	if c.w.jumps {
+	if c.w.clocksJump {
 		return
 	}
 	limit := 0
 	path := settings.ServicePath(t.key.Service)
-	for _, v := range c.held.of(p.place, path) {
+	for _, v := range c.held.active(p.place, path) {
 		_, shift := c.w.site(path, v, p.place)
 		limit = max(limit, shift)
 	}
 	if grown := counts[window] - counts[window-1]; grown > limit {
 		c.failf("%s admits %d shifted requests more than a second ago, cap %d", p, grown, limit)
 	}
-	if c.w.aligned {
+	if c.w.clocksAligned {
 		c.shiftedInAll(p.place, service, window, limit)
 	}
 }
@@ -184,7 +184,7 @@
 		}
 	}
 	if len(seen) > 1 || c.w.now < changed+4*time.Second {
-		for _, t := range c.w.order {
+		for _, t := range c.w.sortedTargets {
 			if t.place == place && t.key.Service.Name == service {
 				limit++ // one for each target's part, while versions differ
 			}
--- a/internal/core/link.go
+++ b/internal/core/link.go
@@ -1,8 +1,8 @@
 package core
 
-// answerLink is how many bytes/s this instance may pass on of answers like
+// answerRate is how many bytes/s this instance may pass on of answers like
 // f's; 0 sets no limit.
-func (n *Node) answerLink(f *flight) int64 {
+func (n *Node) answerRate(f *inFlight) int64 {
 	switch f.origin {
 	case FromPeer:
 		p, _ := n.peer(f.req.From)
@@ -18,12 +18,12 @@
 // to another; 0 sets no limit. No instance asks the others: half of the place's
 // limit is split evenly, the other half by the slots of bulk targets that each
 // instance owns, as most answers leave by their target's owner.
-func (n *Node) linkShare(f *flight, to string) int64 {
+func (n *Node) linkShare(f *inFlight, to string) int64 {
 	place, _ := n.snapshot.Place(n.cfg.Place)
 	if to == n.cfg.Place || !f.service.Bulk() || place.Link == 0 {
 		return 0
 	}
-	members := int64(max(len(n.book.Roster().Members), 1))
+	members := int64(max(len(n.owners.Roster().Members), 1))
 	own, all := n.bulkSlots()
 	if all == 0 {
 		return max(place.Link/members, 1)
@@ -43,7 +43,7 @@
 		for _, key := range state.keys {
 			limit := int64(state.limits[key])
 			all += limit
-			if n.book.Owner(key) == n.cfg.Instance {
+			if n.owners.Owner(key) == n.cfg.Instance {
 				own += limit
 			}
 		}
--- a/internal/core/link_test.go
+++ b/internal/core/link_test.go
@@ -8,9 +8,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TestForwardTellsHome forwards a request whose key another instance issued: it
+// TestForwardCarriesHome forwards a request whose key another instance issued: it
 // alone knows the caller's address.
-func TestForwardTellsHome(t *testing.T) {
+func TestForwardCarriesHome(t *testing.T) {
 	tests := map[string]string{"10.1.0.1": "east", "10.2.0.1": "west"}
 	for caller, want := range tests {
 		t.Run(caller, func(t *testing.T) {
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -54,18 +54,18 @@
 	for range min(keys, maxKeys) {
 		l.Keys = append(l.Keys, n.once.Issue(now, until).String())
 	}
-	n.note(l)
+	n.recordLookup(l)
 	return l, nil
 }
 
-// note keeps until when callers may keep an answer that sends them to an
+// recordLookup keeps until when callers may keep an answer that sends them to an
 // instance, by its name or by a key.
-func (n *Node) note(l Lookup) {
+func (n *Node) recordLookup(l Lookup) {
 	for _, p := range l.Instances {
-		n.named[p.ID] = l.Until
+		n.lookupUntil[p.ID] = l.Until
 	}
 	if len(l.Keys) > 0 {
-		n.named[n.cfg.Instance] = l.Until
+		n.lookupUntil[n.cfg.Instance] = l.Until
 	}
 }
 
@@ -74,13 +74,13 @@
 // known here to leave, which ok tells.
 func (n *Node) Named(id string) (until time.Time, ok bool) {
 	p, known := n.peer(id)
-	return n.named[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
+	return n.lookupUntil[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
 }
 
 // instancesFor orders instances by how near their place is to the caller's home.
 // Within a place a random one comes first, so that callers spread.
 func (n *Node) instancesFor(id settings.ServiceID, service *settings.CompiledService, home string) []Peer {
-	f := &flight{service: service, home: home}
+	f := &inFlight{service: service, home: home}
 	f.req.Service = id
 	var list []Peer
 	for _, place := range n.placesFor(f) {
@@ -103,28 +103,28 @@
 	if place == n.cfg.Place && !n.stopping && !n.snapshot.InstanceDrained(n.cfg.Instance) {
 		list = append(list, Peer{ID: n.cfg.Instance, Incarnation: n.cfg.Incarnation, Place: place})
 	}
-	for _, p := range n.peers.local[place] {
+	for _, p := range n.peers.byPlace[place] {
 		if !p.Leaving && !n.snapshot.InstanceDrained(p.ID) {
 			list = append(list, p)
 		}
 	}
 	n.cfg.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	if place == n.cfg.Place {
-		n.byShare(id, list)
+		n.shuffleByShare(id, list)
 	}
 	return list
 }
 
-// byShare orders a place's instances at random, weighted by the slots that each
+// shuffleByShare orders a place's instances at random, weighted by the slots that each
 // owns of the service.
-func (n *Node) byShare(id settings.ServiceID, list []Peer) {
+func (n *Node) shuffleByShare(id settings.ServiceID, list []Peer) {
 	s, ok := n.services[id]
 	if !ok {
 		return
 	}
 	slots := make(map[string]int, len(list))
 	for _, key := range s.keys {
-		slots[n.book.Owner(key)] += s.limits[key]
+		slots[n.owners.Owner(key)] += s.limits[key]
 	}
 	// The least of exponential times with these rates is each one as often as
 	// its share; an instance without slots comes last.
--- a/internal/core/lookup_test.go
+++ b/internal/core/lookup_test.go
@@ -28,7 +28,7 @@
 			n.Step(begin, RosterRead{Roster: tt.roster, Sent: begin})
 			near := Peer{ID: "i2", Incarnation: 1, Place: "east", Domain: "east", Region: "coast", Leaving: tt.leaving}
 			n.Step(begin, PeersChanged{Peers: []Peer{near}})
-			want := n.book.Owner(owner.TargetKey{Service: orders, Name: "e"})
+			want := n.owners.Owner(owner.TargetKey{Service: orders, Name: "e"})
 			for range 20 {
 				l, err := n.Lookup(begin, orders, netip.MustParseAddr("10.1.0.1"), 0)
 				if err != nil || len(l.Instances) == 0 {
--- a/internal/core/loss_test.go
+++ b/internal/core/loss_test.go
@@ -15,13 +15,13 @@
 
 // lossRun runs the world at 50% load, then lets places lose their targets or
 // callers come to the wrong place, and counts what follows.
-func lossRun(t testing.TB, mode sending, seed uint64, size int, cross bool, lost ...string) *tally {
-	w := newLossWorld(t, mode, seed, size)
+func lossRun(t testing.TB, mode handOffMode, seed uint64, size int, cross bool, lost ...string) *tally {
+	w := newLossSimulation(t, mode, seed, size)
 	w.run(begin.Add(lossAt))
 	w.counts = newTally(w.counts.busy)
-	w.cross = cross
+	w.wrongPlace = cross
 	if len(lost) > 0 {
-		w.lose(lost...)
+		w.drainPlaces(lost...)
 	}
 	w.run(begin.Add(lossEnd))
 	return &w.counts
@@ -49,21 +49,21 @@
 	}
 	modes := []struct {
 		name string
-		mode sending
-	}{{"window", sendWindow}, {"always", sendAlways}, {"hard", sendHard}, {"soft", sendGrant}}
+		mode handOffMode
+	}{{"window", handOffWindow}, {"always", handOffAlways}, {"hard", handOffReserved}, {"soft", handOffGranted}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			for _, m := range modes {
-				if m.mode != sendGrant && !testing.Verbose() {
+				if m.mode != handOffGranted && !testing.Verbose() {
 					continue
 				}
 				c := lossRun(t, m.mode, 1, tt.size, tt.cross, tt.lost...)
 				t.Logf("%-6s requests %d answered %d refused %d, p50 %v p99 %v, hand-offs %d refused %d, asks %d, by home %v, shifted %v",
-					m.name, c.requests, c.answered, c.refused, c.quantile(.5), c.quantile(.99), c.hands, c.bounced, c.asks, c.by, c.shifted[5:15])
-				if c.over > 0 {
-					t.Errorf("%s: got %d requests over a place's limit", m.name, c.over)
+					m.name, c.requests, c.answered, c.refused, c.quantile(.5), c.quantile(.99), c.hands, c.refusedHandOffs, c.asks, c.answeredByHome, c.shifted[5:15])
+				if c.overLimit > 0 {
+					t.Errorf("%s: got %d requests over a place's limit", m.name, c.overLimit)
 				}
-				if m.mode == sendGrant {
+				if m.mode == handOffGranted {
 					c.within(t, tt.refused, tt.bounced, tt.reaches, tt.size)
 				}
 			}
@@ -76,7 +76,7 @@
 	if got := float64(c.refused) / float64(c.requests); got > refused {
 		t.Errorf("got %.3f of requests refused, want at most %.3f", got, refused)
 	}
-	if got := float64(c.bounced) / math.Max(float64(c.hands), 1); got > bounced {
+	if got := float64(c.refusedHandOffs) / math.Max(float64(c.hands), 1); got > bounced {
 		t.Errorf("got %.3f of hand-offs refused, want at most %.3f", got, bounced)
 	}
 	for i, want := range reaches {
--- a/internal/core/loss_world_test.go
+++ b/internal/core/loss_world_test.go
@@ -18,15 +18,15 @@
 // Sizes of the measured world: four places, each with a few instances, 20 slots
 // and requests of 50 ms on average, so 400 requests a second.
 const (
-	lossLink    = 20 * time.Millisecond   // one way between places
-	lossNear    = 1500 * time.Microsecond // the same within one
-	lossRooms   = 250 * time.Millisecond
-	lossMean    = 50 * time.Millisecond
-	lossRate    = 200.0 // requests a second at each place: half of what it can
-	lossCap     = 40    // shift cap of the service
-	lossAt      = 5 * time.Second
-	lossEnd     = 15 * time.Second
-	lossTimeout = time.Second
+	lossFarDelay      = 20 * time.Millisecond   // one way between places
+	lossNearDelay     = 1500 * time.Microsecond // the same within one
+	lossSlotsInterval = 250 * time.Millisecond
+	lossServiceTime   = 50 * time.Millisecond
+	lossRate          = 200.0 // requests a second at each place: half of what it can
+	lossCap           = 40    // shift cap of the service
+	lossAt            = 5 * time.Second
+	lossEnd           = 15 * time.Second
+	lossTimeout       = time.Second
 )
 
 var lossPlaces = []string{"a", "b", "c", "d"}
@@ -34,32 +34,32 @@
 // placeOf is the place of an instance: its name begins with it.
 func placeOf(id string) string { return id[:1] }
 
-func linkOf(x, y string) time.Duration {
+func delayOf(x, y string) time.Duration {
 	if placeOf(x) == placeOf(y) {
-		return lossNear
+		return lossNearDelay
 	}
-	return lossLink
+	return lossFarDelay
 }
 
-// lossWorld runs nodes in virtual time.
-type lossWorld struct {
-	t      testing.TB
-	rng    *rand.Rand
-	now    time.Time
-	todo   agenda
-	seq    int
-	ids    []string         // of the instances, sorted
-	nodes  map[string]*Node // by id
-	last   ID
-	open   map[ID]*trip // by the id at the node that has it
-	cross  bool
-	counts tally
+// lossSimulation runs nodes in virtual time.
+type lossSimulation struct {
+	t          testing.TB
+	rng        *rand.Rand
+	now        time.Time
+	jobs       jobQueue
+	seq        int
+	ids        []string         // of the instances, sorted
+	nodes      map[string]*Node // by id
+	last       ID
+	open       map[ID]*hop // by the id at the node that has it
+	wrongPlace bool
+	counts     tally
 }
 
-// trip is one request at one node.
-type trip struct {
+// hop is one request at one node.
+type hop struct {
 	node    string
-	from    *trip // the trip of the node that handed it off; nil if a caller brought it
+	from    *hop // the trip of the node that handed it off; nil if a caller brought it
 	home    string
 	arrived time.Time
 	id      ID
@@ -67,16 +67,18 @@
 }
 
 type tally struct {
-	requests, answered, refused int
-	shifted                     [20]int // answered shifted requests by the second of their admission
-	by                          map[string]int
-	hands, bounced, asks        int
-	latency                     []time.Duration
-	over                        int // most requests at a place's targets beyond its limit
-	busy                        map[string]int
+	requests, answered, refused  int
+	shifted                      [20]int // answered shifted requests by the second of their admission
+	answeredByHome               map[string]int
+	hands, refusedHandOffs, asks int
+	latency                      []time.Duration
+	overLimit                    int // most requests at a place's targets beyond its limit
+	busy                         map[string]int
 }
 
-func newTally(busy map[string]int) tally { return tally{by: make(map[string]int), busy: busy} }
+func newTally(busy map[string]int) tally {
+	return tally{answeredByHome: make(map[string]int), busy: busy}
+}
 
 type job struct {
 	at  time.Time
@@ -84,32 +86,32 @@
 	do  func()
 }
 
-type agenda []job
+type jobQueue []job
 
-func (a agenda) Len() int { return len(a) }
-func (a agenda) Less(i, j int) bool {
+func (a jobQueue) Len() int { return len(a) }
+func (a jobQueue) Less(i, j int) bool {
 	if !a[i].at.Equal(a[j].at) {
 		return a[i].at.Before(a[j].at)
 	}
 	return a[i].seq < a[j].seq
 }
-func (a agenda) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)   { *a = append(*a, x.(job)) }
-func (a *agenda) Pop() any {
+func (a jobQueue) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a *jobQueue) Push(x any)   { *a = append(*a, x.(job)) }
+func (a *jobQueue) Pop() any {
 	last := len(*a) - 1
 	j := (*a)[last]
 	*a = (*a)[:last]
 	return j
 }
 
-func (w *lossWorld) in(d time.Duration, do func()) {
+func (w *lossSimulation) after(d time.Duration, do func()) {
 	w.seq++
-	heap.Push(&w.todo, job{at: w.now.Add(d), seq: w.seq, do: do})
+	heap.Push(&w.jobs, job{at: w.now.Add(d), seq: w.seq, do: do})
 }
 
-func (w *lossWorld) run(until time.Time) {
-	for len(w.todo) > 0 && w.todo[0].at.Before(until) {
-		j := heap.Pop(&w.todo).(job)
+func (w *lossSimulation) run(until time.Time) {
+	for len(w.jobs) > 0 && w.jobs[0].at.Before(until) {
+		j := heap.Pop(&w.jobs).(job)
 		w.now = j.at
 		j.do()
 	}
@@ -141,20 +143,20 @@
 	return s
 }
 
-func newLossWorld(t testing.TB, mode sending, seed uint64, size int) *lossWorld {
-	w := &lossWorld{
+func newLossSimulation(t testing.TB, mode handOffMode, seed uint64, size int) *lossSimulation {
+	w := &lossSimulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: begin, nodes: make(map[string]*Node),
-		open: make(map[ID]*trip),
+		open: make(map[ID]*hop),
 	}
 	w.counts = newTally(make(map[string]int))
 	checks := invariant.New(func(n invariant.Name, d string) { t.Errorf("invariant %s: %s", n, d) })
 	for _, p := range lossPlaces {
-		w.found(p, mode, seed, size, checks)
+		w.addPlace(p, mode, seed, size, checks)
 	}
-	w.meet()
+	w.connectPeers()
 	for _, id := range w.ids {
 		w.tick(id)
-		w.tellRooms(id)
+		w.sendFreeSlots(id)
 	}
 	for _, p := range lossPlaces {
 		w.arrive(p)
@@ -162,8 +164,8 @@
 	return w
 }
 
-// found makes the instances of a place.
-func (w *lossWorld) found(p string, mode sending, seed uint64, size int, checks *invariant.Counter) {
+// addPlace makes the instances of a place.
+func (w *lossSimulation) addPlace(p string, mode handOffMode, seed uint64, size int, checks *invariant.Counter) {
 	var r owner.Roster
 	for i := range size {
 		r, _ = r.Join(fmt.Sprint(p, i), 1)
@@ -171,7 +173,7 @@
 	for i := range size {
 		id := fmt.Sprint(p, i)
 		n, err := New(Config{
-			Instance: id, Incarnation: 1, Place: p, Domain: p, Region: p, Checks: checks, sending: mode,
+			Instance: id, Incarnation: 1, Place: p, Domain: p, Region: p, Checks: checks, handOff: mode,
 			Rand: rand.New(rand.NewPCG(seed, uint64(len(w.ids)))), Grace: time.Hour, Term: time.Hour,
 		}, w.now)
 		if err != nil {
@@ -184,7 +186,7 @@
 	}
 }
 
-func (w *lossWorld) meet() {
+func (w *lossSimulation) connectPeers() {
 	for _, id := range w.ids {
 		var peers []Peer
 		for _, q := range w.ids {
@@ -197,73 +199,73 @@
 	}
 }
 
-func (w *lossWorld) tick(id string) {
+func (w *lossSimulation) tick(id string) {
 	w.step(id, Tick{})
-	w.in(10*time.Millisecond, func() { w.tick(id) })
+	w.after(10*time.Millisecond, func() { w.tick(id) })
 }
 
-func (w *lossWorld) tellRooms(id string) {
+func (w *lossSimulation) sendFreeSlots(id string) {
 	rooms, release := w.nodes[id].Rooms(w.now), w.nodes[id].Release()
 	for _, q := range w.ids {
 		if q != id && placeOf(q) == placeOf(id) {
-			w.in(lossNear, func() {
+			w.after(lossNearDelay, func() {
 				w.step(q, RoomHeard{Peer: id, Rooms: rooms})
 				w.step(q, Released{Release: release})
 			})
 		}
 	}
-	w.in(lossRooms, func() { w.tellRooms(id) })
+	w.after(lossSlotsInterval, func() { w.sendFreeSlots(id) })
 }
 
-func (w *lossWorld) arrive(p string) {
-	w.in(time.Duration(w.rng.ExpFloat64()/lossRate*float64(time.Second)), func() {
+func (w *lossSimulation) arrive(p string) {
+	w.after(time.Duration(w.rng.ExpFloat64()/lossRate*float64(time.Second)), func() {
 		w.counts.requests++
 		id := fmt.Sprint(p, w.rng.IntN(len(w.ids)/len(lossPlaces)))
-		w.begin(&trip{node: id, home: w.homeAt(p)}, FromCaller, "")
+		w.begin(&hop{node: id, home: w.homeAt(p)}, FromCaller, "")
 		w.arrive(p)
 	})
 }
 
-func (w *lossWorld) homeAt(p string) string {
-	if !w.cross {
+func (w *lossSimulation) homeAt(p string) string {
+	if !w.wrongPlace {
 		return p
 	}
 	return lossPlaces[(slices.Index(lossPlaces, p)+1)%4]
 }
 
-func (w *lossWorld) begin(tr *trip, origin Origin, from string) {
+func (w *lossSimulation) begin(tr *hop, origin Origin, from string) {
 	w.last++
 	tr.id, tr.arrived = w.last, w.now
 	w.open[tr.id] = tr
 	w.step(tr.node, Arrived{ID: tr.id, Origin: origin, Request: Request{
-		Service: lossService, Method: "GET", Path: "/", Caller: netip.Addr{}, Home: tr.home, From: from,
+		Service: ordersID, Method: "GET", Path: "/", Caller: netip.Addr{}, Home: tr.home, From: from,
 		Name: fmt.Sprint(tr.id), Replayable: true,
 	}})
 }
 
-var lossService = settings.ServiceID{Team: "shop", Name: "orders"}
+var ordersID = settings.ServiceID{Team: "shop", Name: "orders"}
 
-func (w *lossWorld) step(id string, ev Event) {
+func (w *lossSimulation) step(id string, ev Event) {
 	for _, d := range w.nodes[id].Step(w.now, ev) {
 		w.act(id, d)
 	}
 }
 
-func (w *lossWorld) act(id string, d Decision) {
+func (w *lossSimulation) act(id string, d Decision) {
 	p := placeOf(id)
 	switch d := d.(type) {
 	case Serve:
 		tr := w.open[d.ID]
 		w.counts.busy[p]++
-		w.counts.over = max(w.counts.over, w.counts.busy[p]-20)
+		w.counts.overLimit = max(w.counts.overLimit, w.counts.busy[p]-20)
 		if d.Shifted {
 			w.counts.shifted[int(w.now.Sub(begin)/time.Second)]++
 		}
-		took := lossMean/2 + time.Duration(w.rng.Int64N(int64(lossMean)))
-		w.in(took, func() {
+		took := lossServiceTime/2 + time.Duration(w.rng.Int64N(int64(lossServiceTime)))
+		w.after(took, func() {
 			w.counts.busy[p]--
 			w.step(id, Finished{ID: d.ID, Result: Answered, Status: 200, Took: took})
-			w.done(tr, Finished{Result: Answered, Status: 200})
+			w.finish(tr, Finished{Result: Answered, Status: 200})
 		})
 	case Hand:
 		if d.Peer.Place != p {
@@ -271,62 +273,62 @@
 		}
 		tr := w.open[d.ID]
 		tr.hand = d
-		w.in(linkOf(id, d.Peer.ID), func() { w.begin(&trip{node: d.Peer.ID, from: tr, home: tr.home}, FromPeer, id) })
+		w.after(delayOf(id, d.Peer.ID), func() { w.begin(&hop{node: d.Peer.ID, from: tr, home: tr.home}, FromPeer, id) })
 	case Refuse:
-		w.done(w.open[d.ID], Finished{Result: NotRun, Reason: d.Reason, Retry: d.RetryAt})
+		w.finish(w.open[d.ID], Finished{Result: NotRun, Reason: d.Reason, Retry: d.RetryAt})
 	case AskGrant:
 		w.counts.asks++
 		sent := w.now
-		w.in(lossLink, func() { w.offer(id, d, sent) })
+		w.after(lossFarDelay, func() { w.offer(id, d, sent) })
 	}
 }
 
-func (w *lossWorld) offer(id string, d AskGrant, sent time.Time) {
+func (w *lossSimulation) offer(id string, d AskGrant, sent time.Time) {
 	o := w.nodes[d.Peer.ID].Offer(w.now, Ask{Peer: id, Service: d.Service, Home: d.Home, Want: d.Want, Release: d.Release})
 	life := o.Until.Sub(w.now)
-	w.in(lossLink, func() {
+	w.after(lossFarDelay, func() {
 		w.step(id, GrantHeard{Peer: d.Peer.ID, Incarnation: 1, Service: d.Service, Home: d.Home, Free: o.Free, Grant: o.Grant, Until: sent.Add(life)})
 	})
 }
 
-// done takes a request's end back to who brought it.
-func (w *lossWorld) done(tr *trip, ev Finished) {
+// finish takes a request's end back to who brought it.
+func (w *lossSimulation) finish(tr *hop, ev Finished) {
 	delete(w.open, tr.id)
 	if tr.from == nil {
 		w.final(tr, ev)
 		return
 	}
-	up := tr.from
-	o := w.nodes[tr.node].Offer(w.now, Ask{Peer: up.node, Service: lossService, Home: tr.home, Want: up.hand.Want})
-	life, sent := o.Until.Sub(w.now), tr.arrived.Add(-linkOf(up.node, tr.node))
-	if ev.Result == NotRun && placeOf(up.node) != placeOf(tr.node) {
-		w.counts.bounced++
+	upstream := tr.from
+	o := w.nodes[tr.node].Offer(w.now, Ask{Peer: upstream.node, Service: ordersID, Home: tr.home, Want: upstream.hand.Want})
+	life, sent := o.Until.Sub(w.now), tr.arrived.Add(-delayOf(upstream.node, tr.node))
+	if ev.Result == NotRun && placeOf(upstream.node) != placeOf(tr.node) {
+		w.counts.refusedHandOffs++
 	}
-	w.in(linkOf(up.node, tr.node), func() {
-		w.step(up.node, GrantHeard{
-			ID: up.id, Peer: tr.node, Incarnation: 1, Service: lossService, Home: up.hand.Home,
+	w.after(delayOf(upstream.node, tr.node), func() {
+		w.step(upstream.node, GrantHeard{
+			ID: upstream.id, Peer: tr.node, Incarnation: 1, Service: ordersID, Home: upstream.hand.Home,
 			Free: o.Free, Grant: o.Grant, Until: sent.Add(life),
 		})
-		ev.ID, ev.Took = up.id, w.now.Sub(sent)
-		w.step(up.node, ev)
+		ev.ID, ev.Took = upstream.id, w.now.Sub(sent)
+		w.step(upstream.node, ev)
 		if ev.Result == Answered {
-			w.done(up, ev)
+			w.finish(upstream, ev)
 		}
 	})
 }
 
-func (w *lossWorld) final(tr *trip, ev Finished) {
+func (w *lossSimulation) final(tr *hop, ev Finished) {
 	if ev.Result == Answered {
 		w.counts.answered++
-		w.counts.by[tr.home]++
+		w.counts.answeredByHome[tr.home]++
 		w.counts.latency = append(w.counts.latency, w.now.Sub(tr.arrived))
 		return
 	}
 	w.counts.refused++
 }
 
-// lose takes the targets of places away.
-func (w *lossWorld) lose(places ...string) {
+// drainPlaces takes the targets of places away.
+func (w *lossSimulation) drainPlaces(places ...string) {
 	s := lossSnapshot(w.t, places...)
 	for _, id := range w.ids {
 		w.step(id, Applied{Snapshot: s})
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -23,34 +23,34 @@
 	snapshot *settings.Snapshot // nil until the first documents arrive
 	blocks   *block.Table
 
-	peers peerList
-	rooms map[string]rooms // what each peer of peers last said of its room
-	seen  map[string]sighting
-	named map[string]time.Time // until when callers may keep a look-up that names an instance
+	peers       peerList
+	peerSlots   map[string]slotEstimates // what each peer of peers last said of its room
+	lastSeen    map[string]lastSeen
+	lookupUntil map[string]time.Time // until when callers may keep a look-up that names an instance
 
-	grants   *grant.Book             // what peers were granted
-	holdings *grant.Holdings         // what peers have granted
-	demands  map[destination]*demand // what could go to other places
-	askPaced time.Time               // what was asked so far would be through at an even pace
+	grants     *grant.Book             // what peers were granted
+	holdings   *grant.Holdings         // what peers have granted
+	demands    map[destination]*demand // what could go to other places
+	askedUntil time.Time               // what was asked so far would be through at an even pace
 
-	book   *owner.Book
+	owners *owner.Book
 	roster rosterState
 
-	flights   map[ID]*flight
-	queue     *queue.Queue
-	once      *once.Book
-	retry     retry.Policy
-	services  map[settings.ServiceID]*service // of the snapshot
-	address   map[owner.TargetKey]string      // of the place's targets
-	reports   map[owner.TargetKey]int         // requests that targets last reported, for baselines
-	probes    map[owner.TargetKey]time.Time   // when each target is probed next
-	probeAt   time.Time                       // no target is due for a probe before
-	capped    rights                          // what the services' caps were last worked out from
-	started   time.Time
-	settlings []settling // slots of broken attempts, by time
-	endings   endings
-	stopping  bool
-	closeAt   time.Time // when a planned stop begins no keyed request any more
+	requests    map[ID]*inFlight
+	queue       *queue.Queue
+	once        *once.Book
+	retry       retry.Policy
+	services    map[settings.ServiceID]*serviceState // of the snapshot
+	addresses   map[owner.TargetKey]string           // of the place's targets
+	reports     map[owner.TargetKey]int              // requests that targets last reported, for baselines
+	probes      map[owner.TargetKey]time.Time        // when each target is probed next
+	probeAt     time.Time                            // no target is due for a probe before
+	capBasis    capBasis                             // what the services' caps were last worked out from
+	started     time.Time
+	quarantine  []quarantinedSlot // slots of broken attempts, by time
+	crashes     crashTracker
+	stopping    bool
+	keysCloseAt time.Time // when a planned stop begins no keyed request any more
 
 	out []Decision // decisions of the step under way
 }
@@ -62,19 +62,19 @@
 		return nil, err
 	}
 	n := &Node{
-		cfg:      cfg,
-		rooms:    make(map[string]rooms),
-		seen:     make(map[string]sighting),
-		named:    make(map[string]time.Time),
-		holdings: grant.NewHoldings(),
-		demands:  make(map[destination]*demand),
-		flights:  make(map[ID]*flight),
-		services: make(map[settings.ServiceID]*service),
-		address:  make(map[owner.TargetKey]string),
-		probes:   make(map[owner.TargetKey]time.Time),
-		reports:  make(map[owner.TargetKey]int),
-		endings:  newEndings(),
-		started:  now,
+		cfg:         cfg,
+		peerSlots:   make(map[string]slotEstimates),
+		lastSeen:    make(map[string]lastSeen),
+		lookupUntil: make(map[string]time.Time),
+		holdings:    grant.NewHoldings(),
+		demands:     make(map[destination]*demand),
+		requests:    make(map[ID]*inFlight),
+		services:    make(map[settings.ServiceID]*serviceState),
+		addresses:   make(map[owner.TargetKey]string),
+		probes:      make(map[owner.TargetKey]time.Time),
+		reports:     make(map[owner.TargetKey]int),
+		crashes:     newCrashTracker(),
+		started:     now,
 	}
 	if err := n.build(); err != nil {
 		return nil, err
@@ -92,36 +92,36 @@
 	case Finished:
 		n.finished(now, ev)
 	case Ended:
-		n.ended(now, ev)
+		n.connectionEnded(now, ev)
 	case Cancelled:
 		n.cancelled(now, ev)
 	case RoomHeard:
-		n.roomHeard(now, ev)
+		n.freeSlotsReceived(now, ev)
 	case GrantHeard:
-		n.grantHeard(now, ev)
+		n.grantReceived(now, ev)
 	case PeersChanged:
 		n.peersChanged(now, ev)
 	case Applied:
-		n.applied(now, ev.Snapshot)
+		n.applySnapshot(now, ev.Snapshot)
 	case RosterRead:
 		n.rosterRead(now, ev)
 	case RosterHeard:
 		n.setRoster(now, ev.Roster)
 	case PeerAcked:
-		n.book.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
+		n.owners.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
 	case Listed:
 		n.listed(now, ev)
 	case Released:
-		n.book.Released(now, ev.Release)
-		n.pump(now)
+		n.owners.Released(now, ev.Release)
+		n.serveQueue(now)
 	case SwapFailed:
-		n.book.Abandon(ev.Removed)
+		n.owners.Abandon(ev.Removed)
 	case Probed:
 		n.probed(now, ev)
 	case Noticed:
-		n.noticed(now, ev)
+		n.noticeReceived(now, ev)
 	case CrashesHeard:
-		n.crashesHeard(now, ev.News)
+		n.crashesReceived(now, ev.News)
 	case Stopping:
 		n.stop(now)
 	case Tick:
@@ -132,30 +132,30 @@
 
 // Waiting says whether something waits for time to pass, so that a tick that
 // comes late would show.
-func (n *Node) Waiting() bool { return n.queue.Len() > 0 || len(n.settlings) > 0 }
+func (n *Node) Waiting() bool { return n.queue.Len() > 0 || len(n.quarantine) > 0 }
 
 // tick does what time alone brings about.
 func (n *Node) tick(now time.Time) {
 	n.expire(now)
-	n.settleDue(now)
+	n.releaseQuarantined(now)
 	n.once.Sweep(now)
 	n.closeKeys(now)
 	n.grants.Sweep(now)
-	n.forgetCrashes(now)
+	n.expireCrashes(now)
 	if n.snapshot != nil {
-		n.recapAll(now)
+		n.updateCaps(now)
 		n.probeDue(now)
-		n.tendGrants(now)
+		n.maintainGrants(now)
 	}
-	n.tendRoster(now)
-	n.pump(now)
+	n.maintainRoster(now)
+	n.serveQueue(now)
 }
 
 // expire refuses the requests that have waited too long. One that its caller
 // gave up in the same moment has had its refusal.
 func (n *Node) expire(now time.Time) {
 	for _, item := range n.queue.Expire(now) {
-		if f, ok := n.flights[ID(item.ID)]; ok {
+		if f, ok := n.requests[ID(item.ID)]; ok {
 			n.refuse(now, f, ReasonDeadline)
 		}
 	}
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -75,7 +75,7 @@
 `
 
 // testTarget is the target of place east.
-var testTarget = owner.TargetKey{Service: lossService, Name: "e"}
+var testTarget = owner.TargetKey{Service: ordersID, Name: "e"}
 
 func request(id ID, caller string) Arrived {
 	return Arrived{ID: id, Request: Request{
@@ -84,8 +84,8 @@
 	}}
 }
 
-// word tells a decision in one word, with the reason of a refusal.
-func word(decisions []Decision) string {
+// decisionName tells a decision in one decisionName, with the reason of a refusal.
+func decisionName(decisions []Decision) string {
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case Serve:
@@ -127,7 +127,7 @@
 			for i := range tt.before {
 				n.Step(at, request(ID(i+1), "10.1.0.1"))
 			}
-			if got := word(n.Step(at, request(99, tt.caller))); got != tt.want {
+			if got := decisionName(n.Step(at, request(99, tt.caller))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -137,20 +137,20 @@
 func TestShiftCapHoldsBack(t *testing.T) {
 	n := testNode(t, nil)
 	at := begin.Add(2 * time.Second)
-	if got := word(n.Step(at, request(1, "10.2.0.1"))); got != "serve" {
+	if got := decisionName(n.Step(at, request(1, "10.2.0.1"))); got != "serve" {
 		t.Fatalf("got %q, want the cap's first request served", got)
 	}
-	if got := word(n.Step(at, request(2, "10.2.0.1"))); got != "hold" {
+	if got := decisionName(n.Step(at, request(2, "10.2.0.1"))); got != "hold" {
 		t.Errorf("got %q, want the second to wait for the cap", got)
 	}
-	if got := word(n.Step(at, request(3, "10.1.0.1"))); got != "serve" {
+	if got := decisionName(n.Step(at, request(3, "10.1.0.1"))); got != "serve" {
 		t.Errorf("got %q, want a request from home served meanwhile", got)
 	}
 }
 
 func TestSlotOfBrokenAttemptSettles(t *testing.T) {
 	const settle, timeout = 250 * time.Millisecond, 2 * time.Second
-	heard := func(asked time.Duration) Event {
+	answered := func(asked time.Duration) Event {
 		return Probed{Target: testTarget, Asked: begin.Add(asked), Healthy: true, Slots: 2}
 	}
 	ended := func(cut bool) Event { return Ended{ID: 1, Target: testTarget, Cut: cut} }
@@ -169,16 +169,16 @@
 		"broken":                                {Failed, nil, 1, "hold"},
 		"broken, the target ended it":           {Failed, []step{{1, ended(false)}}, 1, "serve"},
 		"broken, another one was ended":         {Failed, []step{{1, other}}, settle + 1, "hold"},
-		"broken, heard on another connection":   {Failed, []step{{1, heard(1)}}, settle + 1, "hold"},
-		"broken, heard for long, and not ended": {Failed, []step{{1, heard(1)}}, settle + timeout - 1, "hold"},
+		"broken, heard on another connection":   {Failed, []step{{1, answered(1)}}, settle + 1, "hold"},
+		"broken, heard for long, and not ended": {Failed, []step{{1, answered(1)}}, settle + timeout - 1, "hold"},
 		"broken, longest after the break":       {Failed, nil, settle + timeout, "serve"},
 		"cut":                                   {Failed, []step{{1, ended(true)}}, settle + 1, "hold"},
-		"cut, heard, before":                    {Failed, []step{{1, ended(true)}, {1, heard(1)}}, settle, "hold"},
-		"cut, heard before the cut was known":   {Failed, []step{{1, heard(1)}, {2, ended(true)}}, settle + 1, "serve"},
-		"cut, heard":                            {Failed, []step{{1, ended(true)}, {1, heard(1)}}, settle + 1, "serve"},
-		"cut, just heard":                       {Failed, []step{{1, ended(true)}, {time.Second, heard(1)}}, time.Second, "hold"},
-		"cut, heard for long":                   {Failed, []step{{1, ended(true)}, {time.Second, heard(1)}}, time.Second + settle, "serve"},
-		"cut, heard of before":                  {Failed, []step{{1, ended(true)}, {1, heard(0)}}, settle + 1, "hold"},
+		"cut, heard, before":                    {Failed, []step{{1, ended(true)}, {1, answered(1)}}, settle, "hold"},
+		"cut, heard before the cut was known":   {Failed, []step{{1, answered(1)}, {2, ended(true)}}, settle + 1, "serve"},
+		"cut, heard":                            {Failed, []step{{1, ended(true)}, {1, answered(1)}}, settle + 1, "serve"},
+		"cut, just heard":                       {Failed, []step{{1, ended(true)}, {time.Second, answered(1)}}, time.Second, "hold"},
+		"cut, heard for long":                   {Failed, []step{{1, ended(true)}, {time.Second, answered(1)}}, time.Second + settle, "serve"},
+		"cut, heard of before":                  {Failed, []step{{1, ended(true)}, {1, answered(0)}}, settle + 1, "hold"},
 		"cut, not heard for the longest":        {Failed, []step{{1, ended(true)}}, settle + timeout, "serve"},
 		"ended twice gives back one slot":       {Failed, []step{{1, ended(false)}, {2, ended(false)}}, 2, "serve"},
 	}
@@ -192,11 +192,11 @@
 				n.Step(begin.Add(s.at), s.ev)
 			}
 			n.Step(begin.Add(tt.after), Tick{})
-			if got := word(n.Step(begin.Add(tt.after), request(3, "10.1.0.1"))); got != tt.want {
+			if got := decisionName(n.Step(begin.Add(tt.after), request(3, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if tt.want == "serve" {
-				if got := word(n.Step(begin.Add(tt.after), request(4, "10.1.0.1"))); got != "hold" {
+				if got := decisionName(n.Step(begin.Add(tt.after), request(4, "10.1.0.1"))); got != "hold" {
 					t.Errorf("got %q for one request more than slots, want it to wait", got)
 				}
 			}
@@ -204,9 +204,9 @@
 	}
 }
 
-// TestBrokenAttemptAsksForSign: a target that has said nothing since an attempt's
+// TestCutConnectionIsProbed: a target that has said nothing since an attempt's
 // connection was cut is probed once its time to notice is over.
-func TestBrokenAttemptAsksForSign(t *testing.T) {
+func TestCutConnectionIsProbed(t *testing.T) {
 	n := testNode(t, nil)
 	n.Step(begin, Tick{}) // the first probe
 	n.Step(begin, request(1, "10.1.0.1"))
@@ -244,7 +244,7 @@
 				n.Step(now, Tick{})
 			}
 			n.Step(now, request(100, "10.1.0.1")) // an ejected target that is the only one keeps half of its slots
-			if got := word(n.Step(now, request(101, "10.1.0.1"))); got != tt.want {
+			if got := decisionName(n.Step(now, request(101, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -276,7 +276,7 @@
 			n.Step(now, Tick{})
 			r := request(1, "10.1.0.1")
 			r.Request.Method, r.Request.Key = "POST", l.Keys[0]
-			if got := word(n.Step(now, r)); got != tt.want {
+			if got := decisionName(n.Step(now, r)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			var stopping *StoppingError
@@ -300,7 +300,7 @@
 			n := testNode(t, nil)
 			n.Step(begin, request(1, "10.1.0.1"))
 			decisions := n.Step(begin, Finished{ID: 1, Result: tt.first})
-			if word(decisions) == "hold" {
+			if decisionName(decisions) == "hold" {
 				decisions = n.Step(begin.Add(3*time.Second), Tick{})
 			}
 			r, ok := decisions[0].(Refuse)
@@ -311,7 +311,7 @@
 	}
 }
 
-func TestBaselinesKnowNoLimit(t *testing.T) {
+func TestBaselinesHaveNoLimit(t *testing.T) {
 	tests := map[string]struct {
 		policy Policy
 		want   string
@@ -326,7 +326,7 @@
 			for i := range 2 {
 				n.Step(begin, request(ID(i+1), "10.1.0.1"))
 			}
-			if got := word(n.Step(begin, request(3, "10.1.0.1"))); got != tt.want {
+			if got := decisionName(n.Step(begin, request(3, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			n.Step(begin, Finished{ID: 1, Result: Answered, Status: 200})
--- a/internal/core/notice_test.go
+++ b/internal/core/notice_test.go
@@ -8,18 +8,18 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// constrained is a node whose only target has said something at a time.
-func constrained(t *testing.T, at time.Time, said notice.Notice) *Node {
+// nodeWithNotice is a node whose only target has said something at a time.
+func nodeWithNotice(t *testing.T, at time.Time, sent notice.Notice) *Node {
 	t.Helper()
 	n := testNode(t, nil)
 	n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
-	n.Step(at, Noticed{Target: testTarget, Asked: at, Notice: said, Whole: said.Rest == 0})
+	n.Step(at, Noticed{Target: testTarget, Asked: at, Notice: sent, Whole: sent.Rest == 0})
 	return n
 }
 
 var (
 	leavingNotice = notice.Notice{Leaving: true}
-	restNotice    = notice.Notice{Rest: 3 * time.Second}
+	backOffNotice = notice.Notice{Rest: 3 * time.Second}
 	limitNotice   = notice.Notice{Limited: true, Limit: 10}
 )
 
@@ -27,37 +27,37 @@
 func TestNoWayPastANotice(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	notices := map[string]struct {
-		said  notice.Notice
+		sent  notice.Notice
 		want  Reason
 		after time.Duration // it is told to come back then, or within spreadTime
 	}{
 		"leaving": {leavingNotice, ReasonDrained, retryLeaving},
-		"rest":    {restNotice, ReasonResting, 3 * time.Second},
+		"rest":    {backOffNotice, ReasonBackingOff, 3 * time.Second},
 		"limit":   {limitNotice, ReasonLimited, 100 * time.Millisecond},
 	}
 	handed := request(3, "10.1.0.1")
 	handed.Origin, handed.Request.From = FromPeer, "i2"
-	ways := map[string]func(n *Node, said Noticed) []Decision{
-		"arrives": func(n *Node, said Noticed) []Decision {
-			n.Step(at, said)
+	ways := map[string]func(n *Node, ev Noticed) []Decision{
+		"arrives": func(n *Node, ev Noticed) []Decision {
+			n.Step(at, ev)
 			return n.Step(at, request(3, "10.1.0.1"))
 		},
-		"is handed over": func(n *Node, said Noticed) []Decision {
-			n.Step(at, said)
+		"is handed over": func(n *Node, ev Noticed) []Decision {
+			n.Step(at, ev)
 			return n.Step(at, handed)
 		},
-		"waits": func(n *Node, said Noticed) []Decision {
+		"waits": func(n *Node, ev Noticed) []Decision {
 			n.Step(at, request(1, "10.1.0.1"))
 			n.Step(at, request(2, "10.1.0.1"))
-			if got := word(n.Step(at, request(3, "10.1.0.1"))); got != "hold" {
+			if got := decisionName(n.Step(at, request(3, "10.1.0.1"))); got != "hold" {
 				t.Fatalf("got %s, want hold", got)
 			}
-			return n.Step(at, said)
+			return n.Step(at, ev)
 		},
-		"was refused there": func(n *Node, said Noticed) []Decision {
+		"was refused there": func(n *Node, ev Noticed) []Decision {
 			n.Step(at, request(3, "10.1.0.1"))
-			n.Step(at, said)
-			retry, _ := n.barred(at, testTarget)
+			n.Step(at, ev)
+			retry, _ := n.unavailableUntil(at, testTarget)
 			return n.Step(at, Finished{ID: 3, Result: NotRun, Proof: once.ProofRefusal, Retry: retry})
 		},
 	}
@@ -67,7 +67,7 @@
 				n := testNode(t, nil)
 				n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
 				var got Refuse
-				for _, d := range send(n, Noticed{Target: testTarget, Asked: at, Notice: tt.said, Whole: tt.said.Rest == 0}) {
+				for _, d := range send(n, Noticed{Target: testTarget, Asked: at, Notice: tt.sent, Whole: tt.sent.Rest == 0}) {
 					if r, ok := d.(Refuse); ok {
 						got = r
 					}
@@ -75,8 +75,8 @@
 				if got.ID != 3 || got.Unknown || got.Reason != tt.want && way != "was refused there" {
 					t.Fatalf("got %+v, want request 3 refused as %s", got, tt.want)
 				}
-				if wait := got.RetryAt.Sub(at); wait < tt.after || wait > tt.after+spreadTime {
-					t.Errorf("got %s until it may come back, want %s or up to %s more", wait, tt.after, spreadTime)
+				if wait := got.RetryAt.Sub(at); wait < tt.after || wait > tt.after+retrySpread {
+					t.Errorf("got %s until it may come back, want %s or up to %s more", wait, tt.after, retrySpread)
 				}
 				for _, r := range n.Rooms(at) {
 					if r.Free != 0 {
@@ -92,29 +92,29 @@
 func TestNoticeEnds(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	tests := map[string]struct {
-		said  notice.Notice
+		sent  notice.Notice
 		later Noticed
 		after time.Duration
 		want  string
 	}{
-		"rest":                      {restNotice, Noticed{}, 3 * time.Second, "serve"},
-		"rest, an answer meanwhile": {restNotice, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "refuse resting"},
+		"rest":                      {backOffNotice, Noticed{}, 3 * time.Second, "serve"},
+		"rest, an answer meanwhile": {backOffNotice, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "refuse resting"},
 		"leaving goes on":           {leavingNotice, Noticed{}, time.Minute, "refuse drained"},
 		"leaving, asked before":     {leavingNotice, Noticed{Asked: at.Add(-1), Whole: true}, time.Second, "refuse drained"},
 		"leaving, a failure":        {leavingNotice, Noticed{Asked: at.Add(1)}, time.Second, "refuse drained"},
 		"leaving, a probe":          {leavingNotice, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "serve"},
 		"limit over":                {notice.Notice{Limited: true}, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "serve"},
-		"no requests, a trial":      {notice.Notice{Limited: true}, Noticed{}, restLimited, "serve"},
-		"no requests":               {notice.Notice{Limited: true}, Noticed{}, restLimited - 1, "refuse limited"},
+		"no requests, a trial":      {notice.Notice{Limited: true}, Noticed{}, zeroLimitBackOff, "serve"},
+		"no requests":               {notice.Notice{Limited: true}, Noticed{}, zeroLimitBackOff - 1, "refuse limited"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			n := constrained(t, at, tt.said)
+			n := nodeWithNotice(t, at, tt.sent)
 			if !tt.later.Asked.IsZero() {
 				tt.later.Target = testTarget
 				n.Step(at.Add(time.Millisecond), tt.later)
 			}
-			if got := word(n.Step(at.Add(tt.after), request(1, "10.1.0.1"))); got != tt.want {
+			if got := decisionName(n.Step(at.Add(tt.after), request(1, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %s, want %s", got, tt.want)
 			}
 		})
@@ -124,32 +124,32 @@
 // What can't be read counts for nothing, and is told once.
 func TestUnreadableNotice(t *testing.T) {
 	at := begin.Add(2 * time.Second)
-	n := constrained(t, at, notice.Notice{})
-	news := 0
+	n := nodeWithNotice(t, at, notice.Notice{})
+	reports := 0
 	for i := range 3 {
 		for _, d := range n.Step(at, Noticed{Target: testTarget, Asked: at, Unread: []string{"Firlever-Limit: many"}, Whole: true}) {
 			if _, ok := d.(TargetNews); ok {
-				news++
+				reports++
 			}
 		}
-		if got := word(n.Step(at, request(ID(i+1), "10.1.0.1"))); got == "refuse limited" {
+		if got := decisionName(n.Step(at, request(ID(i+1), "10.1.0.1"))); got == "refuse limited" {
 			t.Errorf("got %s, want a target that may get requests", got)
 		}
 	}
-	if news != 1 {
-		t.Errorf("got %d news, want 1", news)
+	if reports != 1 {
+		t.Errorf("got %d news, want 1", reports)
 	}
 }
 
 // A target that names a limit gets so many requests a second.
 func TestMoreThanATargetsLimit(t *testing.T) {
 	at := begin.Add(2 * time.Second)
-	n := constrained(t, at, limitNotice)
+	n := nodeWithNotice(t, at, limitNotice)
 	got := 0
 	for i := range 2000 {
 		now := at.Add(time.Duration(i) * 2 * time.Millisecond)
 		id := ID(i + 1)
-		if word(n.Step(now, request(id, "10.1.0.1"))) == "serve" {
+		if decisionName(n.Step(now, request(id, "10.1.0.1"))) == "serve" {
 			got++
 			n.Step(now, Noticed{Target: testTarget, Asked: now, Notice: limitNotice, Whole: true})
 			n.Step(now, Finished{ID: id, Result: Answered, Status: 200, Took: time.Millisecond})
--- a/internal/core/operators_test.go
+++ b/internal/core/operators_test.go
@@ -6,11 +6,11 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// amplePlace is the limit of each place after the faults.
-const amplePlace = 100
+// repairedPlaceLimit is the limit of each place after the faults.
+const repairedPlaceLimit = 100
 
 // operate lets two operators, who read the same, change the same document.
-func (w *world) operate() {
+func (w *simulation) operate() {
 	if w.store.down {
 		return
 	}
@@ -27,7 +27,7 @@
 }
 
 // race writes two bodies from the same version. One of them must lose.
-func (w *world) race(path string, body func() string) {
+func (w *simulation) race(path string, body func() string) {
 	version := w.store.version(path)
 	first, second := w.store.put(path, version, body()), w.store.put(path, version, body())
 	if !first || second {
@@ -36,9 +36,9 @@
 }
 
 // slots is the most that operators give each target of a service.
-func (w *world) slots(service string, most int) [][]int {
+func (w *simulation) slots(service string, most int) [][]int {
 	all := make([][]int, len(w.places))
-	for _, t := range w.order {
+	for _, t := range w.sortedTargets {
 		if t.key.Service.Name == service {
 			all[t.place] = append(all[t.place], most)
 		}
@@ -47,8 +47,8 @@
 }
 
 // operateDrain writes or deletes a drain of a target or of a place.
-func (w *world) operateDrain() {
-	t := w.order[w.rng.IntN(len(w.order))]
+func (w *simulation) operateDrain() {
+	t := w.sortedTargets[w.rng.IntN(len(w.sortedTargets))]
 	path, body := settings.DrainPath(t.key.Name), t.drains()[0]
 	if w.chance(0.3) {
 		path, body = settings.DrainPath(w.places[t.place]), t.drains()[1]
@@ -60,8 +60,8 @@
 	w.store.put(path, version, body)
 }
 
-// mend ends every fault: all instances run, and the documents give room.
-func (w *world) mend() {
+// repair ends every fault: all instances run, and the documents give room.
+func (w *simulation) repair() {
 	w.tracef("all faults are over")
 	w.store.down = false
 	for _, p := range w.procs {
@@ -70,8 +70,8 @@
 	for _, name := range w.names {
 		w.start(name)
 	}
-	for _, t := range w.order {
-		t.down, t.ill = false, false
+	for _, t := range w.sortedTargets {
+		t.down, t.degraded = false, false
 	}
 	for _, path := range w.store.paths {
 		if version := w.store.version(path); strings.HasPrefix(path, settings.DrainsPrefix) && version%2 == 1 {
@@ -80,16 +80,16 @@
 	}
 	for i, name := range w.places {
 		path := settings.PlacePath(name)
-		w.store.put(path, w.store.version(path), placeBody(i, amplePlace))
+		w.store.put(path, w.store.version(path), placeBody(i, repairedPlaceLimit))
 	}
 	for _, service := range []string{serviceRead, serviceWrite} {
-		w.store.put(servicePath(service), w.store.version(servicePath(service)), w.ample(service).body(service))
+		w.store.put(servicePath(service), w.store.version(servicePath(service)), w.fullPlan(service).body(service))
 	}
 	w.counts["mended"]++
 }
 
-// ample is a plan that gives every target its slots.
-func (w *world) ample(service string) plan {
+// fullPlan is a plan that gives every target its slots.
+func (w *simulation) fullPlan(service string) plan {
 	p := plan{shift: 50}
 	for _, slots := range w.slots(service, 5) {
 		p.sites = append(p.sites, site{limit: 5 * len(slots), slots: slots})
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -16,102 +16,102 @@
 
 // finished takes in the end of an attempt.
 func (n *Node) finished(now time.Time, ev Finished) {
-	f, ok := n.flights[ev.ID]
+	f, ok := n.requests[ev.ID]
 	if !ok || f.stage == stageQueued {
 		return // no attempt of it is under way
 	}
 	forwarded := f.stage == stageForward
-	n.leaveStage(now, f, ev)
+	n.endAttempt(now, f, ev)
 	switch {
 	case ev.Result == Answered:
-		n.end(now, f, once.Outcome{
+		n.complete(now, f, once.Outcome{
 			Kind: once.OutcomeAnswered, Status: ev.Status, Header: ev.Header, Body: ev.Body, Dropped: ev.Dropped,
 		})
 	case ev.Final:
-		n.end(now, f, once.Outcome{Kind: once.OutcomeUnknown})
+		n.complete(now, f, once.Outcome{Kind: once.OutcomeUnknown})
 	case ev.Gone:
-		n.again(now, f, ev, ev.Result == NotRun)
+		n.retryOrRefuse(now, f, ev, ev.Result == NotRun)
 	case forwarded:
-		n.forwarded(now, f, ev)
+		n.forwardFailed(now, f, ev)
 	case ev.Result == NotRun:
-		n.again(now, f, ev, true)
+		n.retryOrRefuse(now, f, ev, true)
 	default:
-		n.again(now, f, ev, false)
+		n.retryOrRefuse(now, f, ev, false)
 	}
-	n.pump(now)
+	n.serveQueue(now)
 }
 
-// forwarded ends a request whose key's home gave no answer. Nobody else may run
+// forwardFailed ends a request whose key's home gave no answer. Nobody else may run
 // it, and only the home can say that the key has not run: a connection that was
 // never opened proves nothing of an earlier request with the key.
-func (n *Node) forwarded(now time.Time, f *flight, ev Finished) {
+func (n *Node) forwardFailed(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == NotRun && ev.Proof == once.ProofRefusal {
 		n.refuse(now, f, ev.Reason)
 		return
 	}
 	reason := ev.Reason
 	if reason == "" {
-		reason = ReasonHomeCut
+		reason = ReasonHomeUnreachable
 	}
-	f.sooner(now.Add(retryFull))
-	n.unknown(f, reason)
+	f.lowerRetryAt(now.Add(retryFull))
+	n.refuseUnknown(f, reason)
 }
 
-// leaveStage gives back what the attempt held and learns from how it went.
-func (n *Node) leaveStage(now time.Time, f *flight, ev Finished) {
+// endAttempt gives back what the attempt held and learns from how it went.
+func (n *Node) endAttempt(now time.Time, f *inFlight, ev Finished) {
 	switch f.stage {
 	case stageTarget:
 		n.freeSlot(now, f, ev)
-		n.observe(now, f, ev)
+		n.recordAttempt(now, f, ev)
 		if ev.Broken && !ev.Gone {
-			n.broke(now, f)
+			n.recordAbort(now, f)
 		}
 		f.tried = append(f.tried, f.target.Name)
 	case stagePeer:
-		n.handBack(now, f, ev)
+		n.finishHandOff(now, f, ev)
 		f.tried = append(f.tried, f.peer)
 	}
 	if ev.Result == Answered {
-		n.succeeded(now, f, ev)
+		n.recordSuccess(now, f, ev)
 	}
 	f.stage = stageNew
-	f.exposed = f.exposed || ev.Result == Failed
+	f.mayHaveRun = f.mayHaveRun || ev.Result == Failed
 	f.req.Replayable = f.req.Replayable && !ev.Spent
 	if !ev.Retry.IsZero() {
-		f.sooner(ev.Retry)
+		f.lowerRetryAt(ev.Retry)
 	}
 }
 
-// handBack learns from how a hand-off went.
-func (n *Node) handBack(now time.Time, f *flight, ev Finished) {
+// finishHandOff learns from how a hand-off went.
+func (n *Node) finishHandOff(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == Answered {
 		n.queue.Completed(now, f.req.Service, ev.Took)
 	}
-	if !f.heard || ev.Result != Answered {
-		n.roomBack(now, f.peer, f.req.Service, ev)
+	if !f.slotsReported || ev.Result != Answered {
+		n.slotReturned(now, f.peer, f.req.Service, ev)
 	}
-	if f.away.place != "" {
-		n.returned(now, f, ev)
+	if f.dest.place != "" {
+		n.finishRemoteHandOff(now, f, ev)
 	}
-	f.away, f.heard = destination{}, false
+	f.dest, f.slotsReported = destination{}, false
 }
 
 // freeSlot gives the attempt's slot back, at once if the target is done with it.
-func (n *Node) freeSlot(now time.Time, f *flight, ev Finished) {
+func (n *Node) freeSlot(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == Answered || ev.Proof == once.ProofRefusal {
-		n.hear(now, f.target, now.Add(-ev.Took))
+		n.targetResponded(now, f.target, now.Add(-ev.Took))
 	}
 	if f.unowned {
 		return
 	}
 	if ev.Result == Failed {
-		n.settle(now, f)
+		n.quarantineSlot(now, f)
 		return
 	}
-	n.book.Done(f.target)
+	n.owners.Done(f.target)
 }
 
-func (n *Node) observe(now time.Time, f *flight, ev Finished) {
+func (n *Node) recordAttempt(now time.Time, f *inFlight, ev Finished) {
 	kind := health.Failed
 	switch {
 	case ev.Result == Answered:
@@ -125,62 +125,62 @@
 	if ev.Gone {
 		return
 	}
-	n.service(now, f.req.Service).health.Observe(now, f.target, kind, ev.Took)
+	n.state(now, f.req.Service).health.Observe(now, f.target, kind, ev.Took)
 	if kind == health.OK {
-		n.spareProbe(now, f.target)
+		n.postponeProbe(now, f.target)
 	}
 }
 
-// again decides whether a request whose attempt gave no answer is tried anew.
-func (n *Node) again(now time.Time, f *flight, ev Finished, proof bool) {
+// retryOrRefuse decides whether a request whose attempt gave no answer is tried anew.
+func (n *Node) retryOrRefuse(now time.Time, f *inFlight, ev Finished, proof bool) {
 	reason := ev.Reason
 	if reason == "" {
 		reason = ReasonTargetError
 	}
 	if f.keyed && proof {
-		n.once.Withdraw(f.key, f.turn, ev.Proof)
+		n.once.Withdraw(f.key, f.keyAttempt, ev.Proof)
 	}
 	if f.keyed && !proof {
-		n.once.Finish(now, f.key, f.turn, once.Outcome{Kind: once.OutcomeUnknown})
+		n.once.Finish(now, f.key, f.keyAttempt, once.Outcome{Kind: once.OutcomeUnknown})
 	}
 	if ev.Gone {
-		n.refuse(now, f, ReasonGone)
+		n.refuse(now, f, ReasonCallerGone)
 		return
 	}
 	if !n.mayRetry(now, f, proof) {
 		n.refuse(now, f, reason)
 		return
 	}
-	n.place(now, f, ReasonRetry)
+	n.route(now, f, ReasonRetry)
 }
 
 // mayRetry asks the retry policy. Only the instance that the caller asked retries.
-func (n *Node) mayRetry(now time.Time, f *flight, proof bool) bool {
+func (n *Node) mayRetry(now time.Time, f *inFlight, proof bool) bool {
 	d := n.retry.Decide(now, retry.Attempt{
 		Idempotent: f.idempotent,
 		NotRun:     proof,
 		Handed:     f.origin == FromPeer,
 		Streamed:   !f.req.Replayable,
 		Tried:      f.attempts,
-		Targets:    n.otherWays(now, f),
+		Targets:    n.otherCandidates(now, f),
 		Expected:   now,
 		Deadline:   f.req.Deadline,
-	}, n.service(now, f.req.Service).budget)
+	}, n.state(now, f.req.Service).budget)
 	return d.Retry()
 }
 
-// otherWays counts the targets here and the peers elsewhere that have not refused
+// otherCandidates counts the targets here and the peers elsewhere that have not refused
 // f, up to one. Without any it would wait in vain until its deadline.
-func (n *Node) otherWays(now time.Time, f *flight) int {
+func (n *Node) otherCandidates(now time.Time, f *inFlight) int {
 	if n.servesHere(f) {
-		for _, key := range n.service(now, f.req.Service).keys {
-			if _, why := n.barred(now, key); why == "" && !f.hasTried(key.Name) {
+		for _, key := range n.state(now, f.req.Service).keys {
+			if _, why := n.unavailableUntil(now, key); why == "" && !f.hasTried(key.Name) {
 				return 1
 			}
 		}
 	}
 	for _, place := range f.service.Places() {
-		for _, p := range n.peers.local[place] {
+		for _, p := range n.peers.byPlace[place] {
 			if !p.Leaving && !f.hasTried(p.ID) {
 				return 1
 			}
@@ -189,41 +189,41 @@
 	return 0
 }
 
-// end closes a request whose answer, whole or cut short, is on its way.
-func (n *Node) end(now time.Time, f *flight, o once.Outcome) {
+// complete closes a request whose answer, whole or cut short, is on its way.
+func (n *Node) complete(now time.Time, f *inFlight, o once.Outcome) {
 	if f.keyed {
-		n.once.Finish(now, f.key, f.turn, o)
+		n.once.Finish(now, f.key, f.keyAttempt, o)
 	}
-	delete(n.flights, f.id)
+	delete(n.requests, f.id)
 }
 
 // refuse gives the final answer "not run", or "unknown" after an attempt that
 // may have run. The request is not on any target, and is forgotten here.
-func (n *Node) refuse(now time.Time, f *flight, reason Reason) {
-	if f.exposed {
-		n.unknown(f, reason)
+func (n *Node) refuse(now time.Time, f *inFlight, reason Reason) {
+	if f.mayHaveRun {
+		n.refuseUnknown(f, reason)
 		return
 	}
 	if f.keyed {
-		n.once.Finish(now, f.key, f.turn, once.Outcome{Kind: once.OutcomeNotRun})
+		n.once.Finish(now, f.key, f.keyAttempt, once.Outcome{Kind: once.OutcomeNotRun})
 	}
-	delete(n.flights, f.id)
+	delete(n.requests, f.id)
 	n.decide(Refuse{ID: f.id, Reason: reason, RetryAt: f.retryAt, Passed: f.passed})
 }
 
-// unknown gives the final answer "may have run".
-func (n *Node) unknown(f *flight, reason Reason) {
-	delete(n.flights, f.id)
+// refuseUnknown gives the final answer "may have run".
+func (n *Node) refuseUnknown(f *inFlight, reason Reason) {
+	delete(n.requests, f.id)
 	n.decide(Refuse{ID: f.id, Unknown: true, Reason: reason, RetryAt: f.retryAt, Passed: f.passed})
 }
 
 // cancelled drops a request that waits. One that is on its way ends by the
 // shell's Finished, since its slot is held until then.
 func (n *Node) cancelled(now time.Time, ev Cancelled) {
-	f, ok := n.flights[ev.ID]
+	f, ok := n.requests[ev.ID]
 	if !ok || f.stage != stageQueued {
 		return
 	}
 	n.queue.Cancel(now, uint64(f.id))
-	n.refuse(now, f, ReasonGone)
+	n.refuse(now, f, ReasonCallerGone)
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,16 +2,16 @@
 
 // peerList holds the live peers, without this instance.
 type peerList struct {
-	all   []Peer // sorted by id
-	byID  map[string]Peer
-	local map[string][]Peer // of each place, in the order of all
+	all     []Peer // sorted by id
+	byID    map[string]Peer
+	byPlace map[string][]Peer // of each place, in the order of all
 }
 
 func newPeerList(peers []Peer) peerList {
-	l := peerList{all: peers, byID: make(map[string]Peer, len(peers)), local: make(map[string][]Peer)}
+	l := peerList{all: peers, byID: make(map[string]Peer, len(peers)), byPlace: make(map[string][]Peer)}
 	for _, p := range peers {
 		l.byID[p.ID] = p
-		l.local[p.Place] = append(l.local[p.Place], p)
+		l.byPlace[p.Place] = append(l.byPlace[p.Place], p)
 	}
 	return l
 }
--- a/internal/core/process_test.go
+++ b/internal/core/process_test.go
@@ -29,7 +29,7 @@
 
 // proc is one process of an instance: a node, and a shell of the world's kind.
 type proc struct {
-	w           *world
+	w           *simulation
 	name        string
 	incarnation uint64
 	place       int
@@ -46,34 +46,34 @@
 	snapshot *settings.Snapshot
 	versions map[string]uint64 // in force, by path
 
-	heard map[string]*heard
-	peers []core.Peer
+	lastSeen map[string]*lastSeen
+	peers    []core.Peer
 
 	suspects map[string]time.Duration // peers that it wrongly takes for dead, and until when
 
 	rosterDue time.Time
 	asking    bool
 
-	lastID    core.ID
-	exchanges map[core.ID]*exchange
-	started   time.Duration // true time
-	touched   time.Duration // when a fault last came between it and the platform
-	admitted  map[string]map[int64]int
+	lastID      core.ID
+	exchanges   map[core.ID]*exchange
+	started     time.Duration // true time
+	lastImpeded time.Duration // when a fault last came between it and the platform
+	admitted    map[string]map[int64]int
 }
 
-// heard is what a process last heard of a peer.
-type heard struct {
+// lastSeen is what a process last lastSeen of a peer.
+type lastSeen struct {
 	at          time.Time
 	incarnation uint64
 	leaving     bool
 }
 
-func newProc(w *world, name string) *proc {
+func newProc(w *simulation, name string) *proc {
 	p := &proc{
 		w: w, name: name, place: w.home[name], incarnation: 1, rate: 1,
 		suspects: make(map[string]time.Duration),
-		versions: make(map[string]uint64), heard: make(map[string]*heard),
-		exchanges: make(map[core.ID]*exchange), started: w.now, touched: w.now,
+		versions: make(map[string]uint64), lastSeen: make(map[string]*lastSeen),
+		exchanges: make(map[core.ID]*exchange), started: w.now, lastImpeded: w.now,
 		admitted: make(map[string]map[int64]int),
 	}
 	for _, o := range w.procs {
@@ -81,7 +81,7 @@
 			p.incarnation = o.incarnation + 1
 		}
 	}
-	if !w.aligned {
+	if !w.clocksAligned {
 		p.rate = 1 + skew*w.rng.Float64()
 		p.offset = w.upTo(clockSpread)
 		if w.chance(0.1) {
@@ -100,7 +100,7 @@
 	place := p.w.places[p.place]
 	cfg := core.Config{
 		Instance: p.name, Incarnation: p.incarnation, Place: place, Domain: place, Region: region(p.place),
-		Term: term, Skew: skew, Lag: lag, ListProves: p.w.proves, Cache: lookupLife, Grace: 2 * time.Second,
+		Term: term, Skew: skew, Lag: lag, ListProves: p.w.listProves, Cache: lookupLife, Grace: 2 * time.Second,
 		Rand: rand.New(rand.NewPCG(p.w.rng.Uint64(), 1)), Checks: checks,
 	}
 	cfg.Secret[0], cfg.Seed[0] = byte(p.w.rng.Uint32()), byte(p.w.rng.Uint32())
@@ -155,11 +155,11 @@
 // step tells the node of an event, and has its decisions carried out.
 func (p *proc) step(ev core.Event) {
 	for _, d := range p.node.Step(p.local(), ev) {
-		p.carry(d)
+		p.carryOut(d)
 	}
 }
 
-func (p *proc) carry(d core.Decision) {
+func (p *proc) carryOut(d core.Decision) {
 	id, ok := core.RequestOf(d)
 	if !ok {
 		p.control(d)
@@ -189,7 +189,7 @@
 
 // readDocs reads all documents from the platform.
 func (p *proc) readDocs() {
-	p.w.store.ask(p, func() func() {
+	p.w.store.call(p, func() func() {
 		docs := p.w.store.all()
 		return func() { p.takeDocs(docs) }
 	}, func() {})
@@ -207,7 +207,7 @@
 		return
 	}
 	p.snapshot, _ = settings.Advance(p.snapshot, newer)
-	p.w.check.forward(p)
+	p.w.check.documentsApplied(p)
 	p.step(core.Applied{Snapshot: p.snapshot})
 }
 
@@ -215,7 +215,7 @@
 func (p *proc) probe(d core.Probe) {
 	w := p.w
 	t := w.targets[d.Address]
-	ev := core.Probed{Target: d.Target, Asked: d.Asked, Err: t.down, Healthy: !t.ill || w.chance(0.5), Slots: 5, Busy: len(t.works)}
+	ev := core.Probed{Target: d.Target, Asked: d.Asked, Err: t.down, Healthy: !t.degraded || w.chance(0.5), Slots: 5, Busy: len(t.works)}
 	if w.chance(0.1) {
 		ev.Healthy, ev.Busy = w.chance(0.5), w.rng.IntN(9)
 	}
@@ -224,7 +224,7 @@
 
 func (p *proc) tick() {
 	if !p.w.reachable(p) {
-		p.touched = p.w.now
+		p.lastImpeded = p.w.now
 	}
 	p.listPeers()
 	p.step(core.Tick{})
@@ -237,7 +237,7 @@
 func (p *proc) listPeers() {
 	var peers []core.Peer
 	for _, name := range p.w.names {
-		h := p.heard[name]
+		h := p.lastSeen[name]
 		if h == nil || p.local().Sub(h.at) > deadAfter || p.w.now < p.suspects[name] {
 			continue
 		}
--- a/internal/core/pump.go
+++ b/internal/core/pump.go
@@ -8,8 +8,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// pump gives free slots to waiting requests, each of which has one try.
-func (n *Node) pump(now time.Time) {
+// serveQueue gives free slots to waiting requests, each of which has one try.
+func (n *Node) serveQueue(now time.Time) {
 	missed := 0
 	for range n.queue.Len() {
 		item, ok := n.queue.Pop(now, func(service settings.ServiceID, way queue.Way) bool {
@@ -18,13 +18,13 @@
 		if !ok {
 			return
 		}
-		f := n.flights[ID(item.ID)]
+		f := n.requests[ID(item.ID)]
 		f.stage = stageNew
-		if n.endsTargets(now, f) {
+		if n.refusePoison(now, f) {
 			continue // told while it waited
 		}
 		if !n.tryPlaces(now, f, ReasonQueue) {
-			n.requeue(now, f)
+			n.enqueue(now, f)
 			missed++
 		}
 		if missed == maxMissed {
@@ -35,16 +35,16 @@
 
 // canServe says whether a waiting request of a service could go somewhere now.
 func (n *Node) canServe(now time.Time, service settings.ServiceID, way queue.Way) bool {
-	return n.canServeOwn(now, service, way) || !way.Bound && (n.roomNear(now, service) || n.couldLeave(now, service))
+	return n.canServeOwn(now, service, way) || !way.Bound && (n.localPeerFree(now, service) || n.canHandOff(now, service))
 }
 
 func (n *Node) canServeOwn(now time.Time, service settings.ServiceID, way queue.Way) bool {
-	if reserved := n.reserved(now, service, false); reserved > 0 && n.book.FreeService(now, service) <= reserved {
+	if reserved := n.reserved(now, service, false); reserved > 0 && n.owners.FreeService(now, service) <= reserved {
 		return false
 	}
-	if way.Shifted && n.service(now, service).ramp.Room(now) < 1 {
+	if way.Shifted && n.state(now, service).ramp.Room(now) < 1 {
 		return false
 	}
-	_, ok := n.book.Pick(now, service, func(key owner.TargetKey) int { return n.weight(now, key) })
+	_, ok := n.owners.Pick(now, service, func(key owner.TargetKey) int { return n.weight(now, key) })
 	return ok
 }
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -24,7 +24,7 @@
 // replay runs one seed and returns the first violation.
 func replay(t *testing.T, seed uint64) string {
 	t.Helper()
-	w := newWorld(seed)
+	w := newSimulation(seed)
 	w.tracing = os.Getenv(envSeed) != "" && os.Getenv(envSoak) == ""
 	fault := w.run()
 	if w.tracing {
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -10,10 +10,10 @@
 
 // rosterState is how the node tends its place's roster.
 type rosterState struct {
-	read  bool      // the platform has given the roster at least once
-	after time.Time // no change is asked for before
-	left  bool      // this instance is in a planned stop
-	tidy  time.Time // this instance's turn to forget former lines; zero if there are none
+	read       bool      // the platform has given the roster at least once
+	nextChange time.Time // no change is asked for before
+	leaving    bool      // this instance is in a planned stop
+	pruneAt    time.Time // this instance's turn to forget former lines; zero if there are none
 }
 
 // swapEvery spaces this instance's tries to change the roster.
@@ -23,69 +23,69 @@
 func (n *Node) rosterRead(now time.Time, ev RosterRead) {
 	n.roster.read = true
 	n.setRoster(now, ev.Roster)
-	n.book.Confirm(ev.Sent, ev.Roster.Version)
-	n.tendRoster(now)
-	n.pump(now)
+	n.owners.Confirm(ev.Sent, ev.Roster.Version)
+	n.maintainRoster(now)
+	n.serveQueue(now)
 }
 
 func (n *Node) setRoster(now time.Time, r owner.Roster) {
-	if n.book.SetRoster(now, r) && n.snapshot != nil {
+	if n.owners.SetRoster(now, r) && n.snapshot != nil {
 		n.probeAt = now
-		clear(n.rooms) // said of what each owned before
-		n.recapAll(now)
-		n.pump(now)
+		clear(n.peerSlots) // said of what each owned before
+		n.updateCaps(now)
+		n.serveQueue(now)
 	}
 }
 
 // Roster is the newest roster that this instance knows.
-func (n *Node) Roster() owner.Roster { return n.book.Roster() }
+func (n *Node) Roster() owner.Roster { return n.owners.Roster() }
 
 // MayAck says whether this instance may ack a peer's heartbeat: the ack is a
 // promise not to take the peer's targets for a term.
 func (n *Node) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
-	return n.book.MayAck(now, peer, incarnation, version)
+	return n.owners.MayAck(now, peer, incarnation, version)
 }
 
 // Release is what this instance still holds of targets that it does not own.
-func (n *Node) Release() owner.Release { return n.book.Release() }
+func (n *Node) Release() owner.Release { return n.owners.Release() }
 
 // Confirmed says whether this instance's rights to its targets are confirmed.
-func (n *Node) Confirmed(now time.Time) bool { return n.book.Tenure(now) == owner.Confirmed }
+func (n *Node) Confirmed(now time.Time) bool { return n.owners.Tenure(now) == owner.Confirmed }
 
-// tendRoster asks for the next change that the roster needs.
-func (n *Node) tendRoster(now time.Time) {
-	if !n.roster.read || now.Before(n.roster.after) {
+// maintainRoster asks for the next change that the roster needs.
+func (n *Node) maintainRoster(now time.Time) {
+	if !n.roster.read || now.Before(n.roster.nextChange) {
 		return
 	}
-	if n.roster.left || n.drained() || n.returning() {
-		n.tendLeave(now)
+	if n.roster.leaving || n.drained() || n.rejoining() {
+		n.leaveRoster(now)
 		return
 	}
-	r := n.book.Roster()
+	r := n.owners.Roster()
 	if next, err := r.Join(n.cfg.Instance, n.cfg.Incarnation); err == nil {
 		n.swap(now, SwapRoster{Next: next, Reason: ReasonJoin})
 		return
 	}
-	if n.removeDead(now, r) || n.settleRemoval(now, r) {
+	if n.removeDead(now, r) || n.supersedeRemoval(now, r) {
 		return
 	}
-	n.tidy(now, r)
+	n.prunePrevious(now, r)
 }
 
-// tidy forgets former lines that are proved to hold nothing. They cost no
+// prunePrevious forgets former lines that are proved to hold nothing. They cost no
 // capacity, so the members take turns: one write is enough for all.
-func (n *Node) tidy(now time.Time, r owner.Roster) {
-	lines := n.book.Forgettable(now)
+func (n *Node) prunePrevious(now time.Time, r owner.Roster) {
+	lines := n.owners.Forgettable(now)
 	if len(lines) == 0 {
-		n.roster.tidy = time.Time{}
+		n.roster.pruneAt = time.Time{}
 		return
 	}
-	if n.roster.tidy.IsZero() {
+	if n.roster.pruneAt.IsZero() {
 		turn := slices.IndexFunc(r.Members, func(m owner.Member) bool { return m.Instance == n.cfg.Instance })
-		n.roster.tidy = now.Add(time.Duration(turn) * swapEvery)
+		n.roster.pruneAt = now.Add(time.Duration(turn) * swapEvery)
 	}
-	if !now.Before(n.roster.tidy) {
-		n.roster.tidy = time.Time{}
+	if !now.Before(n.roster.pruneAt) {
+		n.roster.pruneAt = time.Time{}
 		n.swap(now, SwapRoster{Next: r.Forget(lines), Reason: ReasonTidy})
 	}
 }
@@ -95,22 +95,22 @@
 	return n.snapshot != nil && n.snapshot.InstanceDrained(n.cfg.Instance)
 }
 
-// returning says whether this instance is to own targets again, and its line
+// rejoining says whether this instance is to own targets again, and its line
 // still says that it leaves: it joins anew when that line is gone.
-func (n *Node) returning() bool {
-	m, ok := n.book.Roster().Member(n.cfg.Instance)
+func (n *Node) rejoining() bool {
+	m, ok := n.owners.Roster().Member(n.cfg.Instance)
 	return ok && m.Incarnation == n.cfg.Incarnation && m.Leaving()
 }
 
-// tendLeave marks this instance's line as leaving, and removes it when nothing
+// leaveRoster marks this instance's line as leaving, and removes it when nothing
 // is in flight any more.
-func (n *Node) tendLeave(now time.Time) {
-	r := n.book.Roster()
+func (n *Node) leaveRoster(now time.Time) {
+	r := n.owners.Roster()
 	if next, err := r.MarkLeaving(n.cfg.Instance, n.cfg.Incarnation); err == nil {
 		n.swap(now, SwapRoster{Next: next, Reason: ReasonLeave})
 		return
 	}
-	if !n.book.Idle() {
+	if !n.owners.Idle() {
 		return
 	}
 	if next, err := r.Remove(n.cfg.Instance, n.cfg.Incarnation, true); err == nil {
@@ -120,10 +120,10 @@
 
 func (n *Node) removeDead(now time.Time, r owner.Roster) bool {
 	for _, m := range r.Members {
-		if !n.dead(now, m) || !n.book.Removable(now, m.Instance) {
+		if !n.dead(now, m) || !n.owners.Removable(now, m.Instance) {
 			continue
 		}
-		next, err := n.book.Remove(now, m.Instance)
+		next, err := n.owners.Remove(now, m.Instance)
 		if err != nil {
 			continue
 		}
@@ -133,12 +133,12 @@
 	return false
 }
 
-// settleRemoval writes the roster anew, unchanged, when a removal whose answer
+// supersedeRemoval writes the roster anew, unchanged, when a removal whose answer
 // was lost still keeps this instance from acking a live peer: one of both writes
 // lands, and the other can't any more.
-func (n *Node) settleRemoval(now time.Time, r owner.Roster) bool {
+func (n *Node) supersedeRemoval(now time.Time, r owner.Roster) bool {
 	for _, m := range r.Members {
-		if p, ok := n.peer(m.Instance); ok && p.Incarnation == m.Incarnation && n.book.Undecided(m.Instance) {
+		if p, ok := n.peer(m.Instance); ok && p.Incarnation == m.Incarnation && n.owners.Undecided(m.Instance) {
 			n.swap(now, SwapRoster{Next: r.Forget(nil), Reason: ReasonTidy})
 			return true
 		}
@@ -148,11 +148,11 @@
 
 // dead says whether a roster member has been silent for longer than a term.
 func (n *Node) dead(now time.Time, m owner.Member) bool {
-	s := n.seen[m.Instance]
+	s := n.lastSeen[m.Instance]
 	if s.incarnation < m.Incarnation {
 		// It has only just joined: nobody may have told of it yet.
-		s = sighting{incarnation: m.Incarnation, at: now}
-		n.seen[m.Instance] = s
+		s = lastSeen{incarnation: m.Incarnation, at: now}
+		n.lastSeen[m.Instance] = s
 	}
 	if m.Instance == n.cfg.Instance || now.Before(n.started.Add(n.cfg.Grace)) {
 		return false
@@ -163,14 +163,14 @@
 	return s.incarnation > m.Incarnation || now.Sub(s.at) > n.cfg.Term
 }
 
-// sighting is when an incarnation was last known to live.
-type sighting struct {
+// lastSeen is when an incarnation was last known to live.
+type lastSeen struct {
 	incarnation uint64
 	at          time.Time
 }
 
 func (n *Node) swap(now time.Time, d SwapRoster) {
-	n.roster.after = now.Add(swapEvery + n.jitter(swapEvery))
+	n.roster.nextChange = now.Add(swapEvery + n.jitter(swapEvery))
 	n.decide(d)
 }
 
@@ -182,15 +182,15 @@
 // work ends. Keys that callers have got with a look-up are good until it runs out.
 func (n *Node) stop(now time.Time) {
 	n.stopping = true
-	n.roster.left = true
-	n.closeAt = now.Add(n.cfg.Cache)
-	n.tendRoster(now)
+	n.roster.leaving = true
+	n.keysCloseAt = now.Add(n.cfg.Cache)
+	n.maintainRoster(now)
 }
 
 // closeKeys begins no keyed request any more once the keys have run out that
 // were given before the planned stop.
 func (n *Node) closeKeys(now time.Time) {
-	if n.stopping && !now.Before(n.closeAt) {
+	if n.stopping && !now.Before(n.keysCloseAt) {
 		n.once.Close()
 	}
 }
@@ -198,39 +198,39 @@
 // Idle says whether no request is inside this instance, and its line has left
 // the roster. The line of an earlier incarnation is not its own.
 func (n *Node) Idle() bool {
-	m, ok := n.book.Roster().Member(n.cfg.Instance)
-	return len(n.flights) == 0 && (!ok || m.Incarnation != n.cfg.Incarnation)
+	m, ok := n.owners.Roster().Member(n.cfg.Instance)
+	return len(n.requests) == 0 && (!ok || m.Incarnation != n.cfg.Incarnation)
 }
 
 // Open is how many requests are inside this instance.
-func (n *Node) Open() int { return len(n.flights) }
+func (n *Node) Open() int { return len(n.requests) }
 
 // peersChanged takes in the membership's list.
 func (n *Node) peersChanged(now time.Time, ev PeersChanged) {
 	live := make(map[string]uint64, len(ev.Peers))
 	for _, p := range ev.Peers {
-		n.seen[p.ID] = sighting{incarnation: p.Incarnation, at: now}
+		n.lastSeen[p.ID] = lastSeen{incarnation: p.Incarnation, at: now}
 		live[p.ID] = p.Incarnation
 	}
 	for _, p := range n.peers.all {
 		if live[p.ID] != p.Incarnation {
 			n.holdings.Forget(p.ID)
-			delete(n.rooms, p.ID)
+			delete(n.peerSlots, p.ID)
 		}
 	}
-	for id := range n.rooms {
+	for id := range n.peerSlots {
 		if _, ok := live[id]; !ok {
-			delete(n.rooms, id)
+			delete(n.peerSlots, id)
 		}
 	}
-	maps.DeleteFunc(n.named, func(id string, _ time.Time) bool {
+	maps.DeleteFunc(n.lookupUntil, func(id string, _ time.Time) bool {
 		_, ok := live[id]
 		return !ok && id != n.cfg.Instance
 	})
 	before := n.peers
 	n.peers = newPeerList(ev.Peers)
-	n.tellNewcomers(before, n.peers)
-	n.pump(now)
+	n.notifyNewPeers(before, n.peers)
+	n.serveQueue(now)
 }
 
 // listed takes in the platform's list of instances.
@@ -239,5 +239,5 @@
 	for _, in := range ev.Instances {
 		list = append(list, owner.Listing{Instance: in.ID, Incarnation: in.Incarnation})
 	}
-	n.book.Listed(now, ev.Sent, ev.Epoch, list)
+	n.owners.Listed(now, ev.Sent, ev.Epoch, list)
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -9,14 +9,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// place decides where a request goes. The home place comes first, then this
-// instance's place, then others by how far they are. reason is set when a
+// route decides where a request goes. The home route comes first, then this
+// instance's route, then others by how far they are. reason is set when a
 // request comes back from the queue or from an attempt that ran nothing.
-func (n *Node) place(now time.Time, f *flight, reason Reason) {
-	if n.endsTargets(now, f) {
+func (n *Node) route(now time.Time, f *inFlight, reason Reason) {
+	if n.refusePoison(now, f) {
 		return
 	}
-	if !now.Before(f.wait()) {
+	if !now.Before(f.startDeadline()) {
 		n.refuse(now, f, ReasonDeadline)
 		return
 	}
@@ -30,17 +30,17 @@
 	case f.origin == FromPeer && n.ownSlots(now, f.req.Service) == 0:
 		// Only its own targets may serve it, and none of them is this service's.
 		n.refuse(now, f, ReasonNoTargets)
-	case f.origin != FromPeer && !n.servesHere(f) && !f.awaits:
-		n.refuse(now, f, f.reason())
-	case !f.awaits && n.refuseBarred(now, f):
+	case f.origin != FromPeer && !n.servesHere(f) && !f.awaitsGrant:
+		n.refuse(now, f, f.refusalReason())
+	case !f.awaitsGrant && n.refuseUnavailable(now, f):
 	default:
 		n.hold(now, f)
 	}
 }
 
 // tryPlaces sends the request off if any way has room now.
-func (n *Node) tryPlaces(now time.Time, f *flight, reason Reason) bool {
-	f.passed, f.awaits = nil, false
+func (n *Node) tryPlaces(now time.Time, f *inFlight, reason Reason) bool {
+	f.passed, f.awaitsGrant = nil, false
 	for _, p := range n.placesFor(f) {
 		if n.rank(f, p) >= rankRegion && n.worthWaiting(now, f) {
 			break
@@ -50,35 +50,35 @@
 			return true
 		}
 		f.passed = append(f.passed, Passed{Way: p, Reason: why})
-		f.held = why
+		f.heldReason = why
 	}
 	return false
 }
 
 // worthWaiting says that a slot here is expected so soon that the request is
 // not shifted to another place: a shift is cold, limited and far.
-func (n *Node) worthWaiting(now time.Time, f *flight) bool {
-	return f.origin != FromPeer && n.servesHere(f) && n.soonHere(now, f.req.Service)
+func (n *Node) worthWaiting(now time.Time, f *inFlight) bool {
+	return f.origin != FromPeer && n.servesHere(f) && n.slotSoon(now, f.req.Service)
 }
 
-// soonHere says that a slot of this instance is expected soon.
-func (n *Node) soonHere(now time.Time, id settings.ServiceID) bool {
+// slotSoon says that a slot of this instance is expected soon.
+func (n *Node) slotSoon(now time.Time, id settings.ServiceID) bool {
 	if n.snapshot.PlaceDrained(id, n.cfg.Place) || n.ownSlots(now, id) == 0 {
 		return false
 	}
-	if _, why := n.allBarred(now, id); why != "" {
+	if _, why := n.allUnavailableUntil(now, id); why != "" {
 		return false
 	}
-	return n.queue.Wait(now, id) < n.cfg.Spill
+	return n.queue.Wait(now, id) < n.cfg.ShiftWait
 }
 
 // tryPlace tries one place and says why it was not taken.
-func (n *Node) tryPlace(now time.Time, f *flight, place string, reason Reason) (Reason, bool) {
+func (n *Node) tryPlace(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if n.snapshot.PlaceDrained(f.req.Service, place) {
 		return ReasonDrained, false
 	}
 	if place != n.cfg.Place {
-		return n.tryAway(now, f, place, reason)
+		return n.tryRemote(now, f, place, reason)
 	}
 	why, done := n.tryOwn(now, f, or(reason, ReasonOwnFree))
 	if done || f.origin == FromPeer {
@@ -98,69 +98,69 @@
 }
 
 // tryOwn serves the request from a target that this instance owns.
-func (n *Node) tryOwn(now time.Time, f *flight, reason Reason) (Reason, bool) {
+func (n *Node) tryOwn(now time.Time, f *inFlight, reason Reason) (Reason, bool) {
 	if n.baseline() {
 		return n.tryBaseline(now, f, reason)
 	}
-	if why := n.ownRoom(now, f); why != "" {
+	if why := n.ownRefusal(now, f); why != "" {
 		return why, false
 	}
 	key, ok := n.pick(now, f)
-	if !ok || !n.book.Take(now, key) {
+	if !ok || !n.owners.Take(now, key) {
 		return ReasonFull, false
 	}
 	n.serve(now, f, key, reason)
 	return "", true
 }
 
-// ownRoom says what keeps this instance from serving f itself, or "".
-func (n *Node) ownRoom(now time.Time, f *flight) Reason {
+// ownRefusal says what keeps this instance from serving f itself, or "".
+func (n *Node) ownRefusal(now time.Time, f *inFlight) Reason {
 	if n.stopping && f.origin == FromPeer {
 		return ReasonStopping
 	}
 	if f.shifted(n.cfg.Place) {
-		ramp := n.service(now, f.req.Service).ramp
+		ramp := n.state(now, f.req.Service).ramp
 		if ramp.Room(now) < 1 {
-			f.sooner(ramp.RetryAt(now))
+			f.lowerRetryAt(ramp.RetryAt(now))
 			return ReasonShiftCap
 		}
 	}
-	if n.book.FreeService(now, f.req.Service)-n.reserved(now, f.req.Service, f.covered) < 1 {
+	if n.owners.FreeService(now, f.req.Service)-n.reserved(now, f.req.Service, f.granted) < 1 {
 		return ReasonFull
 	}
 	return ""
 }
 
 // serve commits the request to a target whose slot it holds.
-func (n *Node) serve(now time.Time, f *flight, key owner.TargetKey, reason Reason) {
-	if f.keyed && !n.once.Dispatch(now, f.key, f.turn) {
-		n.book.Done(key)
+func (n *Node) serve(now time.Time, f *inFlight, key owner.TargetKey, reason Reason) {
+	if f.keyed && !n.once.Dispatch(now, f.key, f.keyAttempt) {
+		n.owners.Done(key)
 		n.refuse(now, f, ReasonKeyExpired)
 		return
 	}
 	shifted := f.shifted(n.cfg.Place)
 	if shifted && !n.baseline() {
-		n.check(invariant.ShiftCap, n.service(now, f.req.Service).ramp.Admit(now), func() string {
+		n.check(invariant.ShiftCap, n.state(now, f.req.Service).ramp.Admit(now), func() string {
 			return f.req.Service.String() + " admitted a shifted request without room"
 		})
 	}
 	n.check(invariant.Leaving, !n.snapshot.TargetDrained(f.req.Service, key.Name), func() string {
 		return key.Name + " got new work while drained"
 	})
-	n.spend(now, key)
+	n.countAgainstLimit(now, key)
 	f.stage, f.target = stageTarget, key
 	f.attempts++
 	n.decide(Serve{
-		ID: f.id, Target: key, Address: n.address[key], Deadline: f.req.Deadline,
-		Attempt: f.attempts, Shifted: shifted, RunOn: !f.idempotent, Link: n.answerLink(f),
+		ID: f.id, Target: key, Address: n.addresses[key], Deadline: f.req.Deadline,
+		Attempt: f.attempts, Shifted: shifted, RunOn: !f.idempotent, Link: n.answerRate(f),
 		Home: f.home, Reason: reason, Passed: f.passed,
 	})
 }
 
 // pick chooses among the owned targets by what is in flight on each and how
 // much health lets it take.
-func (n *Node) pick(now time.Time, f *flight) (owner.TargetKey, bool) {
-	return n.book.Pick(now, f.req.Service, func(key owner.TargetKey) int {
+func (n *Node) pick(now time.Time, f *inFlight) (owner.TargetKey, bool) {
+	return n.owners.Pick(now, f.req.Service, func(key owner.TargetKey) int {
 		if f.hasTried(key.Name) {
 			return 0
 		}
@@ -169,7 +169,7 @@
 }
 
 // tryPeers hands the request to the peer of a place that has the most room.
-func (n *Node) tryPeers(now time.Time, f *flight, place string, reason Reason) (Reason, bool) {
+func (n *Node) tryPeers(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if f.origin == FromPeer {
 		return ReasonFull, false
 	}
@@ -177,48 +177,48 @@
 	if why != "" {
 		return why, false
 	}
-	n.hand(now, f, peer, reason)
+	n.handOff(now, f, peer, reason)
 	return "", true
 }
 
-// tryAway hands the request to a peer of another place, on a grant or as the
+// tryRemote hands the request to a peer of another place, on a grant or as the
 // first to ask for one.
-func (n *Node) tryAway(now time.Time, f *flight, place string, reason Reason) (Reason, bool) {
+func (n *Node) tryRemote(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if f.origin == FromPeer {
 		return ReasonFull, false
 	}
-	peer, why := n.chooseAway(now, f, place)
+	peer, why := n.chooseRemotePeer(now, f, place)
 	if peer.ID == "" {
 		return why, false
 	}
-	n.hand(now, f, peer, or(reason, why))
+	n.handOff(now, f, peer, or(reason, why))
 	return "", true
 }
 
-// hand commits the request to a peer.
-func (n *Node) hand(now time.Time, f *flight, peer Peer, reason Reason) {
-	if f.keyed && !n.once.Dispatch(now, f.key, f.turn) {
+// handOff commits the request to a peer.
+func (n *Node) handOff(now time.Time, f *inFlight, peer Peer, reason Reason) {
+	if f.keyed && !n.once.Dispatch(now, f.key, f.keyAttempt) {
 		n.refuse(now, f, ReasonKeyExpired)
 		return
 	}
 	want, granted := 0, false
-	if peer.Place == n.cfg.Place || n.cfg.sending.ungranted() {
-		f.away = destination{}
-		n.roomTaken(peer.ID, f.req.Service)
+	if peer.Place == n.cfg.Place || n.cfg.handOff.ungranted() {
+		f.dest = destination{}
+		n.slotTaken(peer.ID, f.req.Service)
 	} else {
-		want = n.departed(now, f, peer)
-		granted = !f.trying
+		want = n.startRemoteHandOff(now, f, peer)
+		granted = !f.ungranted
 	}
 	f.stage, f.peer = stagePeer, peer.ID
 	f.attempts++
 	n.decide(Hand{
 		ID: f.id, Peer: peer, Deadline: f.req.Deadline, Attempt: f.attempts, RunOn: !f.idempotent, Home: f.home,
-		Link: n.answerLink(f), Upload: n.linkShare(f, peer.Place), Reason: reason, Granted: granted, Want: want, Passed: f.passed,
+		Link: n.answerRate(f), Upload: n.linkShare(f, peer.Place), Reason: reason, Granted: granted, Want: want, Passed: f.passed,
 	})
 }
 
 // placesFor lists the places that may serve f, in the order to try.
-func (n *Node) placesFor(f *flight) []string {
+func (n *Node) placesFor(f *inFlight) []string {
 	if f.origin == FromPeer {
 		return []string{n.cfg.Place}
 	}
@@ -239,7 +239,7 @@
 	rankCount
 )
 
-func (n *Node) rank(f *flight, place string) int {
+func (n *Node) rank(f *inFlight, place string) int {
 	switch {
 	case place == f.home:
 		return rankHome
@@ -253,7 +253,7 @@
 }
 
 // servesHere says whether waiting in this instance's queue can help f.
-func (n *Node) servesHere(f *flight) bool {
+func (n *Node) servesHere(f *inFlight) bool {
 	if _, ok := f.service.Site(n.cfg.Place); !ok {
 		return false
 	}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -10,31 +10,31 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// service is what the node keeps of one service between snapshots.
-type service struct {
-	ramp   *shift.Ramp
-	health *health.Book[owner.TargetKey] // of the service's targets in this place
-	budget *retry.Budget
-	shares map[owner.TargetKey]shift.Share // each target's part of the shift cap
-	limits map[owner.TargetKey]int         // each target's allowance
-	keys   []owner.TargetKey               // of the place's targets, in the document's order
-	rev    uint64                          // version of the service's document
+// serviceState is what the node keeps of one serviceState between snapshots.
+type serviceState struct {
+	ramp    *shift.Ramp
+	health  *health.Book[owner.TargetKey] // of the service's targets in this place
+	budget  *retry.Budget
+	shares  map[owner.TargetKey]shift.Share // each target's part of the shift cap
+	limits  map[owner.TargetKey]int         // each target's allowance
+	keys    []owner.TargetKey               // of the place's targets, in the document's order
+	version uint64                          // version of the service's document
 
 	constraints map[owner.TargetKey]*constraint // of targets that have said any
 }
 
 // newService makes the state of a service. The configurations are constant and
 // valid, so their errors can't happen.
-func (n *Node) newService(now time.Time) *service {
-	s := &service{constraints: make(map[owner.TargetKey]*constraint)}
+func (n *Node) newService(now time.Time) *serviceState {
+	s := &serviceState{constraints: make(map[owner.TargetKey]*constraint)}
 	s.ramp, _ = shift.New(shift.Config{Counter: n.cfg.Checks})
 	s.health, _ = health.New(health.Config{}, compareTargets, n.cfg.Rand)
 	s.budget, _ = retry.NewBudget(now, retry.Config{})
 	return s
 }
 
-// service gives the state of a service, and makes it when it is new.
-func (n *Node) service(now time.Time, id settings.ServiceID) *service {
+// state gives the state of a state, and makes it when it is new.
+func (n *Node) state(now time.Time, id settings.ServiceID) *serviceState {
 	s, ok := n.services[id]
 	if !ok {
 		s = n.newService(now)
@@ -43,11 +43,11 @@
 	return s
 }
 
-// refit takes in the service's targets of a new snapshot.
-func (s *service) refit(c *settings.CompiledService, site settings.Site, rev uint64) {
+// update takes in the service's targets of a new snapshot.
+func (s *serviceState) update(c *settings.CompiledService, site settings.Site, rev uint64) {
 	allowances := owner.Allowances(site)
 	shares := shift.Divide(c.Shift(), allowances)
-	s.rev = rev
+	s.version = rev
 	old := s.limits
 	s.keys = s.keys[:0]
 	s.shares = make(map[owner.TargetKey]shift.Share, len(shares))
@@ -66,14 +66,14 @@
 	}
 }
 
-// recap gives the ramp the shares of the targets that this instance may use
+// updateCap gives the ramp the shares of the targets that this instance may use
 // now. An old owner that has lapsed keeps the lower part of a share, and the
 // new one has the upper part.
-func (n *Node) recap(now time.Time, s *service) {
-	lapsed := n.book.Tenure(now) == owner.Lapsed
+func (n *Node) updateCap(now time.Time, s *serviceState) {
+	lapsed := n.owners.Tenure(now) == owner.Lapsed
 	shares := make([]shift.Share, 0, len(s.keys))
 	for _, key := range s.keys {
-		usable, limit := n.book.Usable(now, key), s.limits[key]
+		usable, limit := n.owners.Usable(now, key), s.limits[key]
 		s.health.Own(key, usable > 0 || n.baseline())
 		if usable == 0 || limit == 0 {
 			continue
@@ -84,14 +84,14 @@
 			shares = append(shares, s.shares[key].Upper(limit-usable, limit))
 		}
 	}
-	s.ramp.SetCap(now, shift.Cap{Version: s.rev, Shares: shares})
+	s.ramp.SetCap(now, shift.Cap{Version: s.version, Shares: shares})
 }
 
 // ownSlots is how many slots of a service this instance may use now, used ones included.
 func (n *Node) ownSlots(now time.Time, id settings.ServiceID) int {
 	total := 0
-	for _, key := range n.service(now, id).keys {
-		total += n.book.Usable(now, key)
+	for _, key := range n.state(now, id).keys {
+		total += n.owners.Usable(now, key)
 	}
 	return total
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -45,7 +45,7 @@
 // Status describes the node as it is now.
 func (n *Node) Status(now time.Time) Status {
 	st := Status{
-		Queued: n.queue.Len(), Open: len(n.flights), Peers: len(n.peers.all),
+		Queued: n.queue.Len(), Open: len(n.requests), Peers: len(n.peers.all),
 		Confirmed: n.Confirmed(now), Stopping: n.stopping,
 	}
 	if n.snapshot == nil {
@@ -59,8 +59,8 @@
 		}
 		targets := n.targetStatus(now, id)
 		st.Targets = append(st.Targets, targets...)
-		s := ServiceStatus{Service: id, Limit: site.Limit, Cap: compiled.Shift(), Free: n.book.FreeService(now, id)}
-		s.Shifted = n.service(now, id).ramp.Counts(now).Admitted
+		s := ServiceStatus{Service: id, Limit: site.Limit, Cap: compiled.Shift(), Free: n.owners.FreeService(now, id)}
+		s.Shifted = n.state(now, id).ramp.Counts(now).Admitted
 		for _, t := range targets {
 			s.Usable += t.Usable
 			s.InFlight += t.InFlight
@@ -71,12 +71,12 @@
 }
 
 func (n *Node) targetStatus(now time.Time, id settings.ServiceID) []TargetStatus {
-	s := n.service(now, id)
+	s := n.state(now, id)
 	list := make([]TargetStatus, 0, len(s.keys))
 	for _, key := range s.keys {
 		list = append(list, TargetStatus{
-			Key: key, Address: n.address[key], Owner: n.book.Owner(key),
-			Limit: s.limits[key], Usable: n.book.Usable(now, key), InFlight: n.book.InFlight(key),
+			Key: key, Address: n.addresses[key], Owner: n.owners.Owner(key),
+			Limit: s.limits[key], Usable: n.owners.Usable(now, key), InFlight: n.owners.InFlight(key),
 			Health:  string(s.health.State(now, key)),
 			Usual:   s.health.Latency(key),
 			Drained: n.snapshot.TargetDrained(id, key.Name) || n.snapshot.PlaceDrained(id, n.cfg.Place),
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -13,12 +13,12 @@
 
 // store is the platform: documents, rosters and a list of instances that lags.
 type store struct {
-	w       *world
+	w       *simulation
 	down    bool
-	docs    map[string][]accepted // by path, all versions
-	paths   []string              // keys of docs, in the order of the first write
-	rosters map[int]owner.Roster  // by place
-	listed  map[string]*listing   // by instance
+	docs    map[string][]accepted    // by path, all versions
+	paths   []string                 // keys of docs, in the order of the first write
+	rosters map[int]owner.Roster     // by place
+	listed  map[string]*registration // by instance
 }
 
 // accepted is one version of a document.
@@ -28,13 +28,13 @@
 	parsed *settings.Parsed
 }
 
-// listing is an instance's line in the list.
-type listing struct {
-	lines []listedLine // what registrations said, oldest first
+// registration is an instance's line in the list.
+type registration struct {
+	lines []registeredLine // what registrations said, oldest first
 	last  time.Duration
 }
 
-type listedLine struct {
+type registeredLine struct {
 	at          time.Duration
 	incarnation uint64
 }
@@ -45,10 +45,10 @@
 	goneLag = 3500 * time.Millisecond // a line that is not renewed goes; under lag
 )
 
-func newStore(w *world) *store {
+func newStore(w *simulation) *store {
 	return &store{
 		w: w, docs: make(map[string][]accepted),
-		rosters: make(map[int]owner.Roster), listed: make(map[string]*listing),
+		rosters: make(map[int]owner.Roster), listed: make(map[string]*registration),
 	}
 }
 
@@ -100,13 +100,13 @@
 
 func (s *store) register(name string, incarnation uint64) {
 	l := s.listed[name]
-	if l == nil || (s.w.now > l.last+goneLag && !s.w.proves) {
-		l = &listing{}
+	if l == nil || (s.w.now > l.last+goneLag && !s.w.listProves) {
+		l = &registration{}
 		s.listed[name] = l
 	}
 	l.last = s.w.now
 	if n := len(l.lines); n == 0 || l.lines[n-1].incarnation < incarnation {
-		l.lines = append(l.lines, listedLine{at: s.w.now + showLag, incarnation: incarnation})
+		l.lines = append(l.lines, registeredLine{at: s.w.now + showLag, incarnation: incarnation})
 	}
 }
 
@@ -118,7 +118,7 @@
 		if l == nil || s.w.home[name] != place {
 			continue
 		}
-		if s.w.now > l.last+goneLag && (!s.w.proves || s.w.live[name] == nil) {
+		if s.w.now > l.last+goneLag && (!s.w.listProves || s.w.live[name] == nil) {
 			continue
 		}
 		shown := uint64(0)
@@ -134,27 +134,27 @@
 	return list
 }
 
-// ask calls the platform from a process. serve runs there, and its result runs
+// call calls the platform from a process. serve runs there, and its result runs
 // back at the process. failed runs there instead when the call or its answer is
 // lost; whether serve has run is then not told.
-func (s *store) ask(p *proc, serve func() func(), failed func()) {
+func (s *store) call(p *proc, serve func() func(), failed func()) {
 	w := s.w
 	lost := func() { w.after(500*time.Millisecond, func() { p.deliver(failed) }) }
-	out := w.delay(p.place, endPlatform)
+	out := w.delay(p.place, endpointPlatform)
 	if w.chance(0.03) {
 		out += w.upTo(2 * time.Second)
 	}
 	w.after(out, func() {
-		if s.down || w.links.cut[[2]int{p.place, endPlatform}] > 0 || w.links.apart[[2]string{p.name, ""}] > 0 {
+		if s.down || w.links.cut[[2]int{p.place, endpointPlatform}] > 0 || w.links.apart[[2]string{p.name, ""}] > 0 {
 			lost()
 			return
 		}
 		back := serve()
-		if w.links.cut[[2]int{endPlatform, p.place}] > 0 || w.chance(0.03) {
+		if w.links.cut[[2]int{endpointPlatform, p.place}] > 0 || w.chance(0.03) {
 			lost()
 			return
 		}
-		w.after(w.delay(endPlatform, p.place), func() { p.deliver(back) })
+		w.after(w.delay(endpointPlatform, p.place), func() { p.deliver(back) })
 	})
 }
 
@@ -182,7 +182,7 @@
 	sites []site // by place
 }
 
-func (w *world) randomPlan(most [][]int) plan {
+func (w *simulation) randomPlan(most [][]int) plan {
 	p := plan{shift: 1 + w.rng.IntN(12)}
 	for i := range w.places {
 		s, all := site{}, 0
@@ -226,7 +226,7 @@
 }
 
 // firstDocuments fills the platform and makes the targets.
-func (w *world) firstDocuments() {
+func (w *simulation) firstDocuments() {
 	blocks := "blocks:\n"
 	for i, name := range w.places {
 		w.store.put(settings.PlacePath(name), 0, placeBody(i, 3+w.rng.IntN(10)))
@@ -245,10 +245,10 @@
 	}
 }
 
-func (w *world) addTarget(service string, place, i int) {
+func (w *simulation) addTarget(service string, place, i int) {
 	t := &target{w: w, key: keyOf(service, targetName(service, place, i)), place: place}
 	w.targets[targetAddress(service, place, i)] = t
-	w.order = append(w.order, t)
+	w.sortedTargets = append(w.sortedTargets, t)
 }
 
 // drainedSince says since when the newest documents drain a target.
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -11,21 +11,21 @@
 
 // target is a back end. What it does is the truth that the checker sees.
 type target struct {
-	w     *world
-	key   owner.TargetKey
-	place int
-	down  bool // refuses connections
-	ill   bool // slow, and fails often
-	works []*work
-	ran   int
+	w        *simulation
+	key      owner.TargetKey
+	place    int
+	down     bool // refuses connections
+	degraded bool // slow, and fails often
+	works    []*work
+	ran      int
 }
 
 // work is one request under way at a target.
 type work struct {
-	t    *target
-	a    *attempt
-	over bool
-	left func() // called when the target ends it; may be nil
+	t     *target
+	a     *attempt
+	over  bool
+	onEnd func() // called when the target ends it; may be nil
 }
 
 // drains are the documents' bodies that drain the target.
@@ -46,7 +46,7 @@
 		return
 	}
 	shed := 0.03
-	if t.ill {
+	if t.degraded {
 		shed = 0.3
 	}
 	if t.w.chance(shed) {
@@ -55,7 +55,7 @@
 	}
 	if t.w.chance(0.01) {
 		t.w.tracef("%s loses request %s", t.key.Name, a.x.req.Name)
-		a.x.call.harmed = true
+		a.x.call.disrupted = true
 		return // lost before the target read it; nobody is told
 	}
 	t.begin(a, left)
@@ -81,7 +81,7 @@
 	if t.w.chance(0.04) {
 		d = t.w.between(time.Second, 4*time.Second)
 	}
-	if t.ill {
+	if t.degraded {
 		d *= 5
 	}
 	return d
@@ -95,14 +95,14 @@
 	k.leave()
 	w := k.t.w
 	lost, failed := 0.02, 0.03
-	if k.t.ill {
+	if k.t.degraded {
 		failed = 0.4
 	}
 	switch {
 	case !whole || w.chance(lost):
-		k.a.x.call.harmed = true // the answer is lost: the owner's deadline ends the attempt.
+		k.a.x.call.disrupted = true // the answer is lost: the owner's deadline ends the attempt.
 	case w.chance(failed):
-		k.a.x.call.harmed = true
+		k.a.x.call.disrupted = true
 		k.a.result(core.Finished{Result: core.Failed, Final: w.chance(0.2)})
 	default:
 		k.a.result(core.Finished{Result: core.Answered, Status: 200, Body: []byte(k.a.x.req.Name)})
@@ -112,8 +112,8 @@
 // reset breaks the connection in the middle.
 func (k *work) reset() {
 	if !k.over {
-		k.a.x.call.harmed = true
-		k.a.cut = true
+		k.a.x.call.disrupted = true
+		k.a.reset = true
 		k.a.result(core.Finished{Result: core.Failed})
 		k.abandon()
 	}
@@ -121,7 +121,7 @@
 
 // abandon ends the work soon, as the target notices that nobody waits.
 func (k *work) abandon() {
-	k.t.w.after(k.t.w.upTo(broken), func() {
+	k.t.w.after(k.t.w.upTo(abandonWithin), func() {
 		if !k.over {
 			k.leave()
 		}
@@ -138,7 +138,7 @@
 		}
 	}
 	t.w.tracef("%s ends %s", t.key.Name, k.a.x.req.Name)
-	if k.left != nil {
-		k.left()
+	if k.onEnd != nil {
+		k.onEnd()
 	}
 }
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -23,9 +23,9 @@
 	return n
 }
 
-// TestWaitingFollowsRoomNear has a request wait for a peer's room: one that a
+// TestQueueFollowsLocalPeer has a request wait for a peer's room: one that a
 // peer handed over must not be handed on.
-func TestWaitingFollowsRoomNear(t *testing.T) {
+func TestQueueFollowsLocalPeer(t *testing.T) {
 	tests := map[string]struct {
 		origin Origin
 		want   string
@@ -38,11 +38,11 @@
 			n := fullNode(t)
 			waiting := request(3, "10.1.0.1")
 			waiting.Origin = tt.origin
-			if got := word(n.Step(begin, waiting)); got != "hold" {
+			if got := decisionName(n.Step(begin, waiting)); got != "hold" {
 				t.Fatalf("got %q, want it to wait", got)
 			}
-			heard := RoomHeard{Peer: "i2", Rooms: []Room{{Service: orders, Free: 1}}}
-			if got := word(n.Step(begin, heard)); got != tt.want {
+			report := RoomHeard{Peer: "i2", Rooms: []Room{{Service: orders, Free: 1}}}
+			if got := decisionName(n.Step(begin, report)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -52,8 +52,8 @@
 // TestOldRoomIsForgotten: what a peer said of its room is void once it has started
 // anew or the roster has changed who owns what. It is tried again then.
 func TestOldRoomIsForgotten(t *testing.T) {
-	again := near
-	again.Incarnation = 2
+	restarted := near
+	restarted.Incarnation = 2
 	left, err := testRoster(t, "i1", "i2").MarkLeaving("i1", 1)
 	if err != nil {
 		t.Fatal(err)
@@ -63,16 +63,16 @@
 		want  string
 	}{
 		"nothing new":     {PeersChanged{Peers: []Peer{near}}, "nothing"},
-		"new incarnation": {PeersChanged{Peers: []Peer{again}}, "hand"},
+		"new incarnation": {PeersChanged{Peers: []Peer{restarted}}, "hand"},
 		"new roster":      {RosterRead{Roster: left, Sent: begin}, "hand"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			n := fullNode(t)
-			if got := word(n.Step(begin, request(3, "10.1.0.1"))); got != "hold" {
+			if got := decisionName(n.Step(begin, request(3, "10.1.0.1"))); got != "hold" {
 				t.Fatalf("got %q, want it to wait", got)
 			}
-			if got := word(n.Step(begin, tt.event)); got != tt.want {
+			if got := decisionName(n.Step(begin, tt.event)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -90,7 +90,7 @@
 	n.Step(begin, RosterRead{Roster: without, Sent: begin})
 	handed := request(1, "10.1.0.1")
 	handed.Origin = FromPeer
-	if got, want := word(n.Step(begin, handed)), "refuse no-targets"; got != want {
+	if got, want := decisionName(n.Step(begin, handed)), "refuse no-targets"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -102,7 +102,7 @@
 	n.Step(begin, Stopping{})
 	handed := request(1, "10.1.0.1")
 	handed.Origin = FromPeer
-	if got, want := word(n.Step(begin, handed)), "refuse stopping"; got != want {
+	if got, want := decisionName(n.Step(begin, handed)), "refuse stopping"; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
@@ -128,18 +128,18 @@
 				waiting.Request.Start = begin.Add(tt.start)
 			}
 			n.Step(begin, waiting)
-			if got := word(n.Step(begin.Add(tt.want-1), Tick{})); got == "refuse deadline" {
+			if got := decisionName(n.Step(begin.Add(tt.want-1), Tick{})); got == "refuse deadline" {
 				t.Errorf("got a refusal before %s", tt.want)
 			}
-			if got := word(n.Step(begin.Add(tt.want), Tick{})); got != "refuse deadline" {
+			if got := decisionName(n.Step(begin.Add(tt.want), Tick{})); got != "refuse deadline" {
 				t.Errorf("got %q at %s, want a refusal", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestStrayEnd: the end of an attempt that was never decided changes nothing.
-func TestStrayEnd(t *testing.T) {
+// TestStrayFinished: the end of an attempt that was never decided changes nothing.
+func TestStrayFinished(t *testing.T) {
 	n := testNode(t, nil)
 	for id := range ID(3) {
 		n.Step(begin, request(id+1, "10.1.0.1"))
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -11,20 +11,20 @@
 
 // Bounds that the design is told, or takes by default.
 const (
-	term    = time.Second      // core.Config.Term
-	lag     = 4 * time.Second  // core.Config.Lag
-	skew    = 0.05             // core.Config.Skew
-	settled = 10 * time.Second // owner.DefaultSettle
-	broken  = 90 * time.Millisecond
+	term          = time.Second      // core.Config.Term
+	lag           = 4 * time.Second  // core.Config.Lag
+	skew          = 0.05             // core.Config.Skew
+	maxStaleness  = 10 * time.Second // owner.DefaultSettle
+	abandonWithin = 90 * time.Millisecond
 )
 
 // Phases of a run, in true time.
 const (
-	warmUp   = 4 * time.Second
-	quiet    = 40 * time.Second // faults have ended by now
-	recovery = 16 * time.Second // after the faults; from then on calls are answered
-	load     = 62 * time.Second // callers stop
-	ending   = 72 * time.Second
+	warmUp    = 4 * time.Second
+	faultsEnd = 40 * time.Second // faults have ended by now
+	recovery  = 16 * time.Second // after the faults; from then on calls are answered
+	loadEnd   = 62 * time.Second // callers stop
+	runEnd    = 72 * time.Second
 )
 
 // epoch is where true time starts.
@@ -60,37 +60,37 @@
 	return x
 }
 
-// world is everything around some nodes, in virtual time. One goroutine runs it.
-type world struct {
+// simulation is everything around some nodes, in virtual time. One goroutine runs it.
+type simulation struct {
 	seed   uint64
 	rng    *rand.Rand
 	now    time.Duration
 	events events
 	seq    uint64
 
-	places  []string
-	names   []string         // of instances, fixed
-	home    map[string]int   // index of each instance's place
-	procs   []*proc          // every process that ever ran
-	live    map[string]*proc // by instance; nil while none runs
-	targets map[string]*target
-	order   []*target // targets, sorted
-	store   *store
-	links   links
-	callers []*caller
-	calls   []*call
-	check   *checker
-
-	proves  bool // the list names a process until it has ended, also one that is cut off
-	aligned bool // clocks agree with true time
-	jumps   bool // clocks jump, which the bounds on time exclude
-	trace   []string
-	tracing bool
-	counts  map[string]int
-}
-
-func newWorld(seed uint64) *world {
-	w := &world{
+	places        []string
+	names         []string         // of instances, fixed
+	home          map[string]int   // index of each instance's place
+	procs         []*proc          // every process that ever ran
+	live          map[string]*proc // by instance; nil while none runs
+	targets       map[string]*target
+	sortedTargets []*target // targets, sorted
+	store         *store
+	links         links
+	callers       []*caller
+	calls         []*call
+	check         *checker
+
+	listProves    bool // the list names a process until it has ended, also one that is cut off
+	clocksAligned bool // clocks agree with true time
+	clocksJump    bool // clocks jump, which the bounds on time exclude
+	trace         []string
+	tracing       bool
+	counts        map[string]int
+}
+
+func newSimulation(seed uint64) *simulation {
+	w := &simulation{
 		seed:    seed,
 		rng:     rand.New(rand.NewPCG(seed, 7)),
 		home:    make(map[string]int),
@@ -99,9 +99,9 @@
 		counts:  make(map[string]int),
 		links:   links{cut: make(map[[2]int]int), apart: make(map[[2]string]int)},
 	}
-	w.aligned = w.chance(0.35)
-	w.proves = w.chance(0.4)
-	w.jumps = !w.aligned && w.chance(0.15)
+	w.clocksAligned = w.chance(0.35)
+	w.listProves = w.chance(0.4)
+	w.clocksJump = !w.clocksAligned && w.chance(0.15)
 	w.check = newChecker(w)
 	w.store = newStore(w)
 	w.build()
@@ -109,7 +109,7 @@
 }
 
 // build makes places, documents, targets, processes and callers.
-func (w *world) build() {
+func (w *simulation) build() {
 	for i := range 2 + w.rng.IntN(2) {
 		w.places = append(w.places, fmt.Sprint("place-", i))
 	}
@@ -131,45 +131,45 @@
 }
 
 // run lets time pass until the end or the first violation.
-func (w *world) run() string {
-	for len(w.events) > 0 && w.check.fault == "" {
+func (w *simulation) run() string {
+	for len(w.events) > 0 && w.check.violation == "" {
 		e := heap.Pop(&w.events).(event)
-		if e.at > ending {
+		if e.at > runEnd {
 			break
 		}
 		w.now = e.at
 		e.do()
 	}
-	if w.check.fault == "" {
+	if w.check.violation == "" {
 		w.check.end()
 	}
-	return w.check.fault
+	return w.check.violation
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now + d, seq: w.seq, do: do})
 }
 
-func (w *world) chance(p float64) bool { return w.rng.Float64() < p }
+func (w *simulation) chance(p float64) bool { return w.rng.Float64() < p }
 
 // upTo is a random length below most.
-func (w *world) upTo(most time.Duration) time.Duration {
+func (w *simulation) upTo(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(most)))
 }
 
-func (w *world) between(least, most time.Duration) time.Duration {
+func (w *simulation) between(least, most time.Duration) time.Duration {
 	return least + w.upTo(most-least)
 }
 
-func (w *world) tracef(format string, args ...any) {
+func (w *simulation) tracef(format string, args ...any) {
 	if w.tracing {
 		w.trace = append(w.trace, fmt.Sprintf("%9.4f ", w.now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
 // start runs a new process of an instance, unless one runs.
-func (w *world) start(name string) {
+func (w *simulation) start(name string) {
 	if w.live[name] != nil {
 		return
 	}
@@ -181,8 +181,8 @@
 
 // Ends of links that are not places.
 const (
-	endPlatform = 100
-	endCallers  = 101
+	endpointPlatform = 100
+	endpointCallers  = 101
 )
 
 // links is what the network does to messages now.
@@ -194,12 +194,12 @@
 }
 
 // open says whether messages pass from one process to another.
-func (w *world) open(from, to *proc) bool {
+func (w *simulation) open(from, to *proc) bool {
 	return w.links.cut[[2]int{from.place, to.place}] == 0 && w.links.apart[[2]string{from.name, to.name}] == 0
 }
 
 // delay is how long a message takes between two ends.
-func (w *world) delay(a, b int) time.Duration {
+func (w *simulation) delay(a, b int) time.Duration {
 	d := w.between(300*time.Microsecond, 3*time.Millisecond)
 	if a != b {
 		d += 10 * time.Millisecond
@@ -211,7 +211,7 @@
 }
 
 // datagram sends a message that may be lost, doubled, late and out of order.
-func (w *world) datagram(from, to *proc, do func()) {
+func (w *simulation) datagram(from, to *proc, do func()) {
 	if !w.open(from, to) || w.chance(w.links.loss) {
 		return
 	}
@@ -236,7 +236,7 @@
 }
 
 // isDrained says whether the platform's newest documents drain a target.
-func (w *world) isDrained(t *target) (time.Duration, bool) {
+func (w *simulation) isDrained(t *target) (time.Duration, bool) {
 	return w.store.drainedSince(t)
 }
 
@@ -245,8 +245,8 @@
 }
 
 // reachable notes whether anything keeps a process from the platform now.
-func (w *world) reachable(p *proc) bool {
+func (w *simulation) reachable(p *proc) bool {
 	l := w.links
 	return !w.store.down && l.loss == 0 && l.slow == 0 &&
-		l.cut[[2]int{p.place, endPlatform}] == 0 && l.cut[[2]int{endPlatform, p.place}] == 0
+		l.cut[[2]int{p.place, endpointPlatform}] == 0 && l.cut[[2]int{endpointPlatform, p.place}] == 0
 }
