--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -15,7 +15,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// build makes the parts of a new node.
+// build creates the components of a new node.
 func (n *Node) build() error {
 	c := n.cfg
 	var err error
@@ -65,7 +65,7 @@
 	n.serveQueue(now)
 }
 
-// applyBlocks takes in the block documents that differ from those in force.
+// applyBlocks applies the block documents that differ from those in force.
 func (n *Node) applyBlocks(old, s *settings.Snapshot) {
 	previous := make(map[string]settings.BlockDocument)
 	if old != nil {
@@ -85,15 +85,15 @@
 	}
 }
 
-// updateBlocks replaces one document's blocks. A table that is full keeps the
-// old ones: a caller steered by an old block is better off than one by none.
+// updateBlocks replaces one document's blocks. If the table is full, it keeps the old
+// ones: routing a caller by an outdated block is better than by none.
 func (n *Node) updateBlocks(path string, blocks []settings.Block) {
 	if table, err := n.blocks.Update(path, blocks); err == nil {
 		n.blocks = table
 	}
 }
 
-// specs works out the place's targets and what each may take.
+// specs computes the place's targets and the slots and quota of each.
 func (n *Node) specs(s *settings.Snapshot) []owner.Spec {
 	var specs []owner.Spec
 	for _, id := range s.Services() {
@@ -130,7 +130,8 @@
 	return specs
 }
 
-// applyTargets forgets targets that have gone and probes new ones at once.
+// applyTargets removes targets that are no longer declared and schedules an immediate
+// probe of new ones.
 func (n *Node) applyTargets(now time.Time, specs []owner.Spec) {
 	n.probeAt = now
 	kept := make(map[owner.TargetKey]string, len(specs))
@@ -148,8 +149,8 @@
 	n.addresses = kept
 }
 
-// applyServices refits what is kept of each service. Targets that were there
-// before the first snapshot count as warm: the instance is new, they are not.
+// applyServices updates the state of each service. Targets that exist in the first
+// snapshot count as warm, since the instance is new and they are not.
 func (n *Node) applyServices(now time.Time, s *settings.Snapshot) {
 	for id := range n.services {
 		if _, ok := s.Service(id); !ok {
@@ -176,14 +177,14 @@
 	}
 }
 
-// capBasis is all that the services' caps depend on beside the settings.
+// capBasis is everything that the services' shift caps depend on besides the settings.
 type capBasis struct {
-	revision uint64 // of what the book lets this instance use
+	revision uint64 // of the slots that this instance may use
 	lease    owner.State
 }
 
-// updateCaps follows changes of ownership and tenure. A tick mostly brings
-// neither, and then costs nothing for each service.
+// updateCaps recomputes the shift caps after a change of ownership or of the lease. Most
+// ticks bring neither and cost nothing per service.
 func (n *Node) updateCaps(now time.Time) {
 	r := capBasis{revision: n.owners.Revision(now), lease: n.owners.Tenure(now)}
 	if r == n.capBasis {
@@ -195,7 +196,7 @@
 	}
 }
 
-// probeDue asks for the health of owned targets that are due.
+// probeDue probes the targets whose next probe is due.
 func (n *Node) probeDue(now time.Time) {
 	if now.Before(n.probeAt) {
 		return
@@ -215,15 +216,16 @@
 	}
 }
 
-// probeSoon makes the probe of a target due now.
+// probeSoon makes a target's next probe due immediately.
 func (n *Node) probeSoon(now time.Time, key owner.TargetKey) {
 	if _, ok := n.probes[key]; ok {
 		n.probes[key], n.probeAt = now, now
 	}
 }
 
-// postponeProbe puts a target's probe off after an answer to a real request, which
-// tells more. The baselines go by each target's report, so they keep asking.
+// postponeProbe delays a target's next probe after an answer to a real request, which is
+// better evidence. The baseline policies use the load that probes report, so they keep
+// probing.
 func (n *Node) postponeProbe(now time.Time, key owner.TargetKey) {
 	if _, ok := n.probes[key]; ok && !n.baseline() {
 		n.probes[key] = now.Add(n.cfg.Probe)
@@ -237,7 +239,7 @@
 	return b
 }
 
-// probed takes in what a target claims of itself.
+// probed processes the result of a probe.
 func (n *Node) probed(now time.Time, ev Probed) {
 	s, ok := n.services[ev.Target.Service]
 	if !ok || !slices.Contains(s.keys, ev.Target) {
@@ -255,7 +257,8 @@
 	n.serveQueue(now)
 }
 
-// weight is how many slots of a target its health, and what it said itself, let this instance use.
+// weight returns how many slots of a target this instance may use, given the target's
+// health and notices.
 func (n *Node) weight(now time.Time, key owner.TargetKey) int {
 	if _, why := n.unavailableUntil(now, key); why != "" {
 		return 0
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/queue"
 )
 
-// arrived takes in a new request and decides its first step.
+// arrived processes a new request and takes the first decision on it.
 func (n *Node) arrived(now time.Time, ev Arrived) {
 	f := &inFlight{id: ev.ID, req: ev.Request, origin: ev.Origin}
 	n.requests[f.id] = f
@@ -43,8 +43,9 @@
 	n.route(now, f, "")
 }
 
-// refuseUnconfigured refuses a request of which this instance knows no service. An
-// earlier one with the same key may have run at the key's home.
+// refuseUnconfigured refuses a request for a service that this instance has no
+// configuration of. An earlier request with the same key may have run at the key's home,
+// so a keyed request is answered as "unknown".
 func (n *Node) refuseUnconfigured(now time.Time, f *inFlight, reason Reason) {
 	if f.req.Key != "" && f.origin != FromPeer {
 		f.lowerRetryAt(now.Add(retryFull))
@@ -54,8 +55,9 @@
 	n.refuse(now, f, reason)
 }
 
-// homeOf finds the caller's home place. A caller that no block has is at home
-// where it asked first, so that it counts as shifted anywhere else.
+// homeOf returns the caller's home place. A caller outside all blocks is at home in the
+// place of the first instance that it asked, so that it counts as shifted everywhere
+// else.
 func (n *Node) homeOf(r Request) string {
 	if r.Home != "" {
 		return r.Home
@@ -73,8 +75,8 @@
 	return n.blocks.Lookup(a)
 }
 
-// beginKey begins the key of a non-idempotent request. It returns false when the
-// request has had its decision: it is forwarded, repeated or refused.
+// beginKey begins the key of a non-idempotent request. It returns false if that already
+// decided the request: it was forwarded, replayed or refused.
 func (n *Node) beginKey(now time.Time, f *inFlight) bool {
 	if f.req.Key == "" {
 		n.refuse(now, f, ReasonNoKey)
@@ -110,7 +112,8 @@
 	case once.VerdictUnknown:
 		n.refuseUnknown(f, ReasonKeyUnknown)
 	case once.VerdictExpired:
-		// The record may be gone with the key's deadline, so nothing is known of an earlier run.
+		// The record may have been dropped at the key's deadline, so an earlier run can't be
+		// ruled out.
 		n.refuseUnknown(f, ReasonKeyExpired)
 	case once.VerdictClosed:
 		n.refuse(now, f, ReasonStopping)
@@ -139,11 +142,11 @@
 	}
 }
 
-// refusalMargin is kept back of a peer's request for its refusal to get back in
-// time. One that comes late is no proof any more that nothing ran.
+// refusalMargin is the time reserved for a refusal to travel back to the peer that sent
+// the request. A refusal that arrives late no longer proves that nothing ran.
 const refusalMargin = 100 * time.Millisecond
 
-// queueDeadline is how long f may wait in the queue.
+// queueDeadline returns until when f may wait in the queue.
 func (f *inFlight) queueDeadline(now time.Time) time.Time {
 	if f.origin == FromCaller {
 		return f.startDeadline()
@@ -152,15 +155,14 @@
 	return f.startDeadline().Add(-min(refusalMargin, left/4))
 }
 
-// hold puts a request in the queue, or refuses it at once when its deadline
-// can't be met there.
+// hold queues a request, or refuses it at once if its deadline can't be met in the queue.
 func (n *Node) hold(now time.Time, f *inFlight) {
 	if n.enqueue(now, f) {
 		n.decide(Hold{ID: f.id, Until: f.queueUntil, Passed: f.passed})
 	}
 }
 
-// enqueue puts a request in the queue. It returns false if it was refused.
+// enqueue puts a request in the queue. It returns false if the request was refused.
 func (n *Node) enqueue(now time.Time, f *inFlight) bool {
 	verdict := n.queue.Push(now, queue.Item{
 		ID:       uint64(f.id),
--- a/internal/core/baseline.go
+++ b/internal/core/baseline.go
@@ -7,10 +7,10 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// The baselines are plain ways of choosing a target, kept to measure against.
-// They know no owners and no limits: each instance sends to any target.
+// The baselines are simple policies for choosing a target, kept for comparison in
+// measurements. They have no ownership and no limits: each instance sends to any target.
 
-// baseline says whether the node runs one of the plain policies.
+// baseline reports whether the node runs a baseline policy.
 func (n *Node) baseline() bool { return n.cfg.Policy != PolicyOwner }
 
 // tryBaseline sends the request to a target of this place.
@@ -42,7 +42,7 @@
 	return keys
 }
 
-// probedTargets says which targets this instance probes.
+// probedTargets returns the targets that this instance probes.
 func (n *Node) probedTargets(now time.Time) []owner.TargetKey {
 	if !n.baseline() {
 		return n.owners.Owned()
@@ -54,19 +54,19 @@
 	return keys
 }
 
-// handOffMode names what a hand-off to another place needs.
+// handOffMode is what a hand-off to another place requires.
 type handOffMode int
 
 const (
-	handOffGranted  handOffMode = iota // a grant, or to be the first to ask for one
-	handOffReserved                    // the same, and granted slots are kept free of other requests
-	handOffWindow                      // a few at first, more only as far as answers come
+	handOffGranted  handOffMode = iota // a grant, or a free slot among the few ungranted attempts
+	handOffReserved                    // the same, and granted slots are reserved: other requests can't take them
+	handOffWindow                      // free slots by the sender's estimate: few at first, more with each answer
 	handOffAlways                      // nothing
 )
 
 func (s handOffMode) ungranted() bool { return s == handOffWindow || s == handOffAlways }
 
-// chooseUngranted finds a peer of another place by a baseline.
+// chooseUngranted picks a peer of another place by a baseline policy.
 func (n *Node) chooseUngranted(now time.Time, f *inFlight, place string, peers []Peer) (Peer, Reason) {
 	if n.cfg.handOff == handOffAlways {
 		return peers[n.cfg.Rand.IntN(len(peers))], ReasonUngranted
@@ -75,7 +75,8 @@
 	return p, or(why, ReasonUngranted)
 }
 
-// reserved is how many free slots are kept for granted requests: none but in a baseline.
+// reserved returns how many free slots are reserved for granted requests. Only one
+// baseline reserves any.
 func (n *Node) reserved(now time.Time, id settings.ServiceID, granted bool) int {
 	if n.cfg.handOff != handOffReserved || granted {
 		return 0
--- a/internal/core/caller_test.go
+++ b/internal/core/caller_test.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// caller makes requests for one place's callers.
+// caller sends requests as the callers of one place.
 type caller struct {
 	w       *simulation
 	id      int
@@ -19,31 +19,31 @@
 	n       int
 }
 
-// lookup is an answer that a caller keeps.
+// lookup is an answer that a caller has cached.
 type lookup struct {
-	until     time.Duration // by true time
+	until     time.Duration // in true time
 	instances []string
 	keys      []string
 }
 
-// call is one intended request, with the truth about it.
+// call is one intended request, with what really happened to it.
 type call struct {
 	c          *caller
 	name       string
 	service    string
 	key        string
 	tries      int
-	mayHaveRun bool // an attempt with the present key may have run
+	mayHaveRun bool // an attempt with the current key may have run
 	answered   bool
-	disrupted  bool // the world itself lost a message of it, or a target failed it
+	disrupted  bool // the simulation lost one of its messages, or a target failed it
 	over       bool
 	attempts   int // attempts sent
-	answers    int // answers that came back
+	answers    int // attempts that ended
 	begun      time.Duration
 
-	runsByKey map[string]int // works begun, by key
-	runs      int            // works begun
-	wait      time.Duration  // how long attempts may take
+	runsByKey map[string]int // executions started, by key
+	runs      int            // executions started, with any key
+	wait      time.Duration  // time limit of an attempt
 }
 
 const (
@@ -60,7 +60,7 @@
 	return c
 }
 
-// next makes a request now and then, sometimes many at once.
+// next sends requests at random times, sometimes several at once.
 func (c *caller) next() {
 	w := c.w
 	if w.now > loadEnd {
@@ -95,7 +95,7 @@
 	return k
 }
 
-// start looks the service up, and sends a first attempt; sometimes two at once.
+// start looks the service up and sends a first attempt, sometimes two at once.
 func (k *call) start() {
 	l := k.c.lookup(k.service)
 	if l == nil || (k.service == serviceWrite && len(l.keys) == 0) {
@@ -115,7 +115,7 @@
 
 func (w *simulation) pickName() string { return w.names[w.rng.IntN(len(w.names))] }
 
-// lookup answers from what is kept, or asks any instance that can be reached.
+// lookup answers from the cache, or asks any instance that can be reached.
 func (c *caller) lookup(service string) *lookup {
 	w := c.w
 	l := c.cached[service]
@@ -181,14 +181,14 @@
 		a.x = p.receive(core.FromCaller, req, a.k, a.k.wait, func(ans answer) {
 			if w.chance(0.02) {
 				a.k.disrupted = true
-				return // lost on its way back
+				return // lost on the way back
 			}
 			w.after(w.delay(p.place, endpointCallers), func() { a.receive(ans) })
 		})
 	})
 }
 
-// receive takes the answer of one attempt and decides what the caller does next.
+// receive processes the answer to one attempt and decides what the caller does next.
 func (a *callerAttempt) receive(ans answer) {
 	if a.over {
 		return
@@ -214,7 +214,8 @@
 	k.retry(ans)
 }
 
-// retry tries elsewhere with the same key, or afresh if nothing ran for sure.
+// retry tries another instance with the same key, or sometimes starts again with a new
+// key if nothing can have run.
 func (k *call) retry(ans answer) {
 	w := k.c.w
 	if k.tries >= maxTries {
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -13,7 +13,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// benchSize is the size of what a node of a benchmark knows.
+// benchSize is the size of the configuration and the membership of a benchmark's node.
 type benchSize struct {
 	places   int // in the settings
 	services int // with a site in the node's place
@@ -21,11 +21,11 @@
 	targets  int // of each service in the place
 	spread   int // places that each service has a site in
 	roster   int // instances of the place
-	peers    int // instances known beyond the place
-	blocks   int // prefixes, a thousand in a document
+	peers    int // instances in other places
+	blocks   int // prefixes, a thousand per document
 }
 
-// defaultSize is a place of the size that docs/CAPACITY.md reckons with.
+// defaultSize is the size of the place on which docs/CAPACITY.md bases its figures.
 var defaultSize = benchSize{places: 23, services: 10, targets: 12, spread: 3, roster: 9, peers: 776, blocks: 1000}
 
 const (
@@ -57,7 +57,8 @@
 	return docs
 }
 
-// service is a service's document, with sites from the given place on.
+// service returns the path and body of a service's document, with sites in consecutive
+// places from first on.
 func (w benchSize) service(i, first int) (path, body string) {
 	var b strings.Builder
 	b.WriteString("class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n")
@@ -99,8 +100,8 @@
 	return peers
 }
 
-// node is a node that owns its part of the place, confirmed for an hour by the acks
-// of all the others, as in steady state.
+// node returns a node that owns its part of the place. Its lease is confirmed for an hour
+// by the acks of all other instances, as in steady state.
 func (w benchSize) node(b testing.TB) *Node {
 	n, err := New(Config{Instance: "entry-0000", Incarnation: 1, Place: placeName(0), Domain: "domain-00", Region: "region-0", Term: time.Hour}, benchStart)
 	if err != nil {
@@ -119,7 +120,7 @@
 		n.Step(benchStart, PeerAcked{Peer: fmt.Sprintf("entry-%04d", i+1), Incarnation: 1, Sent: benchStart, Roster: r.Version})
 	}
 	if !n.Confirmed(benchStart.Add(time.Minute)) {
-		b.Fatal("tenure is not confirmed by acks")
+		b.Fatal("lease is not confirmed by acks")
 	}
 	return n
 }
@@ -163,7 +164,7 @@
 	defaultSize.vary(b, []int{10, 100, 776}, func(w *benchSize, n int) { w.peers = n }, benchTick)
 }
 
-// benchRequest brings requests in and ends them, each served by an own target.
+// benchRequest measures requests that arrive and end, each served by an owned target.
 func benchRequest(b *testing.B, w benchSize) {
 	n := w.node(b)
 	now := benchStart.Add(time.Minute)
@@ -209,7 +210,8 @@
 	defaultSize.vary(b, []int{3, 23, 230}, func(w *benchSize, n int) { w.places, w.spread = n, n }, benchLookup)
 }
 
-// A tick does nothing for each service unless what it rests on has changed.
+// TestTickFollowsRights checks that ticks, which skip the work for each service while
+// nothing has changed, follow changes of the lease and of ownership.
 func TestTickFollowsRights(t *testing.T) {
 	n := defaultSize.node(t)
 	id := settings.ServiceID{Team: benchTeam, Name: "s0"}
@@ -220,10 +222,10 @@
 	now := benchStart.Add(time.Minute)
 	confirmed := grown(now)
 	if confirmed == 0 {
-		t.Fatal("got no shifted request at confirmed tenure")
+		t.Fatal("got no shifted request with a confirmed lease")
 	}
 	if got := grown(now.Add(2 * time.Hour)); got >= confirmed {
-		t.Errorf("got a cap of %d at lapsed tenure, want less than %d", got, confirmed)
+		t.Errorf("got a cap of %d with an expired lease, want less than %d", got, confirmed)
 	}
 	next, err := n.Roster().Remove("entry-0001", 1, true)
 	if err != nil {
@@ -249,8 +251,8 @@
 	}
 }
 
-// A target that answers requests is not probed beside them, and is again as
-// soon as they end.
+// TestProbesOfBusyTargets checks that a target that answers requests is not probed in
+// addition, and that one that refuses them is.
 func TestProbesOfBusyTargets(t *testing.T) {
 	tests := map[string]struct {
 		result Result
@@ -295,8 +297,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkCapacityBlockMemory reports what the blocks' documents take as text,
-// parsed, and as the node's table, in bytes.
+// BenchmarkCapacityBlockMemory reports the memory of the block documents as text, parsed,
+// and as the node's table, in bytes.
 func BenchmarkCapacityBlockMemory(b *testing.B) {
 	sizes := []int{1000, 10_000, 100_000, 260_000}
 	defaultSize.vary(b, sizes, func(w *benchSize, n int) { w.blocks, w.places = n, 230 }, func(b *testing.B, w benchSize) {
--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -8,13 +8,13 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// checker holds what happened in truth against what is promised. It looks at
-// targets, callers and the platform, and never asks a node what it believes.
+// checker compares what really happened with what is guaranteed. It observes targets,
+// callers and the platform, and never relies on a node's own state.
 type checker struct {
 	w         *simulation
 	violation string // the first violation
 
-	notRun map[string]bool // by name of a caller's request: it was told so
+	notRun map[string]bool // by name of a caller's request: the caller was told that it has not run
 	begun  map[string]int
 	held   *versions
 	finals int
@@ -32,13 +32,13 @@
 	c.w.tracef("VIOLATION %s", c.violation)
 }
 
-// started takes in that a target has begun a request.
+// started checks the start of a request at a target.
 func (c *checker) started(k *work) {
 	x := k.a.x
 	c.begun[x.req.Name]++
 	x.ran = true
 	if x.done || c.notRun[x.req.Name] {
-		c.failf("%s begins %s, which has had its final answer", k.t.key.Name, x.req.Name)
+		c.failf("%s starts %s, which already got its final answer", k.t.key.Name, x.req.Name)
 	}
 	c.once(x.call, x.req.Key)
 	c.w.counts["works"]++
@@ -48,7 +48,8 @@
 	}
 }
 
-// once checks that work with a key, and a call that isn't idempotent, begins once.
+// once checks that a call to the non-idempotent service starts only once, by key and in
+// all.
 func (c *checker) once(k *call, key string) {
 	if k.service != serviceWrite {
 		return
@@ -56,15 +57,15 @@
 	k.runsByKey[key]++
 	k.runs++
 	if k.runsByKey[key] > 1 {
-		c.failf("%s has begun %d times with one key", k.name, k.runsByKey[key])
+		c.failf("%s has started %d times with one key", k.name, k.runsByKey[key])
 	}
 	if k.runs > 1 {
-		c.failf("%s has begun %d times in all: a refusal said that it had not run", k.name, k.runs)
+		c.failf("%s has started %d times in all, although a refusal said that it had not run", k.name, k.runs)
 	}
 }
 
-// drained checks that no target gets new work 3 s after its drain, if its
-// owner could read the platform all the while.
+// drained checks that no target gets new work from 3 s after its drain, if its owner
+// could read the platform all the time.
 func (c *checker) drained(k *work) {
 	since, ok := c.w.isDrained(k.t)
 	p := k.a.x.p
@@ -74,7 +75,7 @@
 	c.failf("%s gets %s from %s, drained since %v", k.t.key.Name, k.a.x.req.Name, p, since)
 }
 
-// decided checks a decision as it is taken.
+// decided checks a decision when it is taken.
 func (c *checker) decided(x *exchange, d core.Decision) {
 	s, ok := d.(core.Serve)
 	if !ok {
@@ -94,7 +95,7 @@
 	}
 }
 
-// finalGiven takes in an instance's one answer to a request.
+// finalGiven checks an instance's final answer to a request.
 func (c *checker) finalGiven(x *exchange, ans answer) {
 	c.finals++
 	c.w.counts[fmt.Sprint("final ", ans.kind, " ", ans.reason)]++
@@ -105,7 +106,7 @@
 		return
 	}
 	if x.upstream != nil && x.upstream.over && x.timeLimit >= 200*time.Millisecond && c.w.now > faultsEnd+recovery {
-		c.failf("%s refuses %s (%s) too late to be heard", x.p, x.req.Name, ans.reason)
+		c.failf("%s refuses %s (%s) too late for its sender", x.p, x.req.Name, ans.reason)
 	}
 	if x.ran {
 		c.failf("%s says that %s has not run (%s), but it has", x.p, x.req.Name, ans.reason)
@@ -115,7 +116,7 @@
 	}
 }
 
-// attemptAnswered takes in what a caller is attemptAnswered of one attempt.
+// attemptAnswered checks the answer that a caller got to one attempt.
 func (c *checker) attemptAnswered(a *callerAttempt, ans answer) {
 	switch ans.kind {
 	case core.Answered:
@@ -125,7 +126,7 @@
 	case core.NotRun:
 		c.notRun[a.name] = true
 		if c.begun[a.name] > 0 {
-			c.failf("%s is told that it has not run (%s), but it has", a.name, ans.reason)
+			c.failf("%s is answered as not run (%s), but it has run", a.name, ans.reason)
 		}
 	}
 }
@@ -138,26 +139,26 @@
 			continue
 		}
 		if v < old {
-			c.failf("%s goes back from version %d of %s to %d", p, old, path, v)
+			c.failf("%s reverts from version %d of %s to %d", p, old, path, v)
 			return
 		}
 		doc, _ := p.docs.Get(path)
 		if want := c.w.store.docs[path][v-1].doc; string(doc.Body) != string(want.Body) || doc.Deleted != want.Deleted {
-			c.failf("%s has another version %d of %s than was accepted", p, v, path)
+			c.failf("%s has a version %d of %s that differs from the accepted one", p, v, path)
 		}
 		p.versions[path] = v
 		c.held.released(p.place, path, old)
 	}
 }
 
-// processEnded takes in that a process has ended.
+// processEnded records that a process has ended.
 func (c *checker) processEnded(p *proc) {
 	for _, path := range c.w.store.paths {
 		c.held.released(p.place, path, p.versions[path])
 	}
 }
 
-// stopped checks that a planned stop cuts nothing.
+// stopped checks that a planned stop aborts nothing.
 func (c *checker) stopped(p *proc) {
 	if n := len(p.exchanges); n > 0 {
 		c.failf("%s stops with %d requests inside", p, n)
@@ -171,7 +172,7 @@
 	}
 }
 
-// end checks what must hold when all has been quiet for long.
+// end checks what must hold after a long time without faults.
 func (c *checker) end() {
 	for _, name := range c.w.names {
 		p := c.w.live[name]
@@ -187,7 +188,7 @@
 	c.answersResume()
 }
 
-// recovered checks that a process has all its rights back.
+// recovered checks that a process holds all its rights again.
 func (c *checker) recovered(p *proc) {
 	r := p.node.Roster()
 	m, ok := r.Member(p.name)
@@ -199,8 +200,8 @@
 	}
 }
 
-// fullSiteFree checks that the instances of a place may use all of a service's
-// limit, together.
+// fullSiteFree checks that the instances of a place together may use all of a service's
+// limit.
 func (c *checker) fullSiteFree(place int, service string) {
 	free, want := 0, c.w.fullPlan(service).sites[place].limit
 	for _, name := range c.w.names {
@@ -222,8 +223,8 @@
 	}
 }
 
-// answersResume checks that calls are answered after the faults, but for those
-// that the world itself harmed: their end is unknown in truth.
+// answersResume checks that calls are answered after the faults. Calls that the
+// simulation itself disrupted don't count, as their outcome is unknown even in truth.
 func (c *checker) answersResume() {
 	asked, answered := 0, 0
 	for _, k := range c.w.calls {
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// Config is what a node is told at its start.
+// Config configures a node.
 type Config struct {
 	Instance    string
 	Incarnation uint64
@@ -17,37 +17,37 @@
 	Domain      string
 	Region      string
 
-	Term       time.Duration // how long a confirmation of the roster lasts
-	Skew       float64       // bound on how far two clocks' rates differ, as a share
-	ListProves bool          // the platform's list names a process until it has ended for certain
+	Term       time.Duration // how long a confirmation of the roster is valid
+	Skew       float64       // bound on the difference between two clocks' rates, as a fraction
+	ListProves bool          // the platform's list names a process until it has certainly ended
 	Lag        time.Duration // bound on how long the platform's list names a dead instance
-	Cache      time.Duration // how long callers may keep the answer of a look-up
-	ShiftWait  time.Duration // predicted wait at home over which another place is tried
-	Probe      time.Duration // time between probes of one target
-	Settle     time.Duration // how long a target may go on with an attempt that was broken off
-	Grace      time.Duration // time after the start before a silent peer counts as dead
-	Queue      int           // requests that may wait
-	Keys       int           // records of idempotency keys that may be kept
+	Cache      time.Duration // how long callers may cache a look-up
+	ShiftWait  time.Duration // predicted wait at home above which another place is tried
+	Probe      time.Duration // interval between probes of one target
+	Settle     time.Duration // how long a target may keep working on an aborted attempt
+	Grace      time.Duration // time after the start during which silent peers don't count as dead
+	Queue      int           // maximum number of queued requests
+	Keys       int           // maximum number of idempotency key records
 	Policy     Policy        // how targets and peers are chosen
 	Rand       *rand.Rand
 	Secret     once.Secret // signs this incarnation's idempotency keys
-	Seed       [32]byte    // of the keys' numbers; never the same in two incarnations
+	Seed       [32]byte    // for the random part of the keys; must differ between incarnations
 	Checks     *invariant.Counter
 
 	handOff handOffMode // a baseline; set by measurements only
 }
 
-// Policy names a way of choosing where a request goes.
+// Policy is a way of choosing where a request goes.
 type Policy string
 
 // Policies. All but PolicyOwner are baselines for measurements.
 const (
-	PolicyOwner  Policy = "owner"  // firlever's own: targets have one owner each
+	PolicyOwner  Policy = "owner"  // the production policy: each target has one owner
 	PolicyRandom Policy = "random" // any target of the place, without limits
-	PolicyTwo    Policy = "two"    // the better of two random targets by reported load
+	PolicyTwo    Policy = "two"    // the less loaded of two random targets, by reported load
 )
 
-// Defaults fills in what is zero.
+// Defaults replaces zero values by defaults.
 func (c *Config) Defaults() {
 	setDuration(&c.Term, 3*time.Second)
 	setDuration(&c.Lag, 30*time.Second)
@@ -79,12 +79,12 @@
 	}
 }
 
-// ConfigError lists every fault of a Config at once.
+// ConfigError lists all faults of a Config.
 type ConfigError struct{ Faults []string }
 
 func (e *ConfigError) Error() string { return "core: " + strings.Join(e.Faults, "; ") }
 
-// Validate returns a *ConfigError that names every fault, or nil.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	need := func(ok bool, fault string) {
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -12,58 +12,60 @@
 )
 
 const (
-	// crashRetention is how long a target's end is remembered.
+	// crashRetention is how long a crash report is kept.
 	crashRetention = 10 * time.Minute
-	// minCrashesToReport is how many targets have to have ended under a request until its answer
-	// is told to others: one end more would come near to holding it back.
+	// minCrashesToReport is the number of crashed targets from which a later answer to the
+	// same request is sent to other instances: one more crash would bring it close to being
+	// refused.
 	minCrashesToReport = 2
-	// notifiedPerPlace is how many instances of each other place are told, which tell the rest
-	// of theirs: one of them may die.
+	// notifiedPerPlace is how many instances of each other place are notified, which relay
+	// the update within their place. It is more than one because an instance may die.
 	notifiedPerPlace = 2
 )
 
-// crashTracker is what the node knows of requests that end targets.
+// crashTracker is what the node has recorded about requests that crash targets.
 type crashTracker struct {
 	book       *crash.Book
 	recent     crash.Recent
 	aborts     map[owner.TargetKey]*abortedExchange
-	reports    []storedReport // reports of the book, by when they are forgotten
-	lastReport int            // of this instance's last report
+	reports    []storedReport // reports held by book, by expiry time
+	lastReport int            // number of this instance's last report
 }
 
-// abortedExchange is the requests whose attempts a target broke off, until it is known whether that
-// has ended.
+// abortedExchange holds the requests whose attempts a target aborted, until a probe shows
+// whether the target has crashed.
 type abortedExchange struct {
-	at           time.Time // of the first
+	at           time.Time // of the first abort
 	fingerprints []crash.Print
 }
 
-// storedReport is a report that is kept until a time.
+// storedReport is a report with its expiry time.
 type storedReport struct {
 	until  time.Time
 	report CrashReport
 }
 
-// CrashReport tells of a target that ended, under a key that no other report has.
+// CrashReport reports a target that crashed, under a unique key.
 type CrashReport struct {
 	Key string `json:"key"`
 	crash.Report
 }
 
-// TellCrashes tells peers of targets that ended, and of requests that were answered since.
+// TellCrashes sends peers the targets that crashed and the requests that were answered
+// since.
 type TellCrashes struct {
 	Peers []Peer
 	News  CrashNews
 }
 
-// CrashNews is what one instance tells another.
+// CrashNews is the update that one instance sends to another.
 type CrashNews struct {
-	Place    string        `json:"place"` // of who tells it; empty if it need not be passed on
+	Place    string        `json:"place"` // of the sender; empty if the update must not be relayed
 	Reports  []CrashReport `json:"reports"`
 	Answered []crash.Print `json:"answered"`
 }
 
-// CrashesHeard brings what a peer tells.
+// CrashesHeard delivers an update from a peer.
 type CrashesHeard struct{ News CrashNews }
 
 func (TellCrashes) decision() {}
@@ -73,8 +75,8 @@
 	return crashTracker{book: crash.NewBook(), aborts: make(map[owner.TargetKey]*abortedExchange)}
 }
 
-// refusePoison refuses a request that ends the targets which run it, whichever way it came.
-// It returns false if it is none.
+// refusePoison refuses a request that crashes the targets that run it, whatever its
+// origin. It reports whether it refused the request.
 func (n *Node) refusePoison(now time.Time, f *inFlight) bool {
 	if n.crashes.book.Guilty()[f.req.Sent] == 0 {
 		return false
@@ -84,7 +86,8 @@
 	return true
 }
 
-// recordAbort notes that a target recordAbort an attempt off, and asks whether it is still there.
+// recordAbort records that a target aborted an attempt, and probes whether the target
+// still runs.
 func (n *Node) recordAbort(now time.Time, f *inFlight) {
 	if n.crashes.recent.Has(now, f.req.Sent) {
 		return
@@ -100,8 +103,8 @@
 	n.decide(Probe{Target: f.target, Address: n.addresses[f.target], Asked: now, Look: true})
 }
 
-// resolveAbort takes in whether a target that broke attempts off was still there when it was
-// asked. What breaks later is another breach.
+// resolveAbort evaluates a probe that was sent after a target aborted attempts. Later
+// aborts are recorded anew.
 func (n *Node) resolveAbort(now time.Time, ev Probed) {
 	b := n.crashes.aborts[ev.Target]
 	if b == nil || ev.Asked.Before(b.at) || ev.Err && !ev.Refused {
@@ -119,7 +122,7 @@
 	n.notifyAll(CrashNews{Place: n.cfg.Place, Reports: []CrashReport{r}})
 }
 
-// storeReport puts a report into the book. It returns false if that has it.
+// storeReport adds a report to the book. It returns false if the book already has it.
 func (n *Node) storeReport(now time.Time, r CrashReport) bool {
 	e := &n.crashes
 	if slices.ContainsFunc(e.reports, func(m storedReport) bool { return m.report.Key == r.Key }) {
@@ -139,7 +142,7 @@
 	e.reports = e.reports[1:]
 }
 
-// expireCrashes forgets what is old.
+// expireCrashes removes expired reports and aborts.
 func (n *Node) expireCrashes(now time.Time) {
 	e := &n.crashes
 	for len(e.reports) > 0 && !now.Before(e.reports[0].until) {
@@ -148,7 +151,8 @@
 	maps.DeleteFunc(e.aborts, func(_ owner.TargetKey, b *abortedExchange) bool { return now.Sub(b.at) > n.cfg.Probe })
 }
 
-// recordSuccess notes that a request was answered: it ends no targets.
+// recordSuccess records that a request was answered, which is evidence that it does not
+// crash targets.
 func (n *Node) recordSuccess(now time.Time, f *inFlight, ev Finished) {
 	if ev.Status >= http.StatusMultipleChoices {
 		return
@@ -165,8 +169,8 @@
 	}
 }
 
-// crashesReceived takes in what a peer tells, and passes it on in this place if it comes from
-// another.
+// crashesReceived applies a peer's update, and relays it within this place if it comes
+// from another.
 func (n *Node) crashesReceived(now time.Time, update CrashNews) {
 	relay := CrashNews{Answered: update.Answered}
 	for _, r := range update.Reports {
@@ -182,7 +186,8 @@
 	}
 }
 
-// notifyAll tells the other instances of this place, and some of each other place.
+// notifyAll sends an update to the other instances of this place and to some of each
+// other place.
 func (n *Node) notifyAll(update CrashNews) {
 	peers := slices.Clone(n.peers.byPlace[n.cfg.Place])
 	for _, place := range slices.Sorted(maps.Keys(n.peers.byPlace)) {
@@ -199,8 +204,8 @@
 	}
 }
 
-// notifyNewPeers tells what is known to instances of this place that have just started: one
-// of those that were there before does, the first by name.
+// notifyNewPeers sends the stored reports to instances of this place that have just
+// started. Of the instances that were there before, only the first by name sends.
 func (n *Node) notifyNewPeers(before, after peerList) {
 	if len(n.crashes.reports) == 0 {
 		return
@@ -217,7 +222,8 @@
 	}
 	update := CrashNews{}
 	for _, m := range n.crashes.reports {
-		// Without the requests that were answered since: the newcomer doesn't know of that.
+		// Requests that were answered since are left out, as the new instance has no record
+		// of those answers.
 		r := CrashReport{Key: m.report.Key, Report: n.crashes.book.Report(m.report.Key)}
 		if len(r.Prints) > 0 {
 			update.Reports = append(update.Reports, r)
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -13,14 +13,16 @@
 	harmless crash.Print = 8
 )
 
-// sendFingerprint makes a request with a fingerprint arrive and returns the decision's word.
+// sendFingerprint lets a request with a fingerprint arrive, and returns the decision's
+// name.
 func (n *Node) sendFingerprint(now time.Time, id ID, p crash.Print) string {
 	ev := request(id, "10.1.0.1")
 	ev.Request.Sent = p
 	return decisionName(n.Step(now, ev))
 }
 
-// crashTarget lets the target end under a request that is there, and be back when it is probed.
+// crashTarget lets the target crash under a request that is in flight there, and then
+// answer a probe again.
 func (n *Node) crashTarget(t *testing.T, now time.Time, id ID) []Decision {
 	t.Helper()
 	asked := false
@@ -29,7 +31,7 @@
 		asked = asked || ok && p.Look && p.Target == testTarget
 	}
 	if !asked {
-		t.Error("got no look at a target that broke an attempt off")
+		t.Error("got no probe of a target that aborted an attempt")
 	}
 	n.Step(now, Ended{ID: id, Target: testTarget})
 	decisions := n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
@@ -37,7 +39,7 @@
 	return decisions
 }
 
-// crashThree lets the target end three times under the fatal request.
+// crashThree lets the target crash three times under the poison request.
 func crashThree(t *testing.T, n *Node) (now time.Time) {
 	t.Helper()
 	now = begin
@@ -52,13 +54,14 @@
 	return now.Add(5 * time.Second)
 }
 
-// A request that has ended three targets is refused, others are not, and it is forgotten.
+// TestPoisonRequestIsRefused checks that a request that has crashed three targets is
+// refused, that others are not, and that this ends after crashRetention.
 func TestPoisonRequestIsRefused(t *testing.T) {
 	n := testNode(t, nil)
 	now := crashThree(t, n)
 	n.Step(now, Tick{})
 	if got := n.sendFingerprint(now, 10, poison); got != "refuse ends-targets" {
-		t.Errorf("got %s for the fatal request, want it refused", got)
+		t.Errorf("got %s for the poison request, want it refused", got)
 	}
 	if got := n.sendFingerprint(now, 11, harmless); got != "serve" {
 		t.Errorf("got %s for another request, want serve", got)
@@ -67,17 +70,17 @@
 	now = now.Add(crashRetention)
 	n.Step(now, Tick{})
 	if got := n.sendFingerprint(now, 12, poison); got != "serve" {
-		t.Errorf("got %s for the fatal request once it was forgotten, want serve", got)
+		t.Errorf("got %s for the poison request after crashRetention, want serve", got)
 	}
 	n.crashTarget(t, now, 12)
 	now = now.Add(5 * time.Second)
 	n.Step(now, Tick{})
 	if got := n.sendFingerprint(now, 13, poison); got != "refuse ends-targets" {
-		t.Errorf("got %s after it has ended one more, want it refused", got)
+		t.Errorf("got %s after one more crash, want it refused", got)
 	}
 }
 
-// What else happens at targets is no end of them.
+// TestNoCrashEvidence checks what must not count as a crash of a target.
 func TestNoCrashEvidence(t *testing.T) {
 	tests := map[string]func(n *Node, now time.Time, id ID){
 		"the target lives": func(n *Node, now time.Time, id ID) {
@@ -128,7 +131,7 @@
 				now = now.Add(20 * time.Second)
 				n.Step(now, Tick{})
 				if got := n.sendFingerprint(now, id, poison); got == "refuse ends-targets" {
-					t.Fatalf("got request %d refused as one that ends targets", id)
+					t.Fatalf("got request %d refused as a poison request", id)
 				}
 				play(n, now, id)
 				n.Step(now, Ended{ID: id, Target: testTarget})
@@ -137,7 +140,8 @@
 	}
 }
 
-// A request that waits for a slot is judged again when it gets one.
+// TestPoisonCheckedAfterQueue checks that a queued request is checked again when it gets
+// a slot.
 func TestPoisonCheckedAfterQueue(t *testing.T) {
 	n := testNode(t, nil)
 	now := begin.Add(time.Second)
@@ -149,11 +153,12 @@
 	}
 	n.Step(now, CrashesHeard{News: threeCrashes("")})
 	if got := decisionName(n.Step(now, Finished{ID: 1, Result: Answered, Status: 200})); got != "refuse ends-targets" {
-		t.Errorf("got %s when a slot was free, want it refused", got)
+		t.Errorf("got %s when a slot became free, want it refused", got)
 	}
 }
 
-// threeCrashes is what an instance tells of three targets that ended under the fatal request.
+// threeCrashes returns one instance's update about three targets that crashed under the
+// poison request.
 func threeCrashes(place string) CrashNews {
 	update := CrashNews{Place: place}
 	for i := range 3 {
@@ -164,7 +169,7 @@
 	return update
 }
 
-// notified lists who is notified what by decisions.
+// notified lists the recipients and the contents of crash updates among decisions.
 func notified(decisions []Decision) string {
 	text := ""
 	for _, d := range decisions {
@@ -180,8 +185,9 @@
 	return text
 }
 
-// Ends of targets are told in the place and to two instances of each other place, and passed
-// on once by those; instances that start are told all by one of the others.
+// TestCrashesAreReported checks that crashes are reported within the place and to two
+// instances of each other place, which relay them once. An instance that starts gets all
+// reports from one of the others.
 func TestCrashesAreReported(t *testing.T) {
 	peer := func(id, place string, incarnation uint64) Peer {
 		return Peer{ID: id, Incarnation: incarnation, Place: place, Domain: place, Region: "coast"}
@@ -237,7 +243,8 @@
 	}
 }
 
-// A peer that is told holds the request back too, and lets it go after an answer.
+// TestCrashesReceived checks that a notified peer refuses the request too, and accepts it
+// again after an answer elsewhere.
 func TestCrashesReceived(t *testing.T) {
 	n := testNode(t, nil)
 	n.Step(begin, CrashesHeard{News: threeCrashes("east")})
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -8,53 +8,53 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Decision is something that the shell has to carry out.
+// Decision is an action for the shell to carry out.
 type Decision interface{ decision() }
 
-// Reason is the word that says why a decision was taken; it is logged and, for
-// a refusal, sent to the caller.
+// Reason is a short code for why a decision was taken. It is logged and, for a refusal,
+// sent to the caller.
 type Reason string
 
-// Reasons of decisions.
+// Reasons for decisions.
 const (
 	ReasonOwnFree         Reason = "own-free"        // a target that this instance owns has a free slot
-	ReasonPeerFree        Reason = "peer-free"       // a peer of the place has said it has room
-	ReasonGrant           Reason = "grant"           // an owner of another place has granted it
-	ReasonUngranted       Reason = "ungranted"       // tried without a grant, so that one is asked for
-	ReasonNoGrant         Reason = "no-grant"        // no owner of the place has granted anything
-	ReasonReleased        Reason = "released"        // what was granted has no use any more
-	ReasonQueue           Reason = "queue"           // a slot came free for a waiting request
-	ReasonRetry           Reason = "retry"           // the attempt before ran nothing
+	ReasonPeerFree        Reason = "peer-free"       // a peer of this place reported a free slot
+	ReasonGrant           Reason = "grant"           // an owner in another place granted it
+	ReasonUngranted       Reason = "ungranted"       // sent without a grant, which also requests one
+	ReasonNoGrant         Reason = "no-grant"        // no owner in the place has granted anything
+	ReasonReleased        Reason = "released"        // unused grants are returned
+	ReasonQueue           Reason = "queue"           // a slot became free for a queued request
+	ReasonRetry           Reason = "retry"           // the previous attempt ran nothing
 	ReasonKeyHome         Reason = "key-home"        // the key belongs to another instance
-	ReasonFull            Reason = "full"            // every way is at its limit
+	ReasonFull            Reason = "full"            // every option is at its limit
 	ReasonDeadline        Reason = "deadline"        // the deadline can't be met
-	ReasonCallerGone      Reason = "caller-gone"     // the caller broke the request off
-	ReasonShiftCap        Reason = "shift-cap"       // the shift cap holds the request back
-	ReasonDrained         Reason = "drained"         // all that could serve it is being drained
+	ReasonCallerGone      Reason = "caller-gone"     // the caller cancelled the request
+	ReasonShiftCap        Reason = "shift-cap"       // the shift cap is reached
+	ReasonDrained         Reason = "drained"         // everything that could serve it is being drained
 	ReasonNoService       Reason = "no-service"      // no such service
-	ReasonNoTargets       Reason = "no-targets"      // no target within reach
-	ReasonNoKey           Reason = "no-key"          // a non-idempotent request came without a key
+	ReasonNoTargets       Reason = "no-targets"      // no target can be reached
+	ReasonNoKey           Reason = "no-key"          // a non-idempotent request has no key
 	ReasonBadKey          Reason = "bad-key"         // the key is malformed, forged, or of another request
 	ReasonKeyExpired      Reason = "key-expired"     // the key's deadline has passed
-	ReasonKeyRunning      Reason = "key-running"     // the first request with the key is under way
+	ReasonKeyRunning      Reason = "key-running"     // the first request with the key is in flight
 	ReasonKeyUnknown      Reason = "key-unknown"     // the first request with the key ended without an answer
-	ReasonHomeGone        Reason = "key-home-gone"   // the key's home has gone; its records went with it
-	ReasonHomeUnreachable Reason = "key-home-cut"    // the key's home can't be reached now
-	ReasonKeysFull        Reason = "keys-full"       // no memory for another record
+	ReasonHomeGone        Reason = "key-home-gone"   // the key's home has ended, and its records with it
+	ReasonHomeUnreachable Reason = "key-home-cut"    // the key's home is unreachable
+	ReasonKeysFull        Reason = "keys-full"       // no memory for another key record
 	ReasonTargetError     Reason = "target-failed"   // the target failed after the request was sent
 	ReasonStopping        Reason = "stopping"        // the instance is in a planned stop
 	ReasonNoSettings      Reason = "no-settings"     // no configuration has arrived yet
-	ReasonBadRequest      Reason = "bad-request"     // the request can't be understood
+	ReasonBadRequest      Reason = "bad-request"     // the request is invalid
 	ReasonRepeat          Reason = "repeat"          // the recorded answer of the key's first request
-	ReasonNotKept         Reason = "answer-not-kept" // the key's request was answered, but the answer was too large to keep
-	ReasonPoisonRequest   Reason = "ends-targets"    // it has ended the targets that ran it
-	ReasonBackingOff      Reason = "resting"         // the targets have asked for rest
-	ReasonLimited         Reason = "limited"         // the targets have named limits, and had as much
-	ReasonOverloaded      Reason = "overloaded"      // this process has more to do than its processors can
-	ReasonNoEnd           Reason = "answer-no-end"   // the end of the target's answer can't be told from a cut
+	ReasonNotKept         Reason = "answer-not-kept" // the key's request was answered, but the answer was too large to record
+	ReasonPoisonRequest   Reason = "ends-targets"    // the request crashed the targets that ran it
+	ReasonBackingOff      Reason = "resting"         // the targets are backing off
+	ReasonLimited         Reason = "limited"         // the targets are at the limits that they announced
+	ReasonOverloaded      Reason = "overloaded"      // this process has no processor time to spare
+	ReasonNoEnd           Reason = "answer-no-end"   // a complete answer can't be distinguished from a truncated one
 )
 
-// Passed is a way that was weighed and not taken.
+// Passed is an option that was considered and not taken.
 type Passed struct {
 	Way    string // place, instance or target
 	Reason Reason
@@ -68,8 +68,8 @@
 	Deadline time.Time
 	Attempt  int
 	Shifted  bool
-	RunOn    bool  // the attempt goes on when the caller goes away
-	Link     int64 // bytes/s for the answers that leave this place; 0 sets no limit
+	RunOn    bool  // the attempt continues if the caller disconnects
+	Link     int64 // limit in bytes/s for an answer that leaves this place; 0 for none
 	Home     string
 	Reason   Reason
 	Passed   []Passed
@@ -81,24 +81,24 @@
 	Peer     Peer
 	Deadline time.Time
 	Attempt  int
-	RunOn    bool  // the attempt goes on when the caller goes away
-	Link     int64 // bytes/s for the answers that leave this place; 0 sets no limit
-	Upload   int64 // bytes/s for the bodies that leave this place; 0 sets no limit
+	RunOn    bool  // the attempt continues if the caller disconnects
+	Link     int64 // limit in bytes/s for an answer that leaves this place; 0 for none
+	Upload   int64 // limit in bytes/s for a body that leaves this place; 0 for none
 	Home     string
 	Granted  bool // the peer has granted it
-	Want     int  // requests that the peer is asked to grant beyond those it has
+	Want     int  // further grants that the peer is asked for
 	Reason   Reason
 	Passed   []Passed
 }
 
-// AskGrant asks a peer of another place for grants, or gives some back. Nothing
-// waits for the answer: if it is lost, the node asks again.
+// AskGrant asks a peer of another place for grants, or returns some. Nothing waits for
+// the answer: if it is lost, the node asks again.
 type AskGrant struct {
 	Peer    Peer
 	Service settings.ServiceID
 	Home    string // the callers' home place
-	Want    int    // requests
-	Release int    // requests that were granted and have no use
+	Want    int    // number of requests
+	Release int    // number of unused grants returned
 }
 
 // Forward sends a request to its key's home.
@@ -110,33 +110,33 @@
 	Reason   Reason
 }
 
-// Hold says that a request waits in the queue; another decision follows.
+// Hold reports that a request was queued; another decision on it follows.
 type Hold struct {
 	ID     ID
 	Until  time.Time
 	Passed []Passed
 }
 
-// Refuse is the final answer of a request that has none from a target. Unknown
-// says that it may have run; otherwise it has not run, and won't.
+// Refuse is the final answer to a request that got none from a target. With Unknown set,
+// the request may have run; otherwise it has not run and will not.
 type Refuse struct {
 	ID      ID
 	Unknown bool
 	Reason  Reason
-	RetryAt time.Time // when to come back; zero if coming back does not help
+	RetryAt time.Time // earliest time to retry; zero if a retry can't succeed
 	Passed  []Passed
 }
 
-// Repeat gives the recorded answer of a key's first request.
+// Repeat answers a request with the recorded answer of its key's first request.
 type Repeat struct {
 	ID     ID
 	Answer once.Outcome
 }
 
-// SwapRoster asks the platform to replace the place's roster by compare-and-swap.
+// SwapRoster replaces the place's roster on the platform by compare-and-swap.
 type SwapRoster struct {
-	Next    owner.Roster // its version is one more than the one that was read
-	Removed string       // the peer that Next leaves out, if any
+	Next    owner.Roster // its version is one above the version that was read
+	Removed string       // the peer that Next removes, if any
 	Reason  Reason
 }
 
@@ -144,16 +144,16 @@
 type Probe struct {
 	Target  owner.TargetKey
 	Address string
-	Asked   time.Time // goes back with the answer
-	Look    bool      // by a new connection, as those that were kept may tell of a process that has ended
+	Asked   time.Time // copied into the result
+	Look    bool      // over a new connection: a kept one may belong to a process that has ended
 }
 
-// Reasons of changes to a roster.
+// Reasons for roster changes.
 const (
 	ReasonJoin  Reason = "join"
 	ReasonLeave Reason = "leave"
 	ReasonDead  Reason = "dead"
-	ReasonTidy  Reason = "tidy" // former lines that are proved to hold nothing
+	ReasonTidy  Reason = "tidy" // previous entries that are proved to hold nothing
 )
 
 func (Serve) decision()      {}
@@ -169,13 +169,13 @@
 // Lookup is the answer to a caller's look-up.
 type Lookup struct {
 	Service   settings.ServiceID
-	Place     string // the caller's home place; empty if no block has it
+	Place     string // the caller's home place; empty if no block contains the caller
 	Instances []Peer // in the order to try
 	Until     time.Time
 	Keys      []string
 }
 
-// RequestOf tells which request a decision is about, if any.
+// RequestOf returns the request that a decision is about, if any.
 func RequestOf(d Decision) (ID, bool) {
 	switch d := d.(type) {
 	case Serve:
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -9,35 +9,35 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Bounds of what a sender does without a grant.
+// Limits on hand-offs and on requests for grants.
 const (
-	maxUngranted     = 1                      // shifted hand-offs to a place under way without a grant
-	maxUngrantedHome = 4                      // the same for callers who are at home there
+	maxUngranted     = 1                      // shifted hand-offs in flight to a place without a grant
+	maxUngrantedHome = 4                      // the same for callers whose home is that place
 	maxAsked         = 2                      // owners of a place that are asked at a time
-	maxWant          = 4                      // requests that one hand-off asks grants for
-	reaskDelay       = 50 * time.Millisecond  // before a place is asked again
-	askBackOff       = 200 * time.Millisecond // before a peer is asked again that granted nothing
-	noTargetsBackOff = 2 * time.Second        // before a peer is tried again that owns no target of the service
-	askEvery         = 100 * time.Millisecond // an instance asks, on average, no more often than this
-	askBurst         = time.Second            // for so long an instance may save up asking
-	maxMissed        = 16                     // requests taken from the queue in vain before it is left alone
+	maxWant          = 4                      // grants that one hand-off may ask for
+	reaskDelay       = 50 * time.Millisecond  // delay before a place is asked again
+	askBackOff       = 200 * time.Millisecond // back-off after a peer granted nothing
+	noTargetsBackOff = 2 * time.Second        // back-off after a peer turned out to own no target of the service
+	askEvery         = 100 * time.Millisecond // minimum average interval between an instance's requests for grants
+	askBurst         = time.Second            // unused intervals that may be accumulated, as a duration
+	maxMissed        = 16                     // queued requests tried in vain before the queue is left until the next event
 )
 
-// destination names what demand is for.
+// destination is what demand is for: a place and a use.
 type destination struct {
 	place string
 	use   grant.Use
 }
 
-// demand is what this instance would like to hand off to another place.
+// demand is what this instance would like to hand off to a destination.
 type demand struct {
 	recent    grant.Demand
-	ungranted int       // hand-offs under way without a grant
-	denied    bool      // the latest request that could go there found no grant
-	askAt     time.Time // the place isn't asked before
+	ungranted int       // hand-offs in flight without a grant
+	denied    bool      // the latest request for the destination found no grant
+	askAt     time.Time // no request for grants before
 }
 
-// useAt is what a hand-off of f to a place uses.
+// useAt returns what a hand-off of f to a place uses.
 func useAt(f *inFlight, place string) grant.Use {
 	return grant.Use{Service: f.req.Service, Shifted: f.shifted(place)}
 }
@@ -51,8 +51,8 @@
 	return d
 }
 
-// chooseRemotePeer finds a peer of another place that has granted something, or one to
-// try without a grant, so that somebody is asked first.
+// chooseRemotePeer picks a peer of another place that has granted something, or else a
+// peer to try without a grant, which also requests one.
 func (n *Node) chooseRemotePeer(now time.Time, f *inFlight, place string) (Peer, Reason) {
 	peers := n.acceptingPeers(place)
 	peers = slices.DeleteFunc(peers, func(p Peer) bool { return f.hasTried(p.ID) })
@@ -78,7 +78,7 @@
 	return Peer{}, ReasonNoGrant
 }
 
-// countDemand counts f among those that would like to go to a place, once.
+// countDemand counts f in the demand for a place, at most once.
 func (f *inFlight) countDemand(now time.Time, place string, d *demand) {
 	if !slices.Contains(f.demandCounted, place) {
 		f.demandCounted = append(f.demandCounted, place)
@@ -86,7 +86,7 @@
 	}
 }
 
-// acceptingPeers lists the peers of a place that take new work.
+// acceptingPeers returns the peers of a place that accept new work.
 func (n *Node) acceptingPeers(place string) []Peer {
 	var list []Peer
 	for _, p := range n.peers.byPlace[place] {
@@ -97,7 +97,7 @@
 	return list
 }
 
-// bestGranter finds the peer that has granted most.
+// bestGranter returns the peer whose unused grants to this instance are the most.
 func (n *Node) bestGranter(now time.Time, peers []Peer, use grant.Use) (Peer, bool) {
 	var best Peer
 	most := 0
@@ -109,7 +109,7 @@
 	return best, most > 0
 }
 
-// pickUngranted picks a peer to try without a grant: any that has not just refused.
+// pickUngranted picks a peer to try without a grant, among those not backing off.
 func (n *Node) pickUngranted(now time.Time, peers []Peer, a destination, d *demand) (Peer, bool) {
 	if d.ungranted >= ungrantedLimit(a.use) {
 		return Peer{}, false
@@ -121,8 +121,8 @@
 	return open[n.cfg.Rand.IntN(len(open))], true
 }
 
-// ungrantedLimit is higher for requests at home there: the cap does not hold them
-// back, and each that finds no way home is a shift somewhere else.
+// ungrantedLimit is higher for requests whose home is the destination: the shift cap does
+// not limit them there, and each one that can't go home is a shift elsewhere.
 func ungrantedLimit(use grant.Use) int {
 	if use.Shifted {
 		return maxUngranted
@@ -140,8 +140,8 @@
 	return list
 }
 
-// startRemoteHandOff notes that f goes to a peer of another place, and returns how many
-// grants to ask for with it.
+// startRemoteHandOff records that f goes to a peer of another place, and returns how many
+// grants to request with it.
 func (n *Node) startRemoteHandOff(now time.Time, f *inFlight, peer Peer) int {
 	d := n.demandOf(f.dest)
 	f.ungranted = n.holdings.Take(now, peer.ID, f.dest.use, 1) == 0
@@ -151,8 +151,8 @@
 	return min(n.missingGrants(now, f.dest, d), maxWant)
 }
 
-// finishRemoteHandOff notes how a hand-off to another place ended. A peer that refuses, or
-// fails, has its grants forgotten: they are not worth a second round trip.
+// finishRemoteHandOff records how a hand-off to another place ended. The grants of a peer
+// that refused or failed are discarded: they are not worth a second round trip.
 func (n *Node) finishRemoteHandOff(now time.Time, f *inFlight, ev Finished) {
 	if f.ungranted {
 		n.demandOf(f.dest).ungranted--
@@ -167,7 +167,7 @@
 	}
 }
 
-// missingGrants is how many more grants of a place this instance could use.
+// missingGrants returns how many more grants for a destination this instance could use.
 func (n *Node) missingGrants(now time.Time, a destination, d *demand) int {
 	want := max(d.recent.Want(now), n.queue.Waiting(a.use.Service))
 	for _, p := range n.acceptingPeers(a.place) {
@@ -176,7 +176,8 @@
 	return max(want, 0)
 }
 
-// requestGrants asks two owners of a place directly, if that isn't too soon again.
+// requestGrants asks up to two owners of a place for grants, unless the place was asked
+// too recently.
 func (n *Node) requestGrants(now time.Time, a destination, d *demand) {
 	want := n.missingGrants(now, a, d)
 	if want == 0 || now.Before(d.askAt) {
@@ -193,7 +194,7 @@
 	}
 }
 
-// askAllowed keeps what asking costs this instance bounded.
+// askAllowed limits the rate of requests for grants.
 func (n *Node) askAllowed(now time.Time) bool {
 	if full := now.Add(-askBurst); n.askedUntil.Before(full) {
 		n.askedUntil = full
@@ -205,7 +206,8 @@
 	return true
 }
 
-// askGrant names the callers' home only as far as it makes a difference.
+// askGrant gives the callers' home only where it matters: this place for all shifted
+// requests.
 func (n *Node) askGrant(a destination, p Peer, want, release int) AskGrant {
 	home := a.place
 	if a.use.Shifted {
@@ -214,7 +216,7 @@
 	return AskGrant{Peer: p, Service: a.use.Service, Home: home, Want: want, Release: release}
 }
 
-// maintainGrants asks for the requests that wait, and gives back what has no use.
+// maintainGrants requests grants for queued requests, and returns unused ones.
 func (n *Node) maintainGrants(now time.Time) {
 	for _, a := range sortedDestinations(n.demands) {
 		d := n.demands[a]
@@ -239,8 +241,8 @@
 	}
 }
 
-// canHandOff says whether a waiting request of a service might be handed to
-// another place now.
+// canHandOff reports whether a queued request of a service might be handed off to another
+// place now.
 func (n *Node) canHandOff(now time.Time, id settings.ServiceID) bool {
 	if n.slotSoon(now, id) {
 		return false
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -6,7 +6,8 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// kill ends the process at once. Its connections close, or nobody notices.
+// kill ends the process at once. Either its connections close, or the other ends don't
+// notice.
 func (p *proc) kill() {
 	if p.dead {
 		return
@@ -31,13 +32,14 @@
 
 func (p *proc) pause() { p.paused = true }
 
-// wake goes on with all that came meanwhile, by the clock of now.
+// wake resumes a paused process, which handles all events that arrived meanwhile at the
+// present time of its clock.
 func (p *proc) wake() {
 	if p.dead || !p.paused {
 		return
 	}
 	p.paused, p.lastImpeded = false, p.w.now
-	p.w.tracef("%s wakes with %d events", p, len(p.inbox))
+	p.w.tracef("%s resumes with %d events", p, len(p.inbox))
 	inbox := p.inbox
 	p.inbox = nil
 	for _, do := range inbox {
@@ -45,7 +47,7 @@
 	}
 }
 
-// stop is a planned stop, as a shell does it.
+// stop performs a planned stop as a shell does.
 func (p *proc) stop() {
 	if p.dead || p.leaving {
 		return
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -12,42 +12,43 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// ID names one request inside one instance. The shell gives each request a new one.
+// ID identifies one request within one instance. The shell assigns a new one to each
+// request.
 type ID uint64
 
-// Event is something that happened to an instance. The shell tells the node of
-// each by Node.Step and carries out the decisions that come back.
+// Event is something that happened to an instance. The shell passes each event to
+// Node.Step and carries out the decisions that it returns.
 type Event interface{ event() }
 
-// Request is what the node needs to know of a request to place it.
+// Request holds the properties of a request that decide where it goes.
 type Request struct {
 	Service    settings.ServiceID
 	Method     string
-	Path       string // below the service, starts with "/"
+	Path       string // below the service; starts with "/"
 	Caller     netip.Addr
-	Home       string // the caller's home place if a peer has already found it
+	Home       string // the caller's home place, if a peer has already determined it
 	From       string // the instance that handed the request off; empty otherwise
-	Name       string // request id as the caller sees it
+	Name       string // request ID as the caller sees it
 	Key        string // idempotency key; empty if the caller sent none
 	Print      once.Fingerprint
-	Sent       crash.Print // the same for a request that is sent again by the same caller
+	Sent       crash.Print // fingerprint for crash reports: equal if the same caller sends the request again
 	Deadline   time.Time
-	Start      time.Time // by when the answer must begin; zero if by Deadline
-	Again      time.Time // when to come back, as this process has no time for it; zero if it has
-	Replayable bool      // the body can be sent again; Finished says when that is over
+	Start      time.Time // deadline for the start of the answer; zero if it is Deadline
+	Again      time.Time // when to retry, as this process is overloaded; zero if it is not
+	Replayable bool      // the body can be sent again; Finished reports when it no longer can
 }
 
-// Origin says who brought a request.
+// Origin is where a request came from.
 type Origin int
 
 // Origins of a request.
 const (
-	FromCaller  Origin = iota // straight from a caller
+	FromCaller  Origin = iota // directly from a caller
 	FromPeer                  // handed off by the instance that the caller asked
 	FromForward               // forwarded to this instance because it is the key's home
 )
 
-// Arrived tells of a new request.
+// Arrived reports a new request.
 type Arrived struct {
 	ID      ID
 	Origin  Origin
@@ -59,67 +60,68 @@
 
 // Results of an attempt.
 const (
-	Answered Result = iota // the whole answer was passed on
-	NotRun                 // proof that nothing ran: refused connection or a refusal that says so
-	Failed                 // anything else: the work may have run
+	Answered Result = iota // the complete answer was relayed
+	NotRun                 // proof that nothing ran: a refused connection, or a refusal that says so
+	Failed                 // anything else: the request may have run
 )
 
-// Finished tells how the latest attempt of a request ended. A slot is held
-// until then.
+// Finished reports the end of the latest attempt of a request, which holds its slot until
+// then.
 type Finished struct {
 	ID      ID
 	Result  Result
 	Status  int
 	Took    time.Duration
 	Header  http.Header // for the record of a non-idempotent request
-	Body    []byte      // for the same
-	Proof   once.Proof  // of NotRun
-	Dropped bool        // the answer was too large to give Header and Body
+	Body    []byte      // for the same record
+	Proof   once.Proof  // for NotRun
+	Dropped bool        // the answer was too large to keep Header and Body
 	Reason  Reason      // a peer's reason for not running it
 	Retry   time.Time
-	Final   bool // bytes of the answer have gone to the caller: no other attempt
-	Gone    bool // the caller broke it off, which tells nothing of the target
+	Final   bool // part of the answer was sent to the caller, so no other attempt is possible
+	Gone    bool // the caller cancelled it, which says nothing about the target
 	Spent   bool // the body can't be sent again
-	Broken  bool // the target ended the connection before a whole answer, and not the time or the caller
+	Broken  bool // the target closed the connection before a complete answer, without a timeout or cancellation
 }
 
-// Ended tells that the connection of an attempt that was broken off has ended at the
-// target too, which works on nothing of it any more.
+// Ended reports that the connection of an aborted attempt has ended at the target as
+// well, so that the target no longer works on the attempt.
 type Ended struct {
 	ID     ID
 	Target owner.TargetKey
-	Cut    bool // it was cut instead, which shows nothing of the target
+	Cut    bool // the connection was reset, which does not show that the target's work has ended
 }
 
-// Cancelled tells that the caller has gone, or its deadline has passed.
+// Cancelled reports that the caller has disconnected or its deadline has passed.
 type Cancelled struct{ ID ID }
 
-// Room is what an owner says of its free capacity for one service.
+// Room is an owner's report of its free capacity for one service.
 type Room struct {
 	Service settings.ServiceID
 	Free    int
 	Queued  int
 }
 
-// RoomHeard brings a peer's rooms.
+// RoomHeard delivers a peer's reports of its free capacity.
 type RoomHeard struct {
 	Peer  string
 	Rooms []Room
 }
 
-// GrantHeard brings what a peer offered with an answer, or when it was asked.
+// GrantHeard delivers a peer's offer, sent with an answer or in response to a request for
+// grants.
 type GrantHeard struct {
 	ID          ID // of the request that was handed off; 0 if the peer was asked directly
 	Peer        string
 	Incarnation uint64 // of the peer that was asked
 	Service     settings.ServiceID
-	Home        string // the callers' home place that the hand-off or the ask named
+	Home        string // the callers' home place in the hand-off or the request for grants
 	Free        int
 	Grant       int
-	Until       time.Time // by this instance's clock, from before it sent what is answered
+	Until       time.Time // by this instance's clock, counted from before it sent the hand-off or the request
 }
 
-// Peer is another instance as the membership sees it.
+// Peer is another instance, as reported by the membership protocol.
 type Peer struct {
 	ID          string
 	Incarnation uint64
@@ -131,23 +133,25 @@
 	Leaving     bool
 }
 
-// PeersChanged replaces the list of live peers, sorted by id, without this instance.
+// PeersChanged replaces the list of live peers. The list is sorted by ID and leaves out
+// this instance.
 type PeersChanged struct{ Peers []Peer }
 
-// Applied brings a new snapshot of the operators' documents.
+// Applied delivers a new snapshot of the operators' documents.
 type Applied struct{ Snapshot *settings.Snapshot }
 
-// RosterRead brings the roster as the platform gave it. Sent is when the call went out.
+// RosterRead delivers the roster as read from the platform. Sent is when the read was
+// sent.
 type RosterRead struct {
 	Roster owner.Roster
 	Sent   time.Time
 }
 
-// RosterHeard brings a roster that a peer passed on.
+// RosterHeard delivers a roster received from a peer.
 type RosterHeard struct{ Roster owner.Roster }
 
-// PeerAcked tells that a peer acked a heartbeat sent at Sent, with the promise
-// that goes with it.
+// PeerAcked reports that a peer acknowledged a heartbeat that was sent at Sent, with the
+// promise that an acknowledgement makes.
 type PeerAcked struct {
 	Peer        string
 	Incarnation uint64
@@ -155,35 +159,35 @@
 	Roster      uint64
 }
 
-// Listed brings the platform's lagging list of instances. Sent is when the call
-// went out.
+// Listed delivers the platform's list of instances, which lags. Sent is when the read was
+// sent.
 type Listed struct {
 	Instances []docstore.Instance
 	Sent      time.Time
 	Epoch     uint64 // of the platform's store
 }
 
-// Released brings what a peer still holds of targets that it does not own.
+// Released delivers what a peer still holds of targets that it does not own.
 type Released struct{ Release owner.Release }
 
-// SwapFailed tells that a roster's write is proved not to have landed.
+// SwapFailed reports that a roster write is proved not to have been applied.
 type SwapFailed struct{ Removed string }
 
-// Probed brings the answer of a health probe, or says that there was none.
+// Probed delivers the answer to a health probe, or reports that there was none.
 type Probed struct {
 	Target  owner.TargetKey
-	Asked   time.Time // by the Probe that it answers
+	Asked   time.Time // copied from the Probe
 	Err     bool
-	Refused bool // nothing listens at the target's address; only with Err
+	Refused bool // the target's address refuses connections; only with Err
 	Healthy bool
 	Slots   int
 	Busy    int
 }
 
-// Stopping tells that this instance has begun a planned stop.
+// Stopping reports that this instance has begun a planned stop.
 type Stopping struct{}
 
-// Tick tells that time has passed.
+// Tick reports that time has passed.
 type Tick struct{}
 
 func (Arrived) event()      {}
--- a/internal/core/exchange_test.go
+++ b/internal/core/exchange_test.go
@@ -8,55 +8,55 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// answer is what one who asked gets to see.
+// answer is what the sender of a request receives.
 type answer struct {
-	kind   core.Result // Failed: nobody knows
-	body   string      // name of the request whose work gave it
+	kind   core.Result // Failed: the outcome is unknown
+	body   string      // name of the request that produced it
 	reason core.Reason
-	retry  time.Duration // when to come back, from now; zero if not told
+	retry  time.Duration // time until a retry; zero if none was given
 }
 
-// exchange carries one request inside a process, as a shell does.
+// exchange carries one request through a process, as a shell does.
 type exchange struct {
 	p           *proc
 	id          core.ID
 	origin      core.Origin
 	req         core.Request
-	call        *call // the truth behind it
+	call        *call // the caller's call that it belongs to
 	reply       func(answer)
-	attempt     *attempt      // under way, or nil
-	upstream    *attempt      // of the peer that sent it; nil for a caller's
-	timeLimit   time.Duration // when it came
-	senderGone  bool          // the one who asked waits no more
+	attempt     *attempt      // in flight, or nil
+	upstream    *attempt      // the peer's attempt that sent it; nil for a caller's request
+	timeLimit   time.Duration // time limit at its arrival
+	senderGone  bool          // the sender no longer waits
 	done        bool
-	homeRefused bool // its key's home has just said that it has not run
-	ran         bool // a target has begun work on an attempt of this exchange
+	homeRefused bool // its key's home has just answered that the key has not run
+	ran         bool // a target has started an attempt of this exchange
 }
 
-// attempt is one try at a target or a peer.
+// attempt is one attempt at a target or a peer.
 type attempt struct {
 	x            *exchange
-	home         bool // it asks the key's home
+	home         bool // sent to the key's home
 	over         bool
-	target       owner.TargetKey // the target that it went to; none if it went to a peer
-	reset        bool            // its connection to the target was cut
+	target       owner.TargetKey // zero if it was sent to a peer
+	reset        bool            // its connection to the target was reset
 	work         *work           // at a target
 	peerExchange *exchange       // at a peer
 	started      time.Time
 }
 
-// receive takes a request in. left is the time that its headers give it.
+// receive accepts a request. left is the time limit from its headers.
 func (p *proc) receive(origin core.Origin, req core.Request, c *call, left time.Duration, reply func(answer)) *exchange {
 	p.lastID++
 	req.Deadline = p.local().Add(left)
 	x := &exchange{p: p, id: p.lastID, origin: origin, timeLimit: left, req: req, call: c, reply: reply}
 	p.exchanges[x.id] = x
-	p.w.tracef("%s gets %s (origin %d)", p, req.Name, origin)
+	p.w.tracef("%s receives %s (origin %d)", p, req.Name, origin)
 	p.step(core.Arrived{ID: x.id, Origin: origin, Request: req})
 	return x
 }
 
-// act carries out a decision about a request, a moment after it was taken.
+// act carries out a decision on a request, shortly after it was taken.
 func (x *exchange) act(d core.Decision) {
 	if x.p.dead || x.done {
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// begin opens an attempt, unless its deadline has passed already.
+// begin starts an attempt, unless its deadline has already passed.
 func (x *exchange) begin(deadline time.Time) (*attempt, time.Duration) {
 	a := &attempt{x: x, started: x.p.local()}
 	x.attempt = a
@@ -96,7 +96,7 @@
 	w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() { t.receive(a, left) })
 }
 
-// send hands the request to another instance and waits for its answer.
+// send sends the request to another instance and waits for its answer.
 func (x *exchange) send(origin core.Origin, peer core.Peer, home string, deadline time.Time) {
 	w := x.p.w
 	a, left := x.begin(deadline)
@@ -109,7 +109,7 @@
 	w.after(w.delay(x.p.place, w.home[peer.ID]), func() { a.arrive(origin, req, peer.ID, left) })
 }
 
-// arrive is the moment at which the request would reach the peer.
+// arrive delivers the request to the peer, if it is running and can be reached.
 func (a *attempt) arrive(origin core.Origin, req core.Request, name string, left time.Duration) {
 	w := a.x.p.w
 	q := w.live[name]
@@ -123,7 +123,7 @@
 		w.after(300*time.Millisecond, func() { a.result(core.Finished{Result: core.NotRun, Proof: once.ProofNoConn}) })
 		return
 	case !w.open(a.x.p, q):
-		return // sent into the void on a connection that still looked open
+		return // lost on a connection that still looked open
 	}
 	q.deliver(func() {
 		a.peerExchange = q.receive(origin, req, a.x.call, left, func(ans answer) { a.answered(q, ans) })
@@ -152,7 +152,7 @@
 	return ev
 }
 
-// result tells the node how the attempt ended, once its process runs.
+// result reports the end of the attempt to the node, once its process runs.
 func (a *attempt) result(ev core.Finished) {
 	a.x.p.deliver(func() {
 		if a.over {
@@ -163,7 +163,7 @@
 	})
 }
 
-// giveUp ends an attempt whose deadline has passed, or that nobody waits for.
+// giveUp ends an attempt whose deadline has passed, or whose sender no longer waits.
 func (a *attempt) giveUp() {
 	if a.over {
 		return
@@ -178,13 +178,14 @@
 	if a.work != nil {
 		a.work.abandon()
 	}
-	if far := a.peerExchange; far != nil {
+	if peerExchange := a.peerExchange; peerExchange != nil {
 		w := a.x.p.w
-		w.after(w.delay(a.x.p.place, far.p.place), func() { far.p.deliver(far.cancel) })
+		w.after(w.delay(a.x.p.place, peerExchange.p.place), func() { peerExchange.p.deliver(peerExchange.cancel) })
 	}
 }
 
-// finish passes a result to the node, and a whole answer to the one who asked.
+// finish reports a result to the node, and sends a complete answer to the sender of the
+// request.
 func (x *exchange) finish(a *attempt, ev core.Finished) {
 	x.attempt = nil
 	x.homeRefused = a.home && ev.Result == core.NotRun && ev.Proof == once.ProofRefusal
@@ -200,8 +201,8 @@
 	}
 }
 
-// awaitEnd tells the node when the target has ended the connection of a broken attempt,
-// or that it was cut.
+// awaitEnd reports to the node when the target has ended the connection of an aborted
+// attempt, or that the connection was reset.
 func (a *attempt) awaitEnd() {
 	w := a.x.p.w
 	report := func() {
@@ -216,7 +217,7 @@
 	report()
 }
 
-// cancel tells that the one who asked has gone. Keyed requests run on.
+// cancel handles the disconnection of the sender. Keyed requests continue.
 func (x *exchange) cancel() {
 	if x.done || x.req.Key != "" {
 		return
@@ -229,7 +230,7 @@
 	x.p.step(core.Cancelled{ID: x.id})
 }
 
-// decided takes a decision that ends the request; it returns false for others.
+// decided carries out a decision that ends the request; it returns false for others.
 func (x *exchange) decided(d core.Decision) bool {
 	switch d := d.(type) {
 	case core.Refuse:
@@ -253,7 +254,7 @@
 	return true
 }
 
-// final gives the one answer.
+// final gives the final answer.
 func (x *exchange) final(ans answer) {
 	x.p.w.check.finalGiven(x, ans)
 	x.done = true
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -5,7 +5,8 @@
 // faultEvery is the mean time between two faults.
 const faultEvery = 900 * time.Millisecond
 
-// scheduleFaults plans faults until the quiet phase, when all is mended.
+// scheduleFaults schedules faults until the quiet phase, at whose start everything is
+// repaired.
 func (w *simulation) scheduleFaults() {
 	for at := warmUp; at < faultsEnd-time.Second; {
 		w.after(at, w.fault)
@@ -14,7 +15,7 @@
 	w.after(faultsEnd, w.repair)
 }
 
-// fault lets something go wrong. What it breaks is mended by the quiet phase.
+// fault causes a random fault, which is repaired by the start of the quiet phase.
 func (w *simulation) fault() {
 	length := min(w.faultLength(), faultsEnd-w.now)
 	switch w.rng.IntN(18) {
@@ -59,7 +60,7 @@
 	return w.between(100*time.Millisecond, 4*time.Second)
 }
 
-// cutFor cuts the way from one end to another for a while.
+// cutFor partitions one endpoint from another for a while, in one direction.
 func (w *simulation) cutFor(a, b int, d time.Duration) {
 	w.links.cut[[2]int{a, b}]++
 	w.after(d, func() { w.links.cut[[2]int{a, b}]-- })
@@ -67,11 +68,11 @@
 
 func (w *simulation) pickPlace() int { return w.rng.IntN(len(w.places)) }
 
-// partition cuts a place off from the others, both ways or one.
+// partition makes a place unreachable from the others, in one or both directions.
 func (w *simulation) partition(d time.Duration) {
 	p := w.pickPlace()
 	way := w.rng.IntN(3)
-	w.tracef("fault: place %d is cut off from the others, way %d, %v", p, way, d)
+	w.tracef("fault: place %d is partitioned from the others, direction %d, %v", p, way, d)
 	for o := range w.places {
 		if o != p && way != 1 {
 			w.cutFor(p, o, d)
@@ -86,11 +87,11 @@
 	}
 }
 
-// cutOff cuts a place off from the platform, both ways or one.
+// cutOff makes the platform unreachable for a place, in one or both directions.
 func (w *simulation) cutOff(d time.Duration) {
 	p := w.pickPlace()
 	way := w.rng.IntN(3)
-	w.tracef("fault: place %d is cut off from the platform, way %d, %v", p, way, d)
+	w.tracef("fault: place %d is partitioned from the platform, direction %d, %v", p, way, d)
 	if way != 1 {
 		w.cutFor(p, endpointPlatform, d)
 	}
@@ -111,11 +112,11 @@
 	w.cutFor(endpointCallers, p, d)
 }
 
-// isolate cuts one instance off from its peers, from some of them, or from
-// the platform.
+// isolate partitions one instance from its peers, from some of them, or from the
+// platform.
 func (w *simulation) isolate(d time.Duration) {
 	a := w.pickName()
-	w.tracef("fault: %s is separated, %v", a, d)
+	w.tracef("fault: %s is isolated, %v", a, d)
 	all := w.chance(0.6)
 	if all && w.chance(0.4) {
 		d = min(w.between(lag+goneLag, 4*lag), faultsEnd-w.now)
@@ -135,7 +136,7 @@
 func (w *simulation) suspect(d time.Duration) {
 	p, name := w.live[w.pickName()], w.pickName()
 	if p != nil {
-		w.tracef("fault: %s wrongly takes %s for dead, %v", p, name, d)
+		w.tracef("fault: %s wrongly considers %s dead, %v", p, name, d)
 		p.suspects[name] = w.now + d
 	}
 }
@@ -153,7 +154,7 @@
 
 func (w *simulation) slowLinks(d time.Duration) {
 	w.links.slow = w.between(20*time.Millisecond, time.Second)
-	w.tracef("fault: slow links, up to %v more, %v", w.links.slow, d)
+	w.tracef("fault: slow links, extra delay up to %v, %v", w.links.slow, d)
 	w.after(d, func() { w.links.slow = 0 })
 }
 
@@ -183,7 +184,7 @@
 	w.after(d, p.wake)
 }
 
-// stopOne stops an instance in plan; it starts anew afterwards.
+// stopOne performs a planned stop of an instance, which then starts again.
 func (w *simulation) stopOne() {
 	if p := w.live[w.pickName()]; p != nil {
 		p.deliver(p.stop)
@@ -196,7 +197,7 @@
 		w.tracef("fault: %s is down, %v", t.key.Name, d)
 		t.down = true
 	} else {
-		w.tracef("fault: %s is ill, %v", t.key.Name, d)
+		w.tracef("fault: %s is degraded, %v", t.key.Name, d)
 		t.degraded = true
 	}
 	w.after(d, func() { t.down, t.degraded = false, false })
--- a/internal/core/flight.go
+++ b/internal/core/flight.go
@@ -9,14 +9,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// stage is where a request stands inside the instance.
+// stage is the state of a request within the instance.
 type stage int
 
 const (
 	stageNew     stage = iota
 	stageQueued        // waits for a slot
 	stageTarget        // holds a slot of f.target
-	stagePeer          // handed to f.peer
+	stagePeer          // handed off to f.peer
 	stageForward       // forwarded to its key's home
 )
 
@@ -29,35 +29,35 @@
 	home    string // the caller's home place; never empty
 
 	idempotent bool
-	keyed      bool     // this instance is the home of key, which is begun
+	keyed      bool     // this instance is the home of key and has begun it
 	key        once.Key // valid if keyed
-	keyAttempt uint32   // attempt of the key's record, valid if keyed
+	keyAttempt uint32   // attempt number in the key's record; valid if keyed
 
-	queueUntil time.Time // it waits in the queue no longer; at most the deadline
+	queueUntil time.Time // end of its wait in the queue; at most the deadline
 
 	stage         stage
 	target        owner.TargetKey // valid in stageTarget
 	peer          string          // valid in stagePeer and stageForward
-	mayHaveRun    bool            // an attempt may have run: "not run" would no longer be true
-	unowned       bool            // sent by a baseline policy: holds no slot
+	mayHaveRun    bool            // an attempt may have run, so "not run" is no longer a true answer
+	unowned       bool            // sent by a baseline policy, without a slot
 	attempts      int
-	dest          destination // what the latest hand-off to another place uses
-	ungranted     bool        // handed off without a grant, and counted
-	awaitsGrant   bool        // a grant may come for it
+	dest          destination // of the latest hand-off to another place
+	ungranted     bool        // handed off without a grant, and counted as such
+	awaitsGrant   bool        // a grant may arrive for it
 	granted       bool        // the peer that handed it off held a grant
-	slotsReported bool        // the peer of this place that it went to has told its free slots
-	demandCounted []string    // other places that have counted it as one that could go there
-	tried         []string    // targets and instances that have refused it; never tried again
-	passed        []Passed    // ways weighed and not taken in the latest try
-	heldReason    Reason      // why it was last held back
-	retryAt       time.Time   // soonest time at which a refusing peer would take it
+	slotsReported bool        // the local peer that it was handed off to has reported its free slots
+	demandCounted []string    // other places whose demand already counts it
+	tried         []string    // targets and instances that refused it; never tried again
+	passed        []Passed    // options considered and not taken in the latest try
+	heldReason    Reason      // reason for which it was last held back
+	retryAt       time.Time   // earliest time at which a refusing peer would accept it
 }
 
-// shifted says whether serving f in a place counts against the shift cap.
+// shifted reports whether serving f in a place counts against the shift cap.
 func (f *inFlight) shifted(place string) bool { return f.home != place }
 
-// startDeadline is until when f may startDeadline: the caller gives an attempt up whose answer
-// doesn't begin in time, so starting it later would be work for nothing.
+// startDeadline returns until when an attempt may start: the caller abandons an attempt
+// whose answer does not begin in time, so a later start would be wasted work.
 func (f *inFlight) startDeadline() time.Time {
 	if f.req.Start.IsZero() || f.req.Start.After(f.req.Deadline) {
 		return f.req.Deadline
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestGoneCallerKeepsTargetHealth breaks attempts off, by the target's fault or the
-// caller's.
+// TestGoneCallerKeepsTargetHealth checks that attempts count against a target's health
+// only if the target aborted them, and not the caller.
 func TestGoneCallerKeepsTargetHealth(t *testing.T) {
 	tests := map[string]struct {
 		gone bool
@@ -31,7 +31,8 @@
 	}
 }
 
-// TestGoneCallerIsNotRetried ends a request of a caller that went away.
+// TestGoneCallerIsNotRetried checks that a request is not retried after its caller has
+// disconnected.
 func TestGoneCallerIsNotRetried(t *testing.T) {
 	tests := map[string]struct {
 		ev   Finished
--- a/internal/core/gossip_test.go
+++ b/internal/core/gossip_test.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// ping is a heartbeat, with all that may ride on one.
+// ping is a heartbeat with its optional contents.
 type ping struct {
 	from       *proc
 	sent       time.Time // by the sender's clock
@@ -16,13 +16,13 @@
 	roster     owner.Roster
 	release    owner.Release
 	freeSlots  []core.Room
-	docs       []settings.Document // rarely
-	allDocs    bool                // docs is all that the sender has
-	withRoster bool                // the roster itself goes along
+	docs       []settings.Document // rarely set
+	allDocs    bool                // docs holds all of the sender's documents
+	withRoster bool                // the roster itself is included
 }
 
-// ping sends heartbeats to every other instance, with room and, now and then,
-// the roster and some documents.
+// ping sends heartbeats to all other instances, with the free slots and sometimes the
+// roster and some documents.
 func (p *proc) ping() {
 	for _, name := range p.w.names {
 		to := p.w.live[name]
@@ -41,7 +41,7 @@
 	}
 }
 
-// someDocs are some of the documents held, in any order.
+// someDocs returns some or all of the documents, in random order.
 func (p *proc) someDocs() []settings.Document {
 	docs := p.docs.Documents()
 	p.w.rng.Shuffle(len(docs), func(i, j int) { docs[i], docs[j] = docs[j], docs[i] })
@@ -51,11 +51,11 @@
 	return docs[:p.w.rng.IntN(len(docs))]
 }
 
-// pinged takes a heartbeat in. An ack is a promise that the node has to allow.
+// pinged processes a heartbeat. An ack is a promise that the node has to permit.
 func (p *proc) pinged(m ping) {
 	p.seen(m.from, m.leaving)
 	if m.docs != nil && (p.snapshot != nil || m.allDocs) {
-		p.takeDocs(m.docs) // the first documents come whole, or callers' blocks may lack
+		p.takeDocs(m.docs) // the first documents come in full, as the callers' blocks could be missing otherwise
 	}
 	if m.from.place != p.place {
 		return
@@ -78,7 +78,7 @@
 	})
 }
 
-// seen notes that a peer lives.
+// seen records that a peer is alive.
 func (p *proc) seen(from *proc, leaving bool) {
 	h := p.lastSeen[from.name]
 	if h != nil && h.incarnation > from.incarnation {
@@ -108,7 +108,7 @@
 	}, func() { done(rosterSoon) })
 }
 
-// swapRoster asks the platform for a change of the roster.
+// swapRoster asks the platform to change the roster.
 func (p *proc) swapRoster(d core.SwapRoster) {
 	p.w.tracef("%s asks for %s of version %d (removes %q)", p, d.Reason, d.Next.Version, d.Removed)
 	p.w.store.call(p, func() func() {
@@ -122,7 +122,7 @@
 	}, func() { p.rosterDue = time.Time{} })
 }
 
-// register renews the line in the platform's list, and reads the list.
+// register renews the instance's entry in the platform's list, and reads the list.
 func (p *proc) register() {
 	sent := p.local()
 	p.w.store.call(p, func() func() {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -8,24 +8,24 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Ask is what a peer says with a hand-off, or by itself.
+// Ask is a peer's request for grants, sent with a hand-off or alone.
 type Ask struct {
 	Peer    string
 	Service settings.ServiceID
 	Home    string // the callers' home place
-	Want    int    // requests it would like to hand off beyond those it holds grants for
-	Release int    // requests of its grants that it has no use for
+	Want    int    // further requests that it would like to hand off, beyond its grants
+	Release int    // grants that it returns unused
 }
 
 // Offer is the answer to an Ask.
 type Offer struct {
 	Free  int       // slots of the service that could take a request now
-	Grant int       // requests that the peer may hand off beyond its older grants
-	Until time.Time // when Grant runs out; valid if Grant is over 0
+	Grant int       // requests that the peer may hand off, beyond its earlier grants
+	Until time.Time // expiry of Grant; valid if Grant is above 0
 }
 
-// Offer answers a peer. Requests that it hands off are let in by the owner's
-// own count all the same, with a grant or without.
+// Offer answers a peer's request for grants. The owner's own accounting still decides on
+// each hand-off, with or without a grant.
 func (n *Node) Offer(now time.Time, a Ask) Offer {
 	if n.snapshot == nil {
 		return Offer{}
@@ -49,13 +49,13 @@
 	return o
 }
 
-// useHere is what a hand-off to this place uses.
+// useHere returns what a hand-off to this place uses.
 func (n *Node) useHere(id settings.ServiceID, home string) grant.Use {
 	return grant.Use{Service: id, Shifted: home != "" && home != n.cfg.Place}
 }
 
-// grantCapacity is what could be granted if nothing were. Requests that wait here
-// come first.
+// grantCapacity returns what could be granted if no grants were outstanding. Requests
+// queued here have priority.
 func (n *Node) grantCapacity(now time.Time, use grant.Use) grant.Room {
 	waiting := n.queue.Waiting(use.Service)
 	return grant.Room{
@@ -66,8 +66,8 @@
 	}
 }
 
-// healthyFreeSlots is how many requests of a service could go to targets now, as far
-// as their health lets them.
+// healthyFreeSlots returns how many requests of a service could go to targets now, within
+// the targets' health.
 func (n *Node) healthyFreeSlots(now time.Time, id settings.ServiceID) int {
 	free := 0
 	for _, key := range n.state(now, id).keys {
@@ -76,12 +76,12 @@
 	return min(free, n.owners.Spare(now))
 }
 
-// grantLead is how long a granted request may have to wait for a slot when it
-// arrives. A grant is on its way for longer than that, so without it slots
-// would stand idle until the request comes.
+// grantLead is how long a granted request may have to wait for a slot when it arrives. A
+// grant takes longer than that to be used, so without it slots would be idle until the
+// request arrives.
 const grantLead = 20 * time.Millisecond
 
-// soonFreeSlots is how many slots usually come free in that time.
+// soonFreeSlots returns how many slots become free within grantLead, on average.
 func (n *Node) soonFreeSlots(now time.Time, id settings.ServiceID) int {
 	if n.cfg.handOff == handOffReserved {
 		return 0
@@ -96,17 +96,18 @@
 	return int(math.Round(soon))
 }
 
-// Granted is how many requests of a service this instance has granted to others.
+// Granted returns how many requests of a service this instance has granted to others.
 func (n *Node) Granted(now time.Time, id settings.ServiceID) int {
 	return n.grants.Outstanding(now, id)
 }
 
-// useGrant notes that a peer handed a request off, and says whether it held a grant.
+// useGrant records that a peer handed a request off, and reports whether the peer held a
+// grant for it.
 func (n *Node) useGrant(now time.Time, f *inFlight) bool {
 	return n.grants.Used(now, f.req.From, n.useHere(f.req.Service, f.home))
 }
 
-// grantReceived takes in what a peer offered.
+// grantReceived processes a peer's offer.
 func (n *Node) grantReceived(now time.Time, ev GrantHeard) {
 	peer, ok := n.peer(ev.Peer)
 	if !ok || peer.Incarnation != ev.Incarnation {
@@ -124,7 +125,8 @@
 	n.serveQueue(now)
 }
 
-// localSlotsReceived takes in the free slots of a peer of this place, after a hand-off.
+// localSlotsReceived stores the free slots that a peer of this place reported after a
+// hand-off.
 func (n *Node) localSlotsReceived(ev GrantHeard) {
 	if f, ok := n.requests[ev.ID]; ok && f.stage == stagePeer {
 		f.slotsReported = true
--- a/internal/core/grant_test.go
+++ b/internal/core/grant_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// grantNode is a node in place east, which is drained, with a peer in west. Its
-// callers are at home in east. One hand-off without a grant is under way.
+// grantNode returns a node in place east, which is drained, with a peer in west. Its
+// callers are at home in east. One hand-off without a grant is in flight.
 func grantNode(t *testing.T) *Node {
 	t.Helper()
 	n := testNode(t, nil)
@@ -27,7 +27,7 @@
 	return GrantHeard{Peer: "i2", Incarnation: 1, Service: ordersID, Home: "east", Grant: n, Until: until}
 }
 
-// handOffReason is the reason of the hand-off among decisions, if any.
+// handOffReason returns the reason of the hand-off among decisions, if any.
 func handOffReason(decisions []Decision) Reason {
 	for _, d := range decisions {
 		if h, ok := d.(Hand); ok {
@@ -80,7 +80,7 @@
 	}
 	decisions := n.Step(begin, westGrant(1, begin.Add(time.Second)))
 	if got := handOffReason(decisions); got != ReasonQueue {
-		t.Errorf("got %v, want the waiting request handed off", decisions)
+		t.Errorf("got %v, want the queued request handed off", decisions)
 	}
 }
 
@@ -99,7 +99,7 @@
 		id++
 	}
 	if asked < 20 || asked > 111 {
-		t.Errorf("got %d asks in 10 s, want some, and at most 10 a second after the first 10", asked)
+		t.Errorf("got %d requests for grants in 10 s, want at least 20, and at most 10 per second after the first 10", asked)
 	}
 }
 
@@ -176,14 +176,14 @@
 			}
 			tt.ask.Release = 0
 			if got := n.Offer(at, tt.ask).Grant; got > 0 && tt.want != tt.ask.Want {
-				t.Errorf("got %d more, want none while the first are out", got)
+				t.Errorf("got %d more, want none while the first are outstanding", got)
 			}
 		})
 	}
 }
 
-// TestNewOwnerTakesStaleGrants shows why a grant of an owner that has died is
-// safe: whoever has its targets now counts for itself.
+// TestNewOwnerTakesStaleGrants shows why a grant of an owner that has died is safe: the
+// new owner of its targets does its own accounting.
 func TestNewOwnerTakesStaleGrants(t *testing.T) {
 	n := testNode(t, nil)
 	at := begin.Add(2 * time.Second)
--- a/internal/core/home_test.go
+++ b/internal/core/home_test.go
@@ -7,8 +7,8 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// TestForwardedEndsAtHome: only a key's home may run its request, and only the
-// home can say that the key has not run.
+// TestForwardedEndsAtHome checks that only a key's home may run its request, and that
+// only the home can confirm that the key has not run.
 func TestForwardedEndsAtHome(t *testing.T) {
 	tests := map[string]struct {
 		ev   Finished
@@ -43,7 +43,7 @@
 	}
 }
 
-// keyedAtHome is a request whose key's home is the peer i2.
+// keyedAtHome returns a request whose key's home is the peer i2.
 func keyedAtHome(t *testing.T, n *Node) Arrived {
 	t.Helper()
 	issuer, err := once.NewIssuer("i2", 1, once.Secret{1}, newKeyRand([32]byte{1}))
@@ -57,8 +57,8 @@
 	return ev
 }
 
-// TestRefusalWithoutService: an instance that does not know the service can't say
-// that a key has not run.
+// TestRefusalWithoutService checks that an instance without a configuration of the
+// service does not claim that a key has not run.
 func TestRefusalWithoutService(t *testing.T) {
 	for name, want := range map[string]bool{"a key": true, "": false} {
 		n := testNode(t, nil)
@@ -73,14 +73,15 @@
 	}
 }
 
-// TestCancelledWhenExpired: a request that has waited too long is refused once.
+// TestCancelledWhenExpired checks that a request that has waited too long is refused only
+// once.
 func TestCancelledWhenExpired(t *testing.T) {
 	n := testNode(t, nil)
 	for id := range ID(3) {
 		n.Step(begin, request(id+1, "10.1.0.1"))
 	}
 	late := begin.Add(3 * time.Second)
-	n.Step(late, Finished{ID: 1, Result: Answered}) // the queue takes the third out
+	n.Step(late, Finished{ID: 1, Result: Answered}) // the queue drops the third
 	refused := 0
 	for _, d := range append(n.Step(late, Cancelled{ID: 3}), n.Step(late, Tick{})...) {
 		if _, ok := d.(Refuse); ok {
@@ -92,18 +93,18 @@
 	}
 }
 
-// TestIdleWithPreviousIncarnation: the line of an earlier incarnation does not keep a
-// planned stop from ending.
+// TestIdleWithPreviousIncarnation checks that the roster entry of an earlier incarnation
+// does not keep a planned stop from ending.
 func TestIdleWithPreviousIncarnation(t *testing.T) {
 	n := testNode(t, func(c *Config) { c.Incarnation = 2 })
 	n.Step(begin, Stopping{})
 	if !n.Idle() {
-		t.Error("got not idle, want idle beside the line of incarnation 1")
+		t.Error("got not idle, want idle despite the entry of incarnation 1")
 	}
 }
 
-// TestSettlesRemoval: a removal whose answer was lost is settled by another
-// write, once the peer is known to live.
+// TestSettlesRemoval checks that a removal with a lost answer is superseded by another
+// write once the peer is known to be alive.
 func TestSettlesRemoval(t *testing.T) {
 	n := testNode(t, nil)
 	n.Step(begin, RosterRead{Roster: testRoster(t, "i1", "i2"), Sent: begin})
@@ -113,7 +114,7 @@
 	}
 	n.Step(at, PeersChanged{Peers: []Peer{{ID: "i2", Incarnation: 1, Place: "east"}}})
 	if n.MayAck(at, "i2", 1, 2) {
-		t.Error("got an ack while the removal may land, want none")
+		t.Error("got an ack while the removal may still be applied, want none")
 	}
 	d := swapOf(n.Step(at.Add(2*time.Second), Tick{}))
 	if _, ok := d.Next.Member("i2"); !ok || d.Next.Version != 3 {
@@ -121,7 +122,7 @@
 	}
 	n.Step(at.Add(2*time.Second), RosterRead{Roster: d.Next, Sent: at})
 	if !n.MayAck(at.Add(2*time.Second), "i2", 1, 3) {
-		t.Error("got no ack after the removal can't land any more, want one")
+		t.Error("got no ack after the removal was superseded, want one")
 	}
 }
 
@@ -134,8 +135,8 @@
 	return SwapRoster{}
 }
 
-// TestRefusedInTime: a peer's request stops waiting early enough for the refusal
-// to reach the peer while it still waits for it.
+// TestRefusedInTime checks that a peer's request leaves the queue early enough for the
+// refusal to reach the peer while it still waits.
 func TestRefusedInTime(t *testing.T) {
 	for origin, want := range map[Origin]time.Duration{
 		FromCaller: 2 * time.Second, FromPeer: 1900 * time.Millisecond, FromForward: 1900 * time.Millisecond,
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -7,14 +7,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// slack is how long work may go on past the end that its owner knows of.
+// slack is how long work may continue after the end that its owner assumes.
 const slack = 150 * time.Millisecond
 
-// versions tells which versions of a document are in force somewhere in a place.
+// versions records which versions of a document are in force anywhere in a place.
 type versions struct {
 	w    *simulation
-	last map[heldKey]time.Duration // when a process last gave a version up
-	late []time.Duration           // by place: when a process last had one that had been replaced for longer than settled
+	last map[heldKey]time.Duration // when a process last stopped using a version
+	late []time.Duration           // by place: when a process last had a version that had been replaced for more than maxStaleness
 }
 
 type heldKey struct {
@@ -27,7 +27,7 @@
 	return &versions{w: w, last: make(map[heldKey]time.Duration)}
 }
 
-// released notes that a process has given a version up.
+// released records that a process no longer uses a version.
 func (h *versions) released(place int, path string, version uint64) {
 	if version == 0 {
 		return
@@ -36,7 +36,7 @@
 	h.noteLate(place, path, version)
 }
 
-// noteLate notes a version that is in force for longer than the design says.
+// noteLate records a version that has been in force for longer than the design allows.
 func (h *versions) noteLate(place int, path string, version uint64) {
 	all := h.w.store.docs[path]
 	if int(version) < len(all) && h.w.now > all[version].at+maxStaleness {
@@ -47,7 +47,8 @@
 	}
 }
 
-// active are the versions in force in a place, or whose work may still go on.
+// active returns the versions that are in force in a place, or whose work may still be in
+// flight.
 func (h *versions) active(place int, path string) []uint64 {
 	var list []uint64
 	now := make(map[uint64]bool)
@@ -66,11 +67,11 @@
 	return list
 }
 
-// longest is how long a request may take by any clock.
+// longest is the longest time that a request may take, by any clock.
 func longest() time.Duration { return timeout + time.Duration(skew*float64(timeout)) }
 
-// mixed says that versions were in force together for longer than the design
-// says that documents take, so lately that raised limits may be used as well.
+// mixed reports whether versions were in force together for longer than the design
+// allows, recently enough that raised limits may be used as well.
 func (h *versions) mixed(place int) bool {
 	if h.late == nil || h.late[place] == 0 {
 		return false
@@ -78,14 +79,14 @@
 	return h.w.now <= h.late[place]+maxStaleness+2*longest()+slack
 }
 
-// site reads one version of a service's document.
+// site returns a service's site and shift cap in one version of its document.
 func (w *simulation) site(path string, version uint64, place int) (settings.Site, int) {
 	service := w.store.parsed(path, version).Service()
 	s, _ := service.Site(w.places[place])
 	return s, service.Shift()
 }
 
-// limits checks the target's slots, and the limits of its service and place.
+// limits checks the slots of a target, and the limits of its service and place.
 func (c *checker) limits(t *target) {
 	path := settings.ServicePath(t.key.Service)
 	list := c.held.active(t.place, path)
@@ -137,7 +138,7 @@
 	}
 }
 
-// shifted counts a request from another place's callers that an owner admits.
+// shifted counts a shifted request that an owner admits, and checks the cap.
 func (c *checker) shifted(p *proc, t *target) {
 	service := t.key.Service.Name
 	window := p.local().Unix()
@@ -157,14 +158,14 @@
 		limit = max(limit, shift)
 	}
 	if grown := counts[window] - counts[window-1]; grown > limit {
-		c.failf("%s admits %d shifted requests more than a second ago, cap %d", p, grown, limit)
+		c.failf("%s admits %d shifted requests more than in the second before, cap %d", p, grown, limit)
 	}
 	if c.w.clocksAligned {
 		c.shiftedInAll(p.place, service, window, limit)
 	}
 }
 
-// shiftedInAll checks the sum over a place's owners, by clocks that agree.
+// shiftedInAll checks the sum over a place's owners, whose clocks agree.
 func (c *checker) shiftedInAll(place int, service string, window int64, limit int) {
 	grown, changed := 0, time.Duration(0)
 	seen := make(map[uint64]bool)
@@ -186,11 +187,11 @@
 	if len(seen) > 1 || c.w.now < changed+4*time.Second {
 		for _, t := range c.w.sortedTargets {
 			if t.place == place && t.key.Service.Name == service {
-				limit++ // one for each target's part, while versions differ
+				limit++ // one for each target's share, while versions differ
 			}
 		}
 	}
 	if grown > limit {
-		c.failf("place %d admits %d shifted requests of %s more than a second ago, cap %d", place, grown, service, limit)
+		c.failf("place %d admits %d shifted requests of %s more than in the second before, cap %d", place, grown, service, limit)
 	}
 }
--- a/internal/core/link_test.go
+++ b/internal/core/link_test.go
@@ -8,8 +8,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TestForwardCarriesHome forwards a request whose key another instance issued: it
-// alone knows the caller's address.
+// TestForwardCarriesHome checks the home place in the forward of a request whose key
+// another instance issued: the forwarding instance alone has the caller's address.
 func TestForwardCarriesHome(t *testing.T) {
 	tests := map[string]string{"10.1.0.1": "east", "10.2.0.1": "west"}
 	for caller, want := range tests {
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestLinkShare asks for the pace of answers at an instance that owns the
-// place's only target, alone or with another instance.
+// TestLinkShare checks the rate limit of answers at an instance that owns the place's
+// only target, as the only instance or with another.
 func TestLinkShare(t *testing.T) {
 	west := Peer{ID: "i2", Incarnation: 1, Place: "west", Domain: "west", Region: "coast"}
 	near := Peer{ID: "i3", Incarnation: 1, Place: "east", Domain: "east", Region: "coast"}
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -9,33 +9,33 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// maxInstances is how many instances an answer of a look-up names.
+// maxInstances is the maximum number of instances in the answer to a look-up.
 const maxInstances = 4
 
-// maxKeys is how many idempotency keys one look-up may ask for.
+// maxKeys is the maximum number of idempotency keys in one look-up.
 const maxKeys = 64
 
-// NoServiceError says that no document declares the service.
+// NoServiceError reports that no document declares the service.
 type NoServiceError struct{ Service settings.ServiceID }
 
 func (e *NoServiceError) Error() string { return "core: no service " + e.Service.String() }
 
-// NoSettingsError says that this instance has no configuration yet, and others
-// are to be asked.
+// NoSettingsError reports that this instance has no configuration yet. Callers should ask
+// another instance.
 type NoSettingsError struct{ Instance string }
 
 func (e *NoSettingsError) Error() string { return "core: " + e.Instance + " has no configuration yet" }
 
-// StoppingError says that this instance is in a planned stop and others are to
-// be asked: what it answered would outlive it.
+// StoppingError reports that this instance is in a planned stop. Callers should ask
+// another instance, as an answer would be valid for longer than this instance runs.
 type StoppingError struct{ Instance string }
 
 func (e *StoppingError) Error() string { return "core: " + e.Instance + " is in a planned stop" }
 
-// Lookup tells a caller which instances to ask for a service, and gives keys
-// for non-idempotent requests. It returns a *NoServiceError for an unknown service,
-// a *NoSettingsError before the first configuration, and a *StoppingError in a
-// planned stop while others serve.
+// Lookup returns the instances that a caller should ask for a service, and keys for
+// non-idempotent requests. It returns a *NoServiceError for an unknown service, a
+// *NoSettingsError before the first configuration, and a *StoppingError during a planned
+// stop while other instances serve.
 func (n *Node) Lookup(now time.Time, id settings.ServiceID, caller netip.Addr, keys int) (Lookup, error) {
 	if n.snapshot == nil {
 		return Lookup{}, &NoSettingsError{Instance: n.cfg.Instance}
@@ -58,7 +58,7 @@
 	return l, nil
 }
 
-// recordLookup keeps until when callers may keep an answer that sends them to an
+// recordLookup records until when callers may cache an answer that leads them to an
 // instance, by its name or by a key.
 func (n *Node) recordLookup(l Lookup) {
 	for _, p := range l.Instances {
@@ -69,16 +69,16 @@
 	}
 }
 
-// Named is until when callers may keep a look-up of this instance that sends
-// them to another, or to itself. The answer holds for good once the other is
-// known here to leave, which ok tells.
+// Named returns until when callers may cache a look-up, answered here, that leads them to
+// the instance id. ok reports that the time is final, because id has announced that it is
+// leaving, or is this instance and stopping.
 func (n *Node) Named(id string) (until time.Time, ok bool) {
 	p, known := n.peer(id)
 	return n.lookupUntil[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
 }
 
-// instancesFor orders instances by how near their place is to the caller's home.
-// Within a place a random one comes first, so that callers spread.
+// instancesFor orders instances by the distance of their place from the caller's home.
+// Within a place the order is random, to spread callers.
 func (n *Node) instancesFor(id settings.ServiceID, service *settings.CompiledService, home string) []Peer {
 	f := &inFlight{service: service, home: home}
 	f.req.Service = id
@@ -95,9 +95,9 @@
 	return list
 }
 
-// shuffled lists a place's instances that take new work, in random order. In
-// this place, where the owners are known, an instance comes first as often as
-// its share of the service's slots: who asks an owner saves a hand-off.
+// shuffled lists a place's instances that accept new work, in random order. In this
+// place, where the owners are known, the probability of being first is an instance's
+// share of the service's slots: a request sent to an owner needs no hand-off.
 func (n *Node) shuffled(id settings.ServiceID, place string) []Peer {
 	var list []Peer
 	if place == n.cfg.Place && !n.stopping && !n.snapshot.InstanceDrained(n.cfg.Instance) {
@@ -115,8 +115,8 @@
 	return list
 }
 
-// shuffleByShare orders a place's instances at random, weighted by the slots that each
-// owns of the service.
+// shuffleByShare orders a place's instances at random, weighted by the slots of the
+// service that each owns.
 func (n *Node) shuffleByShare(id settings.ServiceID, list []Peer) {
 	s, ok := n.services[id]
 	if !ok {
@@ -126,8 +126,8 @@
 	for _, key := range s.keys {
 		slots[n.owners.Owner(key)] += s.limits[key]
 	}
-	// The least of exponential times with these rates is each one as often as
-	// its share; an instance without slots comes last.
+	// Of exponential times with these rates, each one is the smallest with a probability
+	// equal to its share; an instance without slots comes last.
 	times := make(map[string]float64, len(list))
 	for _, p := range list {
 		times[p.ID] = n.cfg.Rand.ExpFloat64() / float64(slots[p.ID])
--- a/internal/core/lookup_test.go
+++ b/internal/core/lookup_test.go
@@ -9,8 +9,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TestLookupFollowsOwners counts who comes first: the owner of all slots does,
-// whoever answers, and a leaving one never.
+// TestLookupFollowsOwners checks which instance comes first: the owner of all slots does,
+// whichever instance answers, and a leaving one never does.
 func TestLookupFollowsOwners(t *testing.T) {
 	orders := settings.ServiceID{Team: "shop", Name: "orders"}
 	roster := testRoster(t, "i1", "i2")
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestLookupBeforeSettings: "no such service" would be final for a caller, who
-// has to ask another instance instead.
+// TestLookupBeforeSettings checks the error before the first configuration: "no such
+// service" would be final for a caller, which has to ask another instance instead.
 func TestLookupBeforeSettings(t *testing.T) {
 	orders := settings.ServiceID{Team: "shop", Name: "orders"}
 	n, err := New(Config{Instance: "i1", Incarnation: 1, Place: "east", Domain: "east", Region: "coast"}, begin)
@@ -53,11 +53,11 @@
 	}
 	var blank *NoSettingsError
 	if _, err := n.Lookup(begin, orders, netip.Addr{}, 0); !errors.As(err, &blank) {
-		t.Errorf("got %v, want that there are no settings yet", err)
+		t.Errorf("got %v, want a NoSettingsError", err)
 	}
 	n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
 	var unknown *NoServiceError
 	if _, err := n.Lookup(begin, settings.ServiceID{Team: "shop", Name: "none"}, netip.Addr{}, 0); !errors.As(err, &unknown) {
-		t.Errorf("got %v, want that there is no such service", err)
+		t.Errorf("got %v, want a NoServiceError", err)
 	}
 }
--- a/internal/core/loss_world_test.go
+++ b/internal/core/loss_world_test.go
@@ -15,14 +15,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Sizes of the measured world: four places, each with a few instances, 20 slots
-// and requests of 50 ms on average, so 400 requests a second.
+// Sizes of the simulation: four places, each with a few instances, 20 slots and requests
+// of 50 ms on average, which makes 400 requests per second.
 const (
 	lossFarDelay      = 20 * time.Millisecond   // one way between places
-	lossNearDelay     = 1500 * time.Microsecond // the same within one
+	lossNearDelay     = 1500 * time.Microsecond // one way within a place
 	lossSlotsInterval = 250 * time.Millisecond
 	lossServiceTime   = 50 * time.Millisecond
-	lossRate          = 200.0 // requests a second at each place: half of what it can
+	lossRate          = 200.0 // requests per second at each place: half of its capacity
 	lossCap           = 40    // shift cap of the service
 	lossAt            = 5 * time.Second
 	lossEnd           = 15 * time.Second
@@ -31,7 +31,7 @@
 
 var lossPlaces = []string{"a", "b", "c", "d"}
 
-// placeOf is the place of an instance: its name begins with it.
+// placeOf returns the place of an instance, which is the first letter of its ID.
 func placeOf(id string) string { return id[:1] }
 
 func delayOf(x, y string) time.Duration {
@@ -49,9 +49,9 @@
 	jobs       jobQueue
 	seq        int
 	ids        []string         // of the instances, sorted
-	nodes      map[string]*Node // by id
+	nodes      map[string]*Node // by ID
 	last       ID
-	open       map[ID]*hop // by the id at the node that has it
+	open       map[ID]*hop // by the ID at the node that has it
 	wrongPlace bool
 	counts     tally
 }
@@ -59,21 +59,21 @@
 // hop is one request at one node.
 type hop struct {
 	node    string
-	from    *hop // the trip of the node that handed it off; nil if a caller brought it
+	from    *hop // hop at the node that handed it off; nil if it came from a caller
 	home    string
 	arrived time.Time
 	id      ID
-	hand    Hand // of the latest hand-off
+	handOff Hand // latest hand-off
 }
 
 type tally struct {
-	requests, answered, refused  int
-	shifted                      [20]int // answered shifted requests by the second of their admission
-	answeredByHome               map[string]int
-	hands, refusedHandOffs, asks int
-	latency                      []time.Duration
-	overLimit                    int // most requests at a place's targets beyond its limit
-	busy                         map[string]int
+	requests, answered, refused     int
+	shifted                         [20]int // answered shifted requests by the second of their admission
+	answeredByHome                  map[string]int
+	handOffs, refusedHandOffs, asks int
+	latency                         []time.Duration
+	overLimit                       int // maximum excess of requests at a place's targets over its limit
+	busy                            map[string]int
 }
 
 func newTally(busy map[string]int) tally {
@@ -164,7 +164,7 @@
 	return w
 }
 
-// addPlace makes the instances of a place.
+// addPlace creates the instances of a place.
 func (w *lossSimulation) addPlace(p string, mode handOffMode, seed uint64, size int, checks *invariant.Counter) {
 	var r owner.Roster
 	for i := range size {
@@ -269,10 +269,10 @@
 		})
 	case Hand:
 		if d.Peer.Place != p {
-			w.counts.hands++
+			w.counts.handOffs++
 		}
 		tr := w.open[d.ID]
-		tr.hand = d
+		tr.handOff = d
 		w.after(delayOf(id, d.Peer.ID), func() { w.begin(&hop{node: d.Peer.ID, from: tr, home: tr.home}, FromPeer, id) })
 	case Refuse:
 		w.finish(w.open[d.ID], Finished{Result: NotRun, Reason: d.Reason, Retry: d.RetryAt})
@@ -291,7 +291,7 @@
 	})
 }
 
-// finish takes a request's end back to who brought it.
+// finish returns the outcome of a request to the caller or the node that sent it.
 func (w *lossSimulation) finish(tr *hop, ev Finished) {
 	delete(w.open, tr.id)
 	if tr.from == nil {
@@ -299,14 +299,14 @@
 		return
 	}
 	upstream := tr.from
-	o := w.nodes[tr.node].Offer(w.now, Ask{Peer: upstream.node, Service: ordersID, Home: tr.home, Want: upstream.hand.Want})
+	o := w.nodes[tr.node].Offer(w.now, Ask{Peer: upstream.node, Service: ordersID, Home: tr.home, Want: upstream.handOff.Want})
 	life, sent := o.Until.Sub(w.now), tr.arrived.Add(-delayOf(upstream.node, tr.node))
 	if ev.Result == NotRun && placeOf(upstream.node) != placeOf(tr.node) {
 		w.counts.refusedHandOffs++
 	}
 	w.after(delayOf(upstream.node, tr.node), func() {
 		w.step(upstream.node, GrantHeard{
-			ID: upstream.id, Peer: tr.node, Incarnation: 1, Service: ordersID, Home: upstream.hand.Home,
+			ID: upstream.id, Peer: tr.node, Incarnation: 1, Service: ordersID, Home: upstream.handOff.Home,
 			Free: o.Free, Grant: o.Grant, Until: sent.Add(life),
 		})
 		ev.ID, ev.Took = upstream.id, w.now.Sub(sent)
@@ -327,7 +327,7 @@
 	w.counts.refused++
 }
 
-// drainPlaces takes the targets of places away.
+// drainPlaces drains the targets of places.
 func (w *lossSimulation) drainPlaces(places ...string) {
 	s := lossSnapshot(w.t, places...)
 	for _, id := range w.ids {
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -1,6 +1,6 @@
-// Package core decides for one entry instance: where each request goes, when
-// it waits, and when it is refused. It has no sockets, files, timers or clock;
-// its environment tells it of events and carries out its decisions.
+// Package core takes the decisions of one entry instance: where each request goes, when
+// it waits, and when it is refused. It has no sockets, files, timers or clock. Its
+// environment, the shell, passes it events and carries out its decisions.
 package core
 
 import (
@@ -24,14 +24,14 @@
 	blocks   *block.Table
 
 	peers       peerList
-	peerSlots   map[string]slotEstimates // what each peer of peers last said of its room
+	peerSlots   map[string]slotEstimates // estimates of each peer's free slots
 	lastSeen    map[string]lastSeen
-	lookupUntil map[string]time.Time // until when callers may keep a look-up that names an instance
+	lookupUntil map[string]time.Time // until when callers may cache a look-up that names an instance
 
-	grants     *grant.Book             // what peers were granted
-	holdings   *grant.Holdings         // what peers have granted
-	demands    map[destination]*demand // what could go to other places
-	askedUntil time.Time               // what was asked so far would be through at an even pace
+	grants     *grant.Book             // granted to peers
+	holdings   *grant.Holdings         // granted by peers
+	demands    map[destination]*demand // for hand-offs to other places
+	askedUntil time.Time               // when the requests for grants sent so far would be done at the maximum rate
 
 	owners *owner.Book
 	roster rosterState
@@ -42,20 +42,20 @@
 	retry       retry.Policy
 	services    map[settings.ServiceID]*serviceState // of the snapshot
 	addresses   map[owner.TargetKey]string           // of the place's targets
-	reports     map[owner.TargetKey]int              // requests that targets last reported, for baselines
-	probes      map[owner.TargetKey]time.Time        // when each target is probed next
-	probeAt     time.Time                            // no target is due for a probe before
-	capBasis    capBasis                             // what the services' caps were last worked out from
+	reports     map[owner.TargetKey]int              // requests in progress that targets last reported, for baselines
+	probes      map[owner.TargetKey]time.Time        // next probe of each target
+	probeAt     time.Time                            // earliest time at which a probe may be due
+	capBasis    capBasis                             // what the shift caps were last computed from
 	started     time.Time
-	quarantine  []quarantinedSlot // slots of broken attempts, by time
+	quarantine  []quarantinedSlot // slots of aborted attempts, oldest first
 	crashes     crashTracker
 	stopping    bool
-	keysCloseAt time.Time // when a planned stop begins no keyed request any more
+	keysCloseAt time.Time // when a planned stop stops accepting keyed requests
 
-	out []Decision // decisions of the step under way
+	out []Decision // decisions of the current step
 }
 
-// New makes a node. It returns a *ConfigError if cfg is at fault.
+// New creates a node. It returns a *ConfigError if cfg is invalid.
 func New(cfg Config, now time.Time) (*Node, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -82,8 +82,8 @@
 	return n, nil
 }
 
-// Step tells the node of one event and returns what has to be done about it.
-// The returned decisions are valid until the next call.
+// Step processes one event and returns the resulting decisions, which are valid until the
+// next call.
 func (n *Node) Step(now time.Time, ev Event) []Decision {
 	n.out = n.out[:0]
 	switch ev := ev.(type) {
@@ -130,11 +130,11 @@
 	return slices.Clone(n.out)
 }
 
-// Waiting says whether something waits for time to pass, so that a tick that
-// comes late would show.
+// Waiting reports whether something waits for time to pass, so that a late tick would be
+// noticeable.
 func (n *Node) Waiting() bool { return n.queue.Len() > 0 || len(n.quarantine) > 0 }
 
-// tick does what time alone brings about.
+// tick performs all work that depends on time alone.
 func (n *Node) tick(now time.Time) {
 	n.expire(now)
 	n.releaseQuarantined(now)
@@ -151,8 +151,8 @@
 	n.serveQueue(now)
 }
 
-// expire refuses the requests that have waited too long. One that its caller
-// gave up in the same moment has had its refusal.
+// expire refuses the requests that have waited too long. A request that the caller
+// cancelled at the same moment has already been refused.
 func (n *Node) expire(now time.Time) {
 	for _, item := range n.queue.Expire(now) {
 		if f, ok := n.requests[ID(item.ID)]; ok {
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -14,8 +14,8 @@
 
 var begin = time.Unix(1_000_000, 0)
 
-// testNode is a node that owns one target with two slots in place east; the
-// service has a second place, west.
+// testNode returns a node that owns one target with two slots in place east. The service
+// has a second place, west.
 func testNode(t *testing.T, change func(*Config)) *Node {
 	t.Helper()
 	cfg := Config{
@@ -84,7 +84,7 @@
 	}}
 }
 
-// decisionName tells a decision in one decisionName, with the reason of a refusal.
+// decisionName names the first decision on a request, with the reason of a refusal.
 func decisionName(decisions []Decision) string {
 	for _, d := range decisions {
 		switch d := d.(type) {
@@ -106,7 +106,7 @@
 	tests := map[string]struct {
 		drain  string
 		peers  []Peer
-		before int // requests from home that are in flight
+		before int // requests in flight from callers at home here
 		caller string
 		want   string
 	}{
@@ -123,7 +123,7 @@
 			n := testNode(t, nil)
 			n.Step(begin, Applied{Snapshot: testSnapshot(t, tt.drain)})
 			n.Step(begin, PeersChanged{Peers: tt.peers})
-			at := begin.Add(2 * time.Second) // the shift cap's first window is closed
+			at := begin.Add(2 * time.Second) // the first window of the shift cap is over
 			for i := range tt.before {
 				n.Step(at, request(ID(i+1), "10.1.0.1"))
 			}
@@ -156,7 +156,7 @@
 	ended := func(cut bool) Event { return Ended{ID: 1, Target: testTarget, Cut: cut} }
 	other := Ended{ID: 2, Target: testTarget}
 	type step struct {
-		at time.Duration // after the break
+		at time.Duration // after the abort
 		ev Event
 	}
 	tests := map[string]struct {
@@ -197,15 +197,15 @@
 			}
 			if tt.want == "serve" {
 				if got := decisionName(n.Step(begin.Add(tt.after), request(4, "10.1.0.1"))); got != "hold" {
-					t.Errorf("got %q for one request more than slots, want it to wait", got)
+					t.Errorf("got %q for one more request than slots, want hold", got)
 				}
 			}
 		})
 	}
 }
 
-// TestCutConnectionIsProbed: a target that has said nothing since an attempt's
-// connection was cut is probed once its time to notice is over.
+// TestCutConnectionIsProbed checks that a target that has not answered anything since an
+// attempt's connection was reset is probed after Config.Settle.
 func TestCutConnectionIsProbed(t *testing.T) {
 	n := testNode(t, nil)
 	n.Step(begin, Tick{}) // the first probe
@@ -251,11 +251,11 @@
 	}
 }
 
-// TestStopServesKeysGiven: callers go on using keys and instances that a look-up
-// gave them, until that runs out.
+// TestStopServesKeysGiven checks that callers may use the keys and instances of a look-up
+// until it expires.
 func TestStopServesKeysGiven(t *testing.T) {
 	tests := map[string]struct {
-		after time.Duration // from the stop
+		after time.Duration // since the stop
 		want  string
 	}{
 		"at once":     {0, "serve"},
--- a/internal/core/notice.go
+++ b/internal/core/notice.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// retrySpread spreads the callers that are refused until the same time, so that they
-	// don't come back at once.
+	// retrySpread randomizes the retry time of callers that are refused until the same
+	// moment, so that they don't all come back at once.
 	retrySpread = time.Second
-	// retryLeaving is when a caller may come back that finds only targets which leave:
-	// others have to be registered first.
+	// retryLeaving is when a caller that finds only leaving targets may retry: others have
+	// to be registered first.
 	retryLeaving = time.Second
-	// zeroLimitBackOff is how long a target that names a limit of 0 is left alone until it is
-	// asked whether that is over; probes show it sooner.
+	// zeroLimitBackOff is how long a target that announced a limit of 0 gets no request
+	// before one is sent to check whether the limit still holds. Probes detect the change
+	// sooner.
 	zeroLimitBackOff = 10 * time.Second
 )
 
-// Noticed tells what a target said, in an answer or when it was probed, of the requests that
-// it wants.
+// Noticed delivers the notice of a target, from an answer or a probe, about the requests
+// that it accepts.
 type Noticed struct {
 	Target owner.TargetKey
 	Asked  time.Time // when the request or probe was sent
 	Notice notice.Notice
-	Unread []string // what of it can't be read
-	Whole  bool     // a success: what it does not say is not so
+	Unread []string // the parts that could not be parsed
+	Whole  bool     // from a successful answer: a constraint that the notice does not state has ended
 }
 
 func (Noticed) event() {}
 
-// TargetNews says that a target wants other requests than before.
+// TargetNews reports that a target's constraints have changed.
 type TargetNews struct {
 	Target owner.TargetKey
 	Notice notice.Notice
@@ -43,19 +44,20 @@
 
 func (TargetNews) decision() {}
 
-// constraint is what a target has said of the requests that it wants. The target has one owner,
-// so that a limit over all instances is one for this instance.
+// constraint is what a target has announced about the requests that it accepts. As the
+// target has one owner, a limit for all instances together is a limit for this instance.
 type constraint struct {
 	leaving      bool
 	limited      bool
-	rate         float64   // requests a second; counts if limited
-	next         time.Time // when it takes the next one, if limited
-	backOffUntil time.Time // it gets nothing before
-	updated      time.Time // when it last said anything
-	unreadable   bool      // its last notice could not be read whole
+	rate         float64   // requests per second; valid if limited
+	next         time.Time // when it accepts the next request; valid if limited
+	backOffUntil time.Time // end of its back-off
+	updated      time.Time // time of the last notice
+	unreadable   bool      // the last notice could not be parsed completely
 }
 
-// noticeReceived takes in what a target said. Requests that wait for nothing else then are refused.
+// noticeReceived applies a target's notice. Queued requests that have no other option
+// left are refused.
 func (n *Node) noticeReceived(now time.Time, ev Noticed) {
 	s, ok := n.services[ev.Target.Service]
 	if !ok || !slices.Contains(s.keys, ev.Target) {
@@ -80,7 +82,7 @@
 	}
 }
 
-// apply takes a notice in, and says whether it changes anything.
+// apply merges a notice into the constraint, and reports whether anything changed.
 func (c *constraint) apply(now time.Time, ev Noticed) bool {
 	before := *c
 	if ev.Notice.Rest > 0 {
@@ -103,7 +105,8 @@
 		c.backOffUntil != before.backOffUntil && !now.Before(before.backOffUntil)
 }
 
-// unavailableUntil says until when a target gets no requests, and why; "" if it may get one now.
+// unavailableUntil returns until when a target gets no requests, and why; the reason is
+// "" if it may get one now.
 func (n *Node) unavailableUntil(now time.Time, key owner.TargetKey) (time.Time, Reason) {
 	c := n.state(now, key.Service).constraints[key]
 	switch {
@@ -119,8 +122,8 @@
 	return time.Time{}, ""
 }
 
-// allUnavailableUntil says until when none of the targets that this instance may use gets requests of a
-// service, and why; "" if one may get some.
+// allUnavailableUntil returns until when none of the targets that this instance may use
+// gets requests of a service, and why; the reason is "" if one of them may get some.
 func (n *Node) allUnavailableUntil(now time.Time, id settings.ServiceID) (time.Time, Reason) {
 	var first time.Time
 	var why Reason
@@ -139,16 +142,17 @@
 	return first, why
 }
 
-// countAgainstLimit notes that a request goes to a target, which takes the next one later if it has named a
-// limit.
+// countAgainstLimit records that a request goes to a target, which delays the next one if
+// the target announced a limit.
 func (n *Node) countAgainstLimit(now time.Time, key owner.TargetKey) {
 	if c := n.state(now, key.Service).constraints[key]; c != nil && c.limited {
 		c.next = now.Add(n.requestInterval(now, key, c))
 	}
 }
 
-// requestInterval is the time between two requests at a target that has named a limit. Who has a part of the
-// target's slots, as ownership changes, has that part of the limit.
+// requestInterval returns the time between two requests at a target that announced a
+// limit. During a change of ownership, an instance that may use part of the target's
+// slots has the same part of the limit.
 func (n *Node) requestInterval(now time.Time, key owner.TargetKey, c *constraint) time.Duration {
 	rate := c.rate
 	if limit := n.state(now, key.Service).limits[key]; limit > 0 && !n.baseline() {
@@ -157,7 +161,8 @@
 	return time.Duration(math.Min(float64(time.Second)/rate, float64(zeroLimitBackOff)))
 }
 
-// refuseUnavailable refuses a request that only targets could serve which want none now.
+// refuseUnavailable refuses a request if none of the targets that could serve it accepts
+// any now.
 func (n *Node) refuseUnavailable(now time.Time, f *inFlight) bool {
 	if !n.servesHere(f) {
 		return false
@@ -171,7 +176,8 @@
 	return true
 }
 
-// rerouteQueued decides anew on the waiting requests of a service whose targets want none now.
+// rerouteQueued decides again on a service's queued requests if none of its targets
+// accepts any now.
 func (n *Node) rerouteQueued(now time.Time, id settings.ServiceID) {
 	if _, why := n.allUnavailableUntil(now, id); why == "" {
 		return
--- a/internal/core/notice_test.go
+++ b/internal/core/notice_test.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// nodeWithNotice is a node whose only target has said something at a time.
+// nodeWithNotice returns a node whose only target has sent a notice at a time.
 func nodeWithNotice(t *testing.T, at time.Time, sent notice.Notice) *Node {
 	t.Helper()
 	n := testNode(t, nil)
@@ -23,13 +23,14 @@
 	limitNotice   = notice.Notice{Limited: true, Limit: 10}
 )
 
-// Whichever way a request comes, it is refused at once when the targets here want none.
+// TestNoWayPastANotice checks that a request is refused at once, whichever way it comes,
+// when no target here accepts any.
 func TestNoWayPastANotice(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	notices := map[string]struct {
 		sent  notice.Notice
 		want  Reason
-		after time.Duration // it is told to come back then, or within spreadTime
+		after time.Duration // minimum retry delay; up to retrySpread is added
 	}{
 		"leaving": {leavingNotice, ReasonDrained, retryLeaving},
 		"rest":    {backOffNotice, ReasonBackingOff, 3 * time.Second},
@@ -76,11 +77,11 @@
 					t.Fatalf("got %+v, want request 3 refused as %s", got, tt.want)
 				}
 				if wait := got.RetryAt.Sub(at); wait < tt.after || wait > tt.after+retrySpread {
-					t.Errorf("got %s until it may come back, want %s or up to %s more", wait, tt.after, retrySpread)
+					t.Errorf("got a retry delay of %s, want %s or up to %s more", wait, tt.after, retrySpread)
 				}
 				for _, r := range n.Rooms(at) {
 					if r.Free != 0 {
-						t.Errorf("got %d free slots that peers are told of, want none", r.Free)
+						t.Errorf("got %d free slots reported to peers, want none", r.Free)
 					}
 				}
 			})
@@ -88,7 +89,8 @@
 	}
 }
 
-// A notice ends by the time that it names, or by an answer that does not say it any more.
+// TestNoticeEnds checks that a notice ends at the time that it states, or with an answer
+// that no longer contains it.
 func TestNoticeEnds(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	tests := map[string]struct {
@@ -121,7 +123,8 @@
 	}
 }
 
-// What can't be read counts for nothing, and is told once.
+// TestUnreadableNotice checks that a notice that can't be parsed has no effect and is
+// reported once.
 func TestUnreadableNotice(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	n := nodeWithNotice(t, at, notice.Notice{})
@@ -137,11 +140,12 @@
 		}
 	}
 	if reports != 1 {
-		t.Errorf("got %d news, want 1", reports)
+		t.Errorf("got %d reports, want 1", reports)
 	}
 }
 
-// A target that names a limit gets so many requests a second.
+// TestMoreThanATargetsLimit checks that a target gets requests at the rate that it
+// announced.
 func TestMoreThanATargetsLimit(t *testing.T) {
 	at := begin.Add(2 * time.Second)
 	n := nodeWithNotice(t, at, limitNotice)
--- a/internal/core/operators_test.go
+++ b/internal/core/operators_test.go
@@ -9,7 +9,7 @@
 // repairedPlaceLimit is the limit of each place after the faults.
 const repairedPlaceLimit = 100
 
-// operate lets two operators, who read the same, change the same document.
+// operate lets two operators, who read the same version, change the same document.
 func (w *simulation) operate() {
 	if w.store.down {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// race writes two bodies from the same version. One of them must lose.
+// race writes two bodies based on the same version. One of them must be rejected.
 func (w *simulation) race(path string, body func() string) {
 	version := w.store.version(path)
 	first, second := w.store.put(path, version, body()), w.store.put(path, version, body())
@@ -35,7 +35,7 @@
 	}
 }
 
-// slots is the most that operators give each target of a service.
+// slots returns the maximum slots that operators give each target of a service, by place.
 func (w *simulation) slots(service string, most int) [][]int {
 	all := make([][]int, len(w.places))
 	for _, t := range w.sortedTargets {
@@ -60,9 +60,9 @@
 	w.store.put(path, version, body)
 }
 
-// repair ends every fault: all instances run, and the documents give room.
+// repair ends every fault: all instances run, and the documents give enough capacity.
 func (w *simulation) repair() {
-	w.tracef("all faults are over")
+	w.tracef("all faults are repaired")
 	w.store.down = false
 	for _, p := range w.procs {
 		p.wake()
@@ -88,7 +88,7 @@
 	w.counts["mended"]++
 }
 
-// fullPlan is a plan that gives every target its slots.
+// fullPlan returns a plan that gives every target its maximum slots.
 func (w *simulation) fullPlan(service string) plan {
 	p := plan{shift: 50}
 	for _, slots := range w.slots(service, 5) {
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -8,17 +8,17 @@
 	"github.com/firlever/firlever/internal/retry"
 )
 
-// When a caller is told to come back.
+// Retry delays given to callers.
 const (
-	retryRunning = 50 * time.Millisecond  // the key's first request is under way
-	retryFull    = 200 * time.Millisecond // nothing better is known
+	retryRunning = 50 * time.Millisecond  // the key's first request is in flight
+	retryFull    = 200 * time.Millisecond // no better estimate is available
 )
 
-// finished takes in the end of an attempt.
+// finished processes the end of an attempt.
 func (n *Node) finished(now time.Time, ev Finished) {
 	f, ok := n.requests[ev.ID]
 	if !ok || f.stage == stageQueued {
-		return // no attempt of it is under way
+		return // it has no attempt in flight
 	}
 	forwarded := f.stage == stageForward
 	n.endAttempt(now, f, ev)
@@ -41,9 +41,9 @@
 	n.serveQueue(now)
 }
 
-// forwardFailed ends a request whose key's home gave no answer. Nobody else may run
-// it, and only the home can say that the key has not run: a connection that was
-// never opened proves nothing of an earlier request with the key.
+// forwardFailed ends a request whose key's home gave no answer. No other instance may run
+// it, and only the home can confirm that the key has not run: a connection that was never
+// opened proves nothing about an earlier request with the key.
 func (n *Node) forwardFailed(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == NotRun && ev.Proof == once.ProofRefusal {
 		n.refuse(now, f, ev.Reason)
@@ -57,7 +57,7 @@
 	n.refuseUnknown(f, reason)
 }
 
-// endAttempt gives back what the attempt held and learns from how it went.
+// endAttempt releases what the attempt held and records how it went.
 func (n *Node) endAttempt(now time.Time, f *inFlight, ev Finished) {
 	switch f.stage {
 	case stageTarget:
@@ -82,7 +82,7 @@
 	}
 }
 
-// finishHandOff learns from how a hand-off went.
+// finishHandOff records how a hand-off ended.
 func (n *Node) finishHandOff(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == Answered {
 		n.queue.Completed(now, f.req.Service, ev.Took)
@@ -96,7 +96,8 @@
 	f.dest, f.slotsReported = destination{}, false
 }
 
-// freeSlot gives the attempt's slot back, at once if the target is done with it.
+// freeSlot releases the attempt's slot, or quarantines it if the target may still be
+// working.
 func (n *Node) freeSlot(now time.Time, f *inFlight, ev Finished) {
 	if ev.Result == Answered || ev.Proof == once.ProofRefusal {
 		n.targetResponded(now, f.target, now.Add(-ev.Took))
@@ -131,7 +132,7 @@
 	}
 }
 
-// retryOrRefuse decides whether a request whose attempt gave no answer is tried anew.
+// retryOrRefuse decides whether a request whose attempt gave no answer is tried again.
 func (n *Node) retryOrRefuse(now time.Time, f *inFlight, ev Finished, proof bool) {
 	reason := ev.Reason
 	if reason == "" {
@@ -154,7 +155,7 @@
 	n.route(now, f, ReasonRetry)
 }
 
-// mayRetry asks the retry policy. Only the instance that the caller asked retries.
+// mayRetry consults the retry policy. Only the instance that the caller asked retries.
 func (n *Node) mayRetry(now time.Time, f *inFlight, proof bool) bool {
 	d := n.retry.Decide(now, retry.Attempt{
 		Idempotent: f.idempotent,
@@ -170,7 +171,7 @@
 }
 
 // otherCandidates counts the targets here and the peers elsewhere that have not refused
-// f, up to one. Without any it would wait in vain until its deadline.
+// f, up to one. Without any, f would wait in vain until its deadline.
 func (n *Node) otherCandidates(now time.Time, f *inFlight) int {
 	if n.servesHere(f) {
 		for _, key := range n.state(now, f.req.Service).keys {
@@ -189,7 +190,7 @@
 	return 0
 }
 
-// complete closes a request whose answer, whole or cut short, is on its way.
+// complete closes a request whose answer, complete or truncated, has been sent.
 func (n *Node) complete(now time.Time, f *inFlight, o once.Outcome) {
 	if f.keyed {
 		n.once.Finish(now, f.key, f.keyAttempt, o)
@@ -197,8 +198,8 @@
 	delete(n.requests, f.id)
 }
 
-// refuse gives the final answer "not run", or "unknown" after an attempt that
-// may have run. The request is not on any target, and is forgotten here.
+// refuse gives the final answer "not run", or "unknown" if an earlier attempt may have
+// run. The request must not be at any target; its state is removed.
 func (n *Node) refuse(now time.Time, f *inFlight, reason Reason) {
 	if f.mayHaveRun {
 		n.refuseUnknown(f, reason)
@@ -217,8 +218,8 @@
 	n.decide(Refuse{ID: f.id, Unknown: true, Reason: reason, RetryAt: f.retryAt, Passed: f.passed})
 }
 
-// cancelled drops a request that waits. One that is on its way ends by the
-// shell's Finished, since its slot is held until then.
+// cancelled drops a queued request. A request that was sent ends with the shell's
+// Finished, since its slot is held until then.
 func (n *Node) cancelled(now time.Time, ev Cancelled) {
 	f, ok := n.requests[ev.ID]
 	if !ok || f.stage != stageQueued {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -2,9 +2,9 @@
 
 // peerList holds the live peers, without this instance.
 type peerList struct {
-	all     []Peer // sorted by id
+	all     []Peer // sorted by ID
 	byID    map[string]Peer
-	byPlace map[string][]Peer // of each place, in the order of all
+	byPlace map[string][]Peer // in the order of all
 }
 
 func newPeerList(peers []Peer) peerList {
--- a/internal/core/process_test.go
+++ b/internal/core/process_test.go
@@ -12,7 +12,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// How often a process does what a shell does.
+// Intervals and delays of a simulated shell.
 const (
 	tickEvery   = 25 * time.Millisecond
 	pingEvery   = 200 * time.Millisecond
@@ -21,26 +21,26 @@
 	rosterSoon  = 700 * time.Millisecond
 	rosterSlow  = 6 * time.Second
 	deadAfter   = 1200 * time.Millisecond // silence after which a peer is not listed
-	lingerFor   = 6 * time.Second         // of a planned stop: over the life of a look-up
+	lingerFor   = 6 * time.Second         // duration of a planned stop: over the lifetime of a look-up
 	lookupLife  = 5 * time.Second
-	actWithin   = time.Millisecond // between a decision and its being carried out
+	actWithin   = time.Millisecond // delay between a decision and its execution
 	clockSpread = 400 * time.Millisecond
 )
 
-// proc is one process of an instance: a node, and a shell of the world's kind.
+// proc is one process of an instance: a node with a simulated shell.
 type proc struct {
 	w           *simulation
 	name        string
 	incarnation uint64
 	place       int
 	node        *core.Node
-	rate        float64       // of its clock; skew bounds it
+	rate        float64       // of its clock; bounded by skew
 	offset      time.Duration // of its clock
 
 	dead    bool
 	paused  bool
 	leaving bool
-	inbox   []func() // what came while it was paused
+	inbox   []func() // events that arrived while it was paused
 
 	docs     *replica.Set
 	snapshot *settings.Snapshot
@@ -49,19 +49,19 @@
 	lastSeen map[string]*lastSeen
 	peers    []core.Peer
 
-	suspects map[string]time.Duration // peers that it wrongly takes for dead, and until when
+	suspects map[string]time.Duration // peers that it wrongly considers dead, and until when
 
 	rosterDue time.Time
 	asking    bool
 
 	lastID      core.ID
 	exchanges   map[core.ID]*exchange
-	started     time.Duration // true time
-	lastImpeded time.Duration // when a fault last came between it and the platform
+	started     time.Duration // in true time
+	lastImpeded time.Duration // when a fault last impeded its access to the platform
 	admitted    map[string]map[int64]int
 }
 
-// lastSeen is what a process last lastSeen of a peer.
+// lastSeen is when and how a process last observed a peer.
 type lastSeen struct {
 	at          time.Time
 	incarnation uint64
@@ -114,12 +114,12 @@
 
 func (p *proc) String() string { return fmt.Sprintf("%s/%d", p.name, p.incarnation) }
 
-// local is the time by the process's own clock.
+// local returns the time of the process's own clock.
 func (p *proc) local() time.Time {
 	return epoch.Add(p.offset + time.Duration(float64(p.w.now)*p.rate))
 }
 
-// deliver does something in the process, later if it is paused.
+// deliver runs something in the process, or later if the process is paused.
 func (p *proc) deliver(do func()) {
 	switch {
 	case p.dead:
@@ -130,7 +130,7 @@
 	}
 }
 
-// after does something after a time by the process's clock.
+// after runs something after a time measured by the process's clock.
 func (p *proc) after(d time.Duration, do func()) {
 	p.w.after(time.Duration(float64(d)/p.rate), func() { p.deliver(do) })
 }
@@ -152,7 +152,7 @@
 	p.register()
 }
 
-// step tells the node of an event, and has its decisions carried out.
+// step passes an event to the node and carries out its decisions.
 func (p *proc) step(ev core.Event) {
 	for _, d := range p.node.Step(p.local(), ev) {
 		p.carryOut(d)
@@ -167,7 +167,7 @@
 	}
 	x := p.exchanges[id]
 	if x == nil {
-		p.w.check.failf("%s decided %T on request %d, which has had its answer", p, d, id)
+		p.w.check.failf("%s decided %T on request %d, which already got its answer", p, d, id)
 		return
 	}
 	p.w.tracef("%s: %s: %T %+v", p, x.req.Name, d, d)
@@ -195,7 +195,7 @@
 	}, func() {})
 }
 
-// takeDocs puts documents in force, whatever their age.
+// takeDocs puts documents in force if they are newer than those held.
 func (p *proc) takeDocs(docs []settings.Document) {
 	var newer []settings.Document
 	for _, doc := range docs {
@@ -211,7 +211,7 @@
 	p.step(core.Applied{Snapshot: p.snapshot})
 }
 
-// probe answers a probe after a while, often wrongly.
+// probe answers a probe after a delay, sometimes wrongly.
 func (p *proc) probe(d core.Probe) {
 	w := p.w
 	t := w.targets[d.Address]
@@ -233,7 +233,7 @@
 	}
 }
 
-// listPeers tells the node which peers were heard lately.
+// listPeers passes the recently seen peers to the node.
 func (p *proc) listPeers() {
 	var peers []core.Peer
 	for _, name := range p.w.names {
--- a/internal/core/pump.go
+++ b/internal/core/pump.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// serveQueue gives free slots to waiting requests, each of which has one try.
+// serveQueue gives free slots to queued requests, each of which is tried once.
 func (n *Node) serveQueue(now time.Time) {
 	missed := 0
 	for range n.queue.Len() {
@@ -21,19 +21,19 @@
 		f := n.requests[ID(item.ID)]
 		f.stage = stageNew
 		if n.refusePoison(now, f) {
-			continue // told while it waited
+			continue // reported while it was queued
 		}
 		if !n.tryPlaces(now, f, ReasonQueue) {
 			n.enqueue(now, f)
 			missed++
 		}
 		if missed == maxMissed {
-			return // the rest has its try at the next event
+			return // the others are tried at the next event
 		}
 	}
 }
 
-// canServe says whether a waiting request of a service could go somewhere now.
+// canServe reports whether a queued request of a service could be sent somewhere now.
 func (n *Node) canServe(now time.Time, service settings.ServiceID, way queue.Way) bool {
 	return n.canServeOwn(now, service, way) || !way.Bound && (n.localPeerFree(now, service) || n.canHandOff(now, service))
 }
--- a/internal/core/settle.go
+++ b/internal/core/quarantine.go
@@ -7,27 +7,27 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// quarantinedSlot is a slot whose attempt was broken off: the target may go on with the work
-// until it notices, or begin it only then, if it or the path to it stands still.
+// quarantinedSlot is the slot of an aborted attempt. The target may continue the work
+// until it detects the abort, or even begin it later if it or the network path is paused.
 type quarantinedSlot struct {
-	request   ID // the request
+	request   ID
 	target    owner.TargetKey
-	abortedAt time.Time // when the attempt was broken off
-	releaseBy time.Time // the slot is free then in any case: an attempt can't last longer
+	abortedAt time.Time // when the attempt was aborted
+	releaseBy time.Time // when the slot is released at the latest, as an attempt can't last longer
 
-	// A connection that was reset shows nothing of the target. The slot is then kept until
-	// the target has answered something that it was asked after the break, and some time
+	// A connection that was reset says nothing about the target. Its slot is kept until the
+	// target has answered something that was sent after the abort, and for Config.Settle
 	// more.
 	reset     bool
-	heldUntil time.Time // the slot is kept until then at least
-	responded bool      // the target has answered since broken
-	probed    bool      // the target was asked for a sign of life, as it had given none by until
+	heldUntil time.Time // earliest release of the slot
+	responded bool      // the target has answered a request or probe sent after abortedAt
+	probed    bool      // a probe was sent, as the target had not answered by heldUntil
 }
 
-// quarantineSlot keeps the slot of f's broken attempt, so that the target isn't given more than
-// its slots while it ends the work: until the target has ended the attempt's connection.
-// With slots that were free 250 ms after the target was next heard on another connection,
-// targets that stood still for 1.5 s five times worked on 3 requests with 2 slots.
+// quarantineSlot keeps the slot of f's aborted attempt until the target has ended the
+// attempt's connection, so that the target never gets more requests than slots. Releasing
+// the slot 250 ms after the target next answered on another connection was not enough:
+// five times, targets that had paused for 1.5 s worked on 3 requests with 2 slots.
 func (n *Node) quarantineSlot(now time.Time, f *inFlight) {
 	until := now.Add(n.cfg.Settle)
 	n.quarantine = append(n.quarantine, quarantinedSlot{
@@ -35,7 +35,7 @@
 	})
 }
 
-// connectionEnded takes in how the connection of a broken attempt connectionEnded.
+// connectionEnded processes how the connection of an aborted attempt ended.
 func (n *Node) connectionEnded(now time.Time, ev Ended) {
 	i := slices.IndexFunc(n.quarantine, func(s quarantinedSlot) bool {
 		return s.request == ev.ID && s.target == ev.Target && !s.reset
@@ -52,7 +52,8 @@
 	n.serveQueue(now)
 }
 
-// targetResponded notes that a target has answered at now what it was asked at a time.
+// targetResponded records that a target has answered, at now, something that was sent at
+// asked.
 func (n *Node) targetResponded(now time.Time, key owner.TargetKey, asked time.Time) {
 	for i := range n.quarantine {
 		s := &n.quarantine[i]
@@ -63,8 +64,8 @@
 	}
 }
 
-// releaseQuarantined gives back the slots whose time has come, and asks the targets of cut
-// connections for a sign of life.
+// releaseQuarantined releases the slots that are due, and probes the targets of reset
+// connections that have not answered.
 func (n *Node) releaseQuarantined(now time.Time) {
 	n.quarantine = slices.DeleteFunc(n.quarantine, func(s quarantinedSlot) bool {
 		free := s.reset && s.responded && !now.Before(s.heldUntil) || !now.Before(s.releaseBy)
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Environment of the random runs.
+// Environment variables of the random runs.
 const (
-	envSoak = "FIRLEVER_SOAK" // how long TestSoakCore goes on, or how many seeds it takes
+	envSoak = "FIRLEVER_SOAK" // duration of TestSoakCore, or its number of seeds
 	envSeed = "FIRLEVER_SEED" // the one seed to replay, with its events; with envSoak the first seed
 )
 
-// shortRuns is how many seeds the ordinary test takes.
+// shortRuns is the number of seeds in an ordinary test run.
 const shortRuns = 4
 
 // firstSoak is the first seed of a soak.
@@ -42,7 +42,8 @@
 	return fault
 }
 
-// TestRandomRuns runs seeded worlds with every fault, and checks the truth.
+// TestRandomRuns runs seeded simulations with every fault, and checks what really
+// happened.
 func TestRandomRuns(t *testing.T) {
 	if os.Getenv(envSeed) != "" {
 		replay(t, seedOf(t, 0))
@@ -70,7 +71,7 @@
 	return seed
 }
 
-// TestSoakCore takes seeds one after another for as long as the environment says.
+// TestSoakCore runs consecutive seeds for as long as the environment specifies.
 func TestSoakCore(t *testing.T) {
 	s := os.Getenv(envSoak)
 	if s == "" {
--- a/internal/core/room.go
+++ b/internal/core/room.go
@@ -6,17 +6,18 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// slotEstimates is what one peer last said of its room, less what was sent to it since.
+// slotEstimates holds one peer's last reported free slots, less the requests sent to it
+// since.
 type slotEstimates map[settings.ServiceID]*slotEstimate
 
-// slotEstimate is a peer's free capacity for one service as far as it is known here.
-// It may be wrong: the peer's own count decides.
+// slotEstimate is a peer's estimated free capacity for one service. It may be wrong: the
+// peer's own accounting decides.
 type slotEstimate struct {
-	free         int       // never below zero
-	backOffUntil time.Time // the peer asked not to be tried before; zero if it did not
+	free         int       // never negative
+	backOffUntil time.Time // end of the back-off that the peer asked for; zero if none
 }
 
-// initialEstimate is the room that a peer is taken to have before it has said anything.
+// initialEstimate is the number of free slots assumed for a peer before its first report.
 const initialEstimate = 2
 
 func (n *Node) slotsOf(peer string, service settings.ServiceID) *slotEstimate {
@@ -33,7 +34,7 @@
 	return r
 }
 
-// freeSlotsReceived takes in a peer's own count.
+// freeSlotsReceived stores a peer's own counts.
 func (n *Node) freeSlotsReceived(now time.Time, ev RoomHeard) {
 	for _, r := range ev.Rooms {
 		estimate := n.slotsOf(ev.Peer, r.Service)
@@ -43,15 +44,15 @@
 	n.serveQueue(now)
 }
 
-// slotTaken notes that a request was sent to the peer.
+// slotTaken records that a request was sent to the peer.
 func (n *Node) slotTaken(peer string, service settings.ServiceID) {
 	r := n.slotsOf(peer, service)
 	r.free = max(r.free-1, 0)
 }
 
-// slotReturned notes how a hand-off ended: an answer, or a caller who gave
-// up, gives its slot back, a
-// refusal means that the peer is full until it says otherwise.
+// slotReturned records how a hand-off ended. An answer, or a cancellation by the caller,
+// returns the slot. After a refusal or failure the peer counts as full until its next
+// report or the end of the back-off.
 func (n *Node) slotReturned(now time.Time, peer string, service settings.ServiceID, ev Finished) {
 	r := n.slotsOf(peer, service)
 	if ev.Result == Answered || ev.Gone {
@@ -65,8 +66,8 @@
 	}
 }
 
-// estimatedFree is the room of a peer now. A peer that asked to be left alone has
-// none; after that it is tried again with a little.
+// estimatedFree returns the estimated number of free slots of a peer. It is 0 during the
+// back-off, and initialEstimate after it.
 func (n *Node) estimatedFree(now time.Time, peer string, service settings.ServiceID) int {
 	r := n.slotsOf(peer, service)
 	if r.backOffUntil.IsZero() {
@@ -79,7 +80,8 @@
 	return r.free
 }
 
-// choosePeer finds the peer of a place with the most room, or says why none will do.
+// choosePeer returns the peer of a place with the most free slots, or the reason why none
+// is suitable.
 func (n *Node) choosePeer(now time.Time, f *inFlight, place string) (Peer, Reason) {
 	var best Peer
 	why, most := ReasonNoTargets, 0
@@ -98,7 +100,7 @@
 	return best, ""
 }
 
-// localPeerFree says whether a peer of this place has room for the service.
+// localPeerFree reports whether a peer of this place has free slots for the service.
 func (n *Node) localPeerFree(now time.Time, service settings.ServiceID) bool {
 	for _, p := range n.peers.byPlace[n.cfg.Place] {
 		if !p.Leaving && n.estimatedFree(now, p.ID, service) > 0 {
@@ -108,8 +110,8 @@
 	return false
 }
 
-// Rooms is what this instance tells the peers of its place: of each service that
-// has targets there.
+// Rooms returns the free capacity that this instance reports to the peers of its place,
+// for each service that has targets there.
 func (n *Node) Rooms(now time.Time) []Room {
 	if n.snapshot == nil {
 		return nil
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -8,18 +8,19 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// rosterState is how the node tends its place's roster.
+// rosterState is the state of the maintenance of the place's roster.
 type rosterState struct {
-	read       bool      // the platform has given the roster at least once
-	nextChange time.Time // no change is asked for before
+	read       bool      // the roster has been read from the platform at least once
+	nextChange time.Time // earliest time of the next change
 	leaving    bool      // this instance is in a planned stop
-	pruneAt    time.Time // this instance's turn to forget former lines; zero if there are none
+	pruneAt    time.Time // when this instance removes previous entries; zero if there are none
 }
 
-// swapEvery spaces this instance's tries to change the roster.
+// swapEvery is the minimum interval between this instance's attempts to change the
+// roster.
 const swapEvery = 500 * time.Millisecond
 
-// rosterRead takes in the platform's own copy, which confirms this instance's rights.
+// rosterRead processes the platform's own copy, which confirms this instance's lease.
 func (n *Node) rosterRead(now time.Time, ev RosterRead) {
 	n.roster.read = true
 	n.setRoster(now, ev.Roster)
@@ -31,28 +32,28 @@
 func (n *Node) setRoster(now time.Time, r owner.Roster) {
 	if n.owners.SetRoster(now, r) && n.snapshot != nil {
 		n.probeAt = now
-		clear(n.peerSlots) // said of what each owned before
+		clear(n.peerSlots) // the reports were based on the previous ownership
 		n.updateCaps(now)
 		n.serveQueue(now)
 	}
 }
 
-// Roster is the newest roster that this instance knows.
+// Roster returns the newest roster that this instance has received.
 func (n *Node) Roster() owner.Roster { return n.owners.Roster() }
 
-// MayAck says whether this instance may ack a peer's heartbeat: the ack is a
-// promise not to take the peer's targets for a term.
+// MayAck reports whether this instance may acknowledge a peer's heartbeat. An
+// acknowledgement is a promise not to take over the peer's targets for a term.
 func (n *Node) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
 	return n.owners.MayAck(now, peer, incarnation, version)
 }
 
-// Release is what this instance still holds of targets that it does not own.
+// Release returns what this instance still holds of targets that it does not own.
 func (n *Node) Release() owner.Release { return n.owners.Release() }
 
-// Confirmed says whether this instance's rights to its targets are confirmed.
+// Confirmed reports whether this instance's ownership lease is confirmed.
 func (n *Node) Confirmed(now time.Time) bool { return n.owners.Tenure(now) == owner.Confirmed }
 
-// maintainRoster asks for the next change that the roster needs.
+// maintainRoster requests the next change that the roster needs.
 func (n *Node) maintainRoster(now time.Time) {
 	if !n.roster.read || now.Before(n.roster.nextChange) {
 		return
@@ -72,11 +73,11 @@
 	n.prunePrevious(now, r)
 }
 
-// prunePrevious forgets former lines that are proved to hold nothing. They cost no
-// capacity, so the members take turns: one write is enough for all.
+// prunePrevious removes previous entries that are proved to hold nothing. They cost no
+// capacity and one write is enough, so the members take turns.
 func (n *Node) prunePrevious(now time.Time, r owner.Roster) {
-	lines := n.owners.Forgettable(now)
-	if len(lines) == 0 {
+	entries := n.owners.Forgettable(now)
+	if len(entries) == 0 {
 		n.roster.pruneAt = time.Time{}
 		return
 	}
@@ -86,24 +87,24 @@
 	}
 	if !now.Before(n.roster.pruneAt) {
 		n.roster.pruneAt = time.Time{}
-		n.swap(now, SwapRoster{Next: r.Forget(lines), Reason: ReasonTidy})
+		n.swap(now, SwapRoster{Next: r.Forget(entries), Reason: ReasonTidy})
 	}
 }
 
-// drained says whether the settings take this instance out of service.
+// drained reports whether the settings take this instance out of service.
 func (n *Node) drained() bool {
 	return n.snapshot != nil && n.snapshot.InstanceDrained(n.cfg.Instance)
 }
 
-// rejoining says whether this instance is to own targets again, and its line
-// still says that it leaves: it joins anew when that line is gone.
+// rejoining reports whether this instance is to own targets again while its roster entry
+// is still marked as leaving. It joins again once that entry is removed.
 func (n *Node) rejoining() bool {
 	m, ok := n.owners.Roster().Member(n.cfg.Instance)
 	return ok && m.Incarnation == n.cfg.Incarnation && m.Leaving()
 }
 
-// leaveRoster marks this instance's line as leaving, and removes it when nothing
-// is in flight any more.
+// leaveRoster marks this instance's entry as leaving, and removes it when nothing is in
+// flight any more.
 func (n *Node) leaveRoster(now time.Time) {
 	r := n.owners.Roster()
 	if next, err := r.MarkLeaving(n.cfg.Instance, n.cfg.Incarnation); err == nil {
@@ -133,9 +134,9 @@
 	return false
 }
 
-// supersedeRemoval writes the roster anew, unchanged, when a removal whose answer
-// was lost still keeps this instance from acking a live peer: one of both writes
-// lands, and the other can't any more.
+// supersedeRemoval writes the roster again, unchanged, when a removal with a lost answer
+// still keeps this instance from acknowledging a live peer. Only one of the two writes
+// can be applied, which rules out the other.
 func (n *Node) supersedeRemoval(now time.Time, r owner.Roster) bool {
 	for _, m := range r.Members {
 		if p, ok := n.peer(m.Instance); ok && p.Incarnation == m.Incarnation && n.owners.Undecided(m.Instance) {
@@ -146,11 +147,11 @@
 	return false
 }
 
-// dead says whether a roster member has been silent for longer than a term.
+// dead reports whether a roster member has been silent for longer than a term.
 func (n *Node) dead(now time.Time, m owner.Member) bool {
 	s := n.lastSeen[m.Instance]
 	if s.incarnation < m.Incarnation {
-		// It has only just joined: nobody may have told of it yet.
+		// It has only just joined: no peer may have reported it yet.
 		s = lastSeen{incarnation: m.Incarnation, at: now}
 		n.lastSeen[m.Instance] = s
 	}
@@ -163,7 +164,7 @@
 	return s.incarnation > m.Incarnation || now.Sub(s.at) > n.cfg.Term
 }
 
-// lastSeen is when an incarnation was last known to live.
+// lastSeen is when an incarnation was last seen alive.
 type lastSeen struct {
 	incarnation uint64
 	at          time.Time
@@ -178,8 +179,8 @@
 	return time.Duration(n.cfg.Rand.Int64N(int64(most)))
 }
 
-// stop begins a planned stop: others take this instance's targets over as its
-// work ends. Keys that callers have got with a look-up are good until it runs out.
+// stop begins a planned stop: other instances take over this instance's targets as its
+// work ends. Keys that callers got from a look-up stay valid until the look-up expires.
 func (n *Node) stop(now time.Time) {
 	n.stopping = true
 	n.roster.leaving = true
@@ -187,25 +188,25 @@
 	n.maintainRoster(now)
 }
 
-// closeKeys begins no keyed request any more once the keys have run out that
-// were given before the planned stop.
+// closeKeys stops accepting keyed requests once the look-ups that issued keys before the
+// planned stop have expired.
 func (n *Node) closeKeys(now time.Time) {
 	if n.stopping && !now.Before(n.keysCloseAt) {
 		n.once.Close()
 	}
 }
 
-// Idle says whether no request is inside this instance, and its line has left
-// the roster. The line of an earlier incarnation is not its own.
+// Idle reports whether this instance has no requests and its entry has left the roster.
+// An entry of an earlier incarnation does not count.
 func (n *Node) Idle() bool {
 	m, ok := n.owners.Roster().Member(n.cfg.Instance)
 	return len(n.requests) == 0 && (!ok || m.Incarnation != n.cfg.Incarnation)
 }
 
-// Open is how many requests are inside this instance.
+// Open returns the number of requests in this instance.
 func (n *Node) Open() int { return len(n.requests) }
 
-// peersChanged takes in the membership's list.
+// peersChanged applies a new list of live peers.
 func (n *Node) peersChanged(now time.Time, ev PeersChanged) {
 	live := make(map[string]uint64, len(ev.Peers))
 	for _, p := range ev.Peers {
@@ -233,7 +234,7 @@
 	n.serveQueue(now)
 }
 
-// listed takes in the platform's list of instances.
+// listed applies the platform's list of instances.
 func (n *Node) listed(now time.Time, ev Listed) {
 	list := make([]owner.Listing, 0, len(ev.Instances))
 	for _, in := range ev.Instances {
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -9,9 +9,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// route decides where a request goes. The home route comes first, then this
-// instance's route, then others by how far they are. reason is set when a
-// request comes back from the queue or from an attempt that ran nothing.
+// route decides where a request goes. The home place is tried first, then this instance's
+// place, then others by distance. reason is set if the request comes from the queue or
+// from an attempt that ran nothing.
 func (n *Node) route(now time.Time, f *inFlight, reason Reason) {
 	if n.refusePoison(now, f) {
 		return
@@ -25,10 +25,10 @@
 	}
 	switch {
 	case f.origin == FromPeer && n.stopping:
-		// It is never served here: its own instance has to hear so in time.
+		// It is never served here, and its own instance needs the refusal in time.
 		n.refuse(now, f, ReasonStopping)
 	case f.origin == FromPeer && n.ownSlots(now, f.req.Service) == 0:
-		// Only its own targets may serve it, and none of them is this service's.
+		// Only targets owned here may serve it, and none of them belongs to the service.
 		n.refuse(now, f, ReasonNoTargets)
 	case f.origin != FromPeer && !n.servesHere(f) && !f.awaitsGrant:
 		n.refuse(now, f, f.refusalReason())
@@ -38,7 +38,7 @@
 	}
 }
 
-// tryPlaces sends the request off if any way has room now.
+// tryPlaces sends the request off if any place can take it now.
 func (n *Node) tryPlaces(now time.Time, f *inFlight, reason Reason) bool {
 	f.passed, f.awaitsGrant = nil, false
 	for _, p := range n.placesFor(f) {
@@ -55,13 +55,14 @@
 	return false
 }
 
-// worthWaiting says that a slot here is expected so soon that the request is
-// not shifted to another place: a shift is cold, limited and far.
+// worthWaiting reports whether a slot here is expected so soon that the request is not
+// shifted to another place: a shift meets cold caches, counts against the cap and adds
+// distance.
 func (n *Node) worthWaiting(now time.Time, f *inFlight) bool {
 	return f.origin != FromPeer && n.servesHere(f) && n.slotSoon(now, f.req.Service)
 }
 
-// slotSoon says that a slot of this instance is expected soon.
+// slotSoon reports whether a slot of this instance is expected soon.
 func (n *Node) slotSoon(now time.Time, id settings.ServiceID) bool {
 	if n.snapshot.PlaceDrained(id, n.cfg.Place) || n.ownSlots(now, id) == 0 {
 		return false
@@ -72,7 +73,7 @@
 	return n.queue.Wait(now, id) < n.cfg.ShiftWait
 }
 
-// tryPlace tries one place and says why it was not taken.
+// tryPlace tries one place, and returns the reason if the place was not taken.
 func (n *Node) tryPlace(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if n.snapshot.PlaceDrained(f.req.Service, place) {
 		return ReasonDrained, false
@@ -113,7 +114,7 @@
 	return "", true
 }
 
-// ownRefusal says what keeps this instance from serving f itself, or "".
+// ownRefusal returns why this instance can't serve f itself, or "".
 func (n *Node) ownRefusal(now time.Time, f *inFlight) Reason {
 	if n.stopping && f.origin == FromPeer {
 		return ReasonStopping
@@ -141,11 +142,11 @@
 	shifted := f.shifted(n.cfg.Place)
 	if shifted && !n.baseline() {
 		n.check(invariant.ShiftCap, n.state(now, f.req.Service).ramp.Admit(now), func() string {
-			return f.req.Service.String() + " admitted a shifted request without room"
+			return f.req.Service.String() + " admitted a shifted request above the shift cap"
 		})
 	}
 	n.check(invariant.Leaving, !n.snapshot.TargetDrained(f.req.Service, key.Name), func() string {
-		return key.Name + " got new work while drained"
+		return key.Name + " received new work while drained"
 	})
 	n.countAgainstLimit(now, key)
 	f.stage, f.target = stageTarget, key
@@ -157,8 +158,7 @@
 	})
 }
 
-// pick chooses among the owned targets by what is in flight on each and how
-// much health lets it take.
+// pick chooses one of the owned targets by the requests in flight on each and its weight.
 func (n *Node) pick(now time.Time, f *inFlight) (owner.TargetKey, bool) {
 	return n.owners.Pick(now, f.req.Service, func(key owner.TargetKey) int {
 		if f.hasTried(key.Name) {
@@ -168,7 +168,7 @@
 	})
 }
 
-// tryPeers hands the request to the peer of a place that has the most room.
+// tryPeers hands the request off to the peer of a place with the most free slots.
 func (n *Node) tryPeers(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if f.origin == FromPeer {
 		return ReasonFull, false
@@ -181,8 +181,8 @@
 	return "", true
 }
 
-// tryRemote hands the request to a peer of another place, on a grant or as the
-// first to ask for one.
+// tryRemote hands the request off to a peer of another place, with a grant or as one of
+// the few without.
 func (n *Node) tryRemote(now time.Time, f *inFlight, place string, reason Reason) (Reason, bool) {
 	if f.origin == FromPeer {
 		return ReasonFull, false
@@ -252,7 +252,7 @@
 	return rankFar
 }
 
-// servesHere says whether waiting in this instance's queue can help f.
+// servesHere reports whether waiting in this instance's queue can help f.
 func (n *Node) servesHere(f *inFlight) bool {
 	if _, ok := f.service.Site(n.cfg.Place); !ok {
 		return false
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -10,21 +10,21 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// serviceState is what the node keeps of one serviceState between snapshots.
+// serviceState is the state of one service, kept across snapshots.
 type serviceState struct {
 	ramp    *shift.Ramp
 	health  *health.Book[owner.TargetKey] // of the service's targets in this place
 	budget  *retry.Budget
-	shares  map[owner.TargetKey]shift.Share // each target's part of the shift cap
+	shares  map[owner.TargetKey]shift.Share // each target's share of the shift cap
 	limits  map[owner.TargetKey]int         // each target's allowance
-	keys    []owner.TargetKey               // of the place's targets, in the document's order
+	keys    []owner.TargetKey               // the place's targets, in the document's order
 	version uint64                          // version of the service's document
 
-	constraints map[owner.TargetKey]*constraint // of targets that have said any
+	constraints map[owner.TargetKey]*constraint // of targets that have announced any
 }
 
-// newService makes the state of a service. The configurations are constant and
-// valid, so their errors can't happen.
+// newService creates the state of a service. The configurations are constant and valid,
+// so their errors can't happen.
 func (n *Node) newService(now time.Time) *serviceState {
 	s := &serviceState{constraints: make(map[owner.TargetKey]*constraint)}
 	s.ramp, _ = shift.New(shift.Config{Counter: n.cfg.Checks})
@@ -33,7 +33,7 @@
 	return s
 }
 
-// state gives the state of a state, and makes it when it is new.
+// state returns the state of a service, and creates it if necessary.
 func (n *Node) state(now time.Time, id settings.ServiceID) *serviceState {
 	s, ok := n.services[id]
 	if !ok {
@@ -43,7 +43,7 @@
 	return s
 }
 
-// update takes in the service's targets of a new snapshot.
+// update applies the service's targets of a new snapshot.
 func (s *serviceState) update(c *settings.CompiledService, site settings.Site, rev uint64) {
 	allowances := owner.Allowances(site)
 	shares := shift.Divide(c.Shift(), allowances)
@@ -66,11 +66,11 @@
 	}
 }
 
-// updateCap gives the ramp the shares of the targets that this instance may use
-// now. An old owner that has lapsed keeps the lower part of a share, and the
-// new one has the upper part.
+// updateCap gives the ramp the cap shares of the targets that this instance may use now.
+// A previous owner whose lease has expired keeps the lower part of a share, and the new
+// owner gets the upper part.
 func (n *Node) updateCap(now time.Time, s *serviceState) {
-	lapsed := n.owners.Tenure(now) == owner.Lapsed
+	expired := n.owners.Tenure(now) == owner.Lapsed
 	shares := make([]shift.Share, 0, len(s.keys))
 	for _, key := range s.keys {
 		usable, limit := n.owners.Usable(now, key), s.limits[key]
@@ -78,7 +78,7 @@
 		if usable == 0 || limit == 0 {
 			continue
 		}
-		if lapsed {
+		if expired {
 			shares = append(shares, s.shares[key].Lower(usable, limit))
 		} else {
 			shares = append(shares, s.shares[key].Upper(limit-usable, limit))
@@ -87,7 +87,8 @@
 	s.ramp.SetCap(now, shift.Cap{Version: s.version, Shares: shares})
 }
 
-// ownSlots is how many slots of a service this instance may use now, used ones included.
+// ownSlots returns how many slots of a service this instance may use now, including used
+// ones.
 func (n *Node) ownSlots(now time.Time, id settings.ServiceID) int {
 	total := 0
 	for _, key := range n.state(now, id).keys {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -7,20 +7,20 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TargetStatus is one target as its owner sees it.
+// TargetStatus is the status of one target, as seen by its owner.
 type TargetStatus struct {
 	Key      owner.TargetKey
 	Address  string
 	Owner    string
-	Limit    int // its part of the service's limit
-	Usable   int // slots that this instance may use of it now; 0 unless it is the owner
+	Limit    int // share of the service's limit
+	Usable   int // slots that this instance may use now; 0 unless it is the owner
 	InFlight int // requests of this instance
 	Health   string
 	Drained  bool
-	Usual    time.Duration // recent length of its answers; 0 before the first
+	Usual    time.Duration // average latency of recent answers; 0 before the first
 }
 
-// ServiceStatus is one service at this instance.
+// ServiceStatus is the status of one service at this instance.
 type ServiceStatus struct {
 	Service  settings.ServiceID
 	Limit    int // of the service in this place
@@ -28,10 +28,10 @@
 	InFlight int // requests of this instance at its targets
 	Free     int // slots that could take a request now
 	Shifted  int // shifted requests admitted in this second
-	Cap      int // by how much shifted requests may grow each second, over all owners
+	Cap      int // maximum growth of shifted requests per second, over all owners
 }
 
-// Status is what a node tells operators and metrics.
+// Status is the state of a node for operators and metrics.
 type Status struct {
 	Services  []ServiceStatus
 	Targets   []TargetStatus
@@ -42,7 +42,7 @@
 	Stopping  bool
 }
 
-// Status describes the node as it is now.
+// Status returns the node's current status.
 func (n *Node) Status(now time.Time) Status {
 	st := Status{
 		Queued: n.queue.Len(), Open: len(n.requests), Peers: len(n.peers.all),
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -11,11 +11,11 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// store is the platform: documents, rosters and a list of instances that lags.
+// store simulates the platform: documents, rosters and a lagging list of instances.
 type store struct {
 	w       *simulation
 	down    bool
-	docs    map[string][]accepted    // by path, all versions
+	docs    map[string][]accepted    // all versions, by path
 	paths   []string                 // keys of docs, in the order of the first write
 	rosters map[int]owner.Roster     // by place
 	listed  map[string]*registration // by instance
@@ -28,9 +28,9 @@
 	parsed *settings.Parsed
 }
 
-// registration is an instance's line in the list.
+// registration is an instance's entry in the list.
 type registration struct {
-	lines []registeredLine // what registrations said, oldest first
+	lines []registeredLine // registered incarnations, oldest first
 	last  time.Duration
 }
 
@@ -39,10 +39,10 @@
 	incarnation uint64
 }
 
-// How the list lags.
+// Lag of the list.
 const (
 	showLag = 500 * time.Millisecond
-	goneLag = 3500 * time.Millisecond // a line that is not renewed goes; under lag
+	goneLag = 3500 * time.Millisecond // an entry that is not renewed is removed after this; less than lag
 )
 
 func newStore(w *simulation) *store {
@@ -52,7 +52,7 @@
 	}
 }
 
-// put writes a document if the path is at the given version.
+// put writes a document if its path is at the given version.
 func (s *store) put(path string, version uint64, body string) bool {
 	if uint64(len(s.docs[path])) != version {
 		return false
@@ -71,10 +71,10 @@
 	return true
 }
 
-// version is the newest of a path.
+// version returns the newest version of a path.
 func (s *store) version(path string) uint64 { return uint64(len(s.docs[path])) }
 
-// all are the newest documents.
+// all returns the newest documents.
 func (s *store) all() []settings.Document {
 	docs := make([]settings.Document, 0, len(s.paths))
 	for _, path := range s.paths {
@@ -83,7 +83,7 @@
 	return docs
 }
 
-// parsed is one version of a document.
+// parsed returns one version of a document.
 func (s *store) parsed(path string, version uint64) *settings.Parsed {
 	return s.docs[path][version-1].parsed
 }
@@ -110,7 +110,7 @@
 	}
 }
 
-// list is what the list shows now, of one place.
+// list returns the list's present contents for one place.
 func (s *store) list(place int) []docstore.Instance {
 	var list []docstore.Instance
 	for _, name := range s.w.names {
@@ -134,9 +134,9 @@
 	return list
 }
 
-// call calls the platform from a process. serve runs there, and its result runs
-// back at the process. failed runs there instead when the call or its answer is
-// lost; whether serve has run is then not told.
+// call calls the platform from a process. serve runs at the platform, and the function
+// that it returns runs at the process. If the call or its answer is lost, failed runs at
+// the process instead, which can't determine whether serve has run.
 func (s *store) call(p *proc, serve func() func(), failed func()) {
 	w := s.w
 	lost := func() { w.after(500*time.Millisecond, func() { p.deliver(failed) }) }
@@ -170,7 +170,7 @@
 
 func servicePath(name string) string { return settings.ServicePath(serviceID(name)) }
 
-// site is what an operator asks for one service at one place.
+// site is one service's configuration at one place.
 type site struct {
 	limit int
 	slots []int
@@ -199,7 +199,7 @@
 	return p
 }
 
-// body writes the plan as an operator would.
+// body formats the plan as a service document.
 func (p plan) body(service string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "class: interactive\ntimeout: %s\nshift: %d\nplaces:\n", timeout, p.shift)
@@ -225,7 +225,7 @@
 	return fmt.Sprintf("region: %s\nlimit: %d\n", region(place), limit)
 }
 
-// firstDocuments fills the platform and makes the targets.
+// firstDocuments writes the initial documents and creates the targets.
 func (w *simulation) firstDocuments() {
 	blocks := "blocks:\n"
 	for i, name := range w.places {
@@ -251,7 +251,7 @@
 	w.sortedTargets = append(w.sortedTargets, t)
 }
 
-// drainedSince says since when the newest documents drain a target.
+// drainedSince returns since when the newest documents drain a target.
 func (s *store) drainedSince(t *target) (time.Duration, bool) {
 	for _, path := range s.paths {
 		if !strings.HasPrefix(path, settings.DrainsPrefix) {
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// target is a back end. What it does is the truth that the checker sees.
+// target simulates a target. The checker takes what it does as the truth.
 type target struct {
 	w        *simulation
 	key      owner.TargetKey
@@ -20,7 +20,7 @@
 	ran      int
 }
 
-// work is one request under way at a target.
+// work is one request in flight at a target.
 type work struct {
 	t     *target
 	a     *attempt
@@ -28,7 +28,7 @@
 	onEnd func() // called when the target ends it; may be nil
 }
 
-// drains are the documents' bodies that drain the target.
+// drains returns the bodies of the documents that would drain the target.
 func (t *target) drains() []string {
 	return []string{
 		fmt.Sprintf("service: %s\ntarget: %s\n", t.key.Service, t.key.Name),
@@ -36,7 +36,7 @@
 	}
 }
 
-// receive takes a request in, as it arrives.
+// receive handles the arrival of a request.
 func (t *target) receive(a *attempt, left time.Duration) {
 	if a.over {
 		return // the connection closed before the request was read
@@ -56,7 +56,7 @@
 	if t.w.chance(0.01) {
 		t.w.tracef("%s loses request %s", t.key.Name, a.x.req.Name)
 		a.x.call.disrupted = true
-		return // lost before the target read it; nobody is told
+		return // lost before the target read it, unnoticed by either side
 	}
 	t.begin(a, left)
 }
@@ -75,7 +75,7 @@
 	}
 }
 
-// service is a random service time.
+// service returns a random service time.
 func (t *target) service() time.Duration {
 	d := t.w.between(20*time.Millisecond, 250*time.Millisecond)
 	if t.w.chance(0.04) {
@@ -87,7 +87,7 @@
 	return d
 }
 
-// end finishes the work; whole says that an answer is ready.
+// end finishes the work; whole means that a complete answer is ready.
 func (k *work) end(whole bool) {
 	if k.over {
 		return
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case !whole || w.chance(lost):
-		k.a.x.call.disrupted = true // the answer is lost: the owner's deadline ends the attempt.
+		k.a.x.call.disrupted = true // the answer is lost, so the owner's deadline ends the attempt
 	case w.chance(failed):
 		k.a.x.call.disrupted = true
 		k.a.result(core.Finished{Result: core.Failed, Final: w.chance(0.2)})
@@ -109,7 +109,7 @@
 	}
 }
 
-// reset breaks the connection in the middle.
+// reset resets the connection in the middle.
 func (k *work) reset() {
 	if !k.over {
 		k.a.x.call.disrupted = true
@@ -119,7 +119,7 @@
 	}
 }
 
-// abandon ends the work soon, as the target notices that nobody waits.
+// abandon ends the work soon, when the target notices that its connection has closed.
 func (k *work) abandon() {
 	k.t.w.after(k.t.w.upTo(abandonWithin), func() {
 		if !k.over {
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -12,7 +12,7 @@
 	near   = Peer{ID: "i2", Incarnation: 1, Place: "east", Domain: "east", Region: "coast"}
 )
 
-// fullNode is a node whose two slots are taken, beside a peer without room.
+// fullNode returns a node whose two slots are taken, next to a peer without free slots.
 func fullNode(t *testing.T) *Node {
 	t.Helper()
 	n := testNode(t, nil)
@@ -23,8 +23,9 @@
 	return n
 }
 
-// TestQueueFollowsLocalPeer has a request wait for a peer's room: one that a
-// peer handed over must not be handed on.
+// TestQueueFollowsLocalPeer checks that a queued request goes to a local peer that
+// reports a free slot, unless a peer handed it off: that one must not be handed off
+// again.
 func TestQueueFollowsLocalPeer(t *testing.T) {
 	tests := map[string]struct {
 		origin Origin
@@ -49,8 +50,8 @@
 	}
 }
 
-// TestOldRoomIsForgotten: what a peer said of its room is void once it has started
-// anew or the roster has changed who owns what. It is tried again then.
+// TestOldRoomIsForgotten checks that a peer's report of its free slots becomes void when
+// the peer restarts or the roster changes the ownership. The peer is then tried again.
 func TestOldRoomIsForgotten(t *testing.T) {
 	restarted := near
 	restarted.Incarnation = 2
@@ -79,8 +80,8 @@
 	}
 }
 
-// TestPeersRequestNeedsOwnTarget has a peer hand a request over to an instance
-// that owns none of the service's targets: to wait there would be in vain.
+// TestPeersRequestNeedsOwnTarget checks that an instance that owns none of the service's
+// targets refuses a request that a peer handed off: it would wait in vain.
 func TestPeersRequestNeedsOwnTarget(t *testing.T) {
 	n := testNode(t, nil)
 	without, err := testRoster(t, "i1", "i2").Remove("i1", 1, true)
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestPeersRequestMeetsStop has a peer hand a request over to an instance that stops:
-// it will serve none of them, so that to wait there would be in vain.
+// TestPeersRequestMeetsStop checks that a stopping instance refuses a request that a peer
+// handed off: it serves none of these, so the request would wait in vain.
 func TestPeersRequestMeetsStop(t *testing.T) {
 	n := testNode(t, nil)
 	n.Step(begin, Stopping{})
@@ -107,8 +108,8 @@
 	}
 }
 
-// TestWaitEndsAtStart: a caller gives up an attempt whose answer has not begun
-// in time, so it must not be started later.
+// TestWaitEndsAtStart checks that a request is not started after its start deadline: a
+// caller abandons an attempt whose answer has not begun in time.
 func TestWaitEndsAtStart(t *testing.T) {
 	tests := map[string]struct {
 		start time.Duration
@@ -138,7 +139,8 @@
 	}
 }
 
-// TestStrayFinished: the end of an attempt that was never decided changes nothing.
+// TestStrayFinished checks that the end of an attempt that was never decided changes
+// nothing.
 func TestStrayFinished(t *testing.T) {
 	n := testNode(t, nil)
 	for id := range ID(3) {
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// Bounds that the design is told, or takes by default.
+// Bounds of the design, as configured or by default.
 const (
 	term          = time.Second      // core.Config.Term
 	lag           = 4 * time.Second  // core.Config.Lag
@@ -22,15 +22,15 @@
 const (
 	warmUp    = 4 * time.Second
 	faultsEnd = 40 * time.Second // faults have ended by now
-	recovery  = 16 * time.Second // after the faults; from then on calls are answered
+	recovery  = 16 * time.Second // after the faults; from then on calls must be answered
 	loadEnd   = 62 * time.Second // callers stop
 	runEnd    = 72 * time.Second
 )
 
-// epoch is where true time starts.
+// epoch is the start of true time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event happens at a true time.
+// event is a function to run at a true time.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -49,10 +49,10 @@
 	return e[i].seq < e[j].seq
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	x := (*e)[last]
@@ -60,7 +60,7 @@
 	return x
 }
 
-// simulation is everything around some nodes, in virtual time. One goroutine runs it.
+// simulation is the environment of some nodes, in virtual time. It runs in one goroutine.
 type simulation struct {
 	seed   uint64
 	rng    *rand.Rand
@@ -71,7 +71,7 @@
 	places        []string
 	names         []string         // of instances, fixed
 	home          map[string]int   // index of each instance's place
-	procs         []*proc          // every process that ever ran
+	procs         []*proc          // every process that was ever started
 	live          map[string]*proc // by instance; nil while none runs
 	targets       map[string]*target
 	sortedTargets []*target // targets, sorted
@@ -81,9 +81,9 @@
 	calls         []*call
 	check         *checker
 
-	listProves    bool // the list names a process until it has ended, also one that is cut off
+	listProves    bool // the list names a process until it has ended, even if it is partitioned
 	clocksAligned bool // clocks agree with true time
-	clocksJump    bool // clocks jump, which the bounds on time exclude
+	clocksJump    bool // clocks jump, which violates the assumed time bounds
 	trace         []string
 	tracing       bool
 	counts        map[string]int
@@ -108,7 +108,7 @@
 	return w
 }
 
-// build makes places, documents, targets, processes and callers.
+// build creates places, documents, targets, processes and callers.
 func (w *simulation) build() {
 	for i := range 2 + w.rng.IntN(2) {
 		w.places = append(w.places, fmt.Sprint("place-", i))
@@ -130,7 +130,7 @@
 	w.scheduleFaults()
 }
 
-// run lets time pass until the end or the first violation.
+// run processes events until the end or the first violation.
 func (w *simulation) run() string {
 	for len(w.events) > 0 && w.check.violation == "" {
 		e := heap.Pop(&w.events).(event)
@@ -153,7 +153,7 @@
 
 func (w *simulation) chance(p float64) bool { return w.rng.Float64() < p }
 
-// upTo is a random length below most.
+// upTo returns a random duration below most.
 func (w *simulation) upTo(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(most)))
 }
@@ -168,7 +168,7 @@
 	}
 }
 
-// start runs a new process of an instance, unless one runs.
+// start starts a new process of an instance, unless one runs.
 func (w *simulation) start(name string) {
 	if w.live[name] != nil {
 		return
@@ -179,26 +179,26 @@
 	p.begin()
 }
 
-// Ends of links that are not places.
+// Endpoints of links that are not places.
 const (
 	endpointPlatform = 100
 	endpointCallers  = 101
 )
 
-// links is what the network does to messages now.
+// links is the present behaviour of the network.
 type links struct {
-	cut   map[[2]int]int    // one way between two ends; counts the faults that do so
-	apart map[[2]string]int // the same between two instances
+	cut   map[[2]int]int    // one way between two endpoints; counts the active faults
+	apart map[[2]string]int // one way between two instances; counts the active faults
 	loss  float64           // of datagrams
-	slow  time.Duration     // extra delay, at random
+	slow  time.Duration     // maximum random extra delay
 }
 
-// open says whether messages pass from one process to another.
+// open reports whether messages pass from one process to another.
 func (w *simulation) open(from, to *proc) bool {
 	return w.links.cut[[2]int{from.place, to.place}] == 0 && w.links.apart[[2]string{from.name, to.name}] == 0
 }
 
-// delay is how long a message takes between two ends.
+// delay returns how long a message takes between two endpoints.
 func (w *simulation) delay(a, b int) time.Duration {
 	d := w.between(300*time.Microsecond, 3*time.Millisecond)
 	if a != b {
@@ -210,7 +210,7 @@
 	return d
 }
 
-// datagram sends a message that may be lost, doubled, late and out of order.
+// datagram sends a message that may be lost, duplicated, delayed or reordered.
 func (w *simulation) datagram(from, to *proc, do func()) {
 	if !w.open(from, to) || w.chance(w.links.loss) {
 		return
@@ -227,7 +227,7 @@
 	}
 }
 
-// region is the region of a place: the first two share one.
+// region returns the region of a place. The first two places share one.
 func region(place int) string {
 	if place < 2 {
 		return "near"
@@ -235,7 +235,8 @@
 	return "far"
 }
 
-// isDrained says whether the platform's newest documents drain a target.
+// isDrained returns since when the platform's newest documents drain a target, if they
+// do.
 func (w *simulation) isDrained(t *target) (time.Duration, bool) {
 	return w.store.drainedSince(t)
 }
@@ -244,7 +245,7 @@
 	return owner.TargetKey{Service: serviceID(service), Name: name}
 }
 
-// reachable notes whether anything keeps a process from the platform now.
+// reachable reports whether nothing impedes a process's access to the platform.
 func (w *simulation) reachable(p *proc) bool {
 	l := w.links
 	return !w.store.down && l.loss == 0 && l.slow == 0 &&
