--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -14,14 +14,14 @@
 	w         *simulation
 	violation string // the first violation
 
-	notRun map[string]bool // by name of a caller's request: the caller was told that it has not run
-	begun  map[string]int
-	held   *versions
-	finals int
+	notRun   map[string]bool // by name of a caller's request: the caller was told that it has not run
+	begun    map[string]int
+	versions *versions
+	finals   int
 }
 
 func newChecker(w *simulation) *checker {
-	return &checker{w: w, notRun: make(map[string]bool), begun: make(map[string]int), held: newVersions(w)}
+	return &checker{w: w, notRun: make(map[string]bool), begun: make(map[string]int), versions: newVersions(w)}
 }
 
 func (c *checker) failf(format string, args ...any) {
@@ -147,14 +147,14 @@
 			c.failf("%s has a version %d of %s that differs from the accepted one", p, v, path)
 		}
 		p.versions[path] = v
-		c.held.released(p.place, path, old)
+		c.versions.released(p.place, path, old)
 	}
 }
 
 // processEnded records that a process has ended.
 func (c *checker) processEnded(p *proc) {
 	for _, path := range c.w.store.paths {
-		c.held.released(p.place, path, p.versions[path])
+		c.versions.released(p.place, path, p.versions[path])
 	}
 }
 
--- a/internal/core/ending_test.go
+++ b/internal/core/ending_test.go
@@ -32,9 +32,9 @@
 
 func (p *proc) pause() { p.paused = true }
 
-// wake resumes a paused process, which handles all events that arrived meanwhile at the
+// resume resumes a paused process, which handles all events that arrived meanwhile at the
 // present time of its clock.
-func (p *proc) wake() {
+func (p *proc) resume() {
 	if p.dead || !p.paused {
 		return
 	}
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -49,7 +49,7 @@
 		w.operate()
 	}
 	if w.clocksJump && w.chance(0.2) {
-		w.jump()
+		w.jumpClock()
 	}
 }
 
@@ -181,7 +181,7 @@
 	}
 	w.tracef("fault: %s is paused, %v", p, d)
 	p.pause()
-	w.after(d, p.wake)
+	w.after(d, p.resume)
 }
 
 // stopOne performs a planned stop of an instance, which then starts again.
@@ -203,8 +203,8 @@
 	w.after(d, func() { t.down, t.degraded = false, false })
 }
 
-// jump moves a process's clock.
-func (w *simulation) jump() {
+// jumpClock moves a process's clock.
+func (w *simulation) jumpClock() {
 	if p := w.live[w.pickName()]; p != nil {
 		by := w.upTo(4*time.Second) - 2*time.Second
 		w.tracef("fault: clock of %s jumps by %v", p, by)
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -89,7 +89,7 @@
 // limits checks the slots of a target, and the limits of its service and place.
 func (c *checker) limits(t *target) {
 	path := settings.ServicePath(t.key.Service)
-	list := c.held.active(t.place, path)
+	list := c.versions.active(t.place, path)
 	allowance, limit, sum := 0, 0, 0
 	most := make(map[owner.TargetKey]int)
 	for _, v := range list {
@@ -117,7 +117,7 @@
 			site += len(o.works)
 		}
 	}
-	if c.held.mixed(t.place) {
+	if c.versions.mixed(t.place) {
 		limit = sum
 	}
 	if site > limit {
@@ -129,11 +129,11 @@
 func (c *checker) placeLimit(place, all int) {
 	path := settings.PlacePath(c.w.places[place])
 	limit := 0
-	list := c.held.active(place, path)
+	list := c.versions.active(place, path)
 	for _, v := range list {
 		limit = max(limit, c.w.store.parsed(path, v).Place().Limit)
 	}
-	if all > limit && !c.held.mixed(place) {
+	if all > limit && !c.versions.mixed(place) {
 		c.failf("place %d has %d in flight, its limit is %d (versions %v)", place, all, limit, list)
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	limit := 0
 	path := settings.ServicePath(t.key.Service)
-	for _, v := range c.held.active(p.place, path) {
+	for _, v := range c.versions.active(p.place, path) {
 		_, shift := c.w.site(path, v, p.place)
 		limit = max(limit, shift)
 	}
@@ -179,7 +179,7 @@
 			seen[p.versions[servicePath(service)]] = true
 		}
 	}
-	for key, at := range c.held.last {
+	for key, at := range c.versions.last {
 		if key.place == place && key.path == servicePath(service) {
 			changed = max(changed, at)
 		}
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestCallerWhoLeavesEjectsNoTarget(t *testing.T) {
+func TestGoneCallerEjectsNoTarget(t *testing.T) {
 	tests := map[string]struct {
 		gone bool
 		want string
--- a/internal/core/operators_test.go
+++ b/internal/core/operators_test.go
@@ -65,7 +65,7 @@
 	w.tracef("all faults are repaired")
 	w.store.down = false
 	for _, p := range w.procs {
-		p.wake()
+		p.resume()
 	}
 	for _, name := range w.names {
 		w.start(name)
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -74,7 +74,7 @@
 	procs         []*proc          // every process that was ever started
 	live          map[string]*proc // by instance; nil while none runs
 	targets       map[string]*target
-	sortedTargets []*target // targets, sorted
+	sortedTargets []*target
 	store         *store
 	links         links
 	callers       []*caller
