--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -15,11 +15,11 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// build makes the parts of a new node.
+// build creates the components of a new node.
 func (n *Node) build() error {
 	c := n.cfg
 	var err error
-	n.book, err = owner.New(owner.Config{
+	n.owners, err = owner.New(owner.Config{
 		Self: c.Instance, Incarnation: c.Incarnation, Place: c.Place,
 		Term: c.Term, Skew: c.Skew, Lag: c.Lag, ListProves: c.ListProves, Checks: c.Checks,
 	})
@@ -52,48 +52,48 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// applied puts a new snapshot in force.
-func (n *Node) applied(now time.Time, s *settings.Snapshot) {
+// applySnapshot puts a new snapshot in force.
+func (n *Node) applySnapshot(now time.Time, s *settings.Snapshot) {
 	old := n.snapshot
 	n.snapshot = s
 	n.applyBlocks(old, s)
 	specs := n.specs(s)
-	n.book.SetSpecs(now, specs)
+	n.owners.SetSpecs(now, specs)
 	n.applyTargets(now, specs)
 	n.applyServices(now, s)
 	n.applyShares(s)
-	n.pump(now)
+	n.serveQueue(now)
 }
 
-// applyBlocks takes in the block documents that differ from those in force.
+// applyBlocks applies the block documents that differ from those in force.
 func (n *Node) applyBlocks(old, s *settings.Snapshot) {
-	had := make(map[string]settings.BlockDocument)
+	previous := make(map[string]settings.BlockDocument)
 	if old != nil {
 		for _, doc := range old.BlockDocuments() {
-			had[doc.Path] = doc
+			previous[doc.Path] = doc
 		}
 	}
 	for _, doc := range s.BlockDocuments() {
-		before, ok := had[doc.Path]
-		delete(had, doc.Path)
+		before, ok := previous[doc.Path]
+		delete(previous, doc.Path)
 		if !ok || !before.Same(doc) {
 			n.updateBlocks(doc.Path, doc.Blocks)
 		}
 	}
-	for path := range had {
+	for path := range previous {
 		n.updateBlocks(path, nil)
 	}
 }
 
-// updateBlocks replaces one document's blocks. A table that is full keeps the
-// old ones: a caller steered by an old block is better off than one by none.
+// updateBlocks replaces one document's blocks. If the table is full, it keeps the old
+// ones: routing a caller by an outdated block is better than by none.
 func (n *Node) updateBlocks(path string, blocks []settings.Block) {
 	if table, err := n.blocks.Update(path, blocks); err == nil {
 		n.blocks = table
 	}
 }
 
-// specs works out the place's targets and what each may take.
+// specs computes the place's targets and the slots and quota of each.
 func (n *Node) specs(s *settings.Snapshot) []owner.Spec {
 	var specs []owner.Spec
 	for _, id := range s.Services() {
@@ -130,26 +130,27 @@
 	return specs
 }
 
-// applyTargets forgets targets that have gone and probes new ones at once.
+// applyTargets removes targets that are no longer declared and schedules an immediate
+// probe of new ones.
 func (n *Node) applyTargets(now time.Time, specs []owner.Spec) {
 	n.probeAt = now
 	kept := make(map[owner.TargetKey]string, len(specs))
 	for _, spec := range specs {
 		kept[spec.Key] = spec.Address
-		if _, ok := n.address[spec.Key]; !ok {
+		if _, ok := n.addresses[spec.Key]; !ok {
 			n.probes[spec.Key] = now
 		}
 	}
-	for key := range n.address {
+	for key := range n.addresses {
 		if _, ok := kept[key]; !ok {
 			delete(n.probes, key)
 		}
 	}
-	n.address = kept
+	n.addresses = kept
 }
 
-// applyServices refits what is kept of each service. Targets that were there
-// before the first snapshot count as warm: the instance is new, they are not.
+// applyServices updates the state of each service. Targets that exist in the first
+// snapshot count as warm, since the instance is new and they are not.
 func (n *Node) applyServices(now time.Time, s *settings.Snapshot) {
 	for id := range n.services {
 		if _, ok := s.Service(id); !ok {
@@ -160,13 +161,13 @@
 	for _, id := range s.Services() {
 		compiled, _ := s.Service(id)
 		site, _ := compiled.Site(n.cfg.Place)
-		state := n.service(now, id)
-		first := state.rev == 0
-		state.refit(compiled, site, max(s.Version(settings.ServicePath(id)), 1))
+		state := n.state(now, id)
+		first := state.version == 0
+		state.update(compiled, site, max(s.Version(settings.ServicePath(id)), 1))
 		for _, key := range state.keys {
 			state.health.Add(now, key, first)
 		}
-		n.recap(now, state)
+		n.updateCap(now, state)
 	}
 }
 
@@ -176,26 +177,26 @@
 	}
 }
 
-// rights is all that the services' caps depend on beside the settings.
-type rights struct {
-	revision uint64 // of what the book lets this instance use
-	tenure   owner.State
+// capBasis is everything that the services' shift caps depend on besides the settings.
+type capBasis struct {
+	revision uint64 // of the slots that this instance may use
+	lease    owner.State
 }
 
-// recapAll follows changes of ownership and tenure. A tick mostly brings
-// neither, and then costs nothing for each service.
-func (n *Node) recapAll(now time.Time) {
-	r := rights{revision: n.book.Revision(now), tenure: n.book.Tenure(now)}
-	if r == n.capped {
+// updateCaps recomputes the shift caps after a change of ownership or of the lease. Most
+// ticks bring neither and cost nothing per service.
+func (n *Node) updateCaps(now time.Time) {
+	r := capBasis{revision: n.owners.Revision(now), lease: n.owners.Tenure(now)}
+	if r == n.capBasis {
 		return
 	}
-	n.capped = r
+	n.capBasis = r
 	for _, id := range n.snapshot.Services() {
-		n.recap(now, n.service(now, id))
+		n.updateCap(now, n.state(now, id))
 	}
 }
 
-// probeDue asks for the health of owned targets that are due.
+// probeDue probes the targets whose next probe is due.
 func (n *Node) probeDue(now time.Time) {
 	if now.Before(n.probeAt) {
 		return
@@ -211,20 +212,21 @@
 			continue
 		}
 		n.probes[key] = now.Add(n.cfg.Probe)
-		n.decide(Probe{Target: key, Address: n.address[key], Asked: now})
+		n.decide(Probe{Target: key, Address: n.addresses[key], Asked: now})
 	}
 }
 
-// probeSoon makes the probe of a target due now.
+// probeSoon makes a target's next probe due immediately.
 func (n *Node) probeSoon(now time.Time, key owner.TargetKey) {
 	if _, ok := n.probes[key]; ok {
 		n.probes[key], n.probeAt = now, now
 	}
 }
 
-// spareProbe puts a target's probe off after an answer to a real request, which
-// tells more. The baselines go by each target's report, so they keep asking.
-func (n *Node) spareProbe(now time.Time, key owner.TargetKey) {
+// postponeProbe delays a target's next probe after an answer to a real request, which is
+// better evidence. The baseline policies use the load that probes report, so they keep
+// probing.
+func (n *Node) postponeProbe(now time.Time, key owner.TargetKey) {
 	if _, ok := n.probes[key]; ok && !n.baseline() {
 		n.probes[key] = now.Add(n.cfg.Probe)
 	}
@@ -237,29 +239,30 @@
 	return b
 }
 
-// probed takes in what a target claims of itself.
+// probed processes the result of a probe.
 func (n *Node) probed(now time.Time, ev Probed) {
 	s, ok := n.services[ev.Target.Service]
 	if !ok || !slices.Contains(s.keys, ev.Target) {
 		return
 	}
-	n.lookedAt(now, ev)
+	n.resolveAbort(now, ev)
 	if ev.Err {
 		s.health.Observe(now, ev.Target, health.Failed, 0)
 		return
 	}
-	n.hear(now, ev.Target, ev.Asked)
+	n.targetResponded(now, ev.Target, ev.Asked)
 	n.reports[ev.Target] = ev.Busy
 	s.health.Claim(now, ev.Target, ev.Healthy, ev.Slots, ev.Busy)
 	s.health.Probed(now, ev.Target, ev.Healthy)
-	n.pump(now)
+	n.serveQueue(now)
 }
 
-// weight is how many slots of a target its health, and what it said itself, let this instance use.
+// weight returns how many slots of a target this instance may use, given the target's
+// health and notices.
 func (n *Node) weight(now time.Time, key owner.TargetKey) int {
-	if _, why := n.barred(now, key); why != "" {
+	if _, why := n.unavailableUntil(now, key); why != "" {
 		return 0
 	}
-	s := n.service(now, key.Service)
+	s := n.state(now, key.Service)
 	return s.health.Weight(now, key, s.limits[key])
 }
--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -8,73 +8,74 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// checker holds what happened in truth against what is promised. It looks at
-// targets, callers and the platform, and never asks a node what it believes.
+// checker compares what really happened with what is guaranteed. It observes targets,
+// callers and the platform, and never relies on a node's own state.
 type checker struct {
-	w     *world
-	fault string // the first violation
+	w         *simulation
+	violation string // the first violation
 
-	notRun map[string]bool // by name of a caller's request: it was told so
-	begun  map[string]int
-	held   *versions
-	finals int
+	notRun   map[string]bool // by name of a caller's request: the caller was told that it has not run
+	begun    map[string]int
+	versions *versions
+	finals   int
 }
 
-func newChecker(w *world) *checker {
-	return &checker{w: w, notRun: make(map[string]bool), begun: make(map[string]int), held: newVersions(w)}
+func newChecker(w *simulation) *checker {
+	return &checker{w: w, notRun: make(map[string]bool), begun: make(map[string]int), versions: newVersions(w)}
 }
 
 func (c *checker) failf(format string, args ...any) {
-	if c.fault != "" {
+	if c.violation != "" {
 		return
 	}
-	c.fault = fmt.Sprintf("at %v: ", c.w.now) + fmt.Sprintf(format, args...)
-	c.w.tracef("VIOLATION %s", c.fault)
+	c.violation = fmt.Sprintf("at %v: ", c.w.now) + fmt.Sprintf(format, args...)
+	c.w.tracef("VIOLATION %s", c.violation)
 }
 
-// started takes in that a target has begun a request.
+// started checks the start of a request at a target.
 func (c *checker) started(k *work) {
 	x := k.a.x
 	c.begun[x.req.Name]++
 	x.ran = true
 	if x.done || c.notRun[x.req.Name] {
-		c.failf("%s begins %s, which has had its final answer", k.t.key.Name, x.req.Name)
+		c.failf("%s starts %s, which already got its final answer", k.t.key.Name, x.req.Name)
 	}
 	c.once(x.call, x.req.Key)
 	c.w.counts["works"]++
-	if !c.w.jumps {
+	if !c.w.clocksJump {
 		c.limits(k.t)
 		c.drained(k)
 	}
 }
 
-// once checks that work with a key, and a call that isn't idempotent, begins once.
+// once checks that a call to the non-idempotent service starts only once, by key and in
+// all.
 func (c *checker) once(k *call, key string) {
 	if k.service != serviceWrite {
 		return
 	}
-	k.ran[key]++
-	k.all++
-	if k.ran[key] > 1 {
-		c.failf("%s has begun %d times with one key", k.name, k.ran[key])
+	k.runsByKey[key]++
+	k.runs++
+	if k.runsByKey[key] > 1 {
+		c.failf("%s has started %d times with one key", k.name, k.runsByKey[key])
 	}
-	if k.all > 1 {
-		c.failf("%s has begun %d times in all: a refusal said that it had not run", k.name, k.all)
+	if k.runs > 1 {
+		c.failf("%s has started %d times in all, although a refusal said that it had not run", k.name, k.runs)
 	}
 }
 
-// drained checks that no target gets new work 3 s after its drain, if its
-// owner could read the platform all the while.
+// drained checks that no target gets new work from 3 s after its drain, if its owner
+// could read the platform all the time.
 func (c *checker) drained(k *work) {
 	since, ok := c.w.isDrained(k.t)
 	p := k.a.x.p
-	if !ok || c.w.now <= since+3*time.Second || p.touched >= since {
+	if !ok || c.w.now <= since+3*time.Second || p.lastImpeded >= since {
 		return
 	}
 	c.failf("%s gets %s from %s, drained since %v", k.t.key.Name, k.a.x.req.Name, p, since)
 }
 
-// decided checks a decision as it is taken.
+// decided checks a decision when it is taken.
 func (c *checker) decided(x *exchange, d core.Decision) {
 	s, ok := d.(core.Serve)
 	if !ok {
@@ -94,7 +95,7 @@
 	}
 }
 
-// finalGiven takes in an instance's one answer to a request.
+// finalGiven checks an instance's final answer to a request.
 func (c *checker) finalGiven(x *exchange, ans answer) {
 	c.finals++
 	c.w.counts[fmt.Sprint("final ", ans.kind, " ", ans.reason)]++
@@ -104,19 +105,19 @@
 	if ans.kind != core.NotRun {
 		return
 	}
-	if x.asker != nil && x.asker.over && x.left >= 200*time.Millisecond && c.w.now > quiet+recovery {
-		c.failf("%s refuses %s (%s) too late to be heard", x.p, x.req.Name, ans.reason)
+	if x.upstream != nil && x.upstream.over && x.timeLimit >= 200*time.Millisecond && c.w.now > faultsEnd+recovery {
+		c.failf("%s refuses %s (%s) too late for its sender", x.p, x.req.Name, ans.reason)
 	}
 	if x.ran {
 		c.failf("%s says that %s has not run (%s), but it has", x.p, x.req.Name, ans.reason)
 	}
-	if x.origin != core.FromPeer && !x.word && x.req.Key != "" && x.call.ran[x.req.Key] > 0 {
+	if x.origin != core.FromPeer && !x.homeRefused && x.req.Key != "" && x.call.runsByKey[x.req.Key] > 0 {
 		c.failf("%s says that %s has not run (%s), but its key has", x.p, x.req.Name, ans.reason)
 	}
 }
 
-// told takes in what a caller is told of one attempt.
-func (c *checker) told(a *asked, ans answer) {
+// attemptAnswered checks the answer that a caller got to one attempt.
+func (c *checker) attemptAnswered(a *callerAttempt, ans answer) {
 	switch ans.kind {
 	case core.Answered:
 		if !strings.HasPrefix(ans.body, a.k.name+".") {
@@ -125,44 +126,44 @@
 	case core.NotRun:
 		c.notRun[a.name] = true
 		if c.begun[a.name] > 0 {
-			c.failf("%s is told that it has not run (%s), but it has", a.name, ans.reason)
+			c.failf("%s is answered as not run (%s), but it has run", a.name, ans.reason)
 		}
 	}
 }
 
-// forward checks the documents that a process puts in force.
-func (c *checker) forward(p *proc) {
+// documentsApplied checks the documents that a process puts in force.
+func (c *checker) documentsApplied(p *proc) {
 	for _, path := range c.w.store.paths {
 		v, old := p.snapshot.Version(path), p.versions[path]
 		if v == old {
 			continue
 		}
 		if v < old {
-			c.failf("%s goes back from version %d of %s to %d", p, old, path, v)
+			c.failf("%s reverts from version %d of %s to %d", p, old, path, v)
 			return
 		}
 		doc, _ := p.docs.Get(path)
 		if want := c.w.store.docs[path][v-1].doc; string(doc.Body) != string(want.Body) || doc.Deleted != want.Deleted {
-			c.failf("%s has another version %d of %s than was accepted", p, v, path)
+			c.failf("%s has a version %d of %s that differs from the accepted one", p, v, path)
 		}
 		p.versions[path] = v
-		c.held.left(p.place, path, old)
+		c.versions.released(p.place, path, old)
 	}
 }
 
-// gone takes in that a process has ended.
-func (c *checker) gone(p *proc) {
+// processEnded records that a process has ended.
+func (c *checker) processEnded(p *proc) {
 	for _, path := range c.w.store.paths {
-		c.held.left(p.place, path, p.versions[path])
+		c.versions.released(p.place, path, p.versions[path])
 	}
 }
 
-// stopped checks that a planned stop cuts nothing.
+// stopped checks that a planned stop aborts nothing.
 func (c *checker) stopped(p *proc) {
 	if n := len(p.exchanges); n > 0 {
 		c.failf("%s stops with %d requests inside", p, n)
 	}
-	for _, t := range c.w.order {
+	for _, t := range c.w.sortedTargets {
 		for _, k := range t.works {
 			if k.a.x.p == p && !k.a.over {
 				c.failf("%s stops with %s at a target", p, k.a.x.req.Name)
@@ -171,7 +172,7 @@
 	}
 }
 
-// end checks what must hold when all has been quiet for long.
+// end checks what must hold after a long time without faults.
 func (c *checker) end() {
 	for _, name := range c.w.names {
 		p := c.w.live[name]
@@ -184,10 +185,10 @@
 		}
 		c.recovered(p)
 	}
-	c.answeredAgain()
+	c.answersResume()
 }
 
-// recovered checks that a process has all its rights back.
+// recovered checks that a process holds all its rights again.
 func (c *checker) recovered(p *proc) {
 	r := p.node.Roster()
 	m, ok := r.Member(p.name)
@@ -195,14 +196,14 @@
 		c.failf("%s has not recovered: confirmed %v, roster %+v", p, p.node.Confirmed(p.local()), r)
 	}
 	for _, service := range []string{serviceRead, serviceWrite} {
-		c.wholeSite(p.place, service)
+		c.fullSiteFree(p.place, service)
 	}
 }
 
-// wholeSite checks that the instances of a place may use all of a service's
-// limit, together.
-func (c *checker) wholeSite(place int, service string) {
-	free, want := 0, c.w.ample(service).sites[place].limit
+// fullSiteFree checks that the instances of a place together may use all of a service's
+// limit.
+func (c *checker) fullSiteFree(place int, service string) {
+	free, want := 0, c.w.fullPlan(service).sites[place].limit
 	for _, name := range c.w.names {
 		if c.w.home[name] != place {
 			continue
@@ -222,12 +223,12 @@
 	}
 }
 
-// answeredAgain checks that calls are answered after the faults, but for those
-// that the world itself harmed: their end is unknown in truth.
-func (c *checker) answeredAgain() {
+// answersResume checks that calls are answered after the faults. Calls that the
+// simulation itself disrupted don't count, as their outcome is unknown even in truth.
+func (c *checker) answersResume() {
 	asked, answered := 0, 0
 	for _, k := range c.w.calls {
-		if k.begun > quiet+recovery && k.begun < load-time.Second && (k.answered || !k.harmed) {
+		if k.begun > faultsEnd+recovery && k.begun < loadEnd-time.Second && (k.answered || !k.disrupted) {
 			asked++
 			if k.answered {
 				answered++
--- a/internal/core/flight.go
+++ b/internal/core/flight.go
@@ -9,19 +9,19 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// stage is where a request stands inside the instance.
+// stage is the state of a request within the instance.
 type stage int
 
 const (
 	stageNew     stage = iota
 	stageQueued        // waits for a slot
 	stageTarget        // holds a slot of f.target
-	stagePeer          // handed to f.peer
+	stagePeer          // handed off to f.peer
 	stageForward       // forwarded to its key's home
 )
 
-// flight is one request from its arrival to its final answer.
-type flight struct {
+// inFlight is one request from its arrival to its final answer.
+type inFlight struct {
 	id      ID
 	req     Request
 	origin  Origin
@@ -29,45 +29,45 @@
 	home    string // the caller's home place; never empty
 
 	idempotent bool
-	keyed      bool     // this instance is the home of key, which is begun
+	keyed      bool     // this instance is the home of key and has begun it
 	key        once.Key // valid if keyed
-	turn       uint32   // attempt of the key's record, valid if keyed
+	keyAttempt uint32   // attempt number in the key's record; valid if keyed
 
-	until time.Time // it waits in the queue no longer; at most the deadline
+	queueUntil time.Time // end of its wait in the queue; at most the deadline
 
-	stage    stage
-	target   owner.TargetKey // valid in stageTarget
-	peer     string          // valid in stagePeer and stageForward
-	exposed  bool            // an attempt may have run: "not run" would no longer be true
-	unowned  bool            // sent by a baseline policy: holds no slot
-	attempts int
-	away     destination // what the latest hand-off to another place uses
-	trying   bool        // handed off without a grant, and counted
-	awaits   bool        // a grant may come for it
-	covered  bool        // the peer that handed it off held a grant
-	heard    bool        // the peer of this place that it went to has told its free slots
-	counted  []string    // other places that have counted it as one that could go there
-	tried    []string    // targets and instances that have refused it; never tried again
-	passed   []Passed    // ways weighed and not taken in the latest try
-	held     Reason      // why it was last held back
-	retryAt  time.Time   // soonest time at which a refusing peer would take it
+	stage         stage
+	target        owner.TargetKey // valid in stageTarget
+	peer          string          // valid in stagePeer and stageForward
+	mayHaveRun    bool            // an attempt may have run, so "not run" is no longer a true answer
+	unowned       bool            // sent by a baseline policy, without a slot
+	attempts      int
+	dest          destination // of the latest hand-off to another place
+	ungranted     bool        // handed off without a grant, and counted as such
+	awaitsGrant   bool        // a grant may arrive for it
+	granted       bool        // the peer that handed it off held a grant
+	slotsReported bool        // the local peer that it was handed off to has reported its free slots
+	demandCounted []string    // other places whose demand already counts it
+	tried         []string    // targets and instances that refused it; never tried again
+	passed        []Passed    // options considered and not taken in the latest try
+	heldReason    Reason      // reason for which it was last held back
+	retryAt       time.Time   // earliest time at which a refusing peer would accept it
 }
 
-// shifted says whether serving f in a place counts against the shift cap.
-func (f *flight) shifted(place string) bool { return f.home != place }
+// shifted reports whether serving f in a place counts against the shift cap.
+func (f *inFlight) shifted(place string) bool { return f.home != place }
 
-// wait is until when f may wait: the caller gives an attempt up whose answer
-// doesn't begin in time, so starting it later would be work for nothing.
-func (f *flight) wait() time.Time {
+// startDeadline returns until when an attempt may start: the caller abandons an attempt
+// whose answer does not begin in time, so a later start would be wasted work.
+func (f *inFlight) startDeadline() time.Time {
 	if f.req.Start.IsZero() || f.req.Start.After(f.req.Deadline) {
 		return f.req.Deadline
 	}
 	return f.req.Start
 }
 
-func (f *flight) hasTried(name string) bool { return slices.Contains(f.tried, name) }
+func (f *inFlight) hasTried(name string) bool { return slices.Contains(f.tried, name) }
 
-func (f *flight) sooner(at time.Time) {
+func (f *inFlight) lowerRetryAt(at time.Time) {
 	if f.retryAt.IsZero() || at.Before(f.retryAt) {
 		f.retryAt = at
 	}
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestGoneCallerBlamesNobody breaks attempts off, by the target's fault or the
-// caller's.
-func TestGoneCallerBlamesNobody(t *testing.T) {
+// TestGoneCallerKeepsTargetHealth checks that attempts count against a target's health
+// only if the target aborted them, and not the caller.
+func TestGoneCallerKeepsTargetHealth(t *testing.T) {
 	tests := map[string]struct {
 		gone bool
 		want string
@@ -31,7 +31,8 @@
 	}
 }
 
-// TestGoneCallerIsNotRetried ends a request of a caller that went away.
+// TestGoneCallerIsNotRetried checks that a request is not retried after its caller has
+// disconnected.
 func TestGoneCallerIsNotRetried(t *testing.T) {
 	tests := map[string]struct {
 		ev   Finished
@@ -46,7 +47,7 @@
 			n := testNode(t, nil)
 			n.Step(begin, request(1, "10.1.0.1"))
 			tt.ev.ID = 1
-			if got := word(n.Step(begin, tt.ev)); got != tt.want {
+			if got := decisionName(n.Step(begin, tt.ev)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if got := n.Open(); got != 0 {
--- a/internal/core/limits_test.go
+++ b/internal/core/limits_test.go
@@ -7,14 +7,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// slack is how long work may go on past the end that its owner knows of.
+// slack is how long work may continue after the end that its owner assumes.
 const slack = 150 * time.Millisecond
 
-// versions tells which versions of a document are in force somewhere in a place.
+// versions records which versions of a document are in force anywhere in a place.
 type versions struct {
-	w    *world
-	last map[heldKey]time.Duration // when a process last gave a version up
-	late []time.Duration           // by place: when a process last had one that had been replaced for longer than settled
+	w    *simulation
+	last map[heldKey]time.Duration // when a process last stopped using a version
+	late []time.Duration           // by place: when a process last had a version that had been replaced for more than maxStaleness
 }
 
 type heldKey struct {
@@ -23,12 +23,12 @@
 	version uint64
 }
 
-func newVersions(w *world) *versions {
+func newVersions(w *simulation) *versions {
 	return &versions{w: w, last: make(map[heldKey]time.Duration)}
 }
 
-// left notes that a process has given a version up.
-func (h *versions) left(place int, path string, version uint64) {
+// released records that a process no longer uses a version.
+func (h *versions) released(place int, path string, version uint64) {
 	if version == 0 {
 		return
 	}
@@ -36,10 +36,10 @@
 	h.noteLate(place, path, version)
 }
 
-// noteLate notes a version that is in force for longer than the design says.
+// noteLate records a version that has been in force for longer than the design allows.
 func (h *versions) noteLate(place int, path string, version uint64) {
 	all := h.w.store.docs[path]
-	if int(version) < len(all) && h.w.now > all[version].at+settled {
+	if int(version) < len(all) && h.w.now > all[version].at+maxStaleness {
 		if h.late == nil {
 			h.late = make([]time.Duration, len(h.w.places))
 		}
@@ -47,8 +47,9 @@
 	}
 }
 
-// of are the versions in force in a place, or whose work may still go on.
-func (h *versions) of(place int, path string) []uint64 {
+// active returns the versions that are in force in a place, or whose work may still be in
+// flight.
+func (h *versions) active(place int, path string) []uint64 {
 	var list []uint64
 	now := make(map[uint64]bool)
 	for _, name := range h.w.names {
@@ -66,29 +67,29 @@
 	return list
 }
 
-// longest is how long a request may take by any clock.
+// longest is the longest time that a request may take, by any clock.
 func longest() time.Duration { return timeout + time.Duration(skew*float64(timeout)) }
 
-// mixed says that versions were in force together for longer than the design
-// says that documents take, so lately that raised limits may be used as well.
+// mixed reports whether versions were in force together for longer than the design
+// allows, recently enough that raised limits may be used as well.
 func (h *versions) mixed(place int) bool {
 	if h.late == nil || h.late[place] == 0 {
 		return false
 	}
-	return h.w.now <= h.late[place]+settled+2*longest()+slack
+	return h.w.now <= h.late[place]+maxStaleness+2*longest()+slack
 }
 
-// site reads one version of a service's document.
-func (w *world) site(path string, version uint64, place int) (settings.Site, int) {
+// site returns a service's site and shift cap in one version of its document.
+func (w *simulation) site(path string, version uint64, place int) (settings.Site, int) {
 	service := w.store.parsed(path, version).Service()
 	s, _ := service.Site(w.places[place])
 	return s, service.Shift()
 }
 
-// limits checks the target's slots, and the limits of its service and place.
+// limits checks the slots of a target, and the limits of its service and place.
 func (c *checker) limits(t *target) {
 	path := settings.ServicePath(t.key.Service)
-	list := c.held.of(t.place, path)
+	list := c.versions.active(t.place, path)
 	allowance, limit, sum := 0, 0, 0
 	most := make(map[owner.TargetKey]int)
 	for _, v := range list {
@@ -107,7 +108,7 @@
 		c.failf("%s has %d in flight, its allowance is %d (versions %v)", t.key.Name, len(t.works), allowance, list)
 	}
 	site, all := 0, 0
-	for _, o := range c.w.order {
+	for _, o := range c.w.sortedTargets {
 		if o.place != t.place {
 			continue
 		}
@@ -116,7 +117,7 @@
 			site += len(o.works)
 		}
 	}
-	if c.held.mixed(t.place) {
+	if c.versions.mixed(t.place) {
 		limit = sum
 	}
 	if site > limit {
@@ -128,16 +129,16 @@
 func (c *checker) placeLimit(place, all int) {
 	path := settings.PlacePath(c.w.places[place])
 	limit := 0
-	list := c.held.of(place, path)
+	list := c.versions.active(place, path)
 	for _, v := range list {
 		limit = max(limit, c.w.store.parsed(path, v).Place().Limit)
 	}
-	if all > limit && !c.held.mixed(place) {
+	if all > limit && !c.versions.mixed(place) {
 		c.failf("place %d has %d in flight, its limit is %d (versions %v)", place, all, limit, list)
 	}
 }
 
-// shifted counts a request from another place's callers that an owner admits.
+// shifted counts a shifted request that an owner admits, and checks the cap.
 func (c *checker) shifted(p *proc, t *target) {
 	service := t.key.Service.Name
 	window := p.local().Unix()
@@ -147,24 +148,24 @@
 		p.admitted[service] = counts
 	}
 	counts[window]++
-	if c.w.jumps {
+	if c.w.clocksJump {
 		return
 	}
 	limit := 0
 	path := settings.ServicePath(t.key.Service)
-	for _, v := range c.held.of(p.place, path) {
+	for _, v := range c.versions.active(p.place, path) {
 		_, shift := c.w.site(path, v, p.place)
 		limit = max(limit, shift)
 	}
 	if grown := counts[window] - counts[window-1]; grown > limit {
-		c.failf("%s admits %d shifted requests more than a second ago, cap %d", p, grown, limit)
+		c.failf("%s admits %d shifted requests more than in the second before, cap %d", p, grown, limit)
 	}
-	if c.w.aligned {
+	if c.w.clocksAligned {
 		c.shiftedInAll(p.place, service, window, limit)
 	}
 }
 
-// shiftedInAll checks the sum over a place's owners, by clocks that agree.
+// shiftedInAll checks the sum over a place's owners, whose clocks agree.
 func (c *checker) shiftedInAll(place int, service string, window int64, limit int) {
 	grown, changed := 0, time.Duration(0)
 	seen := make(map[uint64]bool)
@@ -178,19 +179,19 @@
 			seen[p.versions[servicePath(service)]] = true
 		}
 	}
-	for key, at := range c.held.last {
+	for key, at := range c.versions.last {
 		if key.place == place && key.path == servicePath(service) {
 			changed = max(changed, at)
 		}
 	}
 	if len(seen) > 1 || c.w.now < changed+4*time.Second {
-		for _, t := range c.w.order {
+		for _, t := range c.w.sortedTargets {
 			if t.place == place && t.key.Service.Name == service {
-				limit++ // one for each target's part, while versions differ
+				limit++ // one for each target's share, while versions differ
 			}
 		}
 	}
 	if grown > limit {
-		c.failf("place %d admits %d shifted requests of %s more than a second ago, cap %d", place, grown, service, limit)
+		c.failf("place %d admits %d shifted requests of %s more than in the second before, cap %d", place, grown, service, limit)
 	}
 }
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -9,33 +9,33 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// maxInstances is how many instances an answer of a look-up names.
+// maxInstances is the maximum number of instances in the answer to a look-up.
 const maxInstances = 4
 
-// maxKeys is how many idempotency keys one look-up may ask for.
+// maxKeys is the maximum number of idempotency keys in one look-up.
 const maxKeys = 64
 
-// NoServiceError says that no document declares the service.
+// NoServiceError reports that no document declares the service.
 type NoServiceError struct{ Service settings.ServiceID }
 
 func (e *NoServiceError) Error() string { return "core: no service " + e.Service.String() }
 
-// NoSettingsError says that this instance has no configuration yet, and others
-// are to be asked.
+// NoSettingsError reports that this instance has no configuration yet. Callers should ask
+// another instance.
 type NoSettingsError struct{ Instance string }
 
 func (e *NoSettingsError) Error() string { return "core: " + e.Instance + " has no configuration yet" }
 
-// StoppingError says that this instance is in a planned stop and others are to
-// be asked: what it answered would outlive it.
+// StoppingError reports that this instance is in a planned stop. Callers should ask
+// another instance, as an answer would be valid for longer than this instance runs.
 type StoppingError struct{ Instance string }
 
 func (e *StoppingError) Error() string { return "core: " + e.Instance + " is in a planned stop" }
 
-// Lookup tells a caller which instances to ask for a service, and gives keys
-// for non-idempotent requests. It returns a *NoServiceError for an unknown service,
-// a *NoSettingsError before the first configuration, and a *StoppingError in a
-// planned stop while others serve.
+// Lookup returns the instances that a caller should ask for a service, and keys for
+// non-idempotent requests. It returns a *NoServiceError for an unknown service, a
+// *NoSettingsError before the first configuration, and a *StoppingError during a planned
+// stop while other instances serve.
 func (n *Node) Lookup(now time.Time, id settings.ServiceID, caller netip.Addr, keys int) (Lookup, error) {
 	if n.snapshot == nil {
 		return Lookup{}, &NoSettingsError{Instance: n.cfg.Instance}
@@ -54,33 +54,33 @@
 	for range min(keys, maxKeys) {
 		l.Keys = append(l.Keys, n.once.Issue(now, until).String())
 	}
-	n.note(l)
+	n.recordLookup(l)
 	return l, nil
 }
 
-// note keeps until when callers may keep an answer that sends them to an
+// recordLookup records until when callers may cache an answer that leads them to an
 // instance, by its name or by a key.
-func (n *Node) note(l Lookup) {
+func (n *Node) recordLookup(l Lookup) {
 	for _, p := range l.Instances {
-		n.named[p.ID] = l.Until
+		n.lookupUntil[p.ID] = l.Until
 	}
 	if len(l.Keys) > 0 {
-		n.named[n.cfg.Instance] = l.Until
+		n.lookupUntil[n.cfg.Instance] = l.Until
 	}
 }
 
-// Named is until when callers may keep a look-up of this instance that sends
-// them to another, or to itself. The answer holds for good once the other is
-// known here to leave, which ok tells.
+// Named returns until when callers may cache a look-up, answered here, that leads them to
+// the instance id. ok reports that the time is final, because id has announced that it is
+// leaving, or is this instance and stopping.
 func (n *Node) Named(id string) (until time.Time, ok bool) {
 	p, known := n.peer(id)
-	return n.named[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
+	return n.lookupUntil[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
 }
 
-// instancesFor orders instances by how near their place is to the caller's home.
-// Within a place a random one comes first, so that callers spread.
+// instancesFor orders instances by the distance of their place from the caller's home.
+// Within a place the order is random, to spread callers.
 func (n *Node) instancesFor(id settings.ServiceID, service *settings.CompiledService, home string) []Peer {
-	f := &flight{service: service, home: home}
+	f := &inFlight{service: service, home: home}
 	f.req.Service = id
 	var list []Peer
 	for _, place := range n.placesFor(f) {
@@ -95,39 +95,39 @@
 	return list
 }
 
-// shuffled lists a place's instances that take new work, in random order. In
-// this place, where the owners are known, an instance comes first as often as
-// its share of the service's slots: who asks an owner saves a hand-off.
+// shuffled lists a place's instances that accept new work, in random order. In this
+// place, where the owners are known, the probability of being first is an instance's
+// share of the service's slots: a request sent to an owner needs no hand-off.
 func (n *Node) shuffled(id settings.ServiceID, place string) []Peer {
 	var list []Peer
 	if place == n.cfg.Place && !n.stopping && !n.snapshot.InstanceDrained(n.cfg.Instance) {
 		list = append(list, Peer{ID: n.cfg.Instance, Incarnation: n.cfg.Incarnation, Place: place})
 	}
-	for _, p := range n.peers.local[place] {
+	for _, p := range n.peers.byPlace[place] {
 		if !p.Leaving && !n.snapshot.InstanceDrained(p.ID) {
 			list = append(list, p)
 		}
 	}
 	n.cfg.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	if place == n.cfg.Place {
-		n.byShare(id, list)
+		n.shuffleByShare(id, list)
 	}
 	return list
 }
 
-// byShare orders a place's instances at random, weighted by the slots that each
-// owns of the service.
-func (n *Node) byShare(id settings.ServiceID, list []Peer) {
+// shuffleByShare orders a place's instances at random, weighted by the slots of the
+// service that each owns.
+func (n *Node) shuffleByShare(id settings.ServiceID, list []Peer) {
 	s, ok := n.services[id]
 	if !ok {
 		return
 	}
 	slots := make(map[string]int, len(list))
 	for _, key := range s.keys {
-		slots[n.book.Owner(key)] += s.limits[key]
+		slots[n.owners.Owner(key)] += s.limits[key]
 	}
-	// The least of exponential times with these rates is each one as often as
-	// its share; an instance without slots comes last.
+	// Of exponential times with these rates, each one is the smallest with a probability
+	// equal to its share; an instance without slots comes last.
 	times := make(map[string]float64, len(list))
 	for _, p := range list {
 		times[p.ID] = n.cfg.Rand.ExpFloat64() / float64(slots[p.ID])
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -1,6 +1,6 @@
-// Package core decides for one entry instance: where each request goes, when
-// it waits, and when it is refused. It has no sockets, files, timers or clock;
-// its environment tells it of events and carries out its decisions.
+// Package core takes the decisions of one entry instance: where each request goes, when
+// it waits, and when it is refused. It has no sockets, files, timers or clock. Its
+// environment, the shell, passes it events and carries out its decisions.
 package core
 
 import (
@@ -23,58 +23,58 @@
 	snapshot *settings.Snapshot // nil until the first documents arrive
 	blocks   *block.Table
 
-	peers peerList
-	rooms map[string]rooms // what each peer of peers last said of its room
-	seen  map[string]sighting
-	named map[string]time.Time // until when callers may keep a look-up that names an instance
+	peers       peerList
+	peerSlots   map[string]slotEstimates // estimates of each peer's free slots
+	lastSeen    map[string]lastSeen
+	lookupUntil map[string]time.Time // until when callers may cache a look-up that names an instance
 
-	grants   *grant.Book             // what peers were granted
-	holdings *grant.Holdings         // what peers have granted
-	demands  map[destination]*demand // what could go to other places
-	askPaced time.Time               // what was asked so far would be through at an even pace
+	grants     *grant.Book             // granted to peers
+	holdings   *grant.Holdings         // granted by peers
+	demands    map[destination]*demand // for hand-offs to other places
+	askedUntil time.Time               // when the requests for grants sent so far would be done at the maximum rate
 
-	book   *owner.Book
+	owners *owner.Book
 	roster rosterState
 
-	flights   map[ID]*flight
-	queue     *queue.Queue
-	once      *once.Book
-	retry     retry.Policy
-	services  map[settings.ServiceID]*service // of the snapshot
-	address   map[owner.TargetKey]string      // of the place's targets
-	reports   map[owner.TargetKey]int         // requests that targets last reported, for baselines
-	probes    map[owner.TargetKey]time.Time   // when each target is probed next
-	probeAt   time.Time                       // no target is due for a probe before
-	capped    rights                          // what the services' caps were last worked out from
-	started   time.Time
-	settlings []settling // slots of broken attempts, by time
-	endings   endings
-	stopping  bool
-	closeAt   time.Time // when a planned stop begins no keyed request any more
+	requests    map[ID]*inFlight
+	queue       *queue.Queue
+	once        *once.Book
+	retry       retry.Policy
+	services    map[settings.ServiceID]*serviceState // of the snapshot
+	addresses   map[owner.TargetKey]string           // of the place's targets
+	reports     map[owner.TargetKey]int              // requests in progress that targets last reported, for baselines
+	probes      map[owner.TargetKey]time.Time        // next probe of each target
+	probeAt     time.Time                            // earliest time at which a probe may be due
+	capBasis    capBasis                             // what the shift caps were last computed from
+	started     time.Time
+	quarantine  []quarantinedSlot // slots of aborted attempts, oldest first
+	crashes     crashTracker
+	stopping    bool
+	keysCloseAt time.Time // when a planned stop stops accepting keyed requests
 
-	out []Decision // decisions of the step under way
+	out []Decision // decisions of the current step
 }
 
-// New makes a node. It returns a *ConfigError if cfg is at fault.
+// New creates a node. It returns a *ConfigError if cfg is invalid.
 func New(cfg Config, now time.Time) (*Node, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	n := &Node{
-		cfg:      cfg,
-		rooms:    make(map[string]rooms),
-		seen:     make(map[string]sighting),
-		named:    make(map[string]time.Time),
-		holdings: grant.NewHoldings(),
-		demands:  make(map[destination]*demand),
-		flights:  make(map[ID]*flight),
-		services: make(map[settings.ServiceID]*service),
-		address:  make(map[owner.TargetKey]string),
-		probes:   make(map[owner.TargetKey]time.Time),
-		reports:  make(map[owner.TargetKey]int),
-		endings:  newEndings(),
-		started:  now,
+		cfg:         cfg,
+		peerSlots:   make(map[string]slotEstimates),
+		lastSeen:    make(map[string]lastSeen),
+		lookupUntil: make(map[string]time.Time),
+		holdings:    grant.NewHoldings(),
+		demands:     make(map[destination]*demand),
+		requests:    make(map[ID]*inFlight),
+		services:    make(map[settings.ServiceID]*serviceState),
+		addresses:   make(map[owner.TargetKey]string),
+		probes:      make(map[owner.TargetKey]time.Time),
+		reports:     make(map[owner.TargetKey]int),
+		crashes:     newCrashTracker(),
+		started:     now,
 	}
 	if err := n.build(); err != nil {
 		return nil, err
@@ -82,8 +82,8 @@
 	return n, nil
 }
 
-// Step tells the node of one event and returns what has to be done about it.
-// The returned decisions are valid until the next call.
+// Step processes one event and returns the resulting decisions, which are valid until the
+// next call.
 func (n *Node) Step(now time.Time, ev Event) []Decision {
 	n.out = n.out[:0]
 	switch ev := ev.(type) {
@@ -92,36 +92,36 @@
 	case Finished:
 		n.finished(now, ev)
 	case Ended:
-		n.ended(now, ev)
+		n.connectionEnded(now, ev)
 	case Cancelled:
 		n.cancelled(now, ev)
 	case RoomHeard:
-		n.roomHeard(now, ev)
+		n.freeSlotsReceived(now, ev)
 	case GrantHeard:
-		n.grantHeard(now, ev)
+		n.grantReceived(now, ev)
 	case PeersChanged:
 		n.peersChanged(now, ev)
 	case Applied:
-		n.applied(now, ev.Snapshot)
+		n.applySnapshot(now, ev.Snapshot)
 	case RosterRead:
 		n.rosterRead(now, ev)
 	case RosterHeard:
 		n.setRoster(now, ev.Roster)
 	case PeerAcked:
-		n.book.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
+		n.owners.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
 	case Listed:
 		n.listed(now, ev)
 	case Released:
-		n.book.Released(now, ev.Release)
-		n.pump(now)
+		n.owners.Released(now, ev.Release)
+		n.serveQueue(now)
 	case SwapFailed:
-		n.book.Abandon(ev.Removed)
+		n.owners.Abandon(ev.Removed)
 	case Probed:
 		n.probed(now, ev)
 	case Noticed:
-		n.noticed(now, ev)
+		n.noticeReceived(now, ev)
 	case CrashesHeard:
-		n.crashesHeard(now, ev.News)
+		n.crashesReceived(now, ev.News)
 	case Stopping:
 		n.stop(now)
 	case Tick:
@@ -130,32 +130,32 @@
 	return slices.Clone(n.out)
 }
 
-// Waiting says whether something waits for time to pass, so that a tick that
-// comes late would show.
-func (n *Node) Waiting() bool { return n.queue.Len() > 0 || len(n.settlings) > 0 }
+// Waiting reports whether something waits for time to pass, so that a late tick would be
+// noticeable.
+func (n *Node) Waiting() bool { return n.queue.Len() > 0 || len(n.quarantine) > 0 }
 
-// tick does what time alone brings about.
+// tick performs all work that depends on time alone.
 func (n *Node) tick(now time.Time) {
 	n.expire(now)
-	n.settleDue(now)
+	n.releaseQuarantined(now)
 	n.once.Sweep(now)
 	n.closeKeys(now)
 	n.grants.Sweep(now)
-	n.forgetCrashes(now)
+	n.expireCrashes(now)
 	if n.snapshot != nil {
-		n.recapAll(now)
+		n.updateCaps(now)
 		n.probeDue(now)
-		n.tendGrants(now)
+		n.maintainGrants(now)
 	}
-	n.tendRoster(now)
-	n.pump(now)
+	n.maintainRoster(now)
+	n.serveQueue(now)
 }
 
-// expire refuses the requests that have waited too long. One that its caller
-// gave up in the same moment has had its refusal.
+// expire refuses the requests that have waited too long. A request that the caller
+// cancelled at the same moment has already been refused.
 func (n *Node) expire(now time.Time) {
 	for _, item := range n.queue.Expire(now) {
-		if f, ok := n.flights[ID(item.ID)]; ok {
+		if f, ok := n.requests[ID(item.ID)]; ok {
 			n.refuse(now, f, ReasonDeadline)
 		}
 	}
--- a/internal/core/notice.go
+++ b/internal/core/notice.go
@@ -11,30 +11,31 @@
 )
 
 const (
-	// spreadTime spreads the callers that are refused until the same time, so that they
-	// don't come back at once.
-	spreadTime = time.Second
-	// retryLeaving is when a caller may come back that finds only targets which leave:
-	// others have to be registered first.
+	// retrySpread randomizes the retry time of callers that are refused until the same
+	// moment, so that they don't all come back at once.
+	retrySpread = time.Second
+	// retryLeaving is when a caller that finds only leaving targets may retry: others have
+	// to be registered first.
 	retryLeaving = time.Second
-	// restLimited is how long a target that names a limit of 0 is left alone until it is
-	// asked whether that is over; probes show it sooner.
-	restLimited = 10 * time.Second
+	// zeroLimitBackOff is how long a target that announced a limit of 0 gets no request
+	// before one is sent to check whether the limit still holds. Probes detect the change
+	// sooner.
+	zeroLimitBackOff = 10 * time.Second
 )
 
-// Noticed tells what a target said, in an answer or when it was probed, of the requests that
-// it wants.
+// Noticed delivers the notice of a target, from an answer or a probe, about the requests
+// that it accepts.
 type Noticed struct {
 	Target owner.TargetKey
 	Asked  time.Time // when the request or probe was sent
 	Notice notice.Notice
-	Unread []string // what of it can't be read
-	Whole  bool     // a success: what it does not say is not so
+	Unread []string // the parts that could not be parsed
+	Whole  bool     // from a successful answer: a constraint that the notice does not state has ended
 }
 
 func (Noticed) event() {}
 
-// TargetNews says that a target wants other requests than before.
+// TargetNews reports that a target's constraints have changed.
 type TargetNews struct {
 	Target owner.TargetKey
 	Notice notice.Notice
@@ -43,20 +44,21 @@
 
 func (TargetNews) decision() {}
 
-// constraint is what a target has said of the requests that it wants. The target has one owner,
-// so that a limit over all instances is one for this instance.
+// constraint is what a target has announced about the requests that it accepts. As the
+// target has one owner, a limit for all instances together is a limit for this instance.
 type constraint struct {
-	leaving  bool
-	limited  bool
-	rate     float64   // requests a second; counts if limited
-	next     time.Time // when it takes the next one, if limited
-	restEnds time.Time // it gets nothing before
-	heard    time.Time // when it last said anything
-	unread   bool      // its last notice could not be read whole
+	leaving      bool
+	limited      bool
+	rate         float64   // requests per second; valid if limited
+	next         time.Time // when it accepts the next request; valid if limited
+	backOffUntil time.Time // end of its back-off
+	updated      time.Time // time of the last notice
+	unreadable   bool      // the last notice could not be parsed completely
 }
 
-// noticed takes in what a target said. Requests that wait for nothing else then are refused.
-func (n *Node) noticed(now time.Time, ev Noticed) {
+// noticeReceived applies a target's notice. Queued requests that have no other option
+// left are refused.
+func (n *Node) noticeReceived(now time.Time, ev Noticed) {
 	s, ok := n.services[ev.Target.Service]
 	if !ok || !slices.Contains(s.keys, ev.Target) {
 		return
@@ -70,25 +72,25 @@
 		s.constraints[ev.Target] = c
 	}
 	limited := c.limited
-	changed := c.take(now, ev)
+	changed := c.apply(now, ev)
 	if c.limited && !limited {
-		c.next = now.Add(n.gap(now, ev.Target, c))
+		c.next = now.Add(n.requestInterval(now, ev.Target, c))
 	}
 	if changed {
 		n.decide(TargetNews{Target: ev.Target, Notice: ev.Notice, Unread: ev.Unread})
-		n.replace(now, ev.Target.Service)
+		n.rerouteQueued(now, ev.Target.Service)
 	}
 }
 
-// take takes a notice in, and says whether it changes anything.
-func (c *constraint) take(now time.Time, ev Noticed) bool {
+// apply merges a notice into the constraint, and reports whether anything changed.
+func (c *constraint) apply(now time.Time, ev Noticed) bool {
 	before := *c
 	if ev.Notice.Rest > 0 {
-		if ends := now.Add(ev.Notice.Rest); ends.After(c.restEnds) {
-			c.restEnds = ends
+		if ends := now.Add(ev.Notice.Rest); ends.After(c.backOffUntil) {
+			c.backOffUntil = ends
 		}
 	}
-	later := ev.Asked.After(c.heard)
+	later := ev.Asked.After(c.updated)
 	if ev.Notice.Leaving || ev.Whole && later {
 		c.leaving = ev.Notice.Leaving
 	}
@@ -96,39 +98,40 @@
 		c.limited, c.rate = ev.Notice.Limited, ev.Notice.Limit
 	}
 	if ev.Notice.Any() {
-		c.heard = now
+		c.updated = now
 	}
-	c.unread = ev.Unread != nil
-	return c.unread != before.unread || c.leaving != before.leaving || c.limited != before.limited || c.rate != before.rate ||
-		c.restEnds != before.restEnds && !now.Before(before.restEnds)
+	c.unreadable = ev.Unread != nil
+	return c.unreadable != before.unreadable || c.leaving != before.leaving || c.limited != before.limited || c.rate != before.rate ||
+		c.backOffUntil != before.backOffUntil && !now.Before(before.backOffUntil)
 }
 
-// barred says until when a target gets no requests, and why; "" if it may get one now.
-func (n *Node) barred(now time.Time, key owner.TargetKey) (time.Time, Reason) {
-	c := n.service(now, key.Service).constraints[key]
+// unavailableUntil returns until when a target gets no requests, and why; the reason is
+// "" if it may get one now.
+func (n *Node) unavailableUntil(now time.Time, key owner.TargetKey) (time.Time, Reason) {
+	c := n.state(now, key.Service).constraints[key]
 	switch {
 	case c == nil:
 		return time.Time{}, ""
 	case c.leaving:
 		return now.Add(retryLeaving), ReasonDrained
-	case now.Before(c.restEnds):
-		return c.restEnds, ReasonResting
+	case now.Before(c.backOffUntil):
+		return c.backOffUntil, ReasonBackingOff
 	case c.limited && now.Before(c.next):
 		return c.next, ReasonLimited
 	}
 	return time.Time{}, ""
 }
 
-// allBarred says until when none of the targets that this instance may use gets requests of a
-// service, and why; "" if one may get some.
-func (n *Node) allBarred(now time.Time, id settings.ServiceID) (time.Time, Reason) {
+// allUnavailableUntil returns until when none of the targets that this instance may use
+// gets requests of a service, and why; the reason is "" if one of them may get some.
+func (n *Node) allUnavailableUntil(now time.Time, id settings.ServiceID) (time.Time, Reason) {
 	var first time.Time
 	var why Reason
-	for _, key := range n.service(now, id).keys {
-		if !n.baseline() && n.book.Usable(now, key) == 0 {
+	for _, key := range n.state(now, id).keys {
+		if !n.baseline() && n.owners.Usable(now, key) == 0 {
 			continue
 		}
-		until, reason := n.barred(now, key)
+		until, reason := n.unavailableUntil(now, key)
 		if reason == "" {
 			return time.Time{}, ""
 		}
@@ -139,54 +142,57 @@
 	return first, why
 }
 
-// spend notes that a request goes to a target, which takes the next one later if it has named a
-// limit.
-func (n *Node) spend(now time.Time, key owner.TargetKey) {
-	if c := n.service(now, key.Service).constraints[key]; c != nil && c.limited {
-		c.next = now.Add(n.gap(now, key, c))
+// countAgainstLimit records that a request goes to a target, which delays the next one if
+// the target announced a limit.
+func (n *Node) countAgainstLimit(now time.Time, key owner.TargetKey) {
+	if c := n.state(now, key.Service).constraints[key]; c != nil && c.limited {
+		c.next = now.Add(n.requestInterval(now, key, c))
 	}
 }
 
-// gap is the time between two requests at a target that has named a limit. Who has a part of the
-// target's slots, as ownership changes, has that part of the limit.
-func (n *Node) gap(now time.Time, key owner.TargetKey, c *constraint) time.Duration {
+// requestInterval returns the time between two requests at a target that announced a
+// limit. During a change of ownership, an instance that may use part of the target's
+// slots has the same part of the limit.
+func (n *Node) requestInterval(now time.Time, key owner.TargetKey, c *constraint) time.Duration {
 	rate := c.rate
-	if limit := n.service(now, key.Service).limits[key]; limit > 0 && !n.baseline() {
-		rate *= float64(n.book.Usable(now, key)) / float64(limit)
+	if limit := n.state(now, key.Service).limits[key]; limit > 0 && !n.baseline() {
+		rate *= float64(n.owners.Usable(now, key)) / float64(limit)
 	}
-	return time.Duration(math.Min(float64(time.Second)/rate, float64(restLimited)))
+	return time.Duration(math.Min(float64(time.Second)/rate, float64(zeroLimitBackOff)))
 }
 
-// refuseBarred refuses a request that only targets could serve which want none now.
-func (n *Node) refuseBarred(now time.Time, f *flight) bool {
+// refuseUnavailable refuses a request if none of the targets that could serve it accepts
+// any now.
+func (n *Node) refuseUnavailable(now time.Time, f *inFlight) bool {
 	if !n.servesHere(f) {
 		return false
 	}
-	until, why := n.allBarred(now, f.req.Service)
+	until, why := n.allUnavailableUntil(now, f.req.Service)
 	if why == "" {
 		return false
 	}
-	f.sooner(until.Add(time.Duration(n.cfg.Rand.Int64N(int64(spreadTime)))))
+	f.lowerRetryAt(until.Add(time.Duration(n.cfg.Rand.Int64N(int64(retrySpread)))))
 	n.refuse(now, f, why)
 	return true
 }
 
-// replace decides anew on the waiting requests of a service whose targets want none now.
-func (n *Node) replace(now time.Time, id settings.ServiceID) {
-	if _, why := n.allBarred(now, id); why == "" {
+// rerouteQueued decides again on a service's queued requests if none of its targets
+// accepts any now.
+func (n *Node) rerouteQueued(now time.Time, id settings.ServiceID) {
+	if _, why := n.allUnavailableUntil(now, id); why == "" {
 		return
 	}
 	var waiting []ID
-	for _, f := range n.flights {
+	for _, f := range n.requests {
 		if f.stage == stageQueued && f.req.Service == id {
 			waiting = append(waiting, f.id)
 		}
 	}
 	slices.Sort(waiting)
 	for _, w := range waiting {
-		f := n.flights[w]
+		f := n.requests[w]
 		n.queue.Cancel(now, uint64(f.id))
 		f.stage = stageNew
-		n.place(now, f, ReasonQueue)
+		n.route(now, f, ReasonQueue)
 	}
 }
--- a/internal/core/store_test.go
+++ b/internal/core/store_test.go
@@ -11,14 +11,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// store is the platform: documents, rosters and a list of instances that lags.
+// store simulates the platform: documents, rosters and a lagging list of instances.
 type store struct {
-	w       *world
+	w       *simulation
 	down    bool
-	docs    map[string][]accepted // by path, all versions
-	paths   []string              // keys of docs, in the order of the first write
-	rosters map[int]owner.Roster  // by place
-	listed  map[string]*listing   // by instance
+	docs    map[string][]accepted    // all versions, by path
+	paths   []string                 // keys of docs, in the order of the first write
+	rosters map[int]owner.Roster     // by place
+	listed  map[string]*registration // by instance
 }
 
 // accepted is one version of a document.
@@ -28,31 +28,31 @@
 	parsed *settings.Parsed
 }
 
-// listing is an instance's line in the list.
-type listing struct {
-	lines []listedLine // what registrations said, oldest first
+// registration is an instance's entry in the list.
+type registration struct {
+	lines []registeredLine // registered incarnations, oldest first
 	last  time.Duration
 }
 
-type listedLine struct {
+type registeredLine struct {
 	at          time.Duration
 	incarnation uint64
 }
 
-// How the list lags.
+// Lag of the list.
 const (
 	showLag = 500 * time.Millisecond
-	goneLag = 3500 * time.Millisecond // a line that is not renewed goes; under lag
+	goneLag = 3500 * time.Millisecond // an entry that is not renewed is removed after this; less than lag
 )
 
-func newStore(w *world) *store {
+func newStore(w *simulation) *store {
 	return &store{
 		w: w, docs: make(map[string][]accepted),
-		rosters: make(map[int]owner.Roster), listed: make(map[string]*listing),
+		rosters: make(map[int]owner.Roster), listed: make(map[string]*registration),
 	}
 }
 
-// put writes a document if the path is at the given version.
+// put writes a document if its path is at the given version.
 func (s *store) put(path string, version uint64, body string) bool {
 	if uint64(len(s.docs[path])) != version {
 		return false
@@ -71,10 +71,10 @@
 	return true
 }
 
-// version is the newest of a path.
+// version returns the newest version of a path.
 func (s *store) version(path string) uint64 { return uint64(len(s.docs[path])) }
 
-// all are the newest documents.
+// all returns the newest documents.
 func (s *store) all() []settings.Document {
 	docs := make([]settings.Document, 0, len(s.paths))
 	for _, path := range s.paths {
@@ -83,7 +83,7 @@
 	return docs
 }
 
-// parsed is one version of a document.
+// parsed returns one version of a document.
 func (s *store) parsed(path string, version uint64) *settings.Parsed {
 	return s.docs[path][version-1].parsed
 }
@@ -100,17 +100,17 @@
 
 func (s *store) register(name string, incarnation uint64) {
 	l := s.listed[name]
-	if l == nil || (s.w.now > l.last+goneLag && !s.w.proves) {
-		l = &listing{}
+	if l == nil || (s.w.now > l.last+goneLag && !s.w.listProves) {
+		l = &registration{}
 		s.listed[name] = l
 	}
 	l.last = s.w.now
 	if n := len(l.lines); n == 0 || l.lines[n-1].incarnation < incarnation {
-		l.lines = append(l.lines, listedLine{at: s.w.now + showLag, incarnation: incarnation})
+		l.lines = append(l.lines, registeredLine{at: s.w.now + showLag, incarnation: incarnation})
 	}
 }
 
-// list is what the list shows now, of one place.
+// list returns the list's present contents for one place.
 func (s *store) list(place int) []docstore.Instance {
 	var list []docstore.Instance
 	for _, name := range s.w.names {
@@ -118,7 +118,7 @@
 		if l == nil || s.w.home[name] != place {
 			continue
 		}
-		if s.w.now > l.last+goneLag && (!s.w.proves || s.w.live[name] == nil) {
+		if s.w.now > l.last+goneLag && (!s.w.listProves || s.w.live[name] == nil) {
 			continue
 		}
 		shown := uint64(0)
@@ -134,27 +134,27 @@
 	return list
 }
 
-// ask calls the platform from a process. serve runs there, and its result runs
-// back at the process. failed runs there instead when the call or its answer is
-// lost; whether serve has run is then not told.
-func (s *store) ask(p *proc, serve func() func(), failed func()) {
+// call calls the platform from a process. serve runs at the platform, and the function
+// that it returns runs at the process. If the call or its answer is lost, failed runs at
+// the process instead, which can't determine whether serve has run.
+func (s *store) call(p *proc, serve func() func(), failed func()) {
 	w := s.w
 	lost := func() { w.after(500*time.Millisecond, func() { p.deliver(failed) }) }
-	out := w.delay(p.place, endPlatform)
+	out := w.delay(p.place, endpointPlatform)
 	if w.chance(0.03) {
 		out += w.upTo(2 * time.Second)
 	}
 	w.after(out, func() {
-		if s.down || w.links.cut[[2]int{p.place, endPlatform}] > 0 || w.links.apart[[2]string{p.name, ""}] > 0 {
+		if s.down || w.links.cut[[2]int{p.place, endpointPlatform}] > 0 || w.links.apart[[2]string{p.name, ""}] > 0 {
 			lost()
 			return
 		}
 		back := serve()
-		if w.links.cut[[2]int{endPlatform, p.place}] > 0 || w.chance(0.03) {
+		if w.links.cut[[2]int{endpointPlatform, p.place}] > 0 || w.chance(0.03) {
 			lost()
 			return
 		}
-		w.after(w.delay(endPlatform, p.place), func() { p.deliver(back) })
+		w.after(w.delay(endpointPlatform, p.place), func() { p.deliver(back) })
 	})
 }
 
@@ -170,7 +170,7 @@
 
 func servicePath(name string) string { return settings.ServicePath(serviceID(name)) }
 
-// site is what an operator asks for one service at one place.
+// site is one service's configuration at one place.
 type site struct {
 	limit int
 	slots []int
@@ -182,7 +182,7 @@
 	sites []site // by place
 }
 
-func (w *world) randomPlan(most [][]int) plan {
+func (w *simulation) randomPlan(most [][]int) plan {
 	p := plan{shift: 1 + w.rng.IntN(12)}
 	for i := range w.places {
 		s, all := site{}, 0
@@ -199,7 +199,7 @@
 	return p
 }
 
-// body writes the plan as an operator would.
+// body formats the plan as a service document.
 func (p plan) body(service string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "class: interactive\ntimeout: %s\nshift: %d\nplaces:\n", timeout, p.shift)
@@ -225,8 +225,8 @@
 	return fmt.Sprintf("region: %s\nlimit: %d\n", region(place), limit)
 }
 
-// firstDocuments fills the platform and makes the targets.
-func (w *world) firstDocuments() {
+// firstDocuments writes the initial documents and creates the targets.
+func (w *simulation) firstDocuments() {
 	blocks := "blocks:\n"
 	for i, name := range w.places {
 		w.store.put(settings.PlacePath(name), 0, placeBody(i, 3+w.rng.IntN(10)))
@@ -245,13 +245,13 @@
 	}
 }
 
-func (w *world) addTarget(service string, place, i int) {
+func (w *simulation) addTarget(service string, place, i int) {
 	t := &target{w: w, key: keyOf(service, targetName(service, place, i)), place: place}
 	w.targets[targetAddress(service, place, i)] = t
-	w.order = append(w.order, t)
+	w.sortedTargets = append(w.sortedTargets, t)
 }
 
-// drainedSince says since when the newest documents drain a target.
+// drainedSince returns since when the newest documents drain a target.
 func (s *store) drainedSince(t *target) (time.Duration, bool) {
 	for _, path := range s.paths {
 		if !strings.HasPrefix(path, settings.DrainsPrefix) {
