--- a/internal/grant/book.go
+++ b/internal/grant/book.go
@@ -1,12 +1,12 @@
-// Package grant keeps what the owner of targets has promised to other places,
-// and what a sender has been promised.
+// Package grant tracks the grants that an owner of targets has issued to other
+// places, and those that a sender has received.
 //
 // A grant is a number of requests that a sender may hand off until a deadline.
-// It tells the sender what it may send; the owner's own count still decides
-// about each request when it arrives. So a grant that is lost, late, doubled or
-// of an owner that has gone can cost a round trip, but never a limit.
+// It is advisory: the owner's own count still decides about each request when it
+// arrives. A grant that is lost, late, duplicated or from an owner that has been
+// removed can therefore cost a round trip, but never exceed a limit.
 //
-// The package does no input or output and is not safe for concurrent use.
+// The package performs no I/O and is not safe for concurrent use.
 package grant
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Use is what a grant is good for.
+// Use identifies the requests that a grant covers.
 type Use struct {
 	Service settings.ServiceID
 	Shifted bool // the callers' home is not the granter's place
@@ -38,27 +38,27 @@
 	return 1
 }
 
-// Ask is what a sender would like to hand off.
+// Ask is a sender's request for a grant.
 type Ask struct {
 	Peer  string
 	Place string // the peer's
 	Use   Use
-	Want  int // requests beyond those it holds grants for
+	Want  int // requests beyond those that it already holds grants for
 }
 
-// Room is what an owner could take now if nothing were granted.
+// Room is what an owner could accept now if nothing were granted.
 type Room struct {
-	Slots   int // of the service
-	Shifted int // shifted requests of the service that the cap lets pass during a grant's life
-	Spare   int // of the place's limit, for all services together
+	Slots   int // free slots of the service
+	Shifted int // shifted requests of the service that the cap admits during a grant's lifetime
+	Spare   int // free under the place's limit, for all services together
 	Weight  func(team string) int
 }
 
-// Book is the granter's side.
+// Book holds the grants that this instance has issued.
 type Book struct {
 	cfg   Config
 	lines map[lineKey]*line
-	held  map[settings.ServiceID]int // sum of the lines' grants
+	held  map[settings.ServiceID]int // sum of the entries' grants
 	total int                        // sum over services
 }
 
@@ -67,17 +67,17 @@
 	use  Use
 }
 
-// line is what one sender has been granted and wants of one use.
+// entry holds what one sender has been granted, and still asks for, of one use.
 type line struct {
 	key       lineKey
 	place     string
 	grants    promises
 	want      int       // beyond grants; counts until wantUntil
-	wantUntil time.Time // when want no longer counts
-	last      time.Time // when it was last granted something
+	wantUntil time.Time // when want expires
+	last      time.Time // time of its last grant
 }
 
-// claim is how much of the owner's room the line would use.
+// demand returns how much of the owner's capacity the entry would use.
 func (l *line) claim(now time.Time) int {
 	n := l.grants.sum()
 	if now.Before(l.wantUntil) {
@@ -86,7 +86,7 @@
 	return n
 }
 
-// NewBook makes an empty book. It returns a *ConfigError.
+// NewBook starts without any grants. An invalid cfg gives *ConfigError.
 func NewBook(cfg Config) (*Book, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -95,11 +95,11 @@
 	return &Book{cfg: cfg, lines: make(map[lineKey]*line), held: make(map[settings.ServiceID]int)}, nil
 }
 
-// Life is how long a grant may be used.
+// Life returns how long a grant may be used.
 func (b *Book) Life() time.Duration { return b.cfg.Life }
 
-// Grant answers a sender: it may hand off so many more requests for Life,
-// counted by its own clock from before it asked.
+// Grant returns how many more requests a sender may hand off. It may do so for
+// the lifetime of a grant, counted by its own clock from before it asked.
 func (b *Book) Grant(now time.Time, a Ask, r Room) int {
 	b.Sweep(now)
 	l := b.line(a)
@@ -112,7 +112,7 @@
 	if n <= 0 {
 		return 0
 	}
-	// The sender's clock may be slow, so it is waited for a little longer.
+	// The sender's clock may be slow, so the grant is kept a little longer here.
 	l.grants.add(n, now.Add(time.Duration(float64(b.cfg.Life)*(1+b.cfg.Skew))))
 	l.want, l.last = l.want-n, now
 	b.hold(a.Use.Service, n)
@@ -120,7 +120,7 @@
 	return n
 }
 
-// check asserts that what is promised fits into what may be used.
+// check asserts that the outstanding grants fit the owner's capacity.
 func (b *Book) check(a Ask, r Room) {
 	held := b.held[a.Use.Service]
 	b.cfg.Checks.Check(invariant.RegionLimit, held <= r.Slots && b.total <= r.Spare, func() string {
@@ -131,17 +131,18 @@
 	}
 	shifted := b.heldShifted(a.Use.Service)
 	b.cfg.Checks.Check(invariant.ShiftCap, shifted <= r.Shifted, func() string {
-		return fmt.Sprintf("%v: %d granted, the cap has room for %d", a.Use.Service, shifted, r.Shifted)
+		return fmt.Sprintf("%v: %d shifted requests granted, the cap admits %d", a.Use.Service, shifted, r.Shifted)
 	})
 }
 
-// Used notes that a sender has handed a request off. It returns false when the
+// Used records that a sender has handed off a request. It returns false if the
 // sender held no grant.
 func (b *Book) Used(now time.Time, peer string, use Use) bool {
 	return b.Release(now, peer, use, 1) == 1
 }
 
-// Release takes back what a sender has no use for, and returns how much that was.
+// Release takes back up to n granted requests from a sender, and returns how many
+// it held.
 func (b *Book) Release(now time.Time, peer string, use Use, n int) int {
 	b.Sweep(now)
 	l, ok := b.lines[lineKey{peer: peer, use: use}]
@@ -159,7 +160,7 @@
 	return b.held[id]
 }
 
-// Sweep forgets what has run out.
+// Sweep drops expired grants and asks.
 func (b *Book) Sweep(now time.Time) {
 	for key, l := range b.lines {
 		if lost := l.grants.drop(now); lost > 0 {
@@ -200,8 +201,9 @@
 	return n
 }
 
-// share is how much more of the room the line may have: the team, the service,
-// the use, the sender's place and the sender itself each keep to their part.
+// share returns how much more of the capacity the entry may be granted: the team,
+// the service, the use, the sender's place and the sender itself are each limited
+// to their share.
 func (b *Book) share(now time.Time, l *line, r Room) int {
 	d := division{now: now, of: l, lines: b.sorted(), total: r.Spare, left: r.Spare}
 	d.by(func(o *line) string { return o.key.use.Service.Team }, r.Weight)
@@ -216,8 +218,8 @@
 	return d.left
 }
 
-// sorted lists the lines, the one that was granted something longest ago first,
-// so that single units go round.
+// sorted returns the entries, least recently granted first, so that single units
+// are granted in turn.
 func (b *Book) sorted() []*line {
 	list := make([]*line, 0, len(b.lines))
 	for _, l := range b.lines {
--- a/internal/grant/book_test.go
+++ b/internal/grant/book_test.go
@@ -42,7 +42,7 @@
 		peer, place string
 		use         Use
 		want, got   int
-		spare       int // of the place at this ask; 0 for the room's
+		spare       int // free under the place's limit from this ask on; 0 leaves it as it was
 	}
 	tests := map[string]struct {
 		room Room
@@ -109,8 +109,9 @@
 	}
 }
 
-// TestSenderNeverHoldsLonger lets the sender's clock run slow or fast within the
-// bound, and its answers be late: its grant has ended when the granter's has.
+// TestSenderNeverHoldsLonger runs the sender's clock slow or fast within the skew
+// bound, and delays answers: a grant must expire at the sender no later than at
+// the granter.
 func TestSenderNeverHoldsLonger(t *testing.T) {
 	tests := map[string]struct {
 		rate       float64 // of the sender's clock
@@ -142,15 +143,16 @@
 	p := NewHoldings()
 	p.Heard("g", orders, 3, start)
 	if got := p.Take(start, "g", orders, 1); got != 0 {
-		t.Errorf("got %d taken, want 0 from a grant that had run out", got)
+		t.Errorf("got %d taken, want 0 from an expired grant", got)
 	}
 	if got := p.Held(start, "g", orders); got != 0 {
-		t.Errorf("got %d held, want 0 from a grant that had run out", got)
+		t.Errorf("got %d held, want 0 from an expired grant", got)
 	}
 }
 
-// TestBookIsBounded runs one granter and several senders whose answers get
-// lost and doubled. What is promised always fits the room it was promised from.
+// TestGrantsFitCapacity runs one granter and several senders whose answers are
+// lost or duplicated. The outstanding grants must always fit the capacity that
+// they were issued from.
 func TestBookIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := newBook(t), start
@@ -177,7 +179,7 @@
 			use := rapid.SampledFrom([]Use{orders, fees}).Draw(t, "service")
 			key := peer + use.Service.Team
 			if rapid.Bool().Draw(t, "use") {
-				// A hand-off may be one that a doubled answer made believe it had a grant.
+				// The hand-off may rely on a duplicate answer instead of a grant.
 				if b.Used(now, peer, use) {
 					list := open[key]
 					for i := range list {
@@ -193,7 +195,7 @@
 			n := b.Grant(now, Ask{Peer: peer, Place: peer[:1], Use: use, Want: rapid.IntRange(0, 9).Draw(t, "want")}, r)
 			open[key] = append(open[key], promised{use: use, n: n, until: now.Add(b.Life())})
 			if n > 0 && (sum(use) > min(r.Slots, r.Shifted) || sum(orders, fees) > r.Spare) {
-				t.Fatalf("got %d promised of %d, room for %+v", sum(use), sum(orders, fees), r)
+				t.Fatalf("got %d granted for the use, %d in all, want them to fit %+v", sum(use), sum(orders, fees), r)
 			}
 		}
 	})
--- a/internal/grant/config.go
+++ b/internal/grant/config.go
@@ -7,16 +7,16 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Config sets up a Book.
+// Config bounds the grants that are issued.
 type Config struct {
-	Life     time.Duration      // a grant may be used for so long
-	Skew     float64            // bound on how far two clocks' rates differ, as a share
-	Remember time.Duration      // how long a want counts after it was asked for
-	Most     int                // requests granted by one answer
+	Life     time.Duration      // how long a grant may be used
+	Skew     float64            // bound on the relative difference between two clocks' rates
+	Remember time.Duration      // how long an ask counts as demand
+	Most     int                // most requests granted by one answer
 	Checks   *invariant.Counter // may be nil
 }
 
-// Defaults fills in what is zero.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	if c.Life == 0 {
 		c.Life = 500 * time.Millisecond
--- a/internal/grant/demand.go
+++ b/internal/grant/demand.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// bucket is the time over which requests are counted.
+// bucketLength is the interval over which requests are counted.
 const bucket = 100 * time.Millisecond
 
-// Demand counts the requests that would like to go somewhere. Its zero value is
-// ready for use.
+// Demand counts the requests for one destination. Its zero value is ready for
+// use.
 type Demand struct {
-	end    time.Time // of the bucket under way
-	now    int       // requests in it
-	before int       // requests in the one before
+	end    time.Time // of the current bucket
+	now    int       // requests in the current bucket
+	before int       // requests in the bucket before it
 }
 
 // Add counts one request.
@@ -19,8 +19,7 @@
 	d.now++
 }
 
-// Want returns how many requests were counted lately: in the last one to two
-// tenths of a second.
+// Want returns how many requests were counted in the last 0.1 to 0.2 s.
 func (d *Demand) Want(now time.Time) int {
 	d.roll(now)
 	return d.now + d.before
--- a/internal/grant/division.go
+++ b/internal/grant/division.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// division splits room level by level, down to one line.
+// division splits capacity level by level, down to one entry.
 type division struct {
 	now   time.Time
 	of    *line
-	lines []*line // that share total; of is one of them
+	lines []*line // that share total; entry is one of them
 	total int
-	left  int // that of may have beyond what is granted; never above what a level leaves
+	left  int // what entry may be granted beyond its grants; at most what each level leaves
 }
 
-// by splits the total among groups of lines and goes on with the group of d.of.
+// narrow splits the total among groups of entries, and keeps only the group of
+// d.entry.
 func (d *division) by(group func(*line) string, weight func(string) int) {
 	var names []string
 	var claims []claim
--- a/internal/grant/holdings.go
+++ b/internal/grant/holdings.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Holdings is the sender's side: what peers have granted to it.
+// Holdings holds the grants that a sender has received from its peers.
 type Holdings struct {
 	held map[string]map[Use]*promises // by peer
 }
 
-// NewHoldings makes an empty holdings.
+// NewHoldings returns empty Holdings.
 func NewHoldings() *Holdings { return &Holdings{held: make(map[string]map[Use]*promises)} }
 
-// Heard takes in a grant. until must be counted by the sender's clock from
-// before it sent what earned the grant, so that it ends here before it ends at
-// the granter.
+// Heard adds a received grant. until must be counted by the sender's clock from
+// before it sent the message that the grant answers, so that the grant expires
+// here before it expires at the granter.
 func (p *Holdings) Heard(peer string, use Use, n int, until time.Time) {
 	if n <= 0 {
 		return
@@ -28,7 +28,7 @@
 	uses[use].add(n, until)
 }
 
-// Held returns how many requests a peer may be sent now.
+// Held returns how many requests may be sent to a peer now.
 func (p *Holdings) Held(now time.Time, peer string, use Use) int {
 	g := p.held[peer][use]
 	if g == nil {
@@ -38,7 +38,7 @@
 	return g.sum()
 }
 
-// Take uses up to n requests of a peer's grants, and returns how many there were.
+// Take uses up to n requests of a peer's grants, and returns how many it used.
 func (p *Holdings) Take(now time.Time, peer string, use Use, n int) int {
 	g := p.held[peer][use]
 	if g == nil {
@@ -48,5 +48,5 @@
 	return g.take(n)
 }
 
-// Forget drops the grants of a peer that has gone or is another incarnation.
+// Forget drops the grants of a peer that was removed or is another incarnation.
 func (p *Holdings) Forget(peer string) { delete(p.held, peer) }
--- a/internal/grant/promise.go
+++ b/internal/grant/promise.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// promise is a number of requests that may be handed off until a deadline.
+// grant is a number of requests that may be handed off until a deadline.
 type promise struct {
 	n     int // over 0
 	until time.Time
 }
 
-// promises are in the order of their deadlines.
+// grants is sorted by deadline.
 type promises []promise
 
-// drop takes out those that have run out, and returns how many requests that were.
+// drop removes the expired grants, and returns how many requests they covered.
 func (p *promises) drop(now time.Time) int {
 	lost, i := 0, 0
 	for i < len(*p) && !now.Before((*p)[i].until) {
@@ -25,7 +25,7 @@
 	return lost
 }
 
-// add puts a promise in its place.
+// add inserts a grant in the order of deadlines.
 func (p *promises) add(n int, until time.Time) {
 	i := len(*p)
 	for i > 0 && until.Before((*p)[i-1].until) {
@@ -38,7 +38,7 @@
 	*p = slices.Insert(*p, i, promise{n: n, until: until})
 }
 
-// take removes up to n requests, the earliest deadline first, and returns how many.
+// take removes up to n requests, earliest deadline first, and returns how many.
 func (p *promises) take(n int) int {
 	taken := 0
 	for n > taken && len(*p) > 0 {
--- a/internal/grant/split.go
+++ b/internal/grant/split.go
@@ -1,13 +1,13 @@
 package grant
 
-// claim is what one party would use of a total.
+// claim is one party's demand on a total.
 type claim struct {
 	want   int // never below 0
 	weight int // over 0
 }
 
-// split divides a total by weight. Nobody gets more than it wants, and what one
-// leaves goes to the others. Single units that are left over go to the first ones.
+// split divides a total by weight. No share exceeds its claim, and what one party
+// leaves goes to the others. Single units that remain go to the first ones.
 func split(total int, claims []claim) []int {
 	shares := make([]int, len(claims))
 	for total > 0 {
--- a/internal/owner/book.go
+++ b/internal/owner/book.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// Spec is what the settings say of one target of the place.
+// Spec holds the settings of one target of the place.
 type Spec struct {
 	Key       TargetKey
 	Address   string
@@ -17,46 +17,46 @@
 	Drained   bool          // takes no new request
 }
 
-// Book holds what one instance knows of its place's roster, and counts the
-// slots of the targets that it owns.
+// Book holds one instance's view of its place's roster, and counts the slots of
+// the targets that the instance owns.
 type Book struct {
 	cfg    Config
-	roster Roster // newest known; its version never goes back
-	own    Member // own line in roster; zero without one
+	roster Roster // newest known; its version never decreases
+	own    Member // own entry in roster; zero without one
 
 	lines   map[TargetKey]*line
-	order   []*line // all of lines, sorted by key
+	order   []*line // all targets, sorted by key
 	owned   []*line // those that this instance owns, sorted by key
 	longest time.Duration
-	began   bool // specs were set once
+	began   bool // specs have been set
 
 	peers    map[string]*peer
-	old      map[process]*peer // of ended incarnations that the roster still has a line of
+	old      map[process]*peer // ended incarnations that still have an entry in the roster
 	ended    map[string]ending
-	learned  map[Member]time.Time // when a former line was first seen
-	unlisted map[Member]time.Time // since when the platform's list has not named a line
-	epoch    uint64               // of the platform's store, by its last list
-	proves   time.Time            // the list proves nothing before, as the store has lost lines of it
-
-	platformUntil time.Time // tenure by the platform ends here
-	refreshAt     time.Time // when a reserve next changes by itself; zero for never
-	revision      uint64    // grows when Usable of a target may have changed, tenure aside
-	budget        int       // sum of usable quotas of owned lines, tenure confirmed
-	half          int       // the same, tenure lapsed
-	charged       int       // sum of charges of owned lines
+	learned  map[Member]time.Time // when a previous entry was first observed
+	unlisted map[Member]time.Time // since when an entry has been missing from the platform's list
+	epoch    uint64               // of the platform's store, as of its last list
+	proves   time.Time            // the list proves no end before then, as the store has lost entries of it
+
+	platformUntil time.Time // end of the lease that the platform extends
+	refreshAt     time.Time // when a reservation next changes by time alone; zero for never
+	revision      uint64    // increases when usable slots of a target may have changed, the lease aside
+	budget        int       // sum of usable quotas of owned targets while the lease is confirmed
+	half          int       // the same while the lease is expired
+	charged       int       // sum of charges of owned targets
 	seq           uint64    // of the last release
-	turn          int       // where Pick starts next
+	turn          int       // offset in owned at which Pick starts
 }
 
-// ending says that a process, and those before it, had ended by a time.
+// ending records that an incarnation, and all before it, had ended by a time.
 type ending struct {
 	incarnation uint64
 	at          time.Time
-	listed      bool // concluded from the platform's list alone: a sign of life refutes it
+	listed      bool // concluded from the platform's list alone; any sign of life refutes it
 }
 
-// New makes an empty book: it owns nothing before its first roster. A faulty
-// cfg gives *ConfigError.
+// New starts without a roster: the instance owns no targets before SetRoster.
+// An invalid cfg gives *ConfigError.
 func New(cfg Config) (*Book, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -76,9 +76,9 @@
 // Roster returns the newest roster known. The caller must not change it.
 func (b *Book) Roster() Roster { return b.roster }
 
-// SetSpecs takes the place's targets from the settings. What is lowered holds
-// at once; what is raised waits until every instance has had time to lower the
-// others and to finish what it had in flight. The first specs hold at once.
+// SetSpecs sets the place's targets from the settings. Lowered limits apply at
+// once; raised limits wait until every instance has had time to lower the others
+// and to finish the requests that it had in flight. The first specs apply at once.
 func (b *Book) SetSpecs(now time.Time, specs []Spec) {
 	b.longest = 0
 	for _, s := range specs {
@@ -103,7 +103,7 @@
 	b.assign(now)
 }
 
-// line returns the line of a key, and makes it when it is new.
+// target returns the state of a target, creating it if there is none.
 func (b *Book) line(key TargetKey) *line {
 	l, ok := b.lines[key]
 	if !ok {
@@ -113,8 +113,8 @@
 	return l
 }
 
-// SetRoster takes a roster read from the platform or passed on by a peer. One
-// that is not newer is ignored; false says so.
+// SetRoster takes a roster read from the platform or received from a peer. It
+// ignores a roster that is not newer, and returns false.
 func (b *Book) SetRoster(now time.Time, r Roster) bool {
 	if r.Version <= b.roster.Version {
 		return false
@@ -129,7 +129,7 @@
 	b.noteFormer(now)
 	for _, m := range r.Members {
 		if p, ok := b.peers[m.Instance]; ok && p.incarnation == m.Incarnation {
-			p.removing = false // a write at the older version can't land any more
+			p.removing = false // a write at the older version can no longer take effect
 		}
 		b.newer(now, m.Instance, m.Incarnation)
 	}
@@ -137,7 +137,7 @@
 	return true
 }
 
-// noteFormer keeps when each former line was learned of.
+// recordPrevious records when each previous entry was first observed.
 func (b *Book) noteFormer(now time.Time) {
 	old := b.learned
 	b.learned = make(map[Member]time.Time, len(b.roster.Former))
@@ -151,7 +151,7 @@
 	}
 }
 
-// assign works out anew who owns which target.
+// assign recomputes the owner of every target.
 func (b *Book) assign(now time.Time) {
 	h := newHistory(b.roster)
 	b.order, b.owned = b.order[:0], b.owned[:0]
@@ -175,7 +175,7 @@
 	b.refresh(now)
 }
 
-// isOwn reports whether a claim is of this very process, which counts for itself.
+// isOwn reports whether a previous owner is this process, whose own count applies.
 func (b *Book) isOwn(c claim) bool {
 	return c.Instance == b.cfg.Self && c.Incarnation == b.cfg.Incarnation
 }
@@ -200,14 +200,14 @@
 	return keys
 }
 
-// Revision returns a number that grows when Usable of a target may have changed
-// by anything but tenure.
+// Revision returns a number that increases when the usable slots of a target may
+// have changed for a reason other than the ownership lease.
 func (b *Book) Revision(now time.Time) uint64 {
 	b.catchUp(now)
 	return b.revision
 }
 
-// skewed returns a length that is at least d on every other clock.
+// withSkew returns a duration that lasts at least d by every other clock.
 func (b *Book) skewed(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*b.cfg.Skew) + 1
 }
--- a/internal/owner/book_test.go
+++ b/internal/owner/book_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// soakVar is the environment variable that names how many random runs to make;
+// soakVar is the environment variable that sets the number of random runs;
 // without it a short set with a fixed seed runs.
 const soakVar = "FIRLEVER_SOAK"
 
@@ -26,11 +26,12 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("seed %s; again with -rapid.seed", flag.Lookup("rapid.seed").Value)
+	t.Logf("seed %s; repeat with -rapid.seed", flag.Lookup("rapid.seed").Value)
 }
 
-// TestTruth drives several books through every fault that the brief names, and
-// looks at the targets: no allowance and no place limit may ever be passed.
+// TestTruth takes several instances through kills, pauses, message loss, outages,
+// partitions and settings changes, and checks at the targets that no allowance
+// and no place limit is ever exceeded.
 func TestTruth(t *testing.T) {
 	seedRuns(t)
 	runs, taken := 0, 0
@@ -84,12 +85,13 @@
 	})
 	t.Logf("%d runs, %d requests", runs, taken)
 	if taken < runs {
-		t.Errorf("got %d requests in %d runs, want more: the check sees nothing", taken, runs)
+		t.Errorf("got %d requests in %d runs, want more: the limits were not exercised", taken, runs)
 	}
 }
 
-// TestLostAnswer is a removal whose writer never learns that it landed, while
-// the one removed can't learn either: the writer's acks must not keep it going.
+// TestLostAnswer removes an instance while neither it nor the writer of the
+// removal receives the outcome: the writer's acks must not extend the removed
+// instance's lease.
 func TestLostAnswer(t *testing.T) {
 	removed := 0
 	for seed := range uint64(30) {
@@ -109,6 +111,6 @@
 		}
 	}
 	if removed == 0 {
-		t.Error("got no removal, want some: the check sees nothing")
+		t.Error("got no removal, want some: the acks were not exercised")
 	}
 }
--- a/internal/owner/capacity_test.go
+++ b/internal/owner/capacity_test.go
@@ -8,7 +8,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// capacityBook owns its part of so many targets in a place of so many instances.
+// capacityBook returns the state of one instance that owns its part of the given
+// number of targets, in a place with the given number of instances.
 func capacityBook(b *testing.B, targets, instances int) (*Book, Roster) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	book, err := New(Config{Self: "entry-000", Incarnation: 1, Place: "here"})
@@ -40,21 +41,23 @@
 	}
 }
 
-// BenchmarkCapacityRosterTargets is a new roster, by the place's targets.
+// BenchmarkCapacityRosterTargets measures applying a new roster, by the number of
+// targets of the place.
 func BenchmarkCapacityRosterTargets(b *testing.B) {
 	for _, n := range []int{12, 120, 1200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchRoster(b, n, 9) })
 	}
 }
 
-// BenchmarkCapacityRosterInstances is a new roster, by the place's instances.
+// BenchmarkCapacityRosterInstances measures applying a new roster, by the number
+// of instances of the place.
 func BenchmarkCapacityRosterInstances(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchRoster(b, 120, n) })
 	}
 }
 
-// BenchmarkCapacityRosterSize is the length of a roster's document.
+// BenchmarkCapacityRosterSize reports the length of a roster's document.
 func BenchmarkCapacityRosterSize(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/owner/codec.go
+++ b/internal/owner/codec.go
@@ -8,7 +8,7 @@
 	"io"
 )
 
-// RosterError says why bytes are not a roster.
+// RosterError reports why bytes are not a valid roster.
 type RosterError struct {
 	Fault string
 	Err   error // may be nil
@@ -24,7 +24,7 @@
 // Unwrap returns the cause.
 func (e *RosterError) Unwrap() error { return e.Err }
 
-// Encode writes the roster as it is kept in the platform.
+// Encode returns the roster as it is stored in the platform.
 func (r Roster) Encode() ([]byte, error) {
 	b, err := json.Marshal(r)
 	if err != nil {
@@ -33,20 +33,20 @@
 	return b, nil
 }
 
-// Decode reads a roster that the platform keeps under the given version.
+// Decode parses a roster that the platform stores under the given version.
 // Every fault gives *RosterError.
 func Decode(b []byte, version uint64) (Roster, error) {
 	var r Roster
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&r); err != nil {
-		return Roster{}, &RosterError{Fault: "not JSON of a roster", Err: err}
+		return Roster{}, &RosterError{Fault: "invalid JSON", Err: err}
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return Roster{}, &RosterError{Fault: "bytes after its end"}
+		return Roster{}, &RosterError{Fault: "trailing data"}
 	}
 	if r.Version != version {
-		return Roster{}, &RosterError{Fault: fmt.Sprintf("written as version %d, kept as %d", r.Version, version)}
+		return Roster{}, &RosterError{Fault: fmt.Sprintf("encoded as version %d, stored as %d", r.Version, version)}
 	}
 	if fault := r.fault(); fault != "" {
 		return Roster{}, &RosterError{Fault: fault}
@@ -54,7 +54,7 @@
 	return r, nil
 }
 
-// fault returns the first rule that the roster breaks, or "".
+// fault describes the first rule that the roster violates, or returns "".
 func (r Roster) fault() string {
 	if r.Version == 0 {
 		return "version 0"
@@ -64,7 +64,7 @@
 			return fault
 		}
 		if i > 0 && byInstance(r.Members[i-1], m) >= 0 {
-			return m.Instance + " is twice in it or out of order"
+			return m.Instance + " is duplicated or out of order"
 		}
 	}
 	for _, f := range r.Former {
@@ -72,7 +72,7 @@
 			return fault
 		}
 		if f.Until <= max(f.Since, f.Left) || f.Until > r.Version {
-			return f.Instance + " was removed at an impossible version"
+			return f.Instance + " has an invalid version of its removal"
 		}
 	}
 	return ""
@@ -81,13 +81,13 @@
 func (m Member) fault(version uint64) string {
 	switch {
 	case m.Instance == "":
-		return "a line without an instance"
+		return "entry without an instance"
 	case m.Incarnation == 0:
 		return m.Instance + " has no incarnation"
 	case m.Since == 0 || m.Since > version:
-		return m.Instance + " joined at an impossible version"
+		return m.Instance + " has an invalid version of its joining"
 	case m.Left != 0 && (m.Left <= m.Since || m.Left > version):
-		return m.Instance + " left at an impossible version"
+		return m.Instance + " has an invalid version of its leaving"
 	}
 	return ""
 }
--- a/internal/owner/config.go
+++ b/internal/owner/config.go
@@ -1,8 +1,8 @@
 // Package owner decides which instance of a place may use which target, and
-// counts the slots of the targets that this instance owns. Each target has one
-// owner, so that limits hold by counting instead of by reports. It does no
-// input or output, reads no clock, and is not safe for concurrent use.
-// docs/design/ownership.md says what each promise means.
+// counts the slots of the targets that this instance owns. Each target has a
+// single owner, which enforces its limits by counting requests instead of
+// relying on reports. The package performs no I/O, reads no clock, and is not
+// safe for concurrent use. See docs/design/ownership.md for its guarantees.
 package owner
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Values that Config.Defaults sets.
+// Default values of Config.
 const (
 	DefaultTerm   = 3 * time.Second
 	DefaultSkew   = 0.05
@@ -20,20 +20,20 @@
 	DefaultSettle = 10 * time.Second
 )
 
-// Config sets up a Book. All instances of a place must agree on Term, Skew and Settle.
+// Config configures New. All instances of a place must agree on Term, Skew and Settle.
 type Config struct {
 	Self        string        // this instance's ID
-	Incarnation uint64        // of this process; grows each time it starts anew
-	Place       string        // whose roster the book follows
-	Term        time.Duration // how long one confirmation of tenure lasts
-	Skew        float64       // two clocks measure the same length within a factor of 1+Skew
-	Lag         time.Duration // the platform's list is at most this late
-	ListProves  bool          // the list names a process until it has ended for certain, also one that is cut off
+	Incarnation uint64        // of this process; increases with each start
+	Place       string        // place whose roster applies
+	Term        time.Duration // how long one confirmation extends the ownership lease
+	Skew        float64       // two clocks measure the same interval within a factor of 1+Skew
+	Lag         time.Duration // the platform's list is at most this old
+	ListProves  bool          // the list names a process until it has certainly ended, even if it is partitioned
 	Settle      time.Duration // a changed document is in force everywhere within this
 	Checks      *invariant.Counter
 }
 
-// Defaults sets what was left zero.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	if c.Term == 0 {
 		c.Term = DefaultTerm
--- a/internal/owner/ending.go
+++ b/internal/owner/ending.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Listing is a line of the platform's list of instances.
+// Listing is an entry of the platform's list of instances.
 type Listing struct {
 	Instance    string
 	Incarnation uint64
 }
 
-// Gone notes proof that the process of an incarnation, and all before it, had
-// ended by now. What it had in flight runs out within the timeout.
+// Gone records proof that the process of an incarnation, and all before it, had
+// ended by now. The requests that it had in flight end within the timeout.
 func (b *Book) Gone(now time.Time, instance string, incarnation uint64) {
 	if instance == b.cfg.Self && incarnation >= b.cfg.Incarnation {
 		return
@@ -17,7 +17,7 @@
 	b.end(now, instance, ending{incarnation: incarnation, at: now})
 }
 
-// end notes an ending, unless as much is known already.
+// recordEnding stores an ending, unless one that proves as much is already stored.
 func (b *Book) end(now time.Time, instance string, e ending) {
 	if old, ok := b.ended[instance]; ok && old.incarnation >= e.incarnation && (e.listed || !old.listed) {
 		return
@@ -26,8 +26,8 @@
 	b.refresh(now)
 }
 
-// lives notes a sign of life. The list may have left the process out because it
-// could not reach the platform.
+// markAlive records a sign of life. The list may have omitted the process because
+// it could not reach the platform.
 func (b *Book) lives(now time.Time, instance string, incarnation uint64) {
 	for m := range b.unlisted {
 		if m.Instance == instance && m.Incarnation <= incarnation {
@@ -40,14 +40,14 @@
 	}
 }
 
-// newer notes that an incarnation was heard of: those before it have ended.
+// observeIncarnation records that an incarnation exists: those before it have ended.
 func (b *Book) newer(now time.Time, instance string, incarnation uint64) {
 	if incarnation > 1 && b.named(instance, incarnation) {
 		b.Gone(now, instance, incarnation-1)
 	}
 }
 
-// named reports whether the roster has a line of an older incarnation.
+// hasOlder reports whether the roster has an entry of an older incarnation.
 func (b *Book) named(instance string, incarnation uint64) bool {
 	for _, s := range b.roster.spans() {
 		if s.Instance == instance && s.Incarnation < incarnation {
@@ -57,11 +57,11 @@
 	return false
 }
 
-// Listed notes the platform's list, asked for at sent, in an epoch of the platform's store. With
-// Config.ListProves a line of the roster that it has not named for all of Lag has ended, unless
-// it shows a sign of life. Without, a missing line proves nothing: the process may be cut off,
-// and still use half of its targets. A new epoch begins without lines that the store has lost,
-// which come back within Lag.
+// Listed records the platform's list, requested at sent, in an epoch of the platform's store.
+// With Config.ListProves, an entry of the roster that has been missing from the list for all of
+// Lag has ended, unless the process shows a sign of life. Without it, a missing entry proves
+// nothing: the process may be partitioned and still use half of its targets. A new epoch begins
+// without the entries that the store has lost, which return within Lag.
 func (b *Book) Listed(now, sent time.Time, epoch uint64, list []Listing) {
 	if b.epoch != 0 && epoch > b.epoch {
 		b.proves = now.Add(b.skewed(b.cfg.Lag))
@@ -95,15 +95,15 @@
 	b.unlisted = missing
 }
 
-// finished reports whether a line's process has ended and all that it had in
-// flight has run out.
+// finished reports whether an entry's process has ended, and all requests that it
+// had in flight too.
 func (b *Book) finished(now time.Time, m Member) bool {
 	e, ok := b.ended[m.Instance]
 	return ok && e.incarnation >= m.Incarnation && !now.Before(e.at.Add(b.skewed(b.longest)))
 }
 
-// Forgettable returns the former lines that are proved to have nothing in
-// flight; any member may write a roster without them.
+// Forgettable returns the previous entries whose processes are proved to have
+// nothing in flight; any member may write a roster without them.
 func (b *Book) Forgettable(now time.Time) []Former {
 	var lines []Former
 	for _, f := range b.roster.Former {
@@ -114,7 +114,7 @@
 	return lines
 }
 
-// released reports whether a former member itself said that it holds nothing.
+// releasedAll reports whether a previous member itself reported that it holds nothing.
 func (b *Book) released(f Former) bool {
 	p, ok := b.peers[f.Instance]
 	return ok && p.hasRelease && p.incarnation == f.Incarnation &&
--- a/internal/owner/ending_test.go
+++ b/internal/owner/ending_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// listBook is the book of a, beside a live b that the list does not name.
+// listBook returns the state of instance a, whose roster also has b.
 func listBook(t *testing.T) *Book {
 	t.Helper()
 	b, err := New(Config{Self: "a", Incarnation: 1, Place: "p", ListProves: true})
@@ -18,8 +18,8 @@
 	return b
 }
 
-// TestListIsNoProof: what the list left out may live on without a way to the
-// platform.
+// TestListIsNoProof checks that any sign of life refutes an ending concluded from
+// the list: a process missing from it may only be unable to reach the platform.
 func TestListIsNoProof(t *testing.T) {
 	later := epoch.Add(2 * DefaultLag)
 	tests := map[string]struct {
@@ -49,12 +49,12 @@
 	}
 }
 
-// A list of a platform that came back from a copy proves no end before the lines that it has lost
-// had time to come back.
+// TestListAfterRestore checks that the list of a store restored from a snapshot proves no ending
+// until the entries lost by the restore have had time to return.
 func TestListAfterRestore(t *testing.T) {
 	tests := map[string]struct {
-		number uint64        // of the epoch of later lists
-		after  time.Duration // of the last list
+		number uint64        // epoch of later lists
+		after  time.Duration // time of the last list
 		ended  bool
 	}{
 		"the same epoch":                {1, 2 * DefaultLag, true},
@@ -76,7 +76,8 @@
 	}
 }
 
-// TestPromiseOutlastsList: an ack binds even when the list leaves the peer out.
+// TestAckOutlastsList checks that an ack stays binding even if the list omits the
+// peer.
 func TestPromiseOutlastsList(t *testing.T) {
 	b := listBook(t)
 	later := epoch.Add(2 * DefaultLag)
@@ -84,15 +85,16 @@
 	b.Listed(epoch, epoch, 1, nil)
 	b.Listed(later, later, 1, nil)
 	if b.Removable(later, "b") {
-		t.Error("got removable under a promise, want not")
+		t.Error("got removable while the ack is valid, want not removable")
 	}
 	if !b.Removable(later.Add(2*DefaultTerm), "b") {
-		t.Error("got not removable after the promise, want removable")
+		t.Error("got not removable after the ack expired, want removable")
 	}
 }
 
-// TestMissingLineProvesNothing: the process may be cut off and use half of its
-// targets still, however long the list leaves it out.
+// TestMissingEntryProvesNothing checks that, unless the list proves endings, a
+// process missing from it counts as partitioned, and still using half of its
+// targets, for however long.
 func TestMissingLineProvesNothing(t *testing.T) {
 	tests := map[string]struct {
 		proves bool
--- a/internal/owner/history.go
+++ b/internal/owner/history.go
@@ -12,7 +12,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TargetKey names a target of a place.
+// TargetKey identifies a target of a place.
 type TargetKey struct {
 	Service settings.ServiceID
 	Name    string
@@ -25,8 +25,9 @@
 	)
 }
 
-// score ranks an instance for a target; the highest owns it. The incarnation
-// is left out, so that a restart moves nothing for good.
+// score ranks an instance for a target by rendezvous hashing; the instance with
+// the highest score owns the target. The incarnation is not hashed, so a restart
+// moves no target permanently.
 func score(instance string, key TargetKey) uint64 {
 	var s strings.Builder
 	for _, part := range []string{key.Service.Team, key.Service.Name, key.Name, instance} {
@@ -37,14 +38,14 @@
 	return xxhash.Sum64String(s.String())
 }
 
-// span is the time, in roster versions, in which a line could own targets.
+// span is the range of roster versions in which an entry could own targets.
 type span struct {
 	Member
 	end    uint64 // first version in which it could not; math.MaxUint64 if it still can
 	former bool
 }
 
-// spans returns all lines of a roster, the members first.
+// spans returns the spans of all entries of a roster, members first.
 func (r Roster) spans() []span {
 	all := make([]span, 0, len(r.Members)+len(r.Former))
 	for _, m := range r.Members {
@@ -63,10 +64,10 @@
 	return end
 }
 
-// history answers who owned a target at which version, as far as a roster tells.
+// history determines the owner of a target at each version that a roster records.
 type history struct {
 	spans []span
-	turns []uint64 // versions at which ownership may have moved, rising
+	turns []uint64 // versions at which ownership may have changed, ascending
 }
 
 func newHistory(r Roster) history {
@@ -82,9 +83,9 @@
 	return h
 }
 
-// owners returns the present owner of a target, "" if there is none, and every
-// line that owned it before, with the version at which it last stopped. A line
-// that was forgotten can only make the answer longer, never shorter.
+// owners returns the current owner of a target, "" if there is none, and every
+// entry that owned it before, with the version at which it last stopped. An entry
+// that was dropped from the roster can only make the result longer, never shorter.
 func (h history) owners(key TargetKey) (string, []claim) {
 	scores := make([]uint64, len(h.spans))
 	for i, s := range h.spans {
@@ -110,7 +111,7 @@
 	return h.spans[now].Instance, claims
 }
 
-// best returns the line with the highest score at a version, or -1.
+// best returns the index of the entry with the highest score at a version, or -1.
 func (h history) best(version uint64, scores []uint64) int {
 	best := -1
 	for i, s := range h.spans {
@@ -124,9 +125,10 @@
 	return best
 }
 
-// claim is what an earlier owner may still have in flight at a target.
+// previousOwner is an entry that owned a target and may still have requests in
+// flight there.
 type claim struct {
 	Member
-	end    uint64 // the earlier owner takes no slot at this version or a later one
+	end    uint64 // it takes no slot at this version or a later one
 	former bool   // it was removed from the roster
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -16,15 +16,15 @@
 	modelLag     = 4 * time.Second
 	modelSettle  = 2 * time.Second
 	modelStep    = 100 * time.Millisecond
-	modelSkew    = 0.25 // more than in life, so that runs meet it
+	modelSkew    = 0.25 // larger than in production, so that runs exercise it
 	modelLimit   = 9    // of the place
 	modelNodes   = 4
 )
 
-// epoch is where the model's true time starts.
+// modelStart is the true time at which a model starts.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// modelSpecs are settings that the model switches between.
+// modelSpecs holds the allowances of targets that the model switches between.
 var modelSpecs = [][]int{{4, 5, 3, 1}, {2, 7, 3, 1}, {6, 0, 1, 4}}
 
 func specsOf(allowances []int) []Spec {
@@ -40,10 +40,10 @@
 	return specs
 }
 
-// dispatch is a request at a target, as the target sees it.
+// dispatch is a request at a target, as observed at the target.
 type dispatch struct {
 	key TargetKey
-	end time.Duration // true time by which it is over
+	end time.Duration // true time at which it has ended
 }
 
 // node is one process with its own clock.
@@ -57,30 +57,30 @@
 	asleep bool
 	dead   bool
 	flying []dispatch
-	wants  bool // it means to stay in the roster
+	wants  bool // it should stay in the roster
 }
 
 func (n *node) name() string { return fmt.Sprint("instance-", n.id) }
 
-// event happens at a true time; a nil node is the platform.
+// event is an action at a true time; a nil node is the platform.
 type event struct {
 	at   time.Duration
 	node *node
 	do   func()
 }
 
-// model is a place with its platform, links and clocks, in true time.
+// model simulates a place with its platform, links and clocks, in true time.
 type model struct {
 	now     time.Duration
 	rng     *rand.Rand
-	nodes   []*node // every process that ever was
+	nodes   []*node // all processes ever started
 	live    [modelNodes]*node
 	events  []event
 	roster  Roster
 	down    bool
-	cut     [modelNodes + 1][modelNodes + 1]bool // one way; the last is the platform
+	cut     [modelNodes + 1][modelNodes + 1]bool // blocked links, one way; the last is the platform
 	loss    float64
-	gossip  bool // heartbeats pass rosters on
+	gossip  bool // heartbeats carry rosters
 	specs   int
 	changed time.Duration   // when specs last changed
 	recent  []time.Duration // by index of modelSpecs: when it was last in force
@@ -99,7 +99,7 @@
 	return m
 }
 
-// start runs a new process of an instance. Clocks differ by at most the skew bound.
+// start starts a new process of an instance. Clocks differ by at most the skew bound.
 func (m *model) start(id int) {
 	if m.live[id] != nil || m.now < m.changed+2*(modelSettle+modelTimeout) {
 		return
@@ -128,7 +128,8 @@
 	return epoch.Add(n.offset + time.Duration(float64(m.now)*n.rate))
 }
 
-// post does something at a node (nil: the platform) after a delay, if it gets there.
+// post schedules an action at a node (nil: the platform) after a random delay.
+// Messages may be lost or duplicated.
 func (m *model) post(from, to int, n *node, do func()) {
 	if m.cut[from][to] || m.rng.Float64() < m.loss {
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// advance lets true time pass, by small steps.
+// advance moves true time forward in small steps.
 func (m *model) advance(d time.Duration) {
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.expire()
@@ -161,7 +162,7 @@
 	}
 }
 
-// deliver runs the events that are due. Those of a sleeping node wait for it.
+// deliver runs the events that are due. Those of a paused node wait until it resumes.
 func (m *model) deliver() {
 	due := m.events
 	m.events = nil
@@ -177,7 +178,7 @@
 	}
 }
 
-// expire ends requests whose time is up, and a few at random.
+// expire ends requests whose time is over, and a few others at random.
 func (m *model) expire() {
 	for _, n := range m.nodes {
 		n.flying = slices.DeleteFunc(n.flying, func(d dispatch) bool {
@@ -191,7 +192,7 @@
 	}
 }
 
-// load takes every slot that the node may take.
+// fillSlots takes every slot that the node may take.
 func (m *model) load(n *node) {
 	for _, s := range specsOf(modelSpecs[n.specs]) {
 		for n.book.Take(m.local(n), s.Key) {
@@ -202,7 +203,7 @@
 	}
 }
 
-// check compares the truth at the targets with the limits.
+// check compares the actual requests at the targets with the limits.
 func (m *model) check() {
 	at := make(map[TargetKey]int)
 	total := 0
@@ -233,7 +234,7 @@
 	}
 }
 
-// work is what a shell does on each tick.
+// tick does the periodic work of the instance that embeds the package under test.
 func (m *model) work(n *node) {
 	m.read(n)
 	release := n.book.Release()
@@ -262,7 +263,7 @@
 	})
 }
 
-// read asks the platform for the roster and the list.
+// read requests the roster and the list from the platform.
 func (m *model) read(n *node) {
 	sent := m.local(n)
 	m.post(n.id, modelNodes, nil, func() {
@@ -287,7 +288,8 @@
 	})
 }
 
-// write swaps the platform's roster; whether it landed is never told.
+// write replaces the platform's roster if it is one version older. The outcome is
+// never reported.
 func (m *model) write(n *node, next Roster, err error) {
 	if err != nil {
 		return
@@ -299,7 +301,7 @@
 	})
 }
 
-// change writes a new roster if there is reason for one.
+// updateRoster writes a new roster if one is needed.
 func (m *model) change(n *node) {
 	r, now := n.book.Roster(), m.local(n)
 	own, in := r.Member(n.name())
@@ -331,7 +333,7 @@
 	}
 }
 
-// suspects says whether a node takes another for dead, at times wrongly.
+// suspects reports whether a node considers another dead, sometimes wrongly.
 func (m *model) suspects(n *node, o Member) bool {
 	for _, p := range m.live {
 		if p != nil && p.name() == o.Instance && !p.asleep && !m.cut[p.id][n.id] && p.inc == o.Incarnation {
@@ -341,7 +343,7 @@
 	return m.rng.IntN(4) == 0
 }
 
-// kill ends a process at once; its requests go on at the targets.
+// kill ends a process at once; its requests continue at the targets.
 func (m *model) kill(id int) {
 	if n := m.live[id]; n != nil {
 		n.dead = true
@@ -349,7 +351,7 @@
 	}
 }
 
-// wake lets a paused process go on, with the settings that came meanwhile.
+// wake resumes a paused process, with the settings that changed meanwhile.
 func (m *model) wake(id int) {
 	if n := m.live[id]; n != nil {
 		n.asleep = false
@@ -364,9 +366,9 @@
 	}
 }
 
-// set changes the settings: every process gets them within the settle time. A
-// process that sleeps through a change and the change back is beyond what the
-// book can know; docs/design/ownership.md says so.
+// setSpecs changes the settings: every process applies them within the settle
+// time. A process that is paused throughout a change and its reversal can't be
+// detected; see docs/design/ownership.md.
 func (m *model) set(specs int) {
 	if slices.ContainsFunc(m.live[:], func(n *node) bool { return n != nil && n.asleep }) {
 		return
--- a/internal/owner/pick.go
+++ b/internal/owner/pick.go
@@ -6,9 +6,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Pick returns the owned target of a service that is least filled and has a
-// free slot. weight lowers the slots that may be filled of a target; nil lowers
-// none. Equal targets take turns. Pick takes no slot.
+// Pick returns the owned target of a service that has the lowest fraction of its
+// slots in use and a free slot. weight caps the slots that may be filled of a
+// target; nil caps none. Equal targets are picked in turn. Pick takes no slot.
 func (b *Book) Pick(now time.Time, id settings.ServiceID, weight func(TargetKey) int) (TargetKey, bool) {
 	s := b.catchUp(now)
 	if b.spare(s) == 0 {
--- a/internal/owner/policy_test.go
+++ b/internal/owner/policy_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The policies that BenchmarkPolicies sets side by side.
+// The policies that BenchmarkPolicies compares.
 const (
 	policyOwned = "owned"
 	policySplit = "split"
@@ -16,16 +16,16 @@
 const (
 	benchTargets = 18
 	benchSlots   = 3
-	benchWork    = 20  // ms that a request takes
+	benchWork    = 20  // mean ms that a request takes
 	benchStale   = 100 // ms between reports of load
 	benchRun     = 60_000
 	benchDemand  = 90 // % of all slots
 )
 
-// bench is one place under one policy, in steps of 1 ms. Instance 0 gets twice
-// the callers of any other. Under owned and split a request that finds no slot
-// is handed on once, to the instance that last reported the most room, and waits
-// in its queue. Owners are dealt in turn.
+// bench simulates one place under one policy, in steps of 1 ms. Instance 0 gets
+// twice the requests of any other. Under owned and split, a request that finds no
+// slot is forwarded once, to the instance that last reported the most free slots,
+// and waits in its queue. Targets are assigned to owners round robin.
 type bench struct {
 	policy    string
 	instances int
@@ -34,9 +34,9 @@
 	seen      [benchTargets]int
 	sent      [][benchTargets]int
 	over      int     // dispatches beyond a target's slots
-	most      int     // in flight at one target
+	most      int     // peak in flight at one target
 	room      []int   // of each instance, as last reported
-	queues    [][]int // of each instance: when each request came
+	queues    [][]int // of each instance: when each request arrived
 	done      int
 	waited    int // ms
 }
@@ -76,7 +76,7 @@
 	return best
 }
 
-// two is power of two choices on the load last reported.
+// twoChoices picks by power of two choices on the load last reported.
 func (b *bench) two() int {
 	x, y := b.rng.IntN(benchTargets), b.rng.IntN(benchTargets)
 	if b.seen[y] < b.seen[x] {
@@ -128,7 +128,7 @@
 	})
 }
 
-// report tells everyone the load of targets and the room of instances.
+// report publishes the load of targets and the free slots of instances.
 func (b *bench) report() {
 	b.seen = b.real
 	for i := range b.instances {
@@ -140,7 +140,7 @@
 	}
 }
 
-// dispatch sends what an instance's queue holds and its policy lets go.
+// dispatch sends the requests in an instance's queue that its policy allows.
 func (b *bench) dispatch(now, instance int) []flight {
 	var sent []flight
 	for len(b.queues[instance]) > 0 {
@@ -161,7 +161,7 @@
 	return sent
 }
 
-// BenchmarkPolicies counts dispatches over a target's slots, and the use of
+// BenchmarkPolicies counts dispatches beyond a target's slots, and the use of
 // slots, at 90% demand. It measures policies, not the code of this package.
 func BenchmarkPolicies(b *testing.B) {
 	tests := map[string]bench{
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Held is what an instance still has in flight at a target of another.
+// Held counts what an instance still has in flight at a target that another owns.
 type Held struct {
 	Key   TargetKey
 	Slots int // requests in flight at the target
 	Quota int // requests in flight, at any target, that use this target's quota
 }
 
-// Release says what an instance holds of targets that it does not own. It goes
-// with every heartbeat and every ack to the instances of the place, whether or
-// not the sender is still in the roster. In steady state Held is empty.
+// Release lists what an instance holds of targets that it does not own. It is
+// sent with every heartbeat and every ack to the instances of the place, whether
+// or not the sender is still in the roster. In steady state Held is empty.
 type Release struct {
 	From        string
 	Incarnation uint64
-	Version     uint64 // of the sender's roster: it takes nothing that this version gives to others
-	Seq         uint64 // grows with each release of an incarnation
+	Version     uint64 // of the sender's roster: the sender takes no slot of a target that it gives to others
+	Seq         uint64 // increases with each release of an incarnation
 	Held        []Held // sorted by key
 }
 
@@ -38,7 +38,7 @@
 	return r
 }
 
-// Released takes a peer's release. Old and doubled ones are ignored.
+// Released takes in a peer's release. Old and duplicate ones are ignored.
 func (b *Book) Released(now time.Time, r Release) {
 	b.newer(now, r.From, r.Incarnation)
 	p := b.peer(r.From, r.Incarnation)
@@ -54,7 +54,7 @@
 	b.refresh(now)
 }
 
-// refresh works out what is reserved for earlier owners, and the budget.
+// refresh recomputes what is reserved for previous owners, and the budget.
 func (b *Book) refresh(now time.Time) {
 	b.refreshAt = time.Time{}
 	b.budget, b.half, b.charged = 0, 0, 0
@@ -80,8 +80,9 @@
 	}
 }
 
-// quotaWait is how long an earlier owner may go on to use a line's quota: if
-// each line's quota covers its allowance, nobody charges a request to another.
+// quotaWait returns how long a previous owner may continue to use tgt's quota. If
+// every target's quota covers its allowance, no request is charged to another
+// target, so tgt's own timeout suffices.
 func (b *Book) quotaWait(l *line) time.Duration {
 	for _, o := range b.order {
 		if o.listed && (o.quota < o.allowance || o.spec.Quota < o.spec.Allowance) {
@@ -94,9 +95,9 @@
 func slotsOf(h Held) int { return h.Slots }
 func quotaOf(h Held) int { return h.Quota }
 
-// reserve returns the most that an earlier owner may still use of a limit.
-// Each rule gives a bound; the least one holds. wait is the longest that a
-// request may go on by any clock.
+// reserve returns the most that a previous owner may still use of a limit, which
+// is the least of several bounds. wait is the longest that a request may take by
+// any clock.
 func (b *Book) reserve(now time.Time, key TargetKey, c claim, limit int, wait time.Duration, of func(Held) int) int {
 	most := limit
 	if at, ok := b.learned[c.Member]; ok && c.former && b.past(now, at.Add(b.skewed(b.cfg.Term)+wait)) {
@@ -114,7 +115,8 @@
 	return most
 }
 
-// past reports whether a time has come, and plans a refresh for when it does.
+// reached reports whether now is at or after at, and otherwise schedules a
+// refresh for then.
 func (b *Book) past(now, at time.Time) bool {
 	if !now.Before(at) {
 		return true
@@ -125,12 +127,12 @@
 	return false
 }
 
-// told returns what an earlier owner itself said that it holds, and when that
-// came. It counts only if it was said after the owner had stopped, and by a
-// roster that is known here: by a newer one the sender may own the target again.
-// While that is on its way here, what it said before still bounds it: it takes
-// no slot of the target before this instance has released it by the newer one,
-// or has lapsed.
+// reportedUse returns what a previous owner itself reported to hold, and when
+// that report arrived. It counts only if it was sent after the owner had stopped
+// taking slots, and under a roster that is known here: under a newer one the
+// sender may own the target again. Until that roster arrives here, the report
+// before it still bounds the sender, which takes no slot of the target until this
+// instance has released it under the newer roster, or its lease has expired.
 func (b *Book) told(c claim, key TargetKey, of func(Held) int) (int, time.Time, bool) {
 	p := b.said(c.Instance, c.Incarnation)
 	if p == nil || !p.hasRelease {
--- a/internal/owner/roster.go
+++ b/internal/owner/roster.go
@@ -5,33 +5,34 @@
 	"slices"
 )
 
-// Member is an instance's line in a roster.
+// Member is an instance's entry in a roster.
 type Member struct {
 	Instance    string `json:"instance"`
 	Incarnation uint64 `json:"incarnation"`
-	Since       uint64 `json:"since"`          // version that added the line
+	Since       uint64 `json:"since"`          // version that added the entry
 	Left        uint64 `json:"left,omitempty"` // version that marked it leaving; 0 if it is not
 }
 
-// Leaving reports whether the member owns nothing any more.
+// Leaving reports whether the member is marked as leaving and so owns no targets.
 func (m Member) Leaving() bool { return m.Left != 0 }
 
-// Former is the line of a member that was removed and may still have requests
-// in flight. It stays until the member is proved to have none.
+// Former is the entry of a removed member that may still have requests in
+// flight. It is kept until the member is proved to have none.
 type Former struct {
 	Member
-	Until uint64 `json:"until"` // version that removed the line
+	Until uint64 `json:"until"` // version that removed the entry
 }
 
-// Roster is the document at /rosters/<place>: who may own targets there. Its
-// functions return the next roster and change nothing in place.
+// Roster is the document at /rosters/<place>. It lists the instances that may
+// own targets of the place. Its methods return the next roster and leave the
+// receiver unchanged.
 type Roster struct {
-	Version uint64   `json:"version"` // the platform's version of the path that it is written as
-	Members []Member `json:"members"` // sorted by instance; one line an instance
+	Version uint64   `json:"version"` // version of the document's path in the platform
+	Members []Member `json:"members"` // sorted by instance, one entry per instance
 	Former  []Former `json:"former,omitempty"`
 }
 
-// Member returns the line of an instance.
+// Member returns the entry of an instance.
 func (r Roster) Member(instance string) (Member, bool) {
 	i := slices.IndexFunc(r.Members, func(m Member) bool { return m.Instance == instance })
 	if i < 0 {
@@ -40,7 +41,7 @@
 	return r.Members[i], true
 }
 
-// next copies r under the next version.
+// next returns a copy of r with the next version.
 func (r Roster) next() Roster {
 	return Roster{
 		Version: r.Version + 1,
@@ -49,9 +50,9 @@
 	}
 }
 
-// Join returns the roster with the instance added. An older incarnation's line
-// becomes a former one. Joining twice gives *PresentError, an incarnation older
-// than the one in the roster gives *StaleError.
+// Join returns the roster with the instance added. The entry of an older
+// incarnation is kept as a previous one. Joining twice gives *PresentError, an
+// incarnation older than the one in the roster gives *StaleError.
 func (r Roster) Join(instance string, incarnation uint64) (Roster, error) {
 	n := r.next()
 	if m, ok := r.Member(instance); ok {
@@ -68,8 +69,9 @@
 	return n, nil
 }
 
-// MarkLeaving returns the roster in which the instance owns nothing but still
-// has its line. It gives *AbsentError if there is no such line.
+// MarkLeaving returns the roster in which the instance keeps its entry but owns
+// no targets. It gives *AbsentError if the incarnation has no entry or is
+// already leaving.
 func (r Roster) MarkLeaving(instance string, incarnation uint64) (Roster, error) {
 	n := r.next()
 	for i, m := range n.Members {
@@ -81,9 +83,9 @@
 	return r, &AbsentError{Instance: instance, Incarnation: incarnation}
 }
 
-// Remove returns the roster without the instance's line. clean says that the
-// instance is proved to have nothing in flight; without it a former line is
-// kept. It gives *AbsentError if there is no such line.
+// Remove returns the roster without the instance's entry. clean means that the
+// instance is proved to have nothing in flight; otherwise the entry is kept as a
+// previous one. It gives *AbsentError if there is no such entry.
 func (r Roster) Remove(instance string, incarnation uint64, clean bool) (Roster, error) {
 	m, ok := r.Member(instance)
 	if !ok || m.Incarnation != incarnation {
@@ -92,14 +94,14 @@
 	return r.next().without(m, clean), nil
 }
 
-// Forget returns the roster without these former lines.
+// Forget returns the roster without these previous entries.
 func (r Roster) Forget(lines []Former) Roster {
 	n := r.next()
 	n.Former = slices.DeleteFunc(n.Former, func(f Former) bool { return slices.Contains(lines, f) })
 	return n
 }
 
-// without drops m's line from the copy r.
+// without deletes m's entry from r, which must be a copy.
 func (r Roster) without(m Member, clean bool) Roster {
 	r.Members = slices.DeleteFunc(r.Members, func(o Member) bool { return o == m })
 	if !clean {
@@ -108,12 +110,12 @@
 	return r
 }
 
-// PresentError says that an incarnation already has a line.
+// PresentError reports that an incarnation already has an entry.
 type PresentError struct{ Instance string }
 
 func (e *PresentError) Error() string { return "owner: roster already has " + e.Instance }
 
-// StaleError says that a newer incarnation has the line.
+// StaleError reports that the entry belongs to a newer incarnation.
 type StaleError struct {
 	Instance         string
 	Incarnation, Now uint64
@@ -123,12 +125,12 @@
 	return fmt.Sprintf("owner: %s is at incarnation %d, not %d", e.Instance, e.Now, e.Incarnation)
 }
 
-// AbsentError says that an incarnation has no line to change.
+// AbsentError reports that an incarnation has no entry that can be changed.
 type AbsentError struct {
 	Instance    string
 	Incarnation uint64
 }
 
 func (e *AbsentError) Error() string {
-	return fmt.Sprintf("owner: roster has no line of %s/%d to change", e.Instance, e.Incarnation)
+	return fmt.Sprintf("owner: roster has no entry for %s/%d that can be changed", e.Instance, e.Incarnation)
 }
--- a/internal/owner/said_test.go
+++ b/internal/owner/said_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSaidHolds is b, which took a target over from a, while rosters and
-// incarnations change beside it: what a said once still bounds it.
+// TestReleaseStaysValid checks that an earlier release of a still bounds what b,
+// which took over a target from it, may use, while rosters and incarnations change.
 func TestSaidHolds(t *testing.T) {
 	key := keyOf(t, "z", "a", "b")
 	two := join(t, join(t, Roster{}, "a"), "b")
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestQuotaWait is a place that restarts with a service of short requests beside
-// one of long ones: the short one waits for the long only where they may have
-// used each other's quota.
+// TestQuotaWait restarts a place with a service of short requests beside one of
+// long requests: the short one waits for the long one only if they may have used
+// each other's quota.
 func TestQuotaWait(t *testing.T) {
 	for name, tt := range map[string]struct{ quota, want int }{
 		"quotas cover the allowances": {10, 10},
--- a/internal/owner/scene_test.go
+++ b/internal/owner/scene_test.go
@@ -19,7 +19,7 @@
 	return scene.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// keyOf finds a target for which the instances rank in the given order, lowest first.
+// keyOf returns a target for which the instances rank in the given order, lowest first.
 func keyOf(t *testing.T, instances ...string) TargetKey {
 	t.Helper()
 	for i := range 10000 {
@@ -33,7 +33,7 @@
 			return key
 		}
 	}
-	t.Fatal("no key")
+	t.Fatal("no target ranks the instances in this order")
 	return TargetKey{}
 }
 
@@ -57,7 +57,8 @@
 	return next
 }
 
-// TestHandOver is A -> B -> C: C answers for what A and B still have in flight.
+// TestHandOver moves a target from a to b to c: c must reserve what a and b still
+// have in flight.
 func TestHandOver(t *testing.T) {
 	key := keyOf(t, "a", "b", "c")
 	one := join(t, Roster{}, "a")
@@ -92,7 +93,8 @@
 	}
 }
 
-// TestRemoval is a holder that dies, or only seems to.
+// TestRemoval removes an owner that has ended, or only appears to have, and checks
+// how many slots the next owner may use.
 func TestRemoval(t *testing.T) {
 	key := keyOf(t, "b", "a")
 	two := join(t, join(t, Roster{}, "a"), "b")
@@ -192,7 +194,8 @@
 	}
 }
 
-// TestRemovable is who may write a roster without whom, and who gets an ack then.
+// TestRemovable checks when an instance may remove another from the roster, and
+// whether the other still gets acks.
 func TestRemovable(t *testing.T) {
 	key := keyOf(t, "a", "b")
 	two := join(t, join(t, Roster{}, "a"), "b")
@@ -216,8 +219,8 @@
 	want("ack after another's write won", b.MayAck(at(9), "a", 1, 3), true)
 }
 
-// TestCharges sees to it that a lowered quota is freed by the requests that used
-// it, also while new ones keep coming.
+// TestCharges checks that a lowered quota is freed by the requests that used it,
+// even while new ones keep arriving.
 func TestCharges(t *testing.T) {
 	x, y := TargetKey{Service: service, Name: "x"}, TargetKey{Service: service, Name: "y"}
 	b := bookOf(t, "a", x)
@@ -241,7 +244,7 @@
 	}
 }
 
-// TestPick spreads equal targets, and leaves out what has no room.
+// TestPick checks that equal targets are used evenly, and full ones not at all.
 func TestPick(t *testing.T) {
 	b := bookOf(t, "a", TargetKey{Service: service, Name: "x"})
 	var specs []Spec
--- a/internal/owner/share.go
+++ b/internal/owner/share.go
@@ -19,11 +19,11 @@
 }
 
 // Quotas splits a place's limit over the allowances of all targets of the
-// place, in the same way. Give the targets in the same order on every
-// instance: which of two equal targets gets the odd slot depends on it.
+// place, in the same way. The order of the targets must be the same on every
+// instance, as it decides which of two equal targets gets a remaining slot.
 func Quotas(limit int, allowances []int) []int { return split(limit, allowances) }
 
-// split shares limit in proportion to caps by largest remainder.
+// split divides limit in proportion to caps by the largest remainder method.
 func split(limit int, caps []int) []int {
 	total := 0
 	for _, c := range caps {
--- a/internal/owner/slots.go
+++ b/internal/owner/slots.go
@@ -9,7 +9,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// catchUp applies what has come due, and returns the state of tenure.
+// advance applies the changes that are due at now, and returns the state of the
+// ownership lease.
 func (b *Book) catchUp(now time.Time) State {
 	if !b.refreshAt.IsZero() && !now.Before(b.refreshAt) {
 		b.refresh(now)
@@ -17,7 +18,7 @@
 	return b.Tenure(now)
 }
 
-// spare returns how much of the place's limit this instance has left.
+// freeQuota returns how much of the place's limit this instance has left.
 func (b *Book) spare(s State) int {
 	switch s {
 	case Confirmed:
@@ -29,7 +30,8 @@
 	}
 }
 
-// room returns how many slots of a line are free, leaving the budget aside.
+// freeSlots returns how many slots of the target are free, regardless of the
+// place's limit.
 func (l *line) room(s State) int {
 	if !l.mine || !l.listed || l.spec.Drained {
 		return 0
@@ -37,7 +39,7 @@
 	return max(l.slots(s)-l.inFlight, 0)
 }
 
-// Free returns how many more requests the target may be given now. It is 0
+// Free returns how many more requests may be sent to the target now. It is 0
 // for a target that this instance does not own.
 func (b *Book) Free(now time.Time, key TargetKey) int {
 	s := b.catchUp(now)
@@ -49,7 +51,7 @@
 }
 
 // FreeService returns how many more requests of a service this instance may
-// give to its targets now.
+// send to its targets now.
 func (b *Book) FreeService(now time.Time, id settings.ServiceID) int {
 	s := b.catchUp(now)
 	free := 0
@@ -61,12 +63,12 @@
 	return min(free, b.spare(s))
 }
 
-// Spare returns how many more requests, of all services, the place's limit
-// leaves this instance now.
+// Spare returns how many more requests, of all services together, the place's
+// limit allows this instance now.
 func (b *Book) Spare(now time.Time) int { return b.spare(b.catchUp(now)) }
 
-// Usable returns how many slots of a target this instance may fill now, used
-// ones included.
+// Usable returns how many slots of a target this instance may fill now,
+// including those in use.
 func (b *Book) Usable(now time.Time, key TargetKey) int {
 	s := b.catchUp(now)
 	l, ok := b.lines[key]
@@ -76,8 +78,8 @@
 	return l.slots(s)
 }
 
-// Take fills a slot of a target; false says that none is free. The request
-// must end, or be given up unsent, within the service's timeout from now.
+// Take fills a slot of a target, or returns false if none is free. The request
+// must end, or be abandoned unsent, within the service's timeout from now.
 func (b *Book) Take(now time.Time, key TargetKey) bool {
 	if b.Free(now, key) == 0 {
 		return false
@@ -93,8 +95,8 @@
 	return true
 }
 
-// charge returns the line whose quota a request at l uses: l if it has some
-// left, else the owned line that has most.
+// charge returns the target whose quota a request at tgt uses: tgt itself if it has
+// quota left, otherwise the owned target that has the most.
 func (b *Book) charge(l *line, s State) *line {
 	if l.share(s) > l.charged {
 		return l
@@ -108,24 +110,24 @@
 	return best
 }
 
-// check asserts that a slot just taken keeps every limit.
+// check asserts that the slot just taken exceeds no limit.
 func (b *Book) check(l, c *line, s State) {
 	b.cfg.Checks.Check(invariant.RegionLimit, l.inFlight+l.heldSlots <= l.allowance, func() string {
-		return fmt.Sprintf("%v: %d in flight and %d held of %d", l.key, l.inFlight, l.heldSlots, l.allowance)
+		return fmt.Sprintf("%v: %d in flight and %d reserved, allowance %d", l.key, l.inFlight, l.heldSlots, l.allowance)
 	})
 	b.cfg.Checks.Check(invariant.RegionLimit, c.charged <= c.share(s), func() string {
-		return fmt.Sprintf("%v: %d charged to a quota of %d", c.key, c.charged, c.share(s))
+		return fmt.Sprintf("%v: %d requests charged to a quota of %d", c.key, c.charged, c.share(s))
 	})
 	b.cfg.Checks.Check(invariant.Leaving, l.listed && !l.spec.Drained, func() string {
-		return fmt.Sprintf("%v: drained or withdrawn", l.key)
+		return fmt.Sprintf("%v: slot taken at a drained or removed target", l.key)
 	})
 }
 
-// Done empties a slot that Take filled.
+// Done frees a slot that Take filled.
 func (b *Book) Done(key TargetKey) {
 	l, ok := b.lines[key]
 	b.cfg.Checks.Check(invariant.RegionLimit, ok && l.inFlight > 0, func() string {
-		return fmt.Sprintf("%v: done without a request in flight", key)
+		return fmt.Sprintf("%v: slot freed without a request in flight", key)
 	})
 	if !ok || l.inFlight == 0 {
 		return
@@ -139,7 +141,7 @@
 	}
 }
 
-// InFlight returns how many requests this instance has at a target.
+// InFlight returns how many requests this instance has in flight at a target.
 func (b *Book) InFlight(key TargetKey) int {
 	if l, ok := b.lines[key]; ok {
 		return l.inFlight
@@ -147,8 +149,8 @@
 	return 0
 }
 
-// Idle reports whether this instance has nothing in flight anywhere. When it is
-// leaving, and its roster says so, it may then remove its own line as clean.
+// Idle reports whether this instance has no requests in flight at any target.
+// If the roster marks it as leaving, it may then remove its own entry as clean.
 func (b *Book) Idle() bool {
 	for _, l := range b.order {
 		if l.inFlight > 0 {
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -7,14 +7,15 @@
 	"github.com/juju/errors"
 )
 
-// State is how far an instance may use the targets that it owns.
+// State is the state of an instance's ownership lease. It determines how much
+// the instance may use of the targets that it owns.
 type State int
 
-// States of tenure.
+// States of the ownership lease.
 const (
-	None      State = iota // the newest roster has no line of this instance: it may only finish
-	Lapsed                 // nobody vouches that the line still stands: half of each allowance
-	Confirmed              // the line stands: all of each allowance
+	None      State = iota // the newest roster has no entry of this instance: it may only finish requests in flight
+	Lapsed                 // nothing confirms that the entry is still in the roster: half of each allowance
+	Confirmed              // the entry is confirmed: all of each allowance
 )
 
 func (s State) String() string {
@@ -28,18 +29,18 @@
 	}
 }
 
-// peer is what this instance knows of another of its place.
+// peer is the cached state of another instance of the place.
 type peer struct {
 	incarnation uint64
-	version     uint64    // newest roster it is known to have
-	ackUntil    time.Time // tenure by its ack ends here
-	promised    time.Time // this instance acked, and won't remove it before this
-	removing    bool      // a write that removes it may be under way: no ack
+	version     uint64    // newest roster version that it is known to have
+	ackUntil    time.Time // end of the lease that its last ack extends
+	promised    time.Time // this instance's last ack forbids removing it before then
+	removing    bool      // a write that removes it may be in flight: send it no ack
 	release     Release   // newest
-	heard       time.Time // when release came
+	heard       time.Time // when release arrived
 	hasRelease  bool
-	before      Release   // the newest by a roster that was known here when release came, if release is by a newer one
-	beforeHeard time.Time // when before came
+	before      Release   // newest one under a roster that was known here when release arrived, if release is under a newer one
+	beforeHeard time.Time // when prevRelease arrived
 	hasBefore   bool
 }
 
@@ -49,8 +50,8 @@
 	incarnation uint64
 }
 
-// said returns what is kept of an incarnation that may have ended, or nil: what
-// it said of its requests in flight holds after its end.
+// findPeer returns the state kept of an incarnation that may have ended, or nil.
+// What it reported about its requests in flight stays valid after its end.
 func (b *Book) said(instance string, incarnation uint64) *peer {
 	if p, ok := b.peers[instance]; ok && p.incarnation == incarnation {
 		return p
@@ -58,7 +59,7 @@
 	return b.old[process{instance, incarnation}]
 }
 
-// forgetOld drops what is kept of ended incarnations that the roster has no line of.
+// prunePrevious drops the state of ended incarnations without an entry in the roster.
 func (b *Book) forgetOld() {
 	named := make(map[process]bool)
 	for _, s := range b.roster.spans() {
@@ -67,7 +68,8 @@
 	maps.DeleteFunc(b.old, func(p process, _ *peer) bool { return !named[p] })
 }
 
-// peer returns the state kept for an incarnation, or nil if a newer is known.
+// peer returns the state kept for an incarnation, creating it if there is none,
+// or nil if a newer incarnation is known.
 func (b *Book) peer(instance string, incarnation uint64) *peer {
 	p, ok := b.peers[instance]
 	if ok && p.incarnation > incarnation {
@@ -83,8 +85,8 @@
 	return p
 }
 
-// Confirm notes that the platform answered a read, sent at the given time, with
-// this roster version. Give the roster itself to SetRoster first if it is newer.
+// Confirm records that the platform answered a read, sent at the given time,
+// with this roster version. If the roster is newer, pass it to SetRoster first.
 func (b *Book) Confirm(sent time.Time, version uint64) {
 	if b.own.Instance == "" || version < b.own.Since || version > b.roster.Version {
 		return
@@ -92,9 +94,9 @@
 	b.platformUntil = later(b.platformUntil, sent.Add(b.cfg.Term))
 }
 
-// Ack notes a peer's ack of a heartbeat that was sent at the given time;
-// version is the peer's roster version. The peer promised not to remove this
-// instance before Term after it.
+// Ack records a peer's ack of a heartbeat that was sent at the given time;
+// version is the peer's roster version. The ack commits the peer not to remove
+// this instance before Term after that time.
 func (b *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
 	p := b.peer(peer, incarnation)
 	if p == nil {
@@ -106,7 +108,8 @@
 }
 
 // MayAck decides whether to ack a heartbeat of a peer that has the given roster
-// version, and notes the promise that the ack makes. Send no ack on false.
+// version, and records the commitment that the ack makes. If it returns false,
+// no ack may be sent.
 func (b *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
 	b.newer(now, peer, incarnation)
 	p := b.peer(peer, incarnation)
@@ -123,7 +126,7 @@
 	return true
 }
 
-// Tenure returns the state of tenure at now.
+// Tenure returns the state of the ownership lease at now.
 func (b *Book) Tenure(now time.Time) State {
 	switch {
 	case b.own.Instance == "":
@@ -135,7 +138,7 @@
 	}
 }
 
-// acked reports whether every other member's ack still holds.
+// acked reports whether the last ack of every other member is still valid.
 func (b *Book) acked(now time.Time) bool {
 	for _, m := range b.roster.Members {
 		if m.Instance == b.own.Instance {
@@ -149,10 +152,10 @@
 	return true
 }
 
-// Removable reports whether this instance may write a roster without the peer:
-// its last ack to it has run out, and the peer knows a roster in which this
-// instance's ack is needed or is no longer listed; or a newer incarnation proves
-// that the peer has ended.
+// Removable reports whether this instance may write a roster without the peer.
+// This instance's last ack to the peer must have expired, and the peer must have
+// a roster in which it needs this instance's ack or is no longer listed; or a
+// newer incarnation proves that the peer has ended.
 func (b *Book) Removable(now time.Time, peer string) bool {
 	m, ok := b.roster.Member(peer)
 	if !ok || b.own.Instance == "" || peer == b.own.Instance {
@@ -171,7 +174,8 @@
 }
 
 // Remove returns the roster without the peer, to be written at once. From now
-// on the peer gets no ack, until a newer roster still names it or Abandon.
+// on the peer gets no ack until a newer roster still lists it or the removal is
+// abandoned.
 func (b *Book) Remove(now time.Time, peer string) (Roster, error) {
 	if !b.Removable(now, peer) {
 		return Roster{}, &NotRemovableError{Instance: peer}
@@ -187,22 +191,23 @@
 	return next, nil
 }
 
-// Undecided reports whether a write that removes the peer may still land. Until a
-// newer roster is known, the peer gets no ack.
+// Undecided reports whether a write that removes the peer may still take effect.
+// Until a newer roster is known, the peer gets no ack.
 func (b *Book) Undecided(peer string) bool {
 	p, ok := b.peers[peer]
 	return ok && p.removing
 }
 
-// Abandon notes that the write which Remove began is proved not to have been
-// sent. An uncertain write may still land: it must not be abandoned.
+// Abandon records that the write begun by Remove is proved not to have been
+// sent. A write with an uncertain outcome may still take effect and must not be
+// abandoned.
 func (b *Book) Abandon(peer string) {
 	if p, ok := b.peers[peer]; ok {
 		p.removing = false
 	}
 }
 
-// NotRemovableError says that a promise to a peer still stands.
+// NotRemovableError reports that a peer may not be removed yet.
 type NotRemovableError struct{ Instance string }
 
 func (e *NotRemovableError) Error() string { return "owner: may not remove " + e.Instance + " yet" }
--- a/internal/queue/class.go
+++ b/internal/queue/class.go
@@ -2,20 +2,20 @@
 
 import "github.com/firlever/firlever/pkg/settings"
 
-// Way says where an item may be served: it decides, with the service, whether
-// it could start now.
+// Way describes where an item may be served. Together with the service it
+// determines whether the item could start now.
 type Way struct {
-	Shifted bool // its caller's home is another place: the shift cap counts it
-	Bound   bool // only this instance's own targets will do
+	Shifted bool // its caller's home is another place, so the shift cap applies
+	Bound   bool // only targets that this instance owns may serve it
 }
 
-// Can says whether a request of a service could start now.
+// Can reports whether a request of a service could start now.
 type Can func(service settings.ServiceID, way Way) bool
 
-// ways is how many different Ways there are.
+// laneCount is the number of lanes of a service.
 const ways = 4
 
-// lane is the number of the lane for a way.
+// laneIndex returns the index of the lane for w.
 func (w Way) lane() int {
 	n := 0
 	if w.Shifted {
@@ -27,8 +27,9 @@
 	return n
 }
 
-// line holds the waiting items of one service in one class. Each way has a lane
-// of its own, so that what keeps one back doesn't hold up the others.
+// serviceQueue holds the waiting items of one service in one class. Items that
+// may be served in different ways are in different lanes, so that a blocked lane
+// doesn't hold up the others.
 type line struct {
 	service settings.ServiceID
 	lanes   [ways]lane
@@ -60,11 +61,11 @@
 	return oldest
 }
 
-// group holds the lines of one team in one class.
+// teamQueue holds the service queues of one team in one class.
 type group struct {
 	team    string
 	lines   ring[*line] // those with items
-	deficit float64     // pops that the team may take before its turn ends
+	deficit float64     // pops left to the team in its turn
 	granted bool        // whether this turn's quantum has been added
 }
 
@@ -138,8 +139,8 @@
 	}
 }
 
-// pop takes the next item that could start now, or returns nil. A team whose
-// every line is blocked loses its turn.
+// pop removes the next item that could start now, or returns nil. A team whose
+// service queues are all blocked loses its turn.
 func (c *class) pop(can Can, share func(team string) int) *entry {
 	for range c.turns.len() {
 		g := c.turns.at()
@@ -169,8 +170,8 @@
 	c.turns.advance()
 }
 
-// quantum is a turn's pops: the team's share over the least share of the teams
-// that wait, so 1 or more.
+// quantum returns the pops of a turn: the team's share divided by the least share
+// of the waiting teams, so at least 1.
 func (c *class) quantum(g *group, share func(team string) int) float64 {
 	own := share(g.team)
 	least := own
--- a/internal/queue/config.go
+++ b/internal/queue/config.go
@@ -1,8 +1,8 @@
 // Package queue holds the requests of one instance that wait for a slot. It
-// refuses at once what can't be served before its deadline, takes interactive
-// requests before bulk ones, and shares pops among teams by weight.
+// refuses at once requests that can't be served before their deadline, takes
+// interactive requests before bulk ones, and shares pops among teams by weight.
 //
-// The package does no input or output and is not safe for concurrent use.
+// The package performs no I/O and is not safe for concurrent use.
 package queue
 
 import (
@@ -10,14 +10,13 @@
 	"time"
 )
 
-// Config bounds a Queue. Its durations are lengths of windows and bounds, not
-// moments.
+// Config bounds a Queue.
 type Config struct {
-	Length    int           // requests waiting at one time
-	BulkEvery int           // while both wait, one pop in so many is bulk
+	Length    int           // most requests waiting at one time
+	BulkEvery int           // while both classes wait, one pop in BulkEvery is bulk
 	Window    time.Duration // over which completions are averaged
-	RetryMin  time.Duration // earliest return that a refusal names
-	RetryMax  time.Duration // latest return that a refusal names
+	RetryMin  time.Duration // shortest delay to the retry that a refusal names
+	RetryMax  time.Duration // longest delay to the retry that a refusal names
 }
 
 // Defaults returns the configuration of a small instance.
--- a/internal/queue/goodput_test.go
+++ b/internal/queue/goodput_test.go
@@ -16,11 +16,11 @@
 	moreJob  = 10 * time.Millisecond // mean of the exponential part
 	budget   = 200 * time.Millisecond
 	runFor   = 10 * time.Second
-	bound    = 1000 // length of the queues bounded by length
+	bound    = 1000 // length of the plain queues
 	capacity = float64(slots) / (float64(leastJob+moreJob) / float64(time.Second))
 )
 
-// policy is a queue before one station.
+// policy is a queue in front of the slots of one service.
 type policy interface {
 	push(now time.Time, it Item) bool
 	pop(now time.Time) (Item, bool)
@@ -39,10 +39,10 @@
 	p.q.Completed(now, settings.ServiceID{}, took)
 }
 
-// plainQueue is bounded by length alone.
+// plainQueue is a queue bounded by length alone.
 type plainQueue struct {
 	items []Item
-	check bool // drop what has expired when it is popped
+	check bool // drop expired items when they are popped
 	lifo  int  // length from which the newest goes first; 0 is never
 }
 
@@ -91,16 +91,16 @@
 	return x
 }
 
-// figures of one run.
+// result holds the figures of one run.
 type figures struct {
-	good   float64       // answers within their deadline, as a part of what the station can do
-	late   float64       // part of what was started that ended after its deadline
-	held   float64       // part of the demand that was let wait and then given up
+	good   float64       // answers within their deadline, as a fraction of capacity
+	late   float64       // fraction of started requests that ended after their deadline
+	held   float64       // fraction of the demand that was queued and then dropped
 	median time.Duration // of the answers within their deadline, from arrival
 }
 
-// measure runs Poisson demand of load times the capacity. A late request holds
-// its slot to its end.
+// measure simulates Poisson demand of load times the capacity. A late request
+// keeps its slot until it ends.
 func measure(p policy, load float64) figures {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var busy jobs
@@ -133,7 +133,7 @@
 	return figures{
 		good:   float64(len(answers)) / (capacity * runFor.Seconds()),
 		late:   float64(missed) / float64(started),
-		held:   float64(queued-started-len(busy)) / float64(demand), // those that wait at the end too
+		held:   float64(queued-started-len(busy)) / float64(demand), // includes those that wait at the end
 		median: answers[len(answers)/2],
 	}
 }
@@ -149,11 +149,11 @@
 	}
 }
 
-// TestGoodput prints the table of docs/design/overload.md.
+// TestGoodput logs the table of docs/design/overload.md.
 func TestGoodput(t *testing.T) {
 	tests := map[string]struct {
 		policy func() policy
-		least  float64 // part of the goodput at capacity kept at twice capacity
+		least  float64 // fraction of the goodput at capacity to keep under any load
 	}{
 		"FIFO by length":                {func() policy { return &plainQueue{} }, 0},
 		"FIFO by length, check at pop":  {func() policy { return &plainQueue{check: true} }, 0},
--- a/internal/queue/item.go
+++ b/internal/queue/item.go
@@ -6,28 +6,28 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Item is a request that waits. The queue holds no more of it than this.
+// Item is all that the queue stores of a waiting request.
 type Item struct {
-	ID       uint64 // unique among the items that wait
+	ID       uint64 // unique among the waiting items
 	Service  settings.ServiceID
 	Bulk     bool
 	Way      Way
 	Deadline time.Time // by which its answer must be complete
 }
 
-// VerdictKind says whether a request may wait.
+// VerdictKind is the outcome of Push.
 type VerdictKind uint8
 
 // Kinds of verdict. All but VerdictQueued are final: the request was not run.
 const (
 	VerdictQueued    VerdictKind = iota + 1
-	VerdictFull                  // the queue, or its team's part of it, is at its length
-	VerdictLate                  // its deadline can't be met as things go
+	VerdictFull                  // the queue, or its team's part of it, is full
+	VerdictLate                  // its deadline can't be met at the current rate
 	VerdictExpired               // its deadline has passed already
-	VerdictDuplicate             // an item with its ID waits
+	VerdictDuplicate             // an item with the same ID is waiting
 )
 
-// String returns a word for logs and the wire's reason.
+// String returns the name used in logs and in the wire's reason.
 func (k VerdictKind) String() string {
 	switch k {
 	case VerdictQueued:
@@ -45,27 +45,27 @@
 	}
 }
 
-// Verdict is Push's answer.
+// Verdict is the result of Push.
 type Verdict struct {
 	Kind    VerdictKind
 	Start   time.Time // when a slot is expected
-	RetryAt time.Time // of VerdictFull and VerdictLate: when to come back
+	RetryAt time.Time // of VerdictFull and VerdictLate: when to retry
 }
 
-// entry is an item in its lane and in the heap of last starts.
+// entry is an item in its lane and in the heap of latest start times.
 type entry struct {
 	item       Item
 	seq        uint64    // order of arrival
-	last       time.Time // from which it isn't started any more; never after its deadline
+	last       time.Time // it is not started from then on; never after its deadline
 	prev, next *entry    // in its lane
 	lane       *lane
-	place      int // in the heap of last starts
+	place      int // in the heap of latest start times
 }
 
-// lane is a first-in first-out list. Its zero value is empty.
+// lane is a FIFO list. Its zero value is empty.
 type lane struct {
 	head, tail *entry
-	line       *line // that it belongs to
+	line       *line // to which the lane belongs
 }
 
 func (l *lane) push(e *entry) {
@@ -93,8 +93,8 @@
 	e.prev, e.next = nil, nil
 }
 
-// Deadline is for deadline.Heap.
+// Deadline implements deadline.Item.
 func (e *entry) Deadline() time.Time { return e.last }
 
-// Place is for deadline.Heap.
+// Place implements deadline.Item.
 func (e *entry) Place() *int { return &e.place }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -13,18 +13,18 @@
 // Queue holds the requests of one instance that wait for a slot.
 type Queue struct {
 	cfg         Config
-	room        *room // counts all that wait, by team
+	room        *room // counts the waiting items by team
 	stations    map[settings.ServiceID]*station
-	entries     map[uint64]*entry // all that wait, by ID
+	entries     map[uint64]*entry // all waiting items, by ID
 	interactive *class
 	bulk        *class
-	starts      deadline.Heap[*entry] // of all that wait
-	expired     []*entry              // taken out, to be told by the next Expire
+	starts      deadline.Heap[*entry] // all waiting items, by latest start time
+	expired     []*entry              // removed, to be returned by the next Expire
 	skipped     int                   // interactive pops since the last bulk one, while bulk waited
-	seq         uint64                // grows with each Push
+	seq         uint64                // increases with each item queued
 }
 
-// New makes an empty queue. cfg must be valid.
+// New returns an empty Queue. cfg must be valid.
 func New(cfg Config) *Queue {
 	return &Queue{
 		cfg:         cfg,
@@ -36,18 +36,19 @@
 	}
 }
 
-// SetShare sets the weight of a team at a contested place. Teams never set, or
-// set to less than 1, weigh 1.
+// SetShare sets a team's weight under contention. Teams never set, or set to less
+// than 1, have weight 1.
 func (q *Queue) SetShare(team string, weight int) { q.room.setShare(team, weight) }
 
-// Forget drops what was learnt of a service that is no longer configured.
+// Forget drops the estimates of a service that is no longer configured, unless
+// requests of it wait.
 func (q *Queue) Forget(service settings.ServiceID) {
 	if q.ahead(service, true) == 0 {
 		delete(q.stations, service)
 	}
 }
 
-// Push lets an item wait, or refuses it at once.
+// Push queues an item, or refuses it at once.
 func (q *Queue) Push(now time.Time, it Item) Verdict {
 	if _, ok := q.entries[it.ID]; ok {
 		return Verdict{Kind: VerdictDuplicate}
@@ -64,7 +65,7 @@
 	}
 	last := it.Deadline.Add(-s.usual())
 	if ahead == 0 {
-		// Else nothing would run that could mend a wrong estimate.
+		// Otherwise no request might run that could correct a wrong estimate.
 		last = it.Deadline
 	}
 	if over := first.Sub(last); over > 0 {
@@ -84,8 +85,8 @@
 	return n
 }
 
-// retryAt spreads the returns of those refused: each is told a moment one
-// completion later than the one before, within the bounds of the configuration.
+// retryAt spreads the retries of refused requests: each gets a time one completion
+// later than the one before, within the bounds of the configuration.
 func (q *Queue) retryAt(now time.Time, s *station, after time.Duration) time.Time {
 	at := now.Add(max(after, q.cfg.RetryMin))
 	if rate, known := s.rate(); known && rate > leastRate {
@@ -127,8 +128,8 @@
 	q.class(it).add(e)
 }
 
-// Pop takes the next item that could start now. It asks can at most once for
-// each service, class and way that waits.
+// Pop removes the next item that could start now. It calls can at most once for
+// each service, class and lane with waiting items.
 func (q *Queue) Pop(now time.Time, can Can) (Item, bool) {
 	q.expire(now)
 	classes := [...]*class{q.interactive, q.bulk}
@@ -155,7 +156,7 @@
 	q.skipped++
 }
 
-// forget takes out of the indexes an entry that has left its class.
+// unindex removes an entry that has left its class from the indexes.
 func (q *Queue) forget(now time.Time, e *entry) {
 	delete(q.entries, e.item.ID)
 	q.starts.Remove(e)
@@ -164,7 +165,7 @@
 	q.station(now, service).waiting(now, q.ahead(service, true))
 }
 
-// expire takes out all items past their last start.
+// expire removes all items past their latest start time.
 func (q *Queue) expire(now time.Time) {
 	for {
 		e, due := q.starts.Due(now)
@@ -189,8 +190,8 @@
 	return items
 }
 
-// Cancel takes out an item, and says whether it waited. Expire tells nothing of
-// it any more.
+// Cancel removes an item, and reports whether it was waiting. Expire no longer
+// returns it.
 func (q *Queue) Cancel(now time.Time, id uint64) bool {
 	e := q.entries[id]
 	if e == nil {
@@ -202,8 +203,8 @@
 	return true
 }
 
-// Completed tells that a request of a service has ended and freed its slot,
-// however it ended. took counts from its dispatch.
+// Completed records that a request of a service has ended, with any outcome, and
+// freed its slot. took counts from its dispatch.
 func (q *Queue) Completed(now time.Time, service settings.ServiceID, took time.Duration) {
 	q.station(now, service).completed(now, took)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// busyQueue completes ten requests a second, of 100 ms each, while n wait.
+// busyQueue completes ten requests per second, of 100 ms each, while n wait.
 func busyQueue(n int) (*Queue, time.Time) {
 	cfg := Defaults()
 	cfg.Length = 20
@@ -96,7 +96,7 @@
 		id      uint64
 		budget  time.Duration
 		want    VerdictKind
-		retry   time.Duration // least
+		retry   time.Duration // at least
 	}{
 		"in time":          {10, 100, 1500 * time.Millisecond, VerdictQueued, 0},
 		"late":             {10, 100, 500 * time.Millisecond, VerdictLate, 500 * time.Millisecond},
@@ -115,7 +115,7 @@
 				t.Fatalf("got %v, want %v", got.Kind, tt.want)
 			}
 			if tt.retry > 0 && got.RetryAt.Sub(now) < tt.retry {
-				t.Errorf("got a return after %v, want at least %v", got.RetryAt.Sub(now), tt.retry)
+				t.Errorf("got a retry after %v, want at least %v", got.RetryAt.Sub(now), tt.retry)
 			}
 		})
 	}
@@ -124,9 +124,9 @@
 func TestCancelledIsNotExpired(t *testing.T) {
 	q, now := busyQueue(1)
 	late := now.Add(time.Hour)
-	q.Push(late, Item{ID: 100, Service: a1, Deadline: late.Add(time.Hour)}) // notes that the first has expired
+	q.Push(late, Item{ID: 100, Service: a1, Deadline: late.Add(time.Hour)}) // expires the first item
 	if q.Cancel(late, 1) {
-		t.Error("got that an expired item waited, want that it did not")
+		t.Error("got true for an expired item, want false")
 	}
 	if got := q.Expire(late); len(got) != 0 {
 		t.Errorf("got %v expired, want none: it was cancelled", got)
@@ -138,7 +138,7 @@
 	first := q.Push(now, Item{ID: 100, Service: a1, Deadline: now.Add(time.Hour)}).RetryAt
 	second := q.Push(now, Item{ID: 100, Service: a1, Deadline: now.Add(time.Hour)}).RetryAt
 	if got := second.Sub(first); got < 90*time.Millisecond || got > 110*time.Millisecond {
-		t.Errorf("got %v between two returns, want one completion's 100ms", got)
+		t.Errorf("got %v between two retries, want one completion's 100ms", got)
 	}
 }
 
@@ -156,7 +156,7 @@
 		}
 		return q.Len() - n
 	}
-	if got := push(0, a1); got != 16 { // 6 of its own and the open 10
+	if got := push(0, a1); got != 16 { // its reserved 6 and the open 10
 		t.Errorf("got %d of a, want 16", got)
 	}
 	if got := push(100, b1); got != 4 {
@@ -222,7 +222,7 @@
 				if v := q.Push(now, it); v.Kind == VerdictQueued {
 					waiting[id] = it
 				} else if v.RetryAt.Before(now.Add(cfg.RetryMin)) {
-					t.Fatalf("got return %v, want after %v", v.RetryAt, now)
+					t.Fatalf("got a retry at %v, want RetryMin or more after %v", v.RetryAt, now)
 				}
 			case 3:
 				blocked := rapid.SampledFrom(services).Draw(t, "blocked")
@@ -245,8 +245,8 @@
 				}
 			case 4:
 				id := rapid.Uint64Range(0, id).Draw(t, "id")
-				// One that Push has given up meanwhile, and that Expire has not told of,
-				// doesn't wait any more; it is lost if it is in neither place.
+				// An item that Push has expired meanwhile, and that Expire has not
+				// returned yet, no longer waits; it is lost if it is in neither set.
 				_, known := waiting[id]
 				givenUp := slices.ContainsFunc(q.expired, func(e *entry) bool { return e.item.ID == id })
 				if want := known && !givenUp; q.Cancel(now, id) != want {
@@ -271,7 +271,7 @@
 	})
 }
 
-// BenchmarkPushPop is one push and one pop with 4,000 items of 30 services waiting.
+// BenchmarkPushPop measures one push and one pop with 4,000 items of 30 services waiting.
 func BenchmarkPushPop(b *testing.B) {
 	q := New(Defaults())
 	item := func(id uint64) Item {
--- a/internal/queue/ring.go
+++ b/internal/queue/ring.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// ring goes round its members in the order of their coming. Its zero value is
-// empty. It is made for tens of members: remove is linear.
+// ring cycles through its members in the order in which they were added. Its zero
+// value is empty. remove takes linear time, which suits tens of members.
 type ring[T comparable] struct {
 	members []T
 	next    int // index of the member whose turn it is; 0 when empty
@@ -14,10 +14,10 @@
 // all returns the members; they must not be changed.
 func (r *ring[T]) all() []T { return r.members }
 
-// at returns the member whose turn it is. The ring must not be empty.
+// current returns the member whose turn it is. The ring must not be empty.
 func (r *ring[T]) at() T { return r.members[r.next] }
 
-// advance gives the turn to the next member.
+// advance passes the turn to the next member.
 func (r *ring[T]) advance() {
 	r.next++
 	if r.next >= len(r.members) {
@@ -35,7 +35,7 @@
 	r.next++
 }
 
-// remove takes v out; if it was v's turn, the next member has it.
+// remove removes v; if it was v's turn, it is now the next member's.
 func (r *ring[T]) remove(v T) {
 	i := slices.Index(r.members, v)
 	if i < 0 {
--- a/internal/queue/room.go
+++ b/internal/queue/room.go
@@ -1,13 +1,14 @@
 package queue
 
-// room bounds the items that wait. Half of it is kept for the teams by their
-// shares, the other half is open to all, so that no team can fill the queue.
+// limiter bounds the waiting items. Half of the queue is reserved for the teams in
+// proportion to their weights, the other half is open to all, so that no team can
+// fill the queue.
 type room struct {
 	length  int
-	shares  map[string]int // weights of the known teams; each over 0
-	total   int            // of shares
-	counts  map[string]int // items that wait, by team
-	waiting int            // of counts; never over length, also when shares change
+	shares  map[string]int // of the known teams; each over 0
+	total   int            // sum of weights
+	counts  map[string]int // waiting items, by team
+	waiting int            // sum of counts; never over length, even when weights change
 }
 
 func newRoom(length int) *room {
@@ -22,7 +23,7 @@
 
 func (r *room) share(team string) int { return max(r.shares[team], defaultShare) }
 
-// kept returns how many places of the queue no other team can take.
+// reserved returns how many positions of the queue no other team can take.
 func (r *room) kept(team string) int {
 	if r.total == 0 {
 		return 0
@@ -30,7 +31,7 @@
 	return r.length / 2 * r.shares[team] / r.total
 }
 
-// free says whether one more item of a team may wait.
+// admits reports whether one more item of a team may wait.
 func (r *room) free(team string) bool {
 	if r.waiting >= r.length {
 		return false
--- a/internal/queue/station.go
+++ b/internal/queue/station.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	enough     = 8.0       // completions that make an estimate
+	enough     = 8.0       // completions that suffice for an estimate
 	enoughBusy = 0.25      // or this part of the window spent with items waiting
-	meanGain   = 1.0 / 8   // weight of one more completion in the usual time
-	spreadGain = 1.0 / 4   // and in its spread
-	spreads    = 4         // mean deviations above the mean that a request is given
-	outlier    = 8         // mean deviations beyond the mean that a sample counts for at most
-	leastRate  = 1e-3      // completions a second; below it the wait is as good as endless
-	gapUsual   = 2         // usual times between two completions that count as work, and
-	gapLeast   = 0.25      // seconds that do in any case; what is beyond is a standstill
-	deadAfter  = 2.0       // seconds of standstill after which a station is taken for dead
-	endless    = time.Hour // stands for such a wait
+	meanGain   = 1.0 / 8   // weight of a completion in the average duration
+	spreadGain = 1.0 / 4   // weight of a completion in the mean deviation
+	spreads    = 4         // mean deviations above the mean that a request is allowed
+	outlier    = 8         // mean deviations above the mean at which a sample is capped
+	leastRate  = 1e-3      // completions per second; below it the predicted wait is maxWait
+	gapUsual   = 2         // typical durations between two completions that count as work
+	gapLeast   = 0.25      // seconds that always count as work; a longer gap is a pause
+	deadAfter  = 2.0       // seconds of pause after which a service is assumed dead
+	endless    = time.Hour // longest predicted wait
 )
 
-// station estimates how fast requests of one service complete. Only time during
-// which items wait is counted: otherwise it would measure how fast requests come.
+// estimator estimates how fast requests of one service complete. Only time during
+// which items wait is counted: otherwise it would measure the arrival rate.
 type station struct {
 	window time.Duration
-	at     time.Time // up to which busy and done are brought
-	since  bool      // whether items have waited since at
+	at     time.Time // time to which busy and completions are decayed
+	since  bool      // whether items have waited since updatedAt
 	still  float64   // seconds with items waiting since the last completion
 	busy   float64   // seconds with items waiting, decayed over the window
-	done   float64   // completions in them, decayed alike
-	mean   float64   // seconds that a request usually takes; 0 when none was seen
+	done   float64   // completions in busy, decayed alike
+	mean   float64   // average duration of a request, seconds; 0 if none has completed
 	spread float64   // mean deviation from mean, seconds
-	retry  time.Time // return named to the last one refused; the next is told a later one
+	retry  time.Time // retry time of the last refused request; the next one gets a later one
 
 	last         time.Time // the last completion; zero if there was none
-	stood, moved time.Time // the last standstill: nothing completed between them
+	stood, moved time.Time // the last pause: nothing completed in between
 }
 
-// settle brings the estimates up to now.
+// advance brings the estimates up to now.
 func (s *station) settle(now time.Time) {
 	if !now.After(s.at) {
 		return
@@ -50,15 +50,15 @@
 	if !s.since {
 		return
 	}
-	// A standstill tells nothing of how fast requests complete when it is over: counted as
-	// work, 22 of 1,381 requests were refused right after targets had stood still for 1.2 s,
-	// which could have been served 20 ms later.
+	// A pause says nothing about how fast requests complete once it is over. When pauses
+	// were counted as work, 22 of 1,381 requests were refused right after targets had been
+	// paused for 1.2 s, although they could have been served 20 ms later.
 	work := min(passed, max(0, s.gap()-s.still))
 	s.still += passed
 	s.busy += window * (1 - math.Exp(-work/window))
 }
 
-// gap is how many seconds between two completions count as work.
+// maxGap returns how many seconds between two completions count as work.
 func (s *station) gap() float64 { return max(gapLeast, gapUsual*(s.mean+spreads*s.spread)) }
 
 func (s *station) waiting(now time.Time, n int) {
@@ -82,22 +82,22 @@
 		s.spread = v / 2
 		return
 	}
-	// Requests that stood still for seconds with a target or this process are few. Taken
-	// whole, one of 3 s among those of 5 ms adds 3 s to the usual time, and who waits
-	// behind another is refused: 8 in 40 ms in a run on a busy machine. A service that
-	// has become slow is known after some 6.
+	// Few requests are paused for seconds with a target or this process. Without the cap,
+	// one of 3 s among those of 5 ms adds 3 s to the expected duration, and requests queued
+	// behind another are refused: 8 in 40 ms in a run on a busy machine. A service that has
+	// become slow is still detected after about 6 requests.
 	v = min(v, s.mean+outlier*max(s.spread, s.mean/outlier))
 	s.spread += spreadGain * (math.Abs(v-s.mean) - s.spread)
 	s.mean += meanGain * (v - s.mean)
 }
 
-// move notes a completion, and the standstill that it ends if there was one: more than
-// the gap since the last one, or since the work began that completes.
+// recordCompletion records a completion, and the pause that it ends if there was one: more
+// than maxGap since the last completion and since the start of the completed request.
 func (s *station) move(now, begun time.Time) {
 	from := s.last
 	s.last = now
 	if from.IsZero() {
-		return // nothing shows yet what a gap is
+		return // there is no gap between completions yet
 	}
 	if begun.After(from) {
 		from = begun
@@ -108,9 +108,9 @@
 	}
 }
 
-// stoodStill is how long the last standstill held up work that began at a time. Taken
-// for work, the 1.2 s that 8 requests at a time stood still with their targets made 2 s
-// the usual time of requests of 5 ms: up to 14 of 757 were refused after it.
+// pausedSince returns how long the last pause held up a request that began at the given
+// time. When pauses counted as work, one of 1.2 s in which 8 requests at a time were held up
+// raised the expected duration of 5 ms requests to 2 s: up to 14 of 757 were refused after it.
 func (s *station) stoodStill(begun time.Time) time.Duration {
 	from := s.stood
 	if begun.After(from) {
@@ -119,8 +119,8 @@
 	return max(0, s.moved.Sub(from))
 }
 
-// rate returns completions a second while items wait; false when too little
-// has been seen.
+// rate returns completions per second while items wait, or false if too few were
+// observed.
 func (s *station) rate() (float64, bool) {
 	if s.still > deadAfter+s.gap() {
 		return 0, true
@@ -134,7 +134,7 @@
 	return s.done / s.busy, true
 }
 
-// wait predicts how long a request waits that has n others before it.
+// wait predicts how long a request with n others ahead of it waits.
 func (s *station) wait(n int) time.Duration {
 	rate, known := s.rate()
 	if n == 0 || !known {
@@ -146,7 +146,8 @@
 	return min(endless, seconds(float64(n)/rate))
 }
 
-// usual returns how long a request takes once started, with room for spread.
+// expectedDuration returns how long a request may take once started: the mean plus
+// an allowance for its deviation.
 func (s *station) usual() time.Duration {
 	return seconds(s.mean + spreads*s.spread)
 }
--- a/internal/queue/station_test.go
+++ b/internal/queue/station_test.go
@@ -23,9 +23,8 @@
 	}
 }
 
-// Right after nothing has completed for a while, who waits is not refused for that: what
-// was slow stood still. A station that goes on so is taken for dead, and one that is slow
-// for slow.
+// TestStandstillIsNoRate checks that requests are not refused right after a pause of the
+// targets, which says nothing about the rate. A service that stays paused is assumed dead.
 func TestStandstillIsNoRate(t *testing.T) {
 	tests := map[string]struct {
 		still time.Duration
@@ -58,10 +57,10 @@
 }
 
 func TestRateCountsOnlyWhileItemsWait(t *testing.T) {
-	q, now := busyQueue(0) // ten a second: all that came, not all that could be done
+	q, now := busyQueue(0) // ten per second: the arrival rate, not the capacity
 	q.Push(now, Item{ID: 1, Service: a1, Deadline: now.Add(time.Hour)})
 	if got := q.Wait(now, a1); got != 0 {
-		t.Errorf("got a wait of %v, want none before one was measured", got)
+		t.Errorf("got a wait of %v, want none before a rate was measured", got)
 	}
 }
 
@@ -74,11 +73,11 @@
 	}
 }
 
-// TestStallIsNoUsualTime: a few requests that stood still for seconds with their target
-// or this process tell nothing of how long the next ones take; many do.
+// TestStallIsNoUsualTime checks that a few requests that were paused for seconds with their
+// target or this process don't raise the expected duration of later ones; many do.
 func TestStallIsNoUsualTime(t *testing.T) {
 	tests := map[string]struct {
-		slow int // requests that took 3 s, the last ones
+		slow int // number of last requests that took 3 s
 		want VerdictKind
 	}{
 		"none": {0, VerdictQueued},
@@ -106,9 +105,9 @@
 	}
 }
 
-// TestStandstillIsNoUsualTime: all requests that were under way stood still with their
-// targets, and end together. They tell nothing of how long the next ones take; those of a
-// service that has become slow do.
+// TestStandstillIsNoUsualTime pauses all requests in flight with their targets; they then end
+// together. They must not raise the expected duration of later ones; those of a service that
+// has become slow must.
 func TestStandstillIsNoUsualTime(t *testing.T) {
 	const slots, slow = 8, 3 * time.Second
 	tests := map[string]struct {
--- a/internal/shift/ahead.go
+++ b/internal/shift/ahead.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Ahead returns how many shifted requests the cap surely lets pass from now
-// until end, which is at most a window away. It holds whether they all come in
-// the window under way, all in the next, or some in each.
+// Ahead returns how many shifted requests the cap certainly admits from now
+// until end, which is at most a window away, whether they all arrive in the
+// current window, all in the next, or some in each.
 func (r *Ramp) Ahead(now, end time.Time) int {
 	now = r.advance(now)
 	w := r.win
--- a/internal/shift/ahead_test.go
+++ b/internal/shift/ahead_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestAheadIsKept lets what Ahead promised come as early as it may, or none of
-// it before the next window: the cap lets all of it pass.
+// TestAheadIsKept checks that the cap admits as many requests as announced,
+// whether they arrive as early as possible or only from the next window on.
 func TestAheadIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := New(Config{})
@@ -25,16 +25,16 @@
 		end := now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond)
 		n := r.Ahead(now, end)
 		if got := admitAll(*r, now, end); got < n {
-			t.Fatalf("got %d passed at once, promised %d", got, n)
+			t.Fatalf("got %d admitted at once, want at least %d", got, n)
 		}
 		next := time.Unix(now.Unix()+1, 0)
 		if got := admitAll(*r, next, next.Add(time.Second)); end.After(next) && got < n {
-			t.Fatalf("got %d passed in the next window, promised %d", got, n)
+			t.Fatalf("got %d admitted in the next window, want at least %d", got, n)
 		}
 	})
 }
 
-// admitAll admits as many as it can from now until end.
+// admitAll returns how many requests can be admitted from now until end.
 func admitAll(r Ramp, now, end time.Time) int {
 	n := 0
 	for at := r.RetryAt(now); !at.IsZero() && at.Before(end); at = r.RetryAt(at) {
--- a/internal/shift/config.go
+++ b/internal/shift/config.go
@@ -7,26 +7,25 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultSpread = 3 * time.Second
 	DefaultBurst  = 8
 )
 
-// Config sets up a Ramp.
+// Config configures a Ramp.
 type Config struct {
-	Spread  time.Duration      // longest that a settings document takes to be in force everywhere
-	Burst   int                // one in so many of a window's budget may be admitted at once
+	Spread  time.Duration      // longest time until a settings document is in force everywhere
+	Burst   int                // 1/Burst of a window's budget may be admitted at once
 	Counter *invariant.Counter // counts checks of invariant.ShiftCap; may be nil
 }
 
 // ConfigError lists all faults of a Config.
 type ConfigError struct{ Faults []string }
 
-// Error lists the faults.
 func (e *ConfigError) Error() string { return "shift: " + strings.Join(e.Faults, "; ") }
 
-// Defaults fills what is not set.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	if c.Spread == 0 {
 		c.Spread = DefaultSpread
@@ -36,7 +35,7 @@
 	}
 }
 
-// Validate returns a *ConfigError that names every fault.
+// Validate returns a *ConfigError that names every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	if c.Spread < 0 {
--- a/internal/shift/figures_test.go
+++ b/internal/shift/figures_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// BenchmarkFractions gives five owners 0.4 a second each of a cap of 2 and
-// reports the most that their sum grew in a window: with phases as built, and
-// with a carry of the fraction kept by each owner.
+// BenchmarkFractions gives five owners 0.4 per second each of a cap of 2 and
+// reports the largest growth of their sum in a window: with phases, as
+// implemented, and with each owner carrying over its fraction instead.
 func BenchmarkFractions(b *testing.B) {
 	shares := Divide(2, []int{1, 1, 1, 1, 1})
 	phases, carry := 0, 0
@@ -24,9 +24,9 @@
 	b.ReportMetric(float64(carry), "carry-growth")
 }
 
-// BenchmarkSteadyDemand sends shifted requests at random times, 100 a second
-// on average, under a cap of 5, and keeps those held back in a queue. It
-// reports the waits after the first 40 s, in which the ramp has caught up.
+// BenchmarkSteadyDemand sends shifted requests at random times, 100 per second
+// on average, under a cap of 5, and queues those that are not admitted. It
+// reports the waits after the first 40 s, by when the ramp has caught up.
 func BenchmarkSteadyDemand(b *testing.B) {
 	var waits []float64
 	for b.Loop() {
--- a/internal/shift/ramp.go
+++ b/internal/shift/ramp.go
@@ -1,11 +1,11 @@
 // Package shift enforces the shift cap of a service at one owner of targets.
 //
-// Time is cut into windows of one second. The shifted requests admitted in a
-// window exceed those of the window before by at most the cap. Each owner
-// counts what it admitted itself and holds shares of the cap that no other
-// owner holds, so the sum over a place's owners keeps the cap too.
+// Time is divided into windows of one second. The shifted requests admitted in a
+// window exceed those of the previous window by at most the cap. Each owner
+// counts only its own admissions and holds shares of the cap that no other owner
+// holds, so the sum over a place's owners stays within the cap too.
 //
-// The package does no input or output and is not safe for concurrent use.
+// The package performs no I/O and is not safe for concurrent use.
 package shift
 
 import (
@@ -21,11 +21,11 @@
 const (
 	window = time.Second
 
-	// maxAhead is how many windows ahead a next admission is looked for.
+	// maxAhead is how many windows ahead the next admission is searched for.
 	maxAhead = 1024
 
-	// maxHold is the longest that a window is held open when the clock goes
-	// back. A longer step moves the window to the new time.
+	// maxStepBack is the longest step back of the clock for which the window is
+	// kept. A longer step moves the window to the new time.
 	maxHold = 2 * window
 )
 
@@ -35,35 +35,36 @@
 	Shares  []Share // of the targets that the owner may use now
 }
 
-// Counts is what a ramp has admitted.
+// Counts reports what a Ramp has admitted.
 type Counts struct {
 	Version  uint64 // of the settings in force
-	Window   int64  // number of the window: seconds since 1970
-	Before   int    // admitted in the window before
+	Window   int64  // number of the window: Unix time in seconds
+	Before   int    // admitted in the previous window
 	Budget   int    // the most that may be admitted in this window
 	Admitted int    // admitted in this window
 	Total    uint64 // admitted since the start
-	Held     uint64 // asked for and not admitted at once, since the start
+	Held     uint64 // refusals of Admit since the start
 }
 
-// Ramp holds back the shifted requests of one service at one owner.
+// Ramp limits the shifted requests of one service at one owner.
 type Ramp struct {
 	cfg    Config
 	cap    Cap
 	old    []oldCap  // other versions that may still be in force elsewhere, oldest first
-	latest time.Time // latest time seen; a window never goes back below it by less than maxHold
+	latest time.Time // latest time observed; smaller steps back than maxStepBack are ignored
 	win    win
 	total  uint64
 	held   uint64
 }
 
-// oldCap is a cap that another version has replaced.
+// replacedCap is a cap that another version has replaced.
 type oldCap struct {
 	shares []Share
-	until  time.Time // counts before it
+	until  time.Time // it applies before then
 }
 
-// New makes a ramp that admits nothing until SetCap. It returns a *ConfigError.
+// New returns a Ramp that admits nothing before SetCap. An invalid cfg gives
+// *ConfigError.
 func New(cfg Config) (*Ramp, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -72,10 +73,10 @@
 	return &Ramp{cfg: cfg}, nil
 }
 
-// SetCap puts a cap in force. A lower one counts at once, a higher one from the
-// next window on, as the owner who had those shares may have used them in this
-// one. After a change of version the lowest counts until every owner has the new
-// one.
+// SetCap puts a cap in force. A lower one applies at once, a higher one from the
+// next window on, as the owner that had those shares may have used them in this
+// one. After a change of version the lowest one applies until every owner has the
+// new version.
 func (r *Ramp) SetCap(now time.Time, c Cap) {
 	now = r.advance(now)
 	if r.cap.Version != c.Version && r.cap.Version != 0 {
@@ -86,13 +87,13 @@
 	r.win.budget = min(r.win.budget, r.win.before+r.units(r.win.number))
 }
 
-// Room returns how many shifted requests may be admitted right now.
+// Room returns how many shifted requests may be admitted at now.
 func (r *Ramp) Room(now time.Time) int {
 	now = r.advance(now)
 	return r.win.fit(now, now.Add(1), r.cfg.Burst)
 }
 
-// Admit counts one shifted request in if there is room for it.
+// Admit admits and counts one shifted request if the cap allows it.
 func (r *Ramp) Admit(now time.Time) bool {
 	now = r.advance(now)
 	if r.win.fit(now, now.Add(1), r.cfg.Burst) == 0 {
@@ -106,12 +107,12 @@
 }
 
 // RetryAt returns when the next shifted request can be admitted if no other
-// comes first: now when there is room, the zero time when the cap lets none
-// pass in sight.
+// arrives first: now if the cap allows it at once, the zero time if the cap
+// admits none within maxAhead windows.
 func (r *Ramp) RetryAt(now time.Time) time.Time { return r.at(now, 1) }
 
 // Counts returns what was admitted, for the log line of a decision and for
-// checks from outside.
+// external checks.
 func (r *Ramp) Counts(now time.Time) Counts {
 	r.advance(now)
 	return Counts{
@@ -120,7 +121,7 @@
 	}
 }
 
-// at returns when the n-th request from now can be admitted.
+// admitAt returns when the n-th request from now can be admitted.
 func (r *Ramp) at(now time.Time, n int) time.Time {
 	now = r.advance(now)
 	w := r.win
@@ -140,13 +141,14 @@
 	return time.Time{}
 }
 
-// advance moves to the window of now and returns the time to decide by.
+// advance moves to the window of now and returns the time to use for decisions,
+// which is never before r.latest.
 func (r *Ramp) advance(now time.Time) time.Time {
 	if now.Before(r.latest) {
 		if r.latest.Sub(now) <= maxHold {
 			return r.latest
 		}
-		r.win.move(now) // the counts stay: two windows become one
+		r.win.move(now) // the counts are kept: two windows become one
 		r.latest = now
 		for i := range r.old {
 			r.old[i].until = now.Add(r.cfg.Spread)
@@ -165,7 +167,7 @@
 	return now
 }
 
-// units returns by how much the window may exceed the one before it.
+// growth returns by how much a window may exceed the one before it.
 func (r *Ramp) units(number int64) int {
 	n := unitsOf(r.cap.Shares, number)
 	for _, o := range r.old {
--- a/internal/shift/ramp_test.go
+++ b/internal/shift/ramp_test.go
@@ -22,7 +22,8 @@
 	return r
 }
 
-// saturate asks every 4 ms for one window and returns what passed.
+// saturate requests admission every 4 ms for one window and returns how many were
+// admitted.
 func saturate(r *Ramp, from time.Time) int {
 	n := 0
 	for d := time.Duration(0); d < window; d += 4 * time.Millisecond {
@@ -58,13 +59,13 @@
 }
 
 func TestFractionPasses(t *testing.T) {
-	r := newRamp(t, Cap{Version: 1, Shares: Divide(2, []int{1, 1, 1, 1, 1})[1:2]}) // 0.4 a second
+	r := newRamp(t, Cap{Version: 1, Shares: Divide(2, []int{1, 1, 1, 1, 1})[1:2]}) // 0.4 per second
 	got := 0
 	for i := range 100 {
 		got = saturate(r, begin.Add(time.Duration(i)*window))
 	}
 	if got < 39 || got > 41 {
-		t.Errorf("got %d a second after 100 s, want 40 give or take 1", got)
+		t.Errorf("got %d per second after 100 s, want 39 to 41", got)
 	}
 }
 
@@ -84,11 +85,11 @@
 
 func TestClockSteps(t *testing.T) {
 	tests := map[string]struct {
-		step time.Duration // from the end of the second window, all 10 used
+		step time.Duration // of the clock at the end of the second window, with all 10 used
 		want []int         // admitted in the seconds that follow
 	}{
 		"none":       {0, []int{15, 20}},
-		"back a bit": {-1100 * time.Millisecond, []int{0, 15}}, // none until the clock is there again
+		"back a bit": {-1100 * time.Millisecond, []int{0, 15}}, // none until the clock has caught up
 		"back far":   {-time.Hour, []int{0, 15}},               // two windows become one
 		"on far":     {time.Hour, []int{5, 10}},
 	}
@@ -112,7 +113,7 @@
 	saturate(r, begin)
 	r.SetCap(begin.Add(window), Cap{Version: 2, Shares: Divide(50, []int{1})})
 	r.SetCap(begin.Add(window), Cap{Version: 3, Shares: Divide(20, []int{1})})
-	for i, want := range []int{10, 15, 20, 40} { // the first version counts for 3 s
+	for i, want := range []int{10, 15, 20, 40} { // the first version applies for 3 s
 		if got := saturate(r, begin.Add(time.Duration(i+1)*window)); got != want {
 			t.Errorf("window %d: got %d, want %d", i+1, got, want)
 		}
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestOwnersKeepCap counts what several owners of changing targets admit, by
-// its own clock, and holds the sum against the cap.
+// TestOwnersKeepCap counts, by its own clock, what several owners admit while
+// targets move between them, and compares the sum with the cap.
 func TestOwnersKeepCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 12).Draw(t, "cap")
@@ -194,7 +195,7 @@
 			room, at := r.Room(now), r.RetryAt(now)
 			ok := r.Admit(now)
 			if ok != (room > 0) || ok != at.Equal(now) {
-				t.Fatalf("admitted %v with room %d and the next at %v", ok, room, at)
+				t.Fatalf("admitted %v with %d free and the next at %v", ok, room, at)
 			}
 			if ok {
 				n++
--- a/internal/shift/share.go
+++ b/internal/shift/share.go
@@ -2,22 +2,23 @@
 
 import "slices"
 
-// unit is one request a second in the fixed-point numbers of a Share. Shares
-// are integers so that borders which touch are equal on every owner.
+// unit is one request per second in the fixed-point numbers of a Share. Shares
+// are integers so that adjacent bounds are equal on every owner.
 const unit = 1 << 20
 
-// golden is 2^64 divided by the golden ratio: its multiples spread evenly.
+// golden is 2^64 divided by the golden ratio: its multiples modulo 2^64 are
+// evenly distributed.
 const golden = 0x9E3779B97F4A7C15
 
-// Share is a stretch of a service's cap at one place: its owner may use what
-// lies between the two ends. Shares of different owners never overlap.
+// Share is an interval of a service's cap at one place: its owner may use what
+// lies between the two bounds. Shares of different owners never overlap.
 type Share struct {
-	from, to int64 // 0 <= from <= to, in 1/unit of a request a second
+	from, to int64 // 0 <= from <= to, in 1/unit of a request per second
 }
 
-// Divide cuts a cap, in requests a second gained each second, into one share
-// for each target, in proportion to the targets' allowances. The order of the
-// targets must be the same on every owner. The shares sum to the cap exactly.
+// Divide splits a cap, in requests per second of growth each second, into one
+// share for each target, in proportion to the targets' allowances. The order of
+// the targets must be the same on every owner. The shares sum to the cap exactly.
 func Divide(limit int, allowances []int) []Share {
 	shares := make([]Share, len(allowances))
 	total := int64(0)
@@ -36,18 +37,18 @@
 	return shares
 }
 
-// Lower returns the lower n of total parts of the share.
+// Lower returns the lower n/total of the share.
 func (s Share) Lower(n, total int) Share {
 	return Share{from: s.from, to: s.cut(n, total)}
 }
 
-// Upper returns what Lower leaves.
+// Upper returns the part of the share that Lower leaves.
 func (s Share) Upper(n, total int) Share {
 	return Share{from: s.cut(n, total), to: s.to}
 }
 
-// PerSecond returns the growth in requests a second that the share allows each
-// second, as an average.
+// PerSecond returns the average growth that the share allows each second, in
+// requests per second.
 func (s Share) PerSecond() float64 { return float64(s.to-s.from) / unit }
 
 func (s Share) cut(n, total int) int64 {
@@ -58,8 +59,8 @@
 	return s.from + scale(s.to-s.from, int64(n), int64(total))
 }
 
-// units returns the whole requests that the share allows to gain in a window.
-// Shares that cover a cap of n get n units together in every window.
+// growth returns by how many whole requests the share lets a window exceed the
+// one before it. Shares that together cover a cap of n sum to n in every window.
 func (s Share) units(window int64) int {
 	phase := int64(uint64(window) * golden >> 44) // 0 <= phase < unit
 	return int((s.to+phase)/unit - (s.from+phase)/unit)
@@ -78,7 +79,7 @@
 	return n
 }
 
-// grows tells whether the shares ever allow a gain.
+// grows reports whether the shares ever allow growth.
 func grows(shares []Share) bool {
 	return slices.ContainsFunc(shares, func(s Share) bool { return s.to > s.from })
 }
--- a/internal/shift/wait.go
+++ b/internal/shift/wait.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Action is what becomes of a shifted request.
+// Action is what to do with a shifted request.
 type Action int
 
-// The actions.
+// Actions of a Verdict.
 const (
 	Serve  Action = iota // admit it now
 	Queue                // keep it until Verdict.At, in the order of the queue
-	Refuse               // answer not-run; the caller may come back at Verdict.At
+	Refuse               // answer not-run; the caller may retry at Verdict.At
 )
 
-// String names the action in log lines.
+// String returns the name of the action in log lines.
 func (a Action) String() string {
 	switch a {
 	case Serve:
@@ -24,16 +24,17 @@
 	}
 }
 
-// Verdict is what to do with a shifted request. Its request isn't counted
+// Verdict is the decision about a shifted request. The request isn't counted
 // before Admit.
 type Verdict struct {
 	Action Action
-	At     time.Time // when the cap lets it pass; zero when it never does
+	At     time.Time // when the cap admits it; zero if it never does
 }
 
-// Wait decides about a shifted request which must start before deadline, with
-// so many shifted requests queued ahead of it. A request that the cap can't
-// let pass in time is refused at once, while the caller can still go elsewhere.
+// Wait decides about a shifted request that must start before deadline, with
+// the given number of shifted requests queued ahead of it. A request that the
+// cap can't admit in time is refused at once, while the caller can still go
+// elsewhere.
 func (r *Ramp) Wait(now, deadline time.Time, ahead int) Verdict {
 	at := r.at(now, ahead+1)
 	switch {
--- a/internal/shift/window.go
+++ b/internal/shift/window.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// win is one window. Requests in it are paced: one each window/budget, with a
-// small burst.
+// window counts the requests of one window. They are paced at one for each
+// windowLength/budget, with a small burst.
 type win struct {
-	number   int64     // seconds since 1970 at its start
-	before   int       // admitted in the window before
-	budget   int       // budget <= before + units of the shares
-	admitted int       // admitted <= budget when it last grew
-	paced    time.Time // when the requests admitted so far would be through at an even pace
+	number   int64     // Unix time of its start, in seconds
+	before   int       // admitted in the previous window
+	budget   int       // budget <= previous + growth of the shares
+	admitted int       // admitted <= budget when it last increased
+	paced    time.Time // when the requests admitted so far would have passed at an even pace
 }
 
 func (w win) start() time.Time { return time.Unix(w.number, 0) }
 
 func (w win) end() time.Time { return time.Unix(w.number+1, 0) }
 
-// next returns the following window, which may gain so many units.
+// next returns the following window, which may exceed w by growth requests.
 func (w win) next(units int) win {
 	n := win{number: w.number + 1, before: w.admitted, budget: w.admitted + units}
 	n.paced = n.start()
 	return n
 }
 
-// move puts the window at another time without giving it any room.
+// moveTo moves the window to another time without raising its budget.
 func (w *win) move(now time.Time) {
 	w.number = now.Unix()
 	w.paced = w.start()
 }
 
-// gap is the time between two requests at an even pace.
+// interval returns the time between two requests at an even pace.
 func (w win) gap() time.Duration { return window / time.Duration(max(w.budget, 1)) }
 
-// due is when the next request may pass. part is Config.Burst.
+// due returns when the next request may be admitted. divisor is Config.Burst.
 func (w win) due(now time.Time, part int) time.Time {
 	paced := w.paced
 	if paced.Before(now) {
@@ -42,7 +42,7 @@
 	return paced.Add(-time.Duration(burst) * w.gap())
 }
 
-// fit returns how many requests may be admitted from now until before end.
+// fit returns how many requests may be admitted from now until just before end.
 func (w win) fit(now, end time.Time, part int) int {
 	left := w.budget - w.admitted
 	due := w.due(now, part)
@@ -62,7 +62,7 @@
 	return t
 }
 
-// take counts one request in.
+// take counts one admitted request.
 func (w *win) take(now time.Time) {
 	if w.paced.Before(now) {
 		w.paced = now
