--- a/internal/owner/book_test.go
+++ b/internal/owner/book_test.go
@@ -49,36 +49,36 @@
 			"kill":  func(rt *rapid.T) { m.kill(id.Draw(rt, "id")) },
 			"pause": func(rt *rapid.T) {
 				if n := m.live[id.Draw(rt, "id")]; n != nil {
-					n.asleep = true
+					n.paused = true
 				}
 			},
 			"wake": func(rt *rapid.T) { m.wake(id.Draw(rt, "id")) },
 			"leave": func(rt *rapid.T) {
 				if n := m.live[id.Draw(rt, "id")]; n != nil {
-					n.wants = !n.wants
+					n.shouldBeMember = !n.shouldBeMember
 				}
 			},
 			"cut": func(rt *rapid.T) {
-				m.cut[end.Draw(rt, "from")][end.Draw(rt, "to")] = true
+				m.blocked[end.Draw(rt, "from")][end.Draw(rt, "to")] = true
 			},
 			"isolate": func(rt *rapid.T) {
 				a, platform := id.Draw(rt, "id"), rapid.Bool().Draw(rt, "platform")
 				for b := range modelNodes + 1 {
 					if b < modelNodes || platform {
-						m.cut[a][b], m.cut[b][a] = true, true
+						m.blocked[a][b], m.blocked[b][a] = true, true
 					}
 				}
 			},
 			"mend": func(*rapid.T) {
-				m.cut, m.down, m.loss = [modelNodes + 1][modelNodes + 1]bool{}, false, 0
+				m.blocked, m.down, m.lossRate = [modelNodes + 1][modelNodes + 1]bool{}, false, 0
 				for id := range modelNodes {
 					m.wake(id)
 					m.start(id)
 				}
 			},
-			"loss":     func(rt *rapid.T) { m.loss = rapid.Float64Range(0, 0.6).Draw(rt, "loss") },
+			"loss":     func(rt *rapid.T) { m.lossRate = rapid.Float64Range(0, 0.6).Draw(rt, "loss") },
 			"outage":   func(rt *rapid.T) { m.down = rapid.Bool().Draw(rt, "down") },
-			"settings": func(rt *rapid.T) { m.set(rapid.IntRange(0, len(modelSpecs)-1).Draw(rt, "specs")) },
+			"settings": func(rt *rapid.T) { m.setSpecs(rapid.IntRange(0, len(modelSpecs)-1).Draw(rt, "specs")) },
 		})
 		runs++
 		taken += m.taken
@@ -99,12 +99,12 @@
 		m.gossip = false
 		m.kill(2)
 		m.advance(4 * time.Second)
-		m.cut[1][modelNodes], m.cut[modelNodes][1] = true, true
+		m.blocked[1][modelNodes], m.blocked[modelNodes][1] = true, true
 		m.start(3)
 		m.advance(4 * time.Second)
-		m.cut[1][0], m.cut[modelNodes][0] = true, true
+		m.blocked[1][0], m.blocked[modelNodes][0] = true, true
 		m.advance(5 * time.Second)
-		m.cut[1][0] = false
+		m.blocked[1][0] = false
 		m.advance(12 * time.Second)
 		if _, ok := m.roster.Member("instance-1"); !ok {
 			removed++
--- a/internal/owner/ending_test.go
+++ b/internal/owner/ending_test.go
@@ -14,21 +14,21 @@
 	}
 	r, _ := Roster{}.Join("a", 1)
 	r, _ = r.Join("b", 1)
-	b.SetRoster(epoch, r)
+	b.SetRoster(modelStart, r)
 	return b
 }
 
 // TestListIsNoProof checks that any sign of life refutes an ending concluded from
 // the list: a process missing from it may only be unable to reach the platform.
 func TestListIsNoProof(t *testing.T) {
-	later := epoch.Add(2 * DefaultLag)
+	later := modelStart.Add(2 * DefaultLag)
 	tests := map[string]struct {
 		sent  time.Time
 		then  func(*Book)
 		ended bool
 	}{
 		"for long":         {later, func(*Book) {}, true},
-		"an old list":      {epoch, func(*Book) {}, false},
+		"an old list":      {modelStart, func(*Book) {}, false},
 		"then a heartbeat": {later, func(b *Book) { b.MayAck(later, "b", 1, 2) }, false},
 		"then an ack":      {later, func(b *Book) { b.Ack("b", 1, later, 2) }, false},
 		"then a release":   {later, func(b *Book) { b.Released(later, Release{From: "b", Incarnation: 1, Version: 2}) }, false},
@@ -38,7 +38,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := listBook(t)
-			b.Listed(epoch, epoch, 1, nil)
+			b.Listed(modelStart, modelStart, 1, nil)
 			b.Listed(later, tt.sent, 1, nil)
 			tt.then(b)
 			m, _ := b.roster.Member("b")
@@ -64,9 +64,9 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := listBook(t)
-			b.Listed(epoch, epoch, 1, []Listing{{"b", 1}})
-			b.Listed(epoch.Add(time.Second), epoch.Add(time.Second), tt.number, nil)
-			last := epoch.Add(time.Second + tt.after)
+			b.Listed(modelStart, modelStart, 1, []Listing{{"b", 1}})
+			b.Listed(modelStart.Add(time.Second), modelStart.Add(time.Second), tt.number, nil)
+			last := modelStart.Add(time.Second + tt.after)
 			b.Listed(last, last, tt.number, nil)
 			m, _ := b.roster.Member("b")
 			if got := b.finished(last.Add(time.Hour), m); got != tt.ended {
@@ -78,11 +78,11 @@
 
 // TestAckOutlastsList checks that an ack stays binding even if the list omits the
 // peer.
-func TestPromiseOutlastsList(t *testing.T) {
+func TestAckOutlastsList(t *testing.T) {
 	b := listBook(t)
-	later := epoch.Add(2 * DefaultLag)
+	later := modelStart.Add(2 * DefaultLag)
 	b.MayAck(later.Add(-time.Second), "b", 1, 2)
-	b.Listed(epoch, epoch, 1, nil)
+	b.Listed(modelStart, modelStart, 1, nil)
 	b.Listed(later, later, 1, nil)
 	if b.Removable(later, "b") {
 		t.Error("got removable while the ack is valid, want not removable")
@@ -95,7 +95,7 @@
 // TestMissingEntryProvesNothing checks that, unless the list proves endings, a
 // process missing from it counts as partitioned, and still using half of its
 // targets, for however long.
-func TestMissingLineProvesNothing(t *testing.T) {
+func TestMissingEntryProvesNothing(t *testing.T) {
 	tests := map[string]struct {
 		proves bool
 		want   int
@@ -110,14 +110,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.SetSpecs(epoch, []Spec{{Key: key, Allowance: 10, Quota: 10, Timeout: time.Second}})
+			b.SetSpecs(modelStart, []Spec{{Key: key, Allowance: 10, Quota: 10, Timeout: time.Second}})
 			both, _ := Roster{}.Join("a", 1)
 			both, _ = both.Join("b", 1)
 			cut, _ := both.Remove("a", 1, false)
-			b.SetRoster(epoch, both)
-			b.SetRoster(epoch, cut)
-			late := epoch.Add(time.Hour)
-			b.Listed(epoch, epoch, 1, nil)
+			b.SetRoster(modelStart, both)
+			b.SetRoster(modelStart, cut)
+			late := modelStart.Add(time.Hour)
+			b.Listed(modelStart, modelStart, 1, nil)
 			b.Listed(late, late, 1, nil)
 			late = late.Add(time.Minute)
 			b.Confirm(late, cut.Version)
--- a/internal/owner/history.go
+++ b/internal/owner/history.go
@@ -41,23 +41,23 @@
 // span is the range of roster versions in which an entry could own targets.
 type span struct {
 	Member
-	end    uint64 // first version in which it could not; math.MaxUint64 if it still can
-	former bool
+	end     uint64 // first version in which it could not; math.MaxUint64 if it still can
+	removed bool
 }
 
 // spans returns the spans of all entries of a roster, members first.
 func (r Roster) spans() []span {
 	all := make([]span, 0, len(r.Members)+len(r.Former))
 	for _, m := range r.Members {
-		all = append(all, span{Member: m, end: until(m, math.MaxUint64)})
+		all = append(all, span{Member: m, end: endVersion(m, math.MaxUint64)})
 	}
 	for _, f := range r.Former {
-		all = append(all, span{Member: f.Member, end: until(f.Member, f.Until), former: true})
+		all = append(all, span{Member: f.Member, end: endVersion(f.Member, f.Until), removed: true})
 	}
 	return all
 }
 
-func until(m Member, end uint64) uint64 {
+func endVersion(m Member, end uint64) uint64 {
 	if m.Leaving() {
 		return m.Left
 	}
@@ -66,49 +66,49 @@
 
 // history determines the owner of a target at each version that a roster records.
 type history struct {
-	spans []span
-	turns []uint64 // versions at which ownership may have changed, ascending
+	spans   []span
+	changes []uint64 // versions at which ownership may have changed, ascending
 }
 
 func newHistory(r Roster) history {
 	h := history{spans: r.spans()}
 	for _, s := range h.spans {
-		h.turns = append(h.turns, s.Since)
+		h.changes = append(h.changes, s.Since)
 		if s.end != math.MaxUint64 {
-			h.turns = append(h.turns, s.end)
+			h.changes = append(h.changes, s.end)
 		}
 	}
-	slices.Sort(h.turns)
-	h.turns = slices.Compact(h.turns)
+	slices.Sort(h.changes)
+	h.changes = slices.Compact(h.changes)
 	return h
 }
 
 // owners returns the current owner of a target, "" if there is none, and every
 // entry that owned it before, with the version at which it last stopped. An entry
 // that was dropped from the roster can only make the result longer, never shorter.
-func (h history) owners(key TargetKey) (string, []claim) {
+func (h history) owners(key TargetKey) (string, []previousOwner) {
 	scores := make([]uint64, len(h.spans))
 	for i, s := range h.spans {
 		scores[i] = score(s.Instance, key)
 	}
 	ends := make([]uint64, len(h.spans)) // 0: never owned it
-	now := -1
-	for i, v := range h.turns {
-		now = h.best(v, scores)
-		if now >= 0 && i+1 < len(h.turns) {
-			ends[now] = h.turns[i+1]
+	current := -1
+	for i, v := range h.changes {
+		current = h.best(v, scores)
+		if current >= 0 && i+1 < len(h.changes) {
+			ends[current] = h.changes[i+1]
 		}
 	}
-	claims := make([]claim, 0, len(h.spans))
+	previous := make([]previousOwner, 0, len(h.spans))
 	for i, end := range ends {
-		if end != 0 && i != now {
-			claims = append(claims, claim{Member: h.spans[i].Member, end: end, former: h.spans[i].former})
+		if end != 0 && i != current {
+			previous = append(previous, previousOwner{Member: h.spans[i].Member, end: end, removed: h.spans[i].removed})
 		}
 	}
-	if now < 0 {
-		return "", claims
+	if current < 0 {
+		return "", previous
 	}
-	return h.spans[now].Instance, claims
+	return h.spans[current].Instance, previous
 }
 
 // best returns the index of the entry with the highest score at a version, or -1.
@@ -127,8 +127,8 @@
 
 // previousOwner is an entry that owned a target and may still have requests in
 // flight there.
-type claim struct {
+type previousOwner struct {
 	Member
-	end    uint64 // it takes no slot at this version or a later one
-	former bool   // it was removed from the roster
+	end     uint64 // it takes no slot at this version or a later one
+	removed bool   // it was removed from the roster
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -22,7 +22,7 @@
 )
 
 // modelStart is the true time at which a model starts.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // modelSpecs holds the allowances of targets that the model switches between.
 var modelSpecs = [][]int{{4, 5, 3, 1}, {2, 7, 3, 1}, {6, 0, 1, 4}}
@@ -48,16 +48,16 @@
 
 // node is one process with its own clock.
 type node struct {
-	id     int
-	inc    uint64
-	book   *Book
-	rate   float64
-	offset time.Duration
-	specs  int // index of the settings in force
-	asleep bool
-	dead   bool
-	flying []dispatch
-	wants  bool // it should stay in the roster
+	id             int
+	inc            uint64
+	book           *Book
+	rate           float64
+	offset         time.Duration
+	specs          int // index of the settings in force
+	paused         bool
+	dead           bool
+	inFlight       []dispatch
+	shouldBeMember bool // it should stay in the roster
 }
 
 func (n *node) name() string { return fmt.Sprint("instance-", n.id) }
@@ -71,26 +71,26 @@
 
 // model simulates a place with its platform, links and clocks, in true time.
 type model struct {
-	now     time.Duration
-	rng     *rand.Rand
-	nodes   []*node // all processes ever started
-	live    [modelNodes]*node
-	events  []event
-	roster  Roster
-	down    bool
-	cut     [modelNodes + 1][modelNodes + 1]bool // blocked links, one way; the last is the platform
-	loss    float64
-	gossip  bool // heartbeats carry rosters
-	specs   int
-	changed time.Duration   // when specs last changed
-	recent  []time.Duration // by index of modelSpecs: when it was last in force
-	taken   int
-	fail    func(string, ...any)
+	now         time.Duration
+	rng         *rand.Rand
+	nodes       []*node // all processes ever started
+	live        [modelNodes]*node
+	events      []event
+	roster      Roster
+	down        bool
+	blocked     [modelNodes + 1][modelNodes + 1]bool // blocked links, one way; the last is the platform
+	lossRate    float64
+	gossip      bool // heartbeats carry rosters
+	specs       int
+	changed     time.Duration   // when specs last changed
+	lastInForce []time.Duration // by index of modelSpecs: when it was last in force
+	taken       int
+	fail        func(string, ...any)
 }
 
 func newModel(seed uint64, fail func(string, ...any)) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, roster: Roster{}}
-	m.recent = []time.Duration{0, -time.Hour, -time.Hour}
+	m.lastInForce = []time.Duration{0, -time.Hour, -time.Hour}
 	m.changed = -time.Hour
 	m.gossip = m.rng.IntN(2) == 0
 	for id := range 3 {
@@ -104,7 +104,7 @@
 	if m.live[id] != nil || m.now < m.changed+2*(modelSettle+modelTimeout) {
 		return
 	}
-	n := &node{id: id, inc: 1, wants: true, specs: m.specs}
+	n := &node{id: id, inc: 1, shouldBeMember: true, specs: m.specs}
 	for _, o := range m.nodes {
 		if o.id == id {
 			n.inc = o.inc + 1
@@ -125,13 +125,13 @@
 }
 
 func (m *model) local(n *node) time.Time {
-	return epoch.Add(n.offset + time.Duration(float64(m.now)*n.rate))
+	return modelStart.Add(n.offset + time.Duration(float64(m.now)*n.rate))
 }
 
 // post schedules an action at a node (nil: the platform) after a random delay.
 // Messages may be lost or duplicated.
 func (m *model) post(from, to int, n *node, do func()) {
-	if m.cut[from][to] || m.rng.Float64() < m.loss {
+	if m.blocked[from][to] || m.rng.Float64() < m.lossRate {
 		return
 	}
 	delay := time.Duration(m.rng.Int64N(int64(150 * time.Millisecond)))
@@ -149,12 +149,12 @@
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.expire()
 		for i, n := range m.live {
-			if n == nil || n.asleep {
+			if n == nil || n.paused {
 				continue
 			}
-			m.load(n)
+			m.fillSlots(n)
 			if (int(m.now/modelStep)+i)%5 == 0 {
-				m.work(n)
+				m.tick(n)
 			}
 		}
 		m.deliver()
@@ -170,7 +170,7 @@
 	for _, e := range due {
 		switch {
 		case e.node != nil && e.node.dead:
-		case e.at > m.now || (e.node != nil && e.node.asleep):
+		case e.at > m.now || (e.node != nil && e.node.paused):
 			m.events = append(m.events, e)
 		default:
 			e.do()
@@ -181,9 +181,9 @@
 // expire ends requests whose time is over, and a few others at random.
 func (m *model) expire() {
 	for _, n := range m.nodes {
-		n.flying = slices.DeleteFunc(n.flying, func(d dispatch) bool {
+		n.inFlight = slices.DeleteFunc(n.inFlight, func(d dispatch) bool {
 			over := m.now >= d.end
-			if !n.dead && !n.asleep && (over || m.rng.IntN(60) == 0) {
+			if !n.dead && !n.paused && (over || m.rng.IntN(60) == 0) {
 				n.book.Done(d.key)
 				return true
 			}
@@ -193,12 +193,12 @@
 }
 
 // fillSlots takes every slot that the node may take.
-func (m *model) load(n *node) {
+func (m *model) fillSlots(n *node) {
 	for _, s := range specsOf(modelSpecs[n.specs]) {
 		for n.book.Take(m.local(n), s.Key) {
 			m.taken++
 			life := time.Duration(float64(modelTimeout) / n.rate)
-			n.flying = append(n.flying, dispatch{key: s.Key, end: m.now + life})
+			n.inFlight = append(n.inFlight, dispatch{key: s.Key, end: m.now + life})
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	at := make(map[TargetKey]int)
 	total := 0
 	for _, n := range m.nodes {
-		for _, d := range n.flying {
+		for _, d := range n.inFlight {
 			if d.end > m.now {
 				at[d.key]++
 				total++
@@ -220,7 +220,7 @@
 	}
 	most := make(map[TargetKey]int)
 	for i, allowances := range modelSpecs {
-		if m.now > m.recent[i]+2*(modelSettle+modelTimeout) && i != m.specs {
+		if m.now > m.lastInForce[i]+2*(modelSettle+modelTimeout) && i != m.specs {
 			continue
 		}
 		for _, s := range specsOf(allowances) {
@@ -235,7 +235,7 @@
 }
 
 // tick does the periodic work of the instance that embeds the package under test.
-func (m *model) work(n *node) {
+func (m *model) tick(n *node) {
 	m.read(n)
 	release := n.book.Release()
 	roster, sent := n.book.Roster(), m.local(n)
@@ -244,7 +244,7 @@
 			m.post(n.id, o.id, o, func() { m.heartbeat(o, n, release, roster, sent) })
 		}
 	}
-	m.change(n)
+	m.updateRoster(n)
 }
 
 func (m *model) heartbeat(n, from *node, release Release, roster Roster, sent time.Time) {
@@ -302,16 +302,16 @@
 }
 
 // updateRoster writes a new roster if one is needed.
-func (m *model) change(n *node) {
+func (m *model) updateRoster(n *node) {
 	r, now := n.book.Roster(), m.local(n)
 	own, in := r.Member(n.name())
 	in = in && own.Incarnation == n.inc
 	switch {
-	case !in && n.wants:
+	case !in && n.shouldBeMember:
 		next, err := r.Join(n.name(), n.inc)
 		m.write(n, next, err)
 		return
-	case in && !n.wants && !own.Leaving():
+	case in && !n.shouldBeMember && !own.Leaving():
 		next, err := r.MarkLeaving(n.name(), n.inc)
 		m.write(n, next, err)
 		return
@@ -336,7 +336,7 @@
 // suspects reports whether a node considers another dead, sometimes wrongly.
 func (m *model) suspects(n *node, o Member) bool {
 	for _, p := range m.live {
-		if p != nil && p.name() == o.Instance && !p.asleep && !m.cut[p.id][n.id] && p.inc == o.Incarnation {
+		if p != nil && p.name() == o.Instance && !p.paused && !m.blocked[p.id][n.id] && p.inc == o.Incarnation {
 			return m.rng.IntN(60) == 0
 		}
 	}
@@ -354,13 +354,13 @@
 // wake resumes a paused process, with the settings that changed meanwhile.
 func (m *model) wake(id int) {
 	if n := m.live[id]; n != nil {
-		n.asleep = false
-		m.settle(n)
+		n.paused = false
+		m.applySpecs(n)
 	}
 }
 
-func (m *model) settle(n *node) {
-	if n.specs != m.specs && !n.asleep {
+func (m *model) applySpecs(n *node) {
+	if n.specs != m.specs && !n.paused {
 		n.specs = m.specs
 		n.book.SetSpecs(m.local(n), specsOf(modelSpecs[n.specs]))
 	}
@@ -369,16 +369,16 @@
 // setSpecs changes the settings: every process applies them within the settle
 // time. A process that is paused throughout a change and its reversal can't be
 // detected; see docs/design/ownership.md.
-func (m *model) set(specs int) {
-	if slices.ContainsFunc(m.live[:], func(n *node) bool { return n != nil && n.asleep }) {
+func (m *model) setSpecs(specs int) {
+	if slices.ContainsFunc(m.live[:], func(n *node) bool { return n != nil && n.paused }) {
 		return
 	}
-	m.recent[m.specs] = m.now
+	m.lastInForce[m.specs] = m.now
 	m.specs, m.changed = specs, m.now
 	for _, n := range m.live {
 		if n != nil {
 			delay := time.Duration(m.rng.Int64N(int64(modelSettle - 2*modelStep)))
-			m.events = append(m.events, event{at: m.now + delay, node: n, do: func() { m.settle(n) }})
+			m.events = append(m.events, event{at: m.now + delay, node: n, do: func() { m.applySpecs(n) }})
 		}
 	}
 }
--- a/internal/owner/policy_test.go
+++ b/internal/owner/policy_test.go
@@ -27,49 +27,49 @@
 // slot is forwarded once, to the instance that last reported the most free slots,
 // and waits in its queue. Targets are assigned to owners round robin.
 type bench struct {
-	policy    string
-	instances int
-	rng       *rand.Rand
-	real      [benchTargets]int
-	seen      [benchTargets]int
-	sent      [][benchTargets]int
-	over      int     // dispatches beyond a target's slots
-	most      int     // peak in flight at one target
-	room      []int   // of each instance, as last reported
-	queues    [][]int // of each instance: when each request arrived
-	done      int
-	waited    int // ms
+	policy      string
+	instances   int
+	rng         *rand.Rand
+	actual      [benchTargets]int
+	reported    [benchTargets]int
+	perInstance [][benchTargets]int
+	over        int     // dispatches beyond a target's slots
+	peak        int     // peak in flight at one target
+	freeSlots   []int   // of each instance, as last reported
+	queues      [][]int // of each instance: when each request arrived
+	done        int
+	waited      int // ms
 }
 
 // pick returns the target that an instance would use, or -1.
 func (b *bench) pick(instance int) int {
 	switch b.policy {
 	case policyP2C:
-		return b.two()
+		return b.twoChoices()
 	case policySplit:
-		return b.least(func(t int) int {
+		return b.mostFree(func(t int) int {
 			share := benchSlots / b.instances
 			if (t+instance)%b.instances < benchSlots%b.instances {
 				share++
 			}
-			return share - b.sent[instance][t]
+			return share - b.perInstance[instance][t]
 		})
 	default:
-		return b.least(func(t int) int {
+		return b.mostFree(func(t int) int {
 			if t%b.instances != instance {
 				return 0
 			}
-			return benchSlots - b.real[t]
+			return benchSlots - b.actual[t]
 		})
 	}
 }
 
-func (b *bench) least(room func(int) int) int {
+func (b *bench) mostFree(free func(int) int) int {
 	best, most := -1, 0
 	first := b.rng.IntN(benchTargets)
 	for i := range benchTargets {
 		t := (first + i) % benchTargets
-		if n := room(t); n > most {
+		if n := free(t); n > most {
 			best, most = t, n
 		}
 	}
@@ -77,52 +77,52 @@
 }
 
 // twoChoices picks by power of two choices on the load last reported.
-func (b *bench) two() int {
+func (b *bench) twoChoices() int {
 	x, y := b.rng.IntN(benchTargets), b.rng.IntN(benchTargets)
-	if b.seen[y] < b.seen[x] {
+	if b.reported[y] < b.reported[x] {
 		x = y
 	}
-	if b.seen[x] >= benchSlots {
+	if b.reported[x] >= benchSlots {
 		return -1
 	}
 	return x
 }
 
-type flight struct{ instance, target, end int }
+type request struct{ instance, target, end int }
 
 func (b *bench) run() {
-	b.sent = make([][benchTargets]int, b.instances)
+	b.perInstance = make([][benchTargets]int, b.instances)
 	b.queues = make([][]int, b.instances)
-	b.room = make([]int, b.instances)
-	var flights []flight
-	per := float64(benchTargets*benchSlots) / benchWork * benchDemand / 100
+	b.freeSlots = make([]int, b.instances)
+	var inFlight []request
+	arrivals := float64(benchTargets*benchSlots) / benchWork * benchDemand / 100
 	due := 0.0
 	for now := range benchRun {
-		flights = b.finish(now, flights)
+		inFlight = b.finish(now, inFlight)
 		if now%benchStale == 0 {
 			b.report()
 		}
-		for due += b.rng.ExpFloat64() * per; due >= 1; due-- {
+		for due += b.rng.ExpFloat64() * arrivals; due >= 1; due-- {
 			i := max(b.rng.IntN(b.instances+1)-1, 0)
 			if b.policy != policyP2C && b.pick(i) < 0 {
-				i = slices.Index(b.room, slices.Max(b.room))
-				b.room[i]--
+				i = slices.Index(b.freeSlots, slices.Max(b.freeSlots))
+				b.freeSlots[i]--
 			}
 			b.queues[i] = append(b.queues[i], now)
 		}
 		for i := range b.queues {
-			flights = append(flights, b.dispatch(now, i)...)
+			inFlight = append(inFlight, b.dispatch(now, i)...)
 		}
 	}
 }
 
-func (b *bench) finish(now int, flights []flight) []flight {
-	return slices.DeleteFunc(flights, func(f flight) bool {
+func (b *bench) finish(now int, inFlight []request) []request {
+	return slices.DeleteFunc(inFlight, func(f request) bool {
 		if f.end > now {
 			return false
 		}
-		b.real[f.target]--
-		b.sent[f.instance][f.target]--
+		b.actual[f.target]--
+		b.perInstance[f.instance][f.target]--
 		b.done++
 		return true
 	})
@@ -130,19 +130,19 @@
 
 // report publishes the load of targets and the free slots of instances.
 func (b *bench) report() {
-	b.seen = b.real
+	b.reported = b.actual
 	for i := range b.instances {
 		used := 0
 		for t := range benchTargets {
-			used += b.sent[i][t]
+			used += b.perInstance[i][t]
 		}
-		b.room[i] = benchTargets*benchSlots/b.instances - used - len(b.queues[i])
+		b.freeSlots[i] = benchTargets*benchSlots/b.instances - used - len(b.queues[i])
 	}
 }
 
 // dispatch sends the requests in an instance's queue that its policy allows.
-func (b *bench) dispatch(now, instance int) []flight {
-	var sent []flight
+func (b *bench) dispatch(now, instance int) []request {
+	var sent []request
 	for len(b.queues[instance]) > 0 {
 		t := b.pick(instance)
 		if t < 0 {
@@ -150,13 +150,13 @@
 		}
 		b.waited += now - b.queues[instance][0]
 		b.queues[instance] = b.queues[instance][1:]
-		b.real[t]++
-		b.sent[instance][t]++
-		b.most = max(b.most, b.real[t])
-		if b.real[t] > benchSlots {
+		b.actual[t]++
+		b.perInstance[instance][t]++
+		b.peak = max(b.peak, b.actual[t])
+		if b.actual[t] > benchSlots {
 			b.over++
 		}
-		sent = append(sent, flight{instance, t, now + 1 + int(b.rng.ExpFloat64()*benchWork)})
+		sent = append(sent, request{instance, t, now + 1 + int(b.rng.ExpFloat64()*benchWork)})
 	}
 	return sent
 }
@@ -179,7 +179,7 @@
 				p.rng = rand.New(rand.NewPCG(1, 2))
 				p.run()
 				b.ReportMetric(float64(p.over)/float64(p.done)*100, "%over")
-				b.ReportMetric(float64(p.most), "most")
+				b.ReportMetric(float64(p.peak), "most")
 				b.ReportMetric(float64(p.done*benchWork)/(benchTargets*benchSlots*benchRun)*100, "%used")
 				b.ReportMetric(float64(p.waited)/float64(p.done), "ms-waited")
 			}
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -22,74 +22,74 @@
 
 // Release returns this instance's release, to be sent to every other instance
 // of the place.
-func (b *Book) Release() Release {
-	b.seq++
+func (t *Book) Release() Release {
+	t.seq++
 	r := Release{
-		From:        b.cfg.Self,
-		Incarnation: b.cfg.Incarnation,
-		Version:     b.roster.Version,
-		Seq:         b.seq,
-	}
-	for _, l := range b.order {
-		if !l.mine && (l.inFlight > 0 || l.charged > 0) {
-			r.Held = append(r.Held, Held{Key: l.key, Slots: l.inFlight, Quota: l.charged})
+		From:        t.cfg.Self,
+		Incarnation: t.cfg.Incarnation,
+		Version:     t.roster.Version,
+		Seq:         t.seq,
+	}
+	for _, tgt := range t.sorted {
+		if !tgt.owned && (tgt.inFlight > 0 || tgt.charged > 0) {
+			r.Held = append(r.Held, Held{Key: tgt.key, Slots: tgt.inFlight, Quota: tgt.charged})
 		}
 	}
 	return r
 }
 
 // Released takes in a peer's release. Old and duplicate ones are ignored.
-func (b *Book) Released(now time.Time, r Release) {
-	b.newer(now, r.From, r.Incarnation)
-	p := b.peer(r.From, r.Incarnation)
+func (t *Book) Released(now time.Time, r Release) {
+	t.observeIncarnation(now, r.From, r.Incarnation)
+	p := t.peer(r.From, r.Incarnation)
 	if p == nil || (p.hasRelease && r.Seq <= p.release.Seq) {
 		return
 	}
-	b.lives(now, r.From, r.Incarnation)
-	p.version = max(p.version, r.Version)
-	if p.hasRelease && p.release.Version <= b.roster.Version && r.Version > b.roster.Version {
-		p.before, p.beforeHeard, p.hasBefore = p.release, p.heard, true
+	t.markAlive(now, r.From, r.Incarnation)
+	p.rosterVersion = max(p.rosterVersion, r.Version)
+	if p.hasRelease && p.release.Version <= t.roster.Version && r.Version > t.roster.Version {
+		p.prevRelease, p.prevReleaseAt, p.hasPrevRelease = p.release, p.releaseAt, true
 	}
-	p.release, p.heard, p.hasRelease = r, now, true
-	b.refresh(now)
+	p.release, p.releaseAt, p.hasRelease = r, now, true
+	t.refresh(now)
 }
 
 // refresh recomputes what is reserved for previous owners, and the budget.
-func (b *Book) refresh(now time.Time) {
-	b.refreshAt = time.Time{}
-	b.budget, b.half, b.charged = 0, 0, 0
-	for _, l := range b.order {
-		if !l.raiseAt.IsZero() && b.past(now, l.raiseAt) {
-			l.raise()
-			b.revision++
+func (t *Book) refresh(now time.Time) {
+	t.refreshAt = time.Time{}
+	t.budget, t.halfBudget, t.charged = 0, 0, 0
+	for _, tgt := range t.sorted {
+		if !tgt.raiseAt.IsZero() && t.reached(now, tgt.raiseAt) {
+			tgt.raise()
+			t.revision++
 		}
 	}
-	for _, l := range b.owned {
-		before := l.heldSlots
-		l.heldSlots, l.heldQuota = 0, 0
-		for _, c := range l.claims {
-			l.heldSlots += b.reserve(now, l.key, c, l.allowance, b.skewed(l.spec.Timeout), slotsOf)
-			l.heldQuota += b.reserve(now, l.key, c, l.quota, b.skewed(b.quotaWait(l)), quotaOf)
+	for _, tgt := range t.owned {
+		before := tgt.reservedSlots
+		tgt.reservedSlots, tgt.reservedQuota = 0, 0
+		for _, c := range tgt.previousOwners {
+			tgt.reservedSlots += t.reserve(now, tgt.key, c, tgt.allowance, t.withSkew(tgt.spec.Timeout), slotsOf)
+			tgt.reservedQuota += t.reserve(now, tgt.key, c, tgt.quota, t.withSkew(t.quotaWait(tgt)), quotaOf)
 		}
-		if l.heldSlots != before {
-			b.revision++
+		if tgt.reservedSlots != before {
+			t.revision++
 		}
-		b.budget += l.share(Confirmed)
-		b.half += l.share(Lapsed)
-		b.charged += l.charged
+		t.budget += tgt.usableQuota(Confirmed)
+		t.halfBudget += tgt.usableQuota(Lapsed)
+		t.charged += tgt.charged
 	}
 }
 
 // quotaWait returns how long a previous owner may continue to use tgt's quota. If
 // every target's quota covers its allowance, no request is charged to another
 // target, so tgt's own timeout suffices.
-func (b *Book) quotaWait(l *line) time.Duration {
-	for _, o := range b.order {
-		if o.listed && (o.quota < o.allowance || o.spec.Quota < o.spec.Allowance) {
-			return b.longest
+func (t *Book) quotaWait(tgt *target) time.Duration {
+	for _, o := range t.sorted {
+		if o.configured && (o.quota < o.allowance || o.spec.Quota < o.spec.Allowance) {
+			return t.longestTimeout
 		}
 	}
-	return l.spec.Timeout
+	return tgt.spec.Timeout
 }
 
 func slotsOf(h Held) int { return h.Slots }
@@ -98,18 +98,18 @@
 // reserve returns the most that a previous owner may still use of a limit, which
 // is the least of several bounds. wait is the longest that a request may take by
 // any clock.
-func (b *Book) reserve(now time.Time, key TargetKey, c claim, limit int, wait time.Duration, of func(Held) int) int {
+func (t *Book) reserve(now time.Time, key TargetKey, c previousOwner, limit int, wait time.Duration, of func(Held) int) int {
 	most := limit
-	if at, ok := b.learned[c.Member]; ok && c.former && b.past(now, at.Add(b.skewed(b.cfg.Term)+wait)) {
+	if at, ok := t.firstSeen[c.Member]; ok && c.removed && t.reached(now, at.Add(t.withSkew(t.cfg.Term)+wait)) {
 		most = limit / 2
 	}
-	if held, at, ok := b.told(c, key, of); ok {
-		if b.past(now, at.Add(wait)) {
+	if held, at, ok := t.reportedUse(c, key, of); ok {
+		if t.reached(now, at.Add(wait)) {
 			held = 0
 		}
 		most = min(most, held)
 	}
-	if e, ok := b.ended[c.Instance]; ok && e.incarnation >= c.Incarnation && b.past(now, e.at.Add(wait)) {
+	if e, ok := t.ended[c.Instance]; ok && e.incarnation >= c.Incarnation && t.reached(now, e.at.Add(wait)) {
 		return 0
 	}
 	return most
@@ -117,12 +117,12 @@
 
 // reached reports whether now is at or after at, and otherwise schedules a
 // refresh for then.
-func (b *Book) past(now, at time.Time) bool {
+func (t *Book) reached(now, at time.Time) bool {
 	if !now.Before(at) {
 		return true
 	}
-	if b.refreshAt.IsZero() || at.Before(b.refreshAt) {
-		b.refreshAt = at
+	if t.refreshAt.IsZero() || at.Before(t.refreshAt) {
+		t.refreshAt = at
 	}
 	return false
 }
@@ -133,25 +133,25 @@
 // sender may own the target again. Until that roster arrives here, the report
 // before it still bounds the sender, which takes no slot of the target until this
 // instance has released it under the newer roster, or its lease has expired.
-func (b *Book) told(c claim, key TargetKey, of func(Held) int) (int, time.Time, bool) {
-	p := b.said(c.Instance, c.Incarnation)
+func (t *Book) reportedUse(c previousOwner, key TargetKey, of func(Held) int) (int, time.Time, bool) {
+	p := t.findPeer(c.Instance, c.Incarnation)
 	if p == nil || !p.hasRelease {
 		return 0, time.Time{}, false
 	}
-	release, heard := p.release, p.heard
-	if release.Version > b.roster.Version {
-		if !p.hasBefore {
+	release, arrived := p.release, p.releaseAt
+	if release.Version > t.roster.Version {
+		if !p.hasPrevRelease {
 			return 0, time.Time{}, false
 		}
-		release, heard = p.before, p.beforeHeard
+		release, arrived = p.prevRelease, p.prevReleaseAt
 	}
-	if release.Version < c.end || release.Version > b.roster.Version {
+	if release.Version < c.end || release.Version > t.roster.Version {
 		return 0, time.Time{}, false
 	}
 	for _, h := range release.Held {
 		if h.Key == key {
-			return of(h), heard, true
+			return of(h), arrived, true
 		}
 	}
-	return 0, heard, true
+	return 0, arrived, true
 }
--- a/internal/owner/roster.go
+++ b/internal/owner/roster.go
@@ -95,9 +95,9 @@
 }
 
 // Forget returns the roster without these previous entries.
-func (r Roster) Forget(lines []Former) Roster {
+func (r Roster) Forget(entries []Former) Roster {
 	n := r.next()
-	n.Former = slices.DeleteFunc(n.Former, func(f Former) bool { return slices.Contains(lines, f) })
+	n.Former = slices.DeleteFunc(n.Former, func(f Former) bool { return slices.Contains(entries, f) })
 	return n
 }
 
--- a/internal/owner/said_test.go
+++ b/internal/owner/said_test.go
@@ -7,7 +7,7 @@
 
 // TestReleaseStaysValid checks that an earlier release of a still bounds what b,
 // which took over a target from it, may use, while rosters and incarnations change.
-func TestSaidHolds(t *testing.T) {
+func TestReleaseStaysValid(t *testing.T) {
 	key := keyOf(t, "z", "a", "b")
 	two := join(t, join(t, Roster{}, "a"), "b")
 	held := Release{From: "a", Incarnation: 1, Version: two.Version, Seq: 1, Held: []Held{{key, 3, 3}}}
--- a/internal/owner/scene_test.go
+++ b/internal/owner/scene_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	scene   = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	service = settings.ServiceID{Team: "t", Name: "s"}
+	testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	service   = settings.ServiceID{Team: "t", Name: "s"}
 )
 
 func at(seconds float64) time.Time {
-	return scene.Add(time.Duration(seconds * float64(time.Second)))
+	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
 // keyOf returns a target for which the instances rank in the given order, lowest first.
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestTenure(t *testing.T) {
+func TestLeaseState(t *testing.T) {
 	key := keyOf(t, "b", "a")
 	two := join(t, join(t, Roster{}, "a"), "b")
 	without, err := two.Remove("a", 1, false)
@@ -236,7 +236,7 @@
 		b.Done(x)
 		b.Take(at(120), x)
 	}
-	if got := b.lines[x].charged; got != 0 {
+	if got := b.targets[x].charged; got != 0 {
 		t.Errorf("got %d still charged, want 0", got)
 	}
 	if got := b.InFlight(x); got != 3 {
--- a/internal/owner/share.go
+++ b/internal/owner/share.go
@@ -36,14 +36,14 @@
 	}
 	left := limit
 	order := make([]int, len(caps))
-	rest := make([]int, len(caps))
+	remainders := make([]int, len(caps))
 	for i, c := range caps {
 		order[i] = i
 		shares[i] = limit * max(c, 0) / total
-		rest[i] = limit * max(c, 0) % total
+		remainders[i] = limit * max(c, 0) % total
 		left -= shares[i]
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(rest[b], rest[a]) })
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
 	for _, i := range order[:left] {
 		shares[i]++
 	}
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -31,17 +31,17 @@
 
 // peer is the cached state of another instance of the place.
 type peer struct {
-	incarnation uint64
-	version     uint64    // newest roster version that it is known to have
-	ackUntil    time.Time // end of the lease that its last ack extends
-	promised    time.Time // this instance's last ack forbids removing it before then
-	removing    bool      // a write that removes it may be in flight: send it no ack
-	release     Release   // newest
-	heard       time.Time // when release arrived
-	hasRelease  bool
-	before      Release   // newest one under a roster that was known here when release arrived, if release is under a newer one
-	beforeHeard time.Time // when prevRelease arrived
-	hasBefore   bool
+	incarnation    uint64
+	rosterVersion  uint64    // newest roster version that it is known to have
+	leaseUntil     time.Time // end of the lease that its last ack extends
+	keepUntil      time.Time // this instance's last ack forbids removing it before then
+	removing       bool      // a write that removes it may be in flight: send it no ack
+	release        Release   // newest
+	releaseAt      time.Time // when release arrived
+	hasRelease     bool
+	prevRelease    Release   // newest one under a roster that was known here when release arrived, if release is under a newer one
+	prevReleaseAt  time.Time // when prevRelease arrived
+	hasPrevRelease bool
 }
 
 // process is one incarnation of an instance.
@@ -52,86 +52,86 @@
 
 // findPeer returns the state kept of an incarnation that may have ended, or nil.
 // What it reported about its requests in flight stays valid after its end.
-func (b *Book) said(instance string, incarnation uint64) *peer {
-	if p, ok := b.peers[instance]; ok && p.incarnation == incarnation {
+func (t *Book) findPeer(instance string, incarnation uint64) *peer {
+	if p, ok := t.peers[instance]; ok && p.incarnation == incarnation {
 		return p
 	}
-	return b.old[process{instance, incarnation}]
+	return t.previous[process{instance, incarnation}]
 }
 
 // prunePrevious drops the state of ended incarnations without an entry in the roster.
-func (b *Book) forgetOld() {
-	named := make(map[process]bool)
-	for _, s := range b.roster.spans() {
-		named[process{s.Instance, s.Incarnation}] = true
+func (t *Book) prunePrevious() {
+	inRoster := make(map[process]bool)
+	for _, s := range t.roster.spans() {
+		inRoster[process{s.Instance, s.Incarnation}] = true
 	}
-	maps.DeleteFunc(b.old, func(p process, _ *peer) bool { return !named[p] })
+	maps.DeleteFunc(t.previous, func(p process, _ *peer) bool { return !inRoster[p] })
 }
 
 // peer returns the state kept for an incarnation, creating it if there is none,
 // or nil if a newer incarnation is known.
-func (b *Book) peer(instance string, incarnation uint64) *peer {
-	p, ok := b.peers[instance]
+func (t *Book) peer(instance string, incarnation uint64) *peer {
+	p, ok := t.peers[instance]
 	if ok && p.incarnation > incarnation {
 		return nil
 	}
 	if !ok || p.incarnation < incarnation {
 		if ok && p.hasRelease {
-			b.old[process{instance, p.incarnation}] = p
+			t.previous[process{instance, p.incarnation}] = p
 		}
 		p = &peer{incarnation: incarnation}
-		b.peers[instance] = p
+		t.peers[instance] = p
 	}
 	return p
 }
 
 // Confirm records that the platform answered a read, sent at the given time,
 // with this roster version. If the roster is newer, pass it to SetRoster first.
-func (b *Book) Confirm(sent time.Time, version uint64) {
-	if b.own.Instance == "" || version < b.own.Since || version > b.roster.Version {
+func (t *Book) Confirm(sent time.Time, version uint64) {
+	if t.own.Instance == "" || version < t.own.Since || version > t.roster.Version {
 		return
 	}
-	b.platformUntil = later(b.platformUntil, sent.Add(b.cfg.Term))
+	t.platformUntil = later(t.platformUntil, sent.Add(t.cfg.Term))
 }
 
 // Ack records a peer's ack of a heartbeat that was sent at the given time;
 // version is the peer's roster version. The ack commits the peer not to remove
 // this instance before Term after that time.
-func (b *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
-	p := b.peer(peer, incarnation)
+func (t *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
+	p := t.peer(peer, incarnation)
 	if p == nil {
 		return
 	}
-	b.lives(sent, peer, incarnation)
-	p.version = max(p.version, version)
-	p.ackUntil = later(p.ackUntil, sent.Add(b.cfg.Term))
+	t.markAlive(sent, peer, incarnation)
+	p.rosterVersion = max(p.rosterVersion, version)
+	p.leaseUntil = later(p.leaseUntil, sent.Add(t.cfg.Term))
 }
 
 // MayAck decides whether to ack a heartbeat of a peer that has the given roster
 // version, and records the commitment that the ack makes. If it returns false,
 // no ack may be sent.
-func (b *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
-	b.newer(now, peer, incarnation)
-	p := b.peer(peer, incarnation)
+func (t *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
+	t.observeIncarnation(now, peer, incarnation)
+	p := t.peer(peer, incarnation)
 	if p == nil {
 		return false
 	}
-	b.lives(now, peer, incarnation)
-	p.version = max(p.version, version)
-	m, ok := b.roster.Member(peer)
+	t.markAlive(now, peer, incarnation)
+	p.rosterVersion = max(p.rosterVersion, version)
+	m, ok := t.roster.Member(peer)
 	if !ok || m.Incarnation != incarnation || p.removing {
 		return false
 	}
-	p.promised = now.Add(b.skewed(b.cfg.Term))
+	p.keepUntil = now.Add(t.withSkew(t.cfg.Term))
 	return true
 }
 
 // Tenure returns the state of the ownership lease at now.
-func (b *Book) Tenure(now time.Time) State {
+func (t *Book) Tenure(now time.Time) State {
 	switch {
-	case b.own.Instance == "":
+	case t.own.Instance == "":
 		return None
-	case now.Before(b.platformUntil), b.acked(now):
+	case now.Before(t.platformUntil), t.acked(now):
 		return Confirmed
 	default:
 		return Lapsed
@@ -139,13 +139,13 @@
 }
 
 // acked reports whether the last ack of every other member is still valid.
-func (b *Book) acked(now time.Time) bool {
-	for _, m := range b.roster.Members {
-		if m.Instance == b.own.Instance {
+func (t *Book) acked(now time.Time) bool {
+	for _, m := range t.roster.Members {
+		if m.Instance == t.own.Instance {
 			continue
 		}
-		p, ok := b.peers[m.Instance]
-		if !ok || p.incarnation != m.Incarnation || !now.Before(p.ackUntil) {
+		p, ok := t.peers[m.Instance]
+		if !ok || p.incarnation != m.Incarnation || !now.Before(p.leaseUntil) {
 			return false
 		}
 	}
@@ -156,36 +156,36 @@
 // This instance's last ack to the peer must have expired, and the peer must have
 // a roster in which it needs this instance's ack or is no longer listed; or a
 // newer incarnation proves that the peer has ended.
-func (b *Book) Removable(now time.Time, peer string) bool {
-	m, ok := b.roster.Member(peer)
-	if !ok || b.own.Instance == "" || peer == b.own.Instance {
+func (t *Book) Removable(now time.Time, peer string) bool {
+	m, ok := t.roster.Member(peer)
+	if !ok || t.own.Instance == "" || peer == t.own.Instance {
 		return false
 	}
-	e, ended := b.ended[peer]
+	e, ended := t.ended[peer]
 	ended = ended && e.incarnation >= m.Incarnation
 	if ended && !e.listed {
 		return true
 	}
-	p := b.peer(peer, m.Incarnation)
-	if p == nil || now.Before(p.promised) {
+	p := t.peer(peer, m.Incarnation)
+	if p == nil || now.Before(p.keepUntil) {
 		return false
 	}
-	return ended || m.Since > b.own.Since || p.version >= b.own.Since
+	return ended || m.Since > t.own.Since || p.rosterVersion >= t.own.Since
 }
 
 // Remove returns the roster without the peer, to be written at once. From now
 // on the peer gets no ack until a newer roster still lists it or the removal is
 // abandoned.
-func (b *Book) Remove(now time.Time, peer string) (Roster, error) {
-	if !b.Removable(now, peer) {
+func (t *Book) Remove(now time.Time, peer string) (Roster, error) {
+	if !t.Removable(now, peer) {
 		return Roster{}, &NotRemovableError{Instance: peer}
 	}
-	m, _ := b.roster.Member(peer)
-	next, err := b.roster.Remove(peer, m.Incarnation, b.finished(now, m))
+	m, _ := t.roster.Member(peer)
+	next, err := t.roster.Remove(peer, m.Incarnation, t.finished(now, m))
 	if err != nil {
 		return Roster{}, errors.Annotate(err, "Book.Remove")
 	}
-	if p := b.peer(peer, m.Incarnation); p != nil {
+	if p := t.peer(peer, m.Incarnation); p != nil {
 		p.removing = true
 	}
 	return next, nil
@@ -193,16 +193,16 @@
 
 // Undecided reports whether a write that removes the peer may still take effect.
 // Until a newer roster is known, the peer gets no ack.
-func (b *Book) Undecided(peer string) bool {
-	p, ok := b.peers[peer]
+func (t *Book) Undecided(peer string) bool {
+	p, ok := t.peers[peer]
 	return ok && p.removing
 }
 
 // Abandon records that the write begun by Remove is proved not to have been
 // sent. A write with an uncertain outcome may still take effect and must not be
 // abandoned.
-func (b *Book) Abandon(peer string) {
-	if p, ok := b.peers[peer]; ok {
+func (t *Book) Abandon(peer string) {
+	if p, ok := t.peers[peer]; ok {
 		p.removing = false
 	}
 }
