--- a/internal/grant/book.go
+++ b/internal/grant/book.go
@@ -56,32 +56,32 @@
 
 // Book holds the grants that this instance has issued.
 type Book struct {
-	cfg   Config
-	lines map[lineKey]*line
-	held  map[settings.ServiceID]int // sum of the entries' grants
-	total int                        // sum over services
+	cfg     Config
+	entries map[entryKey]*entry
+	granted map[settings.ServiceID]int // sum of the entries' grants
+	total   int                        // sum over services
 }
 
-type lineKey struct {
+type entryKey struct {
 	peer string
 	use  Use
 }
 
 // entry holds what one sender has been granted, and still asks for, of one use.
-type line struct {
-	key       lineKey
+type entry struct {
+	key       entryKey
 	place     string
-	grants    promises
+	grants    grants
 	want      int       // beyond grants; counts until wantUntil
 	wantUntil time.Time // when want expires
-	last      time.Time // time of its last grant
+	lastGrant time.Time // time of its last grant
 }
 
 // demand returns how much of the owner's capacity the entry would use.
-func (l *line) claim(now time.Time) int {
-	n := l.grants.sum()
-	if now.Before(l.wantUntil) {
-		n += l.want
+func (e *entry) demand(now time.Time) int {
+	n := e.grants.sum()
+	if now.Before(e.wantUntil) {
+		n += e.want
 	}
 	return n
 }
@@ -92,110 +92,110 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "grant.NewBook")
 	}
-	return &Book{cfg: cfg, lines: make(map[lineKey]*line), held: make(map[settings.ServiceID]int)}, nil
+	return &Book{cfg: cfg, entries: make(map[entryKey]*entry), granted: make(map[settings.ServiceID]int)}, nil
 }
 
 // Life returns how long a grant may be used.
-func (b *Book) Life() time.Duration { return b.cfg.Life }
+func (t *Book) Life() time.Duration { return t.cfg.Life }
 
 // Grant returns how many more requests a sender may hand off. It may do so for
 // the lifetime of a grant, counted by its own clock from before it asked.
-func (b *Book) Grant(now time.Time, a Ask, r Room) int {
-	b.Sweep(now)
-	l := b.line(a)
-	l.want, l.wantUntil = min(max(a.Want, 0), b.cfg.Most), now.Add(b.cfg.Remember)
-	free := min(r.Slots-b.held[a.Use.Service], r.Spare-b.total)
+func (t *Book) Grant(now time.Time, a Ask, r Room) int {
+	t.Sweep(now)
+	e := t.entry(a)
+	e.want, e.wantUntil = min(max(a.Want, 0), t.cfg.Most), now.Add(t.cfg.Remember)
+	free := min(r.Slots-t.granted[a.Use.Service], r.Spare-t.total)
 	if a.Use.Shifted {
-		free = min(free, r.Shifted-b.heldShifted(a.Use.Service))
+		free = min(free, r.Shifted-t.grantedShifted(a.Use.Service))
 	}
-	n := min(l.want, free, b.share(now, l, r))
+	n := min(e.want, free, t.share(now, e, r))
 	if n <= 0 {
 		return 0
 	}
 	// The sender's clock may be slow, so the grant is kept a little longer here.
-	l.grants.add(n, now.Add(time.Duration(float64(b.cfg.Life)*(1+b.cfg.Skew))))
-	l.want, l.last = l.want-n, now
-	b.hold(a.Use.Service, n)
-	b.check(a, r)
+	e.grants.add(n, now.Add(time.Duration(float64(t.cfg.Life)*(1+t.cfg.Skew))))
+	e.want, e.lastGrant = e.want-n, now
+	t.addGranted(a.Use.Service, n)
+	t.check(a, r)
 	return n
 }
 
 // check asserts that the outstanding grants fit the owner's capacity.
-func (b *Book) check(a Ask, r Room) {
-	held := b.held[a.Use.Service]
-	b.cfg.Checks.Check(invariant.RegionLimit, held <= r.Slots && b.total <= r.Spare, func() string {
-		return fmt.Sprintf("%v: %d granted of %d free, %d of the place's %d", a.Use.Service, held, r.Slots, b.total, r.Spare)
+func (t *Book) check(a Ask, r Room) {
+	granted := t.granted[a.Use.Service]
+	t.cfg.Checks.Check(invariant.RegionLimit, granted <= r.Slots && t.total <= r.Spare, func() string {
+		return fmt.Sprintf("%v: %d granted of %d free, %d of the place's %d", a.Use.Service, granted, r.Slots, t.total, r.Spare)
 	})
 	if !a.Use.Shifted {
 		return
 	}
-	shifted := b.heldShifted(a.Use.Service)
-	b.cfg.Checks.Check(invariant.ShiftCap, shifted <= r.Shifted, func() string {
+	shifted := t.grantedShifted(a.Use.Service)
+	t.cfg.Checks.Check(invariant.ShiftCap, shifted <= r.Shifted, func() string {
 		return fmt.Sprintf("%v: %d shifted requests granted, the cap admits %d", a.Use.Service, shifted, r.Shifted)
 	})
 }
 
 // Used records that a sender has handed off a request. It returns false if the
 // sender held no grant.
-func (b *Book) Used(now time.Time, peer string, use Use) bool {
-	return b.Release(now, peer, use, 1) == 1
+func (t *Book) Used(now time.Time, peer string, use Use) bool {
+	return t.Release(now, peer, use, 1) == 1
 }
 
 // Release takes back up to n granted requests from a sender, and returns how many
 // it held.
-func (b *Book) Release(now time.Time, peer string, use Use, n int) int {
-	b.Sweep(now)
-	l, ok := b.lines[lineKey{peer: peer, use: use}]
+func (t *Book) Release(now time.Time, peer string, use Use, n int) int {
+	t.Sweep(now)
+	e, ok := t.entries[entryKey{peer: peer, use: use}]
 	if !ok {
 		return 0
 	}
-	taken := l.grants.take(n)
-	b.hold(use.Service, -taken)
+	taken := e.grants.take(n)
+	t.addGranted(use.Service, -taken)
 	return taken
 }
 
 // Outstanding returns how many requests of a service are granted.
-func (b *Book) Outstanding(now time.Time, id settings.ServiceID) int {
-	b.Sweep(now)
-	return b.held[id]
+func (t *Book) Outstanding(now time.Time, id settings.ServiceID) int {
+	t.Sweep(now)
+	return t.granted[id]
 }
 
 // Sweep drops expired grants and asks.
-func (b *Book) Sweep(now time.Time) {
-	for key, l := range b.lines {
-		if lost := l.grants.drop(now); lost > 0 {
-			b.hold(key.use.Service, -lost)
+func (t *Book) Sweep(now time.Time) {
+	for key, e := range t.entries {
+		if expired := e.grants.drop(now); expired > 0 {
+			t.addGranted(key.use.Service, -expired)
 		}
-		if len(l.grants) == 0 && !now.Before(l.wantUntil) {
-			delete(b.lines, key)
+		if len(e.grants) == 0 && !now.Before(e.wantUntil) {
+			delete(t.entries, key)
 		}
 	}
 }
 
-func (b *Book) hold(id settings.ServiceID, n int) {
-	b.total += n
-	b.held[id] += n
-	if b.held[id] == 0 {
-		delete(b.held, id)
+func (t *Book) addGranted(id settings.ServiceID, n int) {
+	t.total += n
+	t.granted[id] += n
+	if t.granted[id] == 0 {
+		delete(t.granted, id)
 	}
 }
 
-func (b *Book) line(a Ask) *line {
-	key := lineKey{peer: a.Peer, use: a.Use}
-	l, ok := b.lines[key]
+func (t *Book) entry(a Ask) *entry {
+	key := entryKey{peer: a.Peer, use: a.Use}
+	e, ok := t.entries[key]
 	if !ok {
-		l = &line{key: key}
-		b.lines[key] = l
+		e = &entry{key: key}
+		t.entries[key] = e
 	}
-	l.place = a.Place
-	return l
+	e.place = a.Place
+	return e
 }
 
-func (b *Book) heldShifted(id settings.ServiceID) int {
+func (t *Book) grantedShifted(id settings.ServiceID) int {
 	n := 0
-	for key, l := range b.lines {
+	for key, e := range t.entries {
 		if key.use.Service == id && key.use.Shifted {
-			n += l.grants.sum()
+			n += e.grants.sum()
 		}
 	}
 	return n
@@ -204,29 +204,29 @@
 // share returns how much more of the capacity the entry may be granted: the team,
 // the service, the use, the sender's place and the sender itself are each limited
 // to their share.
-func (b *Book) share(now time.Time, l *line, r Room) int {
-	d := division{now: now, of: l, lines: b.sorted(), total: r.Spare, left: r.Spare}
-	d.by(func(o *line) string { return o.key.use.Service.Team }, r.Weight)
-	d.by(func(o *line) string { return o.key.use.Service.Name }, nil)
-	d.lines = like(d.lines, func(o *line) bool { return o.key.use == l.key.use })
+func (t *Book) share(now time.Time, e *entry, r Room) int {
+	d := division{now: now, entry: e, entries: t.sorted(), total: r.Spare, available: r.Spare}
+	d.narrow(func(o *entry) string { return o.key.use.Service.Team }, r.Weight)
+	d.narrow(func(o *entry) string { return o.key.use.Service.Name }, nil)
+	d.entries = filter(d.entries, func(o *entry) bool { return o.key.use == e.key.use })
 	d.total = min(d.total, r.Slots)
-	if l.key.use.Shifted {
+	if e.key.use.Shifted {
 		d.total = min(d.total, r.Shifted)
 	}
-	d.by(func(o *line) string { return o.place }, nil)
-	d.by(func(o *line) string { return o.key.peer }, nil)
-	return d.left
+	d.narrow(func(o *entry) string { return o.place }, nil)
+	d.narrow(func(o *entry) string { return o.key.peer }, nil)
+	return d.available
 }
 
 // sorted returns the entries, least recently granted first, so that single units
 // are granted in turn.
-func (b *Book) sorted() []*line {
-	list := make([]*line, 0, len(b.lines))
-	for _, l := range b.lines {
-		list = append(list, l)
+func (t *Book) sorted() []*entry {
+	list := make([]*entry, 0, len(t.entries))
+	for _, e := range t.entries {
+		list = append(list, e)
 	}
-	slices.SortFunc(list, func(x, y *line) int {
-		if c := x.last.Compare(y.last); c != 0 {
+	slices.SortFunc(list, func(x, y *entry) int {
+		if c := x.lastGrant.Compare(y.lastGrant); c != 0 {
 			return c
 		}
 		if c := strings.Compare(x.key.peer, y.key.peer); c != 0 {
--- a/internal/grant/book_test.go
+++ b/internal/grant/book_test.go
@@ -19,13 +19,13 @@
 	fees   = Use{Service: settings.ServiceID{Team: "court", Name: "fees"}, Shifted: true}
 )
 
-type failer interface {
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 	Errorf(format string, args ...any)
 }
 
-func newBook(t failer) *Book {
+func newBook(t testingT) *Book {
 	t.Helper()
 	checks := invariant.New(func(n invariant.Name, d string) { t.Errorf("invariant %s: %s", n, d) })
 	b, err := NewBook(Config{Skew: 0.05, Checks: checks})
@@ -35,7 +35,7 @@
 	return b
 }
 
-func room(n int) Room { return Room{Slots: n, Shifted: n, Spare: n} }
+func capacityOf(n int) Room { return Room{Slots: n, Shifted: n, Spare: n} }
 
 func TestGrantIsSplit(t *testing.T) {
 	type ask struct {
@@ -48,14 +48,14 @@
 		room Room
 		asks []ask
 	}{
-		"alone":                {room(10), []ask{{"a1", "a", orders, 4, 4, 0}}},
-		"no more than fits":    {room(3), []ask{{"a1", "a", orders, 9, 3, 0}, {"b1", "b", orders, 9, 0, 0}}},
+		"alone":                {capacityOf(10), []ask{{"a1", "a", orders, 4, 4, 0}}},
+		"no more than fits":    {capacityOf(3), []ask{{"a1", "a", orders, 9, 3, 0}, {"b1", "b", orders, 9, 0, 0}}},
 		"the cap holds back":   {Room{Slots: 10, Shifted: 2, Spare: 10}, []ask{{"a1", "a", orders, 9, 2, 0}}},
 		"the place holds back": {Room{Slots: 10, Shifted: 9, Spare: 1}, []ask{{"a1", "a", orders, 9, 1, 0}}},
-		"two places share": {room(10), []ask{
+		"two places share": {capacityOf(10), []ask{
 			{"a1", "a", orders, 0, 0, 0}, {"b1", "b", orders, 4, 4, 0}, {"a1", "a", orders, 9, 6, 0}, {"b1", "b", orders, 9, 0, 0},
 		}},
-		"a place with many instances gets no more": {room(12), []ask{
+		"a place with many instances gets no more": {capacityOf(12), []ask{
 			{"b1", "b", orders, 9, 1, 1},
 			{"a1", "a", orders, 4, 4, 12},
 			{"a2", "a", orders, 4, 2, 0},
@@ -66,13 +66,13 @@
 			Room{Slots: 20, Shifted: 20, Weight: func(team string) int { return map[string]int{"shop": 3, "court": 1}[team] }},
 			[]ask{{"a1", "a", fees, 9, 2, 2}, {"a1", "a", orders, 9, 6, 8}, {"a1", "a", fees, 9, 0, 8}},
 		},
-		"instances of a place share": {room(9), []ask{
+		"instances of a place share": {capacityOf(9), []ask{
 			{"a1", "a", orders, 9, 1, 1}, {"a2", "a", orders, 9, 5, 9}, {"a1", "a", orders, 9, 3, 9},
 		}},
-		"in demand services share": {room(9), []ask{
+		"in demand services share": {capacityOf(9), []ask{
 			{"a1", "a", images, 9, 1, 1}, {"a1", "a", orders, 9, 5, 9}, {"a1", "a", images, 9, 3, 9},
 		}},
-		"services of a team share": {room(8), []ask{{"a1", "a", orders, 4, 4, 0}, {"a1", "a", images, 9, 4, 0}}},
+		"services of a team share": {capacityOf(8), []ask{{"a1", "a", orders, 4, 4, 0}, {"a1", "a", images, 9, 4, 0}}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,13 +90,13 @@
 	}
 }
 
-func TestSingleSlotGoesRound(t *testing.T) {
+func TestSingleSlotIsGrantedInTurn(t *testing.T) {
 	b := newBook(t)
 	got := make(map[string]int)
 	for i := range 100 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		for _, place := range []string{"a", "b", "c"} {
-			if b.Grant(now, Ask{Peer: place, Place: place, Use: orders, Want: 5}, room(1)) == 1 {
+			if b.Grant(now, Ask{Peer: place, Place: place, Use: orders, Want: 5}, capacityOf(1)) == 1 {
 				got[place]++
 				b.Used(now, place, orders)
 			}
@@ -114,8 +114,8 @@
 // the granter.
 func TestSenderNeverHoldsLonger(t *testing.T) {
 	tests := map[string]struct {
-		rate       float64 // of the sender's clock
-		there, way time.Duration
+		rate                      float64 // of the sender's clock
+		requestDelay, answerDelay time.Duration
 	}{
 		"equal clocks": {1, 0, 0}, "slow": {0.96, 0, 0}, "fast": {1.05, 0, 0},
 		"late answer": {0.96, 20 * time.Millisecond, 400 * time.Millisecond},
@@ -124,9 +124,9 @@
 		t.Run(name, func(t *testing.T) {
 			b, p := newBook(t), NewHoldings()
 			clock := func(d time.Duration) time.Time { return start.Add(time.Duration(float64(d) * tt.rate)) }
-			n := b.Grant(start.Add(tt.there), Ask{Peer: "a1", Place: "a", Use: orders, Want: 3}, room(9))
+			n := b.Grant(start.Add(tt.requestDelay), Ask{Peer: "a1", Place: "a", Use: orders, Want: 3}, capacityOf(9))
 			p.Heard("g", orders, n, clock(0).Add(b.Life()))
-			for d := tt.there + tt.way; d < time.Second; d += time.Millisecond {
+			for d := tt.requestDelay + tt.answerDelay; d < time.Second; d += time.Millisecond {
 				held, out := p.Held(clock(d), "g", orders), b.Outstanding(start.Add(d), orders.Service)
 				if held > out {
 					t.Fatalf("after %v: got %d held, %d outstanding", d, held, out)
@@ -139,7 +139,7 @@
 	}
 }
 
-func TestLateGrantIsNotTaken(t *testing.T) {
+func TestExpiredGrantIsNotTaken(t *testing.T) {
 	p := NewHoldings()
 	p.Heard("g", orders, 3, start)
 	if got := p.Take(start, "g", orders, 1); got != 0 {
@@ -153,7 +153,7 @@
 // TestGrantsFitCapacity runs one granter and several senders whose answers are
 // lost or duplicated. The outstanding grants must always fit the capacity that
 // they were issued from.
-func TestBookIsBounded(t *testing.T) {
+func TestGrantsFitCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, now := newBook(t), start
 		type promised struct {
--- a/internal/grant/division.go
+++ b/internal/grant/division.go
@@ -7,52 +7,52 @@
 
 // division splits capacity level by level, down to one entry.
 type division struct {
-	now   time.Time
-	of    *line
-	lines []*line // that share total; entry is one of them
-	total int
-	left  int // what entry may be granted beyond its grants; at most what each level leaves
+	now       time.Time
+	entry     *entry
+	entries   []*entry // that share total; entry is one of them
+	total     int
+	available int // what entry may be granted beyond its grants; at most what each level leaves
 }
 
 // narrow splits the total among groups of entries, and keeps only the group of
 // d.entry.
-func (d *division) by(group func(*line) string, weight func(string) int) {
+func (d *division) narrow(group func(*entry) string, weight func(string) int) {
 	var names []string
 	var claims []claim
-	for _, o := range d.lines {
+	for _, o := range d.entries {
 		i := slices.Index(names, group(o))
 		if i < 0 {
 			i = len(names)
 			names = append(names, group(o))
-			claims = append(claims, claim{weight: weigh(weight, names[i])})
+			claims = append(claims, claim{weight: weightOf(weight, names[i])})
 		}
-		claims[i].want += o.claim(d.now)
+		claims[i].want += o.demand(d.now)
 	}
-	d.total = split(d.total, claims)[slices.Index(names, group(d.of))]
-	d.lines = like(d.lines, func(o *line) bool { return group(o) == group(d.of) })
-	d.left = min(d.left, d.total-heldBy(d.lines))
+	d.total = split(d.total, claims)[slices.Index(names, group(d.entry))]
+	d.entries = filter(d.entries, func(o *entry) bool { return group(o) == group(d.entry) })
+	d.available = min(d.available, d.total-grantedTo(d.entries))
 }
 
-func weigh(weight func(string) int, name string) int {
+func weightOf(weight func(string) int, name string) int {
 	if weight == nil {
 		return 1
 	}
 	return max(weight(name), 1)
 }
 
-func heldBy(lines []*line) int {
+func grantedTo(entries []*entry) int {
 	n := 0
-	for _, l := range lines {
-		n += l.grants.sum()
+	for _, e := range entries {
+		n += e.grants.sum()
 	}
 	return n
 }
 
-func like(lines []*line, ok func(*line) bool) []*line {
-	var list []*line
-	for _, l := range lines {
-		if ok(l) {
-			list = append(list, l)
+func filter(entries []*entry, ok func(*entry) bool) []*entry {
+	var list []*entry
+	for _, e := range entries {
+		if ok(e) {
+			list = append(list, e)
 		}
 	}
 	return list
--- a/internal/grant/holdings.go
+++ b/internal/grant/holdings.go
@@ -4,33 +4,33 @@
 
 // Holdings holds the grants that a sender has received from its peers.
 type Holdings struct {
-	held map[string]map[Use]*promises // by peer
+	held map[string]map[Use]*grants // by peer
 }
 
 // NewHoldings returns empty Holdings.
-func NewHoldings() *Holdings { return &Holdings{held: make(map[string]map[Use]*promises)} }
+func NewHoldings() *Holdings { return &Holdings{held: make(map[string]map[Use]*grants)} }
 
 // Heard adds a received grant. until must be counted by the sender's clock from
 // before it sent the message that the grant answers, so that the grant expires
 // here before it expires at the granter.
-func (p *Holdings) Heard(peer string, use Use, n int, until time.Time) {
+func (h *Holdings) Heard(peer string, use Use, n int, until time.Time) {
 	if n <= 0 {
 		return
 	}
-	uses, ok := p.held[peer]
+	uses, ok := h.held[peer]
 	if !ok {
-		uses = make(map[Use]*promises)
-		p.held[peer] = uses
+		uses = make(map[Use]*grants)
+		h.held[peer] = uses
 	}
 	if uses[use] == nil {
-		uses[use] = &promises{}
+		uses[use] = &grants{}
 	}
 	uses[use].add(n, until)
 }
 
 // Held returns how many requests may be sent to a peer now.
-func (p *Holdings) Held(now time.Time, peer string, use Use) int {
-	g := p.held[peer][use]
+func (h *Holdings) Held(now time.Time, peer string, use Use) int {
+	g := h.held[peer][use]
 	if g == nil {
 		return 0
 	}
@@ -39,8 +39,8 @@
 }
 
 // Take uses up to n requests of a peer's grants, and returns how many it used.
-func (p *Holdings) Take(now time.Time, peer string, use Use, n int) int {
-	g := p.held[peer][use]
+func (h *Holdings) Take(now time.Time, peer string, use Use, n int) int {
+	g := h.held[peer][use]
 	if g == nil {
 		return 0
 	}
@@ -49,4 +49,4 @@
 }
 
 // Forget drops the grants of a peer that was removed or is another incarnation.
-func (p *Holdings) Forget(peer string) { delete(p.held, peer) }
+func (h *Holdings) Forget(peer string) { delete(h.held, peer) }
