--- a/internal/shift/ahead.go
+++ b/internal/shift/ahead.go
@@ -7,11 +7,11 @@
 // current window, all in the next, or some in each.
 func (r *Ramp) Ahead(now, end time.Time) int {
 	now = r.advance(now)
-	w := r.win
+	w := r.window
 	if !end.After(w.end()) {
 		return w.fit(now, end, r.cfg.Burst)
 	}
-	next := w.next(r.units(w.number + 1))
+	next := w.next(r.growth(w.number + 1))
 	n := w.fit(now, w.end(), r.cfg.Burst) + next.fit(next.start(), end, r.cfg.Burst)
 	return min(n, next.budget)
 }
--- a/internal/shift/ahead_test.go
+++ b/internal/shift/ahead_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAheadIsKept checks that the cap admits as many requests as announced,
+// TestGuaranteedRequestsAreAdmitted checks that the cap admits as many requests as announced,
 // whether they arrive as early as possible or only from the next window on.
-func TestAheadIsKept(t *testing.T) {
+func TestGuaranteedRequestsAreAdmitted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r, err := New(Config{})
 		if err != nil {
@@ -46,7 +46,7 @@
 	return n
 }
 
-func TestAhead(t *testing.T) {
+func TestGuaranteedRequests(t *testing.T) {
 	start := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
 		now, end time.Duration
--- a/internal/shift/figures_test.go
+++ b/internal/shift/figures_test.go
@@ -16,7 +16,7 @@
 	for b.Loop() {
 		phases, carry = 0, 0
 		for w := range int64(1000) {
-			phases = max(phases, unitsOf(shares, w))
+			phases = max(phases, totalGrowth(shares, w))
 			carry = max(carry, 5*(int(w+1)*2/5-int(w)*2/5))
 		}
 	}
--- a/internal/shift/ramp.go
+++ b/internal/shift/ramp.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	window = time.Second
+	windowLength = time.Second
 
 	// maxAhead is how many windows ahead the next admission is searched for.
 	maxAhead = 1024
 
 	// maxStepBack is the longest step back of the clock for which the window is
 	// kept. A longer step moves the window to the new time.
-	maxHold = 2 * window
+	maxStepBack = 2 * windowLength
 )
 
 // Cap is an owner's part of a service's shift cap.
@@ -48,17 +48,17 @@
 
 // Ramp limits the shifted requests of one service at one owner.
 type Ramp struct {
-	cfg    Config
-	cap    Cap
-	old    []oldCap  // other versions that may still be in force elsewhere, oldest first
-	latest time.Time // latest time observed; smaller steps back than maxStepBack are ignored
-	win    win
-	total  uint64
-	held   uint64
+	cfg      Config
+	cap      Cap
+	replaced []replacedCap // other versions that may still be in force elsewhere, oldest first
+	latest   time.Time     // latest time observed; smaller steps back than maxStepBack are ignored
+	window   window
+	total    uint64
+	refused  uint64
 }
 
 // replacedCap is a cap that another version has replaced.
-type oldCap struct {
+type replacedCap struct {
 	shares []Share
 	until  time.Time // it applies before then
 }
@@ -80,27 +80,27 @@
 func (r *Ramp) SetCap(now time.Time, c Cap) {
 	now = r.advance(now)
 	if r.cap.Version != c.Version && r.cap.Version != 0 {
-		r.old = slices.DeleteFunc(r.old, func(o oldCap) bool { return !now.Before(o.until) })
-		r.old = append(r.old, oldCap{shares: r.cap.Shares, until: now.Add(r.cfg.Spread)})
+		r.replaced = slices.DeleteFunc(r.replaced, func(o replacedCap) bool { return !now.Before(o.until) })
+		r.replaced = append(r.replaced, replacedCap{shares: r.cap.Shares, until: now.Add(r.cfg.Spread)})
 	}
 	r.cap = c
-	r.win.budget = min(r.win.budget, r.win.before+r.units(r.win.number))
+	r.window.budget = min(r.window.budget, r.window.previous+r.growth(r.window.number))
 }
 
 // Room returns how many shifted requests may be admitted at now.
 func (r *Ramp) Room(now time.Time) int {
 	now = r.advance(now)
-	return r.win.fit(now, now.Add(1), r.cfg.Burst)
+	return r.window.fit(now, now.Add(1), r.cfg.Burst)
 }
 
 // Admit admits and counts one shifted request if the cap allows it.
 func (r *Ramp) Admit(now time.Time) bool {
 	now = r.advance(now)
-	if r.win.fit(now, now.Add(1), r.cfg.Burst) == 0 {
-		r.held++
+	if r.window.fit(now, now.Add(1), r.cfg.Burst) == 0 {
+		r.refused++
 		return false
 	}
-	r.win.take(now)
+	r.window.take(now)
 	r.total++
 	r.check()
 	return true
@@ -109,22 +109,22 @@
 // RetryAt returns when the next shifted request can be admitted if no other
 // arrives first: now if the cap allows it at once, the zero time if the cap
 // admits none within maxAhead windows.
-func (r *Ramp) RetryAt(now time.Time) time.Time { return r.at(now, 1) }
+func (r *Ramp) RetryAt(now time.Time) time.Time { return r.admitAt(now, 1) }
 
 // Counts returns what was admitted, for the log line of a decision and for
 // external checks.
 func (r *Ramp) Counts(now time.Time) Counts {
 	r.advance(now)
 	return Counts{
-		Version: r.cap.Version, Window: r.win.number, Before: r.win.before,
-		Budget: r.win.budget, Admitted: r.win.admitted, Total: r.total, Held: r.held,
+		Version: r.cap.Version, Window: r.window.number, Before: r.window.previous,
+		Budget: r.window.budget, Admitted: r.window.admitted, Total: r.total, Held: r.refused,
 	}
 }
 
 // admitAt returns when the n-th request from now can be admitted.
-func (r *Ramp) at(now time.Time, n int) time.Time {
+func (r *Ramp) admitAt(now time.Time, n int) time.Time {
 	now = r.advance(now)
-	w := r.win
+	w := r.window
 	for range maxAhead {
 		fit := w.fit(now, w.end(), r.cfg.Burst)
 		if n <= fit {
@@ -135,7 +135,7 @@
 		if w.admitted == 0 && !grows(r.cap.Shares) {
 			break
 		}
-		w = w.next(r.units(w.number + 1))
+		w = w.next(r.growth(w.number + 1))
 		now = w.start()
 	}
 	return time.Time{}
@@ -145,44 +145,44 @@
 // which is never before r.latest.
 func (r *Ramp) advance(now time.Time) time.Time {
 	if now.Before(r.latest) {
-		if r.latest.Sub(now) <= maxHold {
+		if r.latest.Sub(now) <= maxStepBack {
 			return r.latest
 		}
-		r.win.move(now) // the counts are kept: two windows become one
+		r.window.moveTo(now) // the counts are kept: two windows become one
 		r.latest = now
-		for i := range r.old {
-			r.old[i].until = now.Add(r.cfg.Spread)
+		for i := range r.replaced {
+			r.replaced[i].until = now.Add(r.cfg.Spread)
 		}
 		return now
 	}
 	r.latest = now
 	number := now.Unix()
-	if number == r.win.number {
+	if number == r.window.number {
 		return now
 	}
-	if number > r.win.number+1 {
-		r.win = win{number: number - 1} // nothing was admitted in between
+	if number > r.window.number+1 {
+		r.window = window{number: number - 1} // nothing was admitted in between
 	}
-	r.win = r.win.next(r.units(number))
+	r.window = r.window.next(r.growth(number))
 	return now
 }
 
 // growth returns by how much a window may exceed the one before it.
-func (r *Ramp) units(number int64) int {
-	n := unitsOf(r.cap.Shares, number)
-	for _, o := range r.old {
+func (r *Ramp) growth(number int64) int {
+	n := totalGrowth(r.cap.Shares, number)
+	for _, o := range r.replaced {
 		if time.Unix(number, 0).Before(o.until) {
-			n = min(n, unitsOf(o.shares, number))
+			n = min(n, totalGrowth(o.shares, number))
 		}
 	}
 	return n
 }
 
 func (r *Ramp) check() {
-	w := r.win
-	ok := w.admitted-w.before <= r.units(w.number)
+	w := r.window
+	ok := w.admitted-w.previous <= r.growth(w.number)
 	r.cfg.Counter.Check(invariant.ShiftCap, ok, func() string {
 		return fmt.Sprintf("window %d: %d admitted after %d, cap %d of version %d",
-			w.number, w.admitted, w.before, r.units(w.number), r.cap.Version)
+			w.number, w.admitted, w.previous, r.growth(w.number), r.cap.Version)
 	})
 }
--- a/internal/shift/ramp_test.go
+++ b/internal/shift/ramp_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.SetCap(begin.Add(-window), c)
+	r.SetCap(begin.Add(-windowLength), c)
 	return r
 }
 
@@ -26,7 +26,7 @@
 // admitted.
 func saturate(r *Ramp, from time.Time) int {
 	n := 0
-	for d := time.Duration(0); d < window; d += 4 * time.Millisecond {
+	for d := time.Duration(0); d < windowLength; d += 4 * time.Millisecond {
 		for r.Admit(from.Add(d)) {
 			n++
 		}
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRamp(t, Cap{Version: 1, Shares: tt.shares})
 			for i, want := range tt.want {
-				if got := saturate(r, begin.Add(time.Duration(i)*window)); got != want {
+				if got := saturate(r, begin.Add(time.Duration(i)*windowLength)); got != want {
 					t.Errorf("window %d: got %d, want %d", i, got, want)
 				}
 			}
@@ -62,7 +62,7 @@
 	r := newRamp(t, Cap{Version: 1, Shares: Divide(2, []int{1, 1, 1, 1, 1})[1:2]}) // 0.4 per second
 	got := 0
 	for i := range 100 {
-		got = saturate(r, begin.Add(time.Duration(i)*window))
+		got = saturate(r, begin.Add(time.Duration(i)*windowLength))
 	}
 	if got < 39 || got > 41 {
 		t.Errorf("got %d per second after 100 s, want 39 to 41", got)
@@ -78,7 +78,7 @@
 	if want := 1 + 80/DefaultBurst; got != want {
 		t.Errorf("got %d at the start of the window, want %d", got, want)
 	}
-	if got, want := r.RetryAt(begin), begin.Add(window/80); !got.Equal(want) {
+	if got, want := r.RetryAt(begin), begin.Add(windowLength/80); !got.Equal(want) {
 		t.Errorf("got next at %v, want %v", got, want)
 	}
 }
@@ -97,9 +97,9 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRamp(t, Cap{Version: 1, Shares: Divide(5, []int{1})})
 			saturate(r, begin)
-			saturate(r, begin.Add(window))
+			saturate(r, begin.Add(windowLength))
 			for i, want := range tt.want {
-				from := begin.Add(time.Duration(i+2)*window + tt.step)
+				from := begin.Add(time.Duration(i+2)*windowLength + tt.step)
 				if got := saturate(r, from); got != want {
 					t.Errorf("second %d: got %d, want %d", i, got, want)
 				}
@@ -111,29 +111,29 @@
 func TestNewVersion(t *testing.T) {
 	r := newRamp(t, Cap{Version: 1, Shares: Divide(5, []int{1})})
 	saturate(r, begin)
-	r.SetCap(begin.Add(window), Cap{Version: 2, Shares: Divide(50, []int{1})})
-	r.SetCap(begin.Add(window), Cap{Version: 3, Shares: Divide(20, []int{1})})
+	r.SetCap(begin.Add(windowLength), Cap{Version: 2, Shares: Divide(50, []int{1})})
+	r.SetCap(begin.Add(windowLength), Cap{Version: 3, Shares: Divide(20, []int{1})})
 	for i, want := range []int{10, 15, 20, 40} { // the first version applies for 3 s
-		if got := saturate(r, begin.Add(time.Duration(i+1)*window)); got != want {
+		if got := saturate(r, begin.Add(time.Duration(i+1)*windowLength)); got != want {
 			t.Errorf("window %d: got %d, want %d", i+1, got, want)
 		}
 	}
-	if got := r.Counts(begin.Add(4 * window)).Version; got != 3 {
+	if got := r.Counts(begin.Add(4 * windowLength)).Version; got != 3 {
 		t.Errorf("got version %d, want 3", got)
 	}
 }
 
-func TestWait(t *testing.T) {
+func TestVerdicts(t *testing.T) {
 	tests := map[string]struct {
 		shares []Share
 		ahead  int
 		by     time.Duration
 		want   Action
 	}{
-		"room":         {Divide(5, []int{1}), 0, window, Serve},
-		"behind one":   {Divide(5, []int{1}), 1, window, Queue},
-		"next windows": {Divide(5, []int{1}), 16, 4 * window, Queue},
-		"too late":     {Divide(5, []int{1}), 16, window, Refuse},
+		"room":         {Divide(5, []int{1}), 0, windowLength, Serve},
+		"behind one":   {Divide(5, []int{1}), 1, windowLength, Queue},
+		"next windows": {Divide(5, []int{1}), 16, 4 * windowLength, Queue},
+		"too late":     {Divide(5, []int{1}), 16, windowLength, Refuse},
 		"never":        {nil, 0, time.Hour, Refuse},
 	}
 	for name, tt := range tests {
@@ -163,7 +163,7 @@
 		for s := range seconds {
 			sum := 0
 			for _, ms := range []int{1, 400, 999} {
-				now := begin.Add(time.Duration(s)*window + time.Duration(ms)*time.Millisecond)
+				now := begin.Add(time.Duration(s)*windowLength + time.Duration(ms)*time.Millisecond)
 				if rapid.Bool().Draw(t, "change") {
 					assign(t, now, owners, shares)
 				}
@@ -192,10 +192,10 @@
 	n := 0
 	for _, r := range owners {
 		for range rapid.IntRange(0, 40).Draw(t, "asked") {
-			room, at := r.Room(now), r.RetryAt(now)
+			free, at := r.Room(now), r.RetryAt(now)
 			ok := r.Admit(now)
-			if ok != (room > 0) || ok != at.Equal(now) {
-				t.Fatalf("admitted %v with %d free and the next at %v", ok, room, at)
+			if ok != (free > 0) || ok != at.Equal(now) {
+				t.Fatalf("admitted %v with %d free and the next at %v", ok, free, at)
 			}
 			if ok {
 				n++
--- a/internal/shift/share.go
+++ b/internal/shift/share.go
@@ -39,19 +39,19 @@
 
 // Lower returns the lower n/total of the share.
 func (s Share) Lower(n, total int) Share {
-	return Share{from: s.from, to: s.cut(n, total)}
+	return Share{from: s.from, to: s.splitAt(n, total)}
 }
 
 // Upper returns the part of the share that Lower leaves.
 func (s Share) Upper(n, total int) Share {
-	return Share{from: s.cut(n, total), to: s.to}
+	return Share{from: s.splitAt(n, total), to: s.to}
 }
 
 // PerSecond returns the average growth that the share allows each second, in
 // requests per second.
 func (s Share) PerSecond() float64 { return float64(s.to-s.from) / unit }
 
-func (s Share) cut(n, total int) int64 {
+func (s Share) splitAt(n, total int) int64 {
 	if total <= 0 {
 		return s.from
 	}
@@ -61,7 +61,7 @@
 
 // growth returns by how many whole requests the share lets a window exceed the
 // one before it. Shares that together cover a cap of n sum to n in every window.
-func (s Share) units(window int64) int {
+func (s Share) growth(window int64) int {
 	phase := int64(uint64(window) * golden >> 44) // 0 <= phase < unit
 	return int((s.to+phase)/unit - (s.from+phase)/unit)
 }
@@ -71,10 +71,10 @@
 	return v/d*n + v%d*n/d
 }
 
-func unitsOf(shares []Share, window int64) int {
+func totalGrowth(shares []Share, window int64) int {
 	n := 0
 	for _, s := range shares {
-		n += s.units(window)
+		n += s.growth(window)
 	}
 	return n
 }
--- a/internal/shift/wait.go
+++ b/internal/shift/wait.go
@@ -36,7 +36,7 @@
 // cap can't admit in time is refused at once, while the caller can still go
 // elsewhere.
 func (r *Ramp) Wait(now, deadline time.Time, ahead int) Verdict {
-	at := r.at(now, ahead+1)
+	at := r.admitAt(now, ahead+1)
 	switch {
 	case at.IsZero():
 		return Verdict{Action: Refuse}
