--- a/internal/queue/class.go
+++ b/internal/queue/class.go
@@ -13,10 +13,10 @@
 type Can func(service settings.ServiceID, way Way) bool
 
 // laneCount is the number of lanes of a service.
-const ways = 4
+const laneCount = 4
 
 // laneIndex returns the index of the lane for w.
-func (w Way) lane() int {
+func (w Way) laneIndex() int {
 	n := 0
 	if w.Shifted {
 		n++
@@ -30,31 +30,31 @@
 // serviceQueue holds the waiting items of one service in one class. Items that
 // may be served in different ways are in different lanes, so that a blocked lane
 // doesn't hold up the others.
-type line struct {
+type serviceQueue struct {
 	service settings.ServiceID
-	lanes   [ways]lane
+	lanes   [laneCount]lane
 	n       int // items in all lanes
 }
 
-func newLine(service settings.ServiceID) *line {
-	l := &line{service: service}
-	for i := range l.lanes {
-		l.lanes[i].line = l
+func newServiceQueue(service settings.ServiceID) *serviceQueue {
+	s := &serviceQueue{service: service}
+	for i := range s.lanes {
+		s.lanes[i].queue = s
 	}
-	return l
+	return s
 }
 
-func (l *line) lane(w Way) *lane { return &l.lanes[w.lane()] }
+func (s *serviceQueue) lane(w Way) *lane { return &s.lanes[w.laneIndex()] }
 
 // first returns the oldest item that could start now, or nil.
-func (l *line) first(can Can) *entry {
+func (s *serviceQueue) first(can Can) *entry {
 	var oldest *entry
-	for i := range l.lanes {
-		e := l.lanes[i].head
+	for i := range s.lanes {
+		e := s.lanes[i].head
 		if e == nil || oldest != nil && oldest.seq < e.seq {
 			continue
 		}
-		if can(l.service, e.item.Way) {
+		if can(s.service, e.item.Way) {
 			oldest = e
 		}
 	}
@@ -62,102 +62,102 @@
 }
 
 // teamQueue holds the service queues of one team in one class.
-type group struct {
-	team    string
-	lines   ring[*line] // those with items
-	deficit float64     // pops left to the team in its turn
-	granted bool        // whether this turn's quantum has been added
+type teamQueue struct {
+	team         string
+	queues       ring[*serviceQueue] // those with items
+	deficit      float64             // pops left to the team in its turn
+	quantumAdded bool                // whether this turn's quantum has been added
 }
 
 // first returns the next item of the team that could start now, or nil.
-func (g *group) first(can Can) *entry {
-	for range g.lines.len() {
-		if e := g.lines.at().first(can); e != nil {
+func (t *teamQueue) first(can Can) *entry {
+	for range t.queues.len() {
+		if e := t.queues.current().first(can); e != nil {
 			return e
 		}
-		g.lines.advance()
+		t.queues.advance()
 	}
 	return nil
 }
 
-// class shares its pops among teams by deficit round robin.
+// class divides its pops among teams by deficit round robin.
 type class struct {
-	lines  map[settings.ServiceID]*line // those with items
-	groups map[string]*group            // those with items
-	turns  ring[*group]                 // the same groups, in the order of their turns
+	services map[settings.ServiceID]*serviceQueue // those with items
+	teams    map[string]*teamQueue                // those with items
+	turns    ring[*teamQueue]                     // the same queues, in the order of their turns
 }
 
 func newClass() *class {
 	return &class{
-		lines:  make(map[settings.ServiceID]*line),
-		groups: make(map[string]*group),
+		services: make(map[settings.ServiceID]*serviceQueue),
+		teams:    make(map[string]*teamQueue),
 	}
 }
 
 func (c *class) waiting(service settings.ServiceID) int {
-	if l := c.lines[service]; l != nil {
-		return l.n
+	if s := c.services[service]; s != nil {
+		return s.n
 	}
 	return 0
 }
 
 func (c *class) add(e *entry) {
 	id := e.item.Service
-	l := c.lines[id]
-	if l == nil {
-		l = newLine(id)
-		c.lines[id] = l
-		c.group(id.Team).lines.add(l)
+	s := c.services[id]
+	if s == nil {
+		s = newServiceQueue(id)
+		c.services[id] = s
+		c.team(id.Team).queues.add(s)
 	}
-	l.lane(e.item.Way).push(e)
-	l.n++
+	s.lane(e.item.Way).push(e)
+	s.n++
 }
 
-func (c *class) group(team string) *group {
-	g := c.groups[team]
-	if g == nil {
-		g = &group{team: team}
-		c.groups[team] = g
-		c.turns.add(g)
+func (c *class) team(team string) *teamQueue {
+	t := c.teams[team]
+	if t == nil {
+		t = &teamQueue{team: team}
+		c.teams[team] = t
+		c.turns.add(t)
 	}
-	return g
+	return t
 }
 
 func (c *class) remove(e *entry) {
-	l := e.lane.line
+	s := e.lane.queue
 	e.lane.remove(e)
-	l.n--
-	if l.n > 0 {
+	s.n--
+	if s.n > 0 {
 		return
 	}
-	delete(c.lines, l.service)
-	g := c.groups[l.service.Team]
-	g.lines.remove(l)
-	if g.lines.len() == 0 {
-		delete(c.groups, g.team)
-		c.turns.remove(g)
+	delete(c.services, s.service)
+	t := c.teams[s.service.Team]
+	t.queues.remove(s)
+	if t.queues.len() == 0 {
+		delete(c.teams, t.team)
+		c.turns.remove(t)
 	}
 }
 
 // pop removes the next item that could start now, or returns nil. A team whose
 // service queues are all blocked loses its turn.
-func (c *class) pop(can Can, share func(team string) int) *entry {
+func (c *class) pop(can Can, weight func(team string) int) *entry {
 	for range c.turns.len() {
-		g := c.turns.at()
-		if !g.granted {
-			g.granted = true
-			g.deficit += c.quantum(g, share)
+		t := c.turns.current()
+		if !t.quantumAdded {
+			t.quantumAdded = true
+			t.deficit += c.quantum(t, weight)
 		}
-		e := g.first(can)
+		e := t.first(can)
 		if e == nil {
-			g.deficit = 0
-			c.endTurn(g)
+			t.deficit = 0
+			c.endTurn(t)
 			continue
 		}
-		g.deficit--
-		g.lines.advance()
-		if g.deficit < 1 {
-			c.endTurn(g)
+		t.deficit--
+		t.queues.advance()
+		if t.deficit < 1 {
+			c.endTurn(t)
 		}
 		c.remove(e)
 		return e
@@ -165,18 +165,18 @@
 	return nil
 }
 
-func (c *class) endTurn(g *group) {
-	g.granted = false
+func (c *class) endTurn(t *teamQueue) {
+	t.quantumAdded = false
 	c.turns.advance()
 }
 
-// quantum returns the pops of a turn: the team's share divided by the least share
-// of the waiting teams, so at least 1.
-func (c *class) quantum(g *group, share func(team string) int) float64 {
-	own := share(g.team)
+// quantum returns the pops of a turn: the team's weight divided by the least
+// weight of the waiting teams, so at least 1.
+func (c *class) quantum(t *teamQueue, weight func(team string) int) float64 {
+	own := weight(t.team)
 	least := own
 	for _, other := range c.turns.all() {
-		least = min(least, share(other.team))
+		least = min(least, weight(other.team))
 	}
 	return float64(own) / float64(least)
 }
--- a/internal/queue/goodput_test.go
+++ b/internal/queue/goodput_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	slots    = 50
-	leastJob = 10 * time.Millisecond
-	moreJob  = 10 * time.Millisecond // mean of the exponential part
-	budget   = 200 * time.Millisecond
-	runFor   = 10 * time.Second
-	bound    = 1000 // length of the plain queues
-	capacity = float64(slots) / (float64(leastJob+moreJob) / float64(time.Second))
+	slots      = 50
+	minService = 10 * time.Millisecond
+	meanExtra  = 10 * time.Millisecond // mean of the exponential part
+	budget     = 200 * time.Millisecond
+	runLength  = 10 * time.Second
+	maxLength  = 1000 // length of the plain queues
+	capacity   = float64(slots) / (float64(minService+meanExtra) / float64(time.Second))
 )
 
 // policy is a queue in front of the slots of one service.
@@ -41,13 +41,13 @@
 
 // plainQueue is a queue bounded by length alone.
 type plainQueue struct {
-	items []Item
-	check bool // drop expired items when they are popped
-	lifo  int  // length from which the newest goes first; 0 is never
+	items       []Item
+	dropExpired bool // drop expired items when they are popped
+	lifoFrom    int  // length from which the newest goes first; 0 is never
 }
 
 func (p *plainQueue) push(_ time.Time, it Item) bool {
-	if len(p.items) >= bound {
+	if len(p.items) >= maxLength {
 		return false
 	}
 	p.items = append(p.items, it)
@@ -58,12 +58,12 @@
 	for len(p.items) > 0 {
 		var it Item
 		last := len(p.items) - 1
-		if p.lifo > 0 && last >= p.lifo {
+		if p.lifoFrom > 0 && last >= p.lifoFrom {
 			it, p.items = p.items[last], p.items[:last]
 		} else {
 			it, p.items = p.items[0], p.items[1:]
 		}
-		if !p.check || now.Before(it.Deadline) {
+		if !p.dropExpired || now.Before(it.Deadline) {
 			return it, true
 		}
 	}
@@ -92,31 +92,31 @@
 }
 
 // result holds the figures of one run.
-type figures struct {
-	good   float64       // answers within their deadline, as a fraction of capacity
-	late   float64       // fraction of started requests that ended after their deadline
-	held   float64       // fraction of the demand that was queued and then dropped
-	median time.Duration // of the answers within their deadline, from arrival
+type result struct {
+	good    float64       // answers within their deadline, as a fraction of capacity
+	late    float64       // fraction of started requests that ended after their deadline
+	dropped float64       // fraction of the demand that was queued and then dropped
+	median  time.Duration // of the answers within their deadline, from arrival
 }
 
 // measure simulates Poisson demand of load times the capacity. A late request
 // keeps its slot until it ends.
-func measure(p policy, load float64) figures {
+func measure(p policy, load float64) result {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	var busy jobs
 	var answers []time.Duration
-	var missed, queued, demand int
+	var late, queued, demand int
 	arrival := start
 	for id := uint64(1); ; id++ {
 		arrival = arrival.Add(seconds(rnd.ExpFloat64() / (load * capacity)))
-		if arrival.Sub(start) > runFor {
+		if arrival.Sub(start) > runLength {
 			break
 		}
 		for len(busy) > 0 && busy[0].end.Before(arrival) {
 			j := heap.Pop(&busy).(job)
 			p.completed(j.end, j.end.Sub(j.start))
 			if j.end.After(j.deadline) {
-				missed++
+				late++
 			} else {
 				answers = append(answers, j.end.Sub(j.deadline)+budget)
 			}
@@ -129,12 +129,12 @@
 		fill(p, &busy, arrival, rnd)
 	}
 	slices.Sort(answers)
-	started := len(answers) + missed
-	return figures{
-		good:   float64(len(answers)) / (capacity * runFor.Seconds()),
-		late:   float64(missed) / float64(started),
-		held:   float64(queued-started-len(busy)) / float64(demand), // includes those that wait at the end
-		median: answers[len(answers)/2],
+	started := len(answers) + late
+	return result{
+		good:    float64(len(answers)) / (capacity * runLength.Seconds()),
+		late:    float64(late) / float64(started),
+		dropped: float64(queued-started-len(busy)) / float64(demand), // includes those that wait at the end
+		median:  answers[len(answers)/2],
 	}
 }
 
@@ -144,7 +144,7 @@
 		if !ok {
 			return
 		}
-		took := leastJob + seconds(rnd.ExpFloat64()*moreJob.Seconds())
+		took := minService + seconds(rnd.ExpFloat64()*meanExtra.Seconds())
 		heap.Push(busy, job{end: now.Add(took), start: now, deadline: it.Deadline})
 	}
 }
@@ -156,8 +156,8 @@
 		least  float64 // fraction of the goodput at capacity to keep under any load
 	}{
 		"FIFO by length":                {func() policy { return &plainQueue{} }, 0},
-		"FIFO by length, check at pop":  {func() policy { return &plainQueue{check: true} }, 0},
-		"adaptive LIFO":                 {func() policy { return &plainQueue{check: true, lifo: slots} }, 0},
+		"FIFO by length, check at pop":  {func() policy { return &plainQueue{dropExpired: true} }, 0},
+		"adaptive LIFO":                 {func() policy { return &plainQueue{dropExpired: true, lifoFrom: slots} }, 0},
 		"FIFO with deadline prediction": {func() policy { return deadlineQueue{New(Defaults())} }, 0.95},
 	}
 	for name, tt := range tests {
@@ -165,8 +165,8 @@
 			atCapacity := measure(tt.policy(), 1).good
 			for _, load := range []float64{1, 1.2, 2, 4} {
 				got := measure(tt.policy(), load)
-				t.Logf("load %.1f: goodput %.3f, kept %.3f, late %.4f, held then given up %.4f, median %v",
-					load, got.good, got.good/atCapacity, got.late, got.held, got.median.Round(time.Millisecond))
+				t.Logf("load %.1f: goodput %.3f, kept %.3f, late %.4f, queued then dropped %.4f, median %v",
+					load, got.good, got.good/atCapacity, got.late, got.dropped, got.median.Round(time.Millisecond))
 				if got.good < tt.least*atCapacity {
 					t.Errorf("got %.3f, want at least %.2f of %.3f", got.good, tt.least, atCapacity)
 				}
--- a/internal/queue/item.go
+++ b/internal/queue/item.go
@@ -54,18 +54,18 @@
 
 // entry is an item in its lane and in the heap of latest start times.
 type entry struct {
-	item       Item
-	seq        uint64    // order of arrival
-	last       time.Time // it is not started from then on; never after its deadline
-	prev, next *entry    // in its lane
-	lane       *lane
-	place      int // in the heap of latest start times
+	item        Item
+	seq         uint64    // order of arrival
+	startBefore time.Time // it is not started from then on; never after its deadline
+	prev, next  *entry    // in its lane
+	lane        *lane
+	heapIndex   int // in the heap of latest start times
 }
 
 // lane is a FIFO list. Its zero value is empty.
 type lane struct {
 	head, tail *entry
-	line       *line // to which the lane belongs
+	queue      *serviceQueue // to which the lane belongs
 }
 
 func (l *lane) push(e *entry) {
@@ -94,7 +94,7 @@
 }
 
 // Deadline implements deadline.Item.
-func (e *entry) Deadline() time.Time { return e.last }
+func (e *entry) Deadline() time.Time { return e.startBefore }
 
 // Place implements deadline.Item.
-func (e *entry) Place() *int { return &e.place }
+func (e *entry) Place() *int { return &e.heapIndex }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -8,28 +8,28 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const defaultShare = 1
+const defaultWeight = 1
 
 // Queue holds the requests of one instance that wait for a slot.
 type Queue struct {
-	cfg         Config
-	room        *room // counts the waiting items by team
-	stations    map[settings.ServiceID]*station
-	entries     map[uint64]*entry // all waiting items, by ID
-	interactive *class
-	bulk        *class
-	starts      deadline.Heap[*entry] // all waiting items, by latest start time
-	expired     []*entry              // removed, to be returned by the next Expire
-	skipped     int                   // interactive pops since the last bulk one, while bulk waited
-	seq         uint64                // increases with each item queued
+	cfg           Config
+	limiter       *limiter // counts the waiting items by team
+	estimators    map[settings.ServiceID]*estimator
+	entries       map[uint64]*entry // all waiting items, by ID
+	interactive   *class
+	bulk          *class
+	byLatestStart deadline.Heap[*entry] // all waiting items, by latest start time
+	expired       []*entry              // removed, to be returned by the next Expire
+	bulkSkips     int                   // interactive pops since the last bulk one, while bulk waited
+	seq           uint64                // increases with each item queued
 }
 
 // New returns an empty Queue. cfg must be valid.
 func New(cfg Config) *Queue {
 	return &Queue{
 		cfg:         cfg,
-		room:        newRoom(cfg.Length),
-		stations:    make(map[settings.ServiceID]*station),
+		limiter:     newLimiter(cfg.Length),
+		estimators:  make(map[settings.ServiceID]*estimator),
 		entries:     make(map[uint64]*entry),
 		interactive: newClass(),
 		bulk:        newClass(),
@@ -38,13 +38,13 @@
 
 // SetShare sets a team's weight under contention. Teams never set, or set to less
 // than 1, have weight 1.
-func (q *Queue) SetShare(team string, weight int) { q.room.setShare(team, weight) }
+func (q *Queue) SetShare(team string, weight int) { q.limiter.setWeight(team, weight) }
 
 // Forget drops the estimates of a service that is no longer configured, unless
 // requests of it wait.
 func (q *Queue) Forget(service settings.ServiceID) {
 	if q.ahead(service, true) == 0 {
-		delete(q.stations, service)
+		delete(q.estimators, service)
 	}
 }
 
@@ -57,22 +57,22 @@
 		return Verdict{Kind: VerdictExpired}
 	}
 	q.expire(now)
-	s := q.station(now, it.Service)
+	est := q.estimator(now, it.Service)
 	ahead := q.ahead(it.Service, it.Bulk)
-	first := now.Add(s.wait(ahead))
-	if !q.room.free(it.Service.Team) {
-		return Verdict{Kind: VerdictFull, Start: first, RetryAt: q.retryAt(now, s, s.wait(ahead)/2)}
+	first := now.Add(est.wait(ahead))
+	if !q.limiter.admits(it.Service.Team) {
+		return Verdict{Kind: VerdictFull, Start: first, RetryAt: q.retryAt(now, est, est.wait(ahead)/2)}
 	}
-	last := it.Deadline.Add(-s.usual())
+	last := it.Deadline.Add(-est.expectedDuration())
 	if ahead == 0 {
 		// Otherwise no request might run that could correct a wrong estimate.
 		last = it.Deadline
 	}
 	if over := first.Sub(last); over > 0 {
-		return Verdict{Kind: VerdictLate, Start: first, RetryAt: q.retryAt(now, s, over)}
+		return Verdict{Kind: VerdictLate, Start: first, RetryAt: q.retryAt(now, est, over)}
 	}
 	q.add(it, last)
-	s.waiting(now, q.ahead(it.Service, true))
+	est.setWaiting(now, q.ahead(it.Service, true))
 	return Verdict{Kind: VerdictQueued, Start: first}
 }
 
@@ -87,10 +87,10 @@
 
 // retryAt spreads the retries of refused requests: each gets a time one completion
 // later than the one before, within the bounds of the configuration.
-func (q *Queue) retryAt(now time.Time, s *station, after time.Duration) time.Time {
+func (q *Queue) retryAt(now time.Time, est *estimator, after time.Duration) time.Time {
 	at := now.Add(max(after, q.cfg.RetryMin))
-	if rate, known := s.rate(); known && rate > leastRate {
-		next := s.retry.Add(seconds(1 / rate))
+	if rate, known := est.rate(); known && rate > minRate {
+		next := est.lastRetry.Add(seconds(1 / rate))
 		if next.After(at) {
 			at = next
 		}
@@ -98,18 +98,18 @@
 	if last := now.Add(q.cfg.RetryMax); at.After(last) {
 		return last
 	}
-	s.retry = at
+	est.lastRetry = at
 	return at
 }
 
-func (q *Queue) station(now time.Time, service settings.ServiceID) *station {
-	s := q.stations[service]
-	if s == nil {
-		s = &station{window: q.cfg.Window, at: now}
-		q.stations[service] = s
+func (q *Queue) estimator(now time.Time, service settings.ServiceID) *estimator {
+	est := q.estimators[service]
+	if est == nil {
+		est = &estimator{window: q.cfg.Window, updatedAt: now}
+		q.estimators[service] = est
 	}
-	s.settle(now)
-	return s
+	est.advance(now)
+	return est
 }
 
 func (q *Queue) class(it Item) *class {
@@ -121,10 +121,10 @@
 
 func (q *Queue) add(it Item, last time.Time) {
 	q.seq++
-	e := &entry{item: it, seq: q.seq, last: last}
+	e := &entry{item: it, seq: q.seq, startBefore: last}
 	q.entries[it.ID] = e
-	q.room.add(it.Service.Team)
-	q.starts.Push(e)
+	q.limiter.add(it.Service.Team)
+	q.byLatestStart.Push(e)
 	q.class(it).add(e)
 }
 
@@ -133,47 +133,47 @@
 func (q *Queue) Pop(now time.Time, can Can) (Item, bool) {
 	q.expire(now)
 	classes := [...]*class{q.interactive, q.bulk}
-	if q.skipped >= q.cfg.BulkEvery-1 {
+	if q.bulkSkips >= q.cfg.BulkEvery-1 {
 		slices.Reverse(classes[:])
 	}
 	for _, c := range classes {
-		e := c.pop(can, q.room.share)
+		e := c.pop(can, q.limiter.weight)
 		if e == nil {
 			continue
 		}
-		q.countSkipped(c)
-		q.forget(now, e)
+		q.countBulkSkip(c)
+		q.unindex(now, e)
 		return e.item, true
 	}
 	return Item{}, false
 }
 
-func (q *Queue) countSkipped(popped *class) {
+func (q *Queue) countBulkSkip(popped *class) {
 	if popped == q.bulk || q.bulk.turns.len() == 0 {
-		q.skipped = 0
+		q.bulkSkips = 0
 		return
 	}
-	q.skipped++
+	q.bulkSkips++
 }
 
 // unindex removes an entry that has left its class from the indexes.
-func (q *Queue) forget(now time.Time, e *entry) {
+func (q *Queue) unindex(now time.Time, e *entry) {
 	delete(q.entries, e.item.ID)
-	q.starts.Remove(e)
+	q.byLatestStart.Remove(e)
 	service := e.item.Service
-	q.room.remove(service.Team)
-	q.station(now, service).waiting(now, q.ahead(service, true))
+	q.limiter.remove(service.Team)
+	q.estimator(now, service).setWaiting(now, q.ahead(service, true))
 }
 
 // expire removes all items past their latest start time.
 func (q *Queue) expire(now time.Time) {
 	for {
-		e, due := q.starts.Due(now)
+		e, due := q.byLatestStart.Due(now)
 		if !due {
 			return
 		}
 		q.class(e.item).remove(e)
-		q.forget(now, e)
+		q.unindex(now, e)
 		q.expired = append(q.expired, e)
 	}
 }
@@ -199,22 +199,22 @@
 		return false
 	}
 	q.class(e.item).remove(e)
-	q.forget(now, e)
+	q.unindex(now, e)
 	return true
 }
 
 // Completed records that a request of a service has ended, with any outcome, and
 // freed its slot. took counts from its dispatch.
 func (q *Queue) Completed(now time.Time, service settings.ServiceID, took time.Duration) {
-	q.station(now, service).completed(now, took)
+	q.estimator(now, service).completed(now, took)
 }
 
 // Next returns when Expire next has something to return; zero if never.
 func (q *Queue) Next() time.Time {
 	if len(q.expired) > 0 {
-		return q.expired[0].last
+		return q.expired[0].startBefore
 	}
-	return q.starts.Next()
+	return q.byLatestStart.Next()
 }
 
 // Len returns how many items wait.
@@ -222,5 +222,5 @@
 
 // Wait predicts how long a new interactive request of a service would wait.
 func (q *Queue) Wait(now time.Time, service settings.ServiceID) time.Duration {
-	return q.station(now, service).wait(q.ahead(service, false))
+	return q.estimator(now, service).wait(q.ahead(service, false))
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -187,7 +187,7 @@
 				r.advance()
 			}
 			r.remove(tt.remove)
-			if got := r.at(); got != tt.want {
+			if got := r.current(); got != tt.want {
 				t.Errorf("got %d in turn, want %d", got, tt.want)
 			}
 		})
@@ -248,8 +248,8 @@
 				// An item that Push has expired meanwhile, and that Expire has not
 				// returned yet, no longer waits; it is lost if it is in neither set.
 				_, known := waiting[id]
-				givenUp := slices.ContainsFunc(q.expired, func(e *entry) bool { return e.item.ID == id })
-				if want := known && !givenUp; q.Cancel(now, id) != want {
+				expired := slices.ContainsFunc(q.expired, func(e *entry) bool { return e.item.ID == id })
+				if want := known && !expired; q.Cancel(now, id) != want {
 					t.Fatalf("got cancelled %v, want %v", !want, want)
 				}
 				delete(waiting, id)
--- a/internal/queue/ring.go
+++ b/internal/queue/ring.go
@@ -6,7 +6,7 @@
 // value is empty. remove takes linear time, which suits tens of members.
 type ring[T comparable] struct {
 	members []T
-	next    int // index of the member whose turn it is; 0 when empty
+	turn    int // index of the member whose turn it is; 0 when empty
 }
 
 func (r *ring[T]) len() int { return len(r.members) }
@@ -15,24 +15,24 @@
 func (r *ring[T]) all() []T { return r.members }
 
 // current returns the member whose turn it is. The ring must not be empty.
-func (r *ring[T]) at() T { return r.members[r.next] }
+func (r *ring[T]) current() T { return r.members[r.turn] }
 
 // advance passes the turn to the next member.
 func (r *ring[T]) advance() {
-	r.next++
-	if r.next >= len(r.members) {
-		r.next = 0
+	r.turn++
+	if r.turn >= len(r.members) {
+		r.turn = 0
 	}
 }
 
 // add makes v the last in turn.
 func (r *ring[T]) add(v T) {
-	if r.next == 0 {
+	if r.turn == 0 {
 		r.members = append(r.members, v)
 		return
 	}
-	r.members = slices.Insert(r.members, r.next, v)
-	r.next++
+	r.members = slices.Insert(r.members, r.turn, v)
+	r.turn++
 }
 
 // remove removes v; if it was v's turn, it is now the next member's.
@@ -42,10 +42,10 @@
 		return
 	}
 	r.members = slices.Delete(r.members, i, i+1)
-	if i < r.next {
-		r.next--
+	if i < r.turn {
+		r.turn--
 	}
-	if r.next >= len(r.members) {
-		r.next = 0
+	if r.turn >= len(r.members) {
+		r.turn = 0
 	}
 }
--- a/internal/queue/station_test.go
+++ b/internal/queue/station_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDeadStationIsFoundAliveAgain(t *testing.T) {
+func TestDeadServiceRecovers(t *testing.T) {
 	q, now := busyQueue(5)
 	now = now.Add(time.Minute) // no completion
 	if got := q.Push(now, Item{ID: 100, Service: a1, Deadline: now.Add(10 * time.Second)}).Kind; got != VerdictLate {
@@ -27,7 +27,7 @@
 // targets, which says nothing about the rate. A service that stays paused is assumed dead.
 func TestStandstillIsNoRate(t *testing.T) {
 	tests := map[string]struct {
-		still time.Duration
+		pause time.Duration
 		want  VerdictKind
 	}{
 		"moves":       {0, VerdictQueued},
@@ -41,14 +41,14 @@
 				now = now.Add(10 * time.Millisecond)
 				q.Completed(now, a1, 5*time.Millisecond)
 			}
-			deadline := now.Add(tt.still + 3*time.Second)
+			deadline := now.Add(tt.pause + 3*time.Second)
 			for id := range uint64(90) {
 				if got := q.Push(now, Item{ID: id + 1, Service: a1, Deadline: deadline}).Kind; got != VerdictQueued {
 					t.Fatalf("request %d: got %v, want queued", id, got)
 				}
-				now = now.Add(min(tt.still, 1200*time.Millisecond) / 90)
+				now = now.Add(min(tt.pause, 1200*time.Millisecond) / 90)
 			}
-			now = now.Add(max(0, tt.still-1200*time.Millisecond))
+			now = now.Add(max(0, tt.pause-1200*time.Millisecond))
 			if got := q.Push(now, Item{ID: 1000, Service: a1, Deadline: deadline}).Kind; got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
