--- a/internal/owner/policy_test.go
+++ b/internal/owner/policy_test.go
@@ -30,7 +30,7 @@
 	policy      string
 	instances   int
 	rng         *rand.Rand
-	actual      [benchTargets]int
+	real      [benchTargets]int
 	reported    [benchTargets]int
 	perInstance [][benchTargets]int
 	over        int     // dispatches beyond a target's slots
@@ -59,7 +59,7 @@
 			if t%b.instances != instance {
 				return 0
 			}
-			return benchSlots - b.actual[t]
+			return benchSlots - b.real[t]
 		})
 	}
 }
@@ -121,7 +121,7 @@
 		if f.end > now {
 			return false
 		}
-		b.actual[f.target]--
+		b.real[f.target]--
 		b.perInstance[f.instance][f.target]--
 		b.done++
 		return true
@@ -130,7 +130,7 @@
 
 // report publishes the load of targets and the free slots of instances.
 func (b *bench) report() {
-	b.reported = b.actual
+	b.reported = b.real
 	for i := range b.instances {
 		used := 0
 		for t := range benchTargets {
@@ -150,10 +150,10 @@
 		}
 		b.waited += now - b.queues[instance][0]
 		b.queues[instance] = b.queues[instance][1:]
-		b.actual[t]++
+		b.real[t]++
 		b.perInstance[instance][t]++
-		b.peak = max(b.peak, b.actual[t])
-		if b.actual[t] > benchSlots {
+		b.peak = max(b.peak, b.real[t])
+		if b.real[t] > benchSlots {
 			b.over++
 		}
 		sent = append(sent, request{instance, t, now + 1 + int(b.rng.ExpFloat64()*benchWork)})
--- a/internal/shift/ramp.go
+++ b/internal/shift/ramp.go
@@ -38,7 +38,7 @@
 // Counts reports what a Ramp has admitted.
 type Counts struct {
 	Version  uint64 // of the settings in force
-	Window   int64  // number of the window: Unix time in seconds
+	Window   int64  // number of the window: seconds since 1970
 	Before   int    // admitted in the previous window
 	Budget   int    // the most that may be admitted in this window
 	Admitted int    // admitted in this window
--- a/internal/shift/window.go
+++ b/internal/shift/window.go
@@ -5,7 +5,7 @@
 // window counts the requests of one window. They are paced at one for each
 // windowLength/budget, with a small burst.
 type window struct {
-	number     int64     // Unix time of its start, in seconds
+	number     int64     // seconds since 1970 at its start
 	previous   int       // admitted in the previous window
 	budget     int       // budget <= previous + growth of the shares
 	admitted   int       // admitted <= budget when it last increased
