--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -78,7 +78,7 @@
 	events      []event
 	roster      Roster
 	down        bool
-	blocked     [modelNodes + 1][modelNodes + 1]bool // blocked links, one way; the last is the platform
+	blocked     [modelNodes + 1][modelNodes + 1]bool // one way; the last index is the platform
 	lossRate    float64
 	gossip      bool // heartbeats carry rosters
 	specs       int
@@ -320,8 +320,8 @@
 		m.write(n, next, err)
 		return
 	}
-	if lines := n.book.Forgettable(now); in && len(lines) > 0 {
-		m.write(n, r.Forget(lines), nil)
+	if entries := n.book.Forgettable(now); in && len(entries) > 0 {
+		m.write(n, r.Forget(entries), nil)
 		return
 	}
 	for _, o := range r.Members {
--- a/internal/owner/policy_test.go
+++ b/internal/owner/policy_test.go
@@ -30,13 +30,13 @@
 	policy      string
 	instances   int
 	rng         *rand.Rand
-	real      [benchTargets]int
-	reported    [benchTargets]int
-	perInstance [][benchTargets]int
-	over        int     // dispatches beyond a target's slots
-	peak        int     // peak in flight at one target
-	freeSlots   []int   // of each instance, as last reported
-	queues      [][]int // of each instance: when each request arrived
+	real        [benchTargets]int   // in flight at each target
+	reported    [benchTargets]int   // real, as last reported
+	perInstance [][benchTargets]int // in flight, by instance and target
+	over        int                 // dispatches beyond a target's slots
+	peak        int                 // peak in flight at one target
+	freeSlots   []int               // of each instance, as last reported
+	queues      [][]int             // of each instance: when each request arrived
 	done        int
 	waited      int // ms
 }
