--- a/internal/grant/book.go
+++ b/internal/grant/book.go
@@ -142,7 +142,7 @@
 }
 
 // Release takes back up to n granted requests from a sender, and returns how many
-// it held.
+// it took back.
 func (t *Book) Release(now time.Time, peer string, use Use, n int) int {
 	t.Sweep(now)
 	e, ok := t.entries[entryKey{peer: peer, use: use}]
--- a/internal/owner/book.go
+++ b/internal/owner/book.go
@@ -176,8 +176,8 @@
 }
 
 // isOwn reports whether a previous owner is this process, whose own count applies.
-func (t *Book) isOwn(c previousOwner) bool {
-	return c.Instance == t.cfg.Self && c.Incarnation == t.cfg.Incarnation
+func (t *Book) isOwn(prev previousOwner) bool {
+	return prev.Instance == t.cfg.Self && prev.Incarnation == t.cfg.Incarnation
 }
 
 // Owner returns the instance that owns a target, "" if none does.
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -67,9 +67,9 @@
 	for _, tgt := range t.owned {
 		before := tgt.reservedSlots
 		tgt.reservedSlots, tgt.reservedQuota = 0, 0
-		for _, c := range tgt.previousOwners {
-			tgt.reservedSlots += t.reserve(now, tgt.key, c, tgt.allowance, t.withSkew(tgt.spec.Timeout), slotsOf)
-			tgt.reservedQuota += t.reserve(now, tgt.key, c, tgt.quota, t.withSkew(t.quotaWait(tgt)), quotaOf)
+		for _, prev := range tgt.previousOwners {
+			tgt.reservedSlots += t.reserve(now, tgt.key, prev, tgt.allowance, t.withSkew(tgt.spec.Timeout), slotsOf)
+			tgt.reservedQuota += t.reserve(now, tgt.key, prev, tgt.quota, t.withSkew(t.quotaWait(tgt)), quotaOf)
 		}
 		if tgt.reservedSlots != before {
 			t.revision++
@@ -98,18 +98,18 @@
 // reserve returns the most that a previous owner may still use of a limit, which
 // is the least of several bounds. wait is the longest that a request may take by
 // any clock.
-func (t *Book) reserve(now time.Time, key TargetKey, c previousOwner, limit int, wait time.Duration, of func(Held) int) int {
+func (t *Book) reserve(now time.Time, key TargetKey, prev previousOwner, limit int, wait time.Duration, of func(Held) int) int {
 	most := limit
-	if at, ok := t.firstSeen[c.Member]; ok && c.removed && t.reached(now, at.Add(t.withSkew(t.cfg.Term)+wait)) {
+	if at, ok := t.firstSeen[prev.Member]; ok && prev.removed && t.reached(now, at.Add(t.withSkew(t.cfg.Term)+wait)) {
 		most = limit / 2
 	}
-	if held, at, ok := t.reportedUse(c, key, of); ok {
+	if held, at, ok := t.reportedUse(prev, key, of); ok {
 		if t.reached(now, at.Add(wait)) {
 			held = 0
 		}
 		most = min(most, held)
 	}
-	if e, ok := t.ended[c.Instance]; ok && e.incarnation >= c.Incarnation && t.reached(now, e.at.Add(wait)) {
+	if e, ok := t.ended[prev.Instance]; ok && e.incarnation >= prev.Incarnation && t.reached(now, e.at.Add(wait)) {
 		return 0
 	}
 	return most
@@ -133,8 +133,8 @@
 // sender may own the target again. Until that roster arrives here, the report
 // before it still bounds the sender, which takes no slot of the target until this
 // instance has released it under the newer roster, or its lease has expired.
-func (t *Book) reportedUse(c previousOwner, key TargetKey, of func(Held) int) (int, time.Time, bool) {
-	p := t.findPeer(c.Instance, c.Incarnation)
+func (t *Book) reportedUse(prev previousOwner, key TargetKey, of func(Held) int) (int, time.Time, bool) {
+	p := t.findPeer(prev.Instance, prev.Incarnation)
 	if p == nil || !p.hasRelease {
 		return 0, time.Time{}, false
 	}
@@ -145,7 +145,7 @@
 		}
 		release, arrived = p.prevRelease, p.prevReleaseAt
 	}
-	if release.Version < c.end || release.Version > t.roster.Version {
+	if release.Version < prev.end || release.Version > t.roster.Version {
 		return 0, time.Time{}, false
 	}
 	for _, h := range release.Held {
