--- a/internal/queue/class.go
+++ b/internal/queue/class.go
@@ -12,7 +12,7 @@
 // Can reports whether a request of a service could start now.
 type Can func(service settings.ServiceID, way Way) bool
 
-// laneCount is the number of lanes of a service.
+// laneCount is the number of lanes of a service, one for each laneIndex.
 const laneCount = 4
 
 // laneIndex returns the index of the lane for w.
--- a/internal/shift/ramp.go
+++ b/internal/shift/ramp.go
@@ -51,7 +51,7 @@
 	cfg      Config
 	cap      Cap
 	replaced []replacedCap // other versions that may still be in force elsewhere, oldest first
-	latest   time.Time     // latest time observed; smaller steps back than maxStepBack are ignored
+	latest   time.Time     // latest time observed; steps back of at most maxStepBack are ignored
 	window   window
 	total    uint64
 	refused  uint64
