--- a/internal/owner/book_test.go
+++ b/internal/owner/book_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// soakVar is the environment variable that names how many random runs to make;
+// soakVar is the environment variable that sets the number of random runs;
 // without it a short set with a fixed seed runs.
 const soakVar = "FIRLEVER_SOAK"
 
@@ -26,11 +26,12 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("seed %s; again with -rapid.seed", flag.Lookup("rapid.seed").Value)
+	t.Logf("seed %s; repeat with -rapid.seed", flag.Lookup("rapid.seed").Value)
 }
 
-// TestTruth drives several books through every fault that the brief names, and
-// looks at the targets: no allowance and no place limit may ever be passed.
+// TestTruth takes several instances through kills, pauses, message loss, outages,
+// partitions and settings changes, and checks at the targets that no allowance
+// and no place limit is ever exceeded.
 func TestTruth(t *testing.T) {
 	seedRuns(t)
 	runs, taken := 0, 0
@@ -48,48 +49,49 @@
 			"kill":  func(rt *rapid.T) { m.kill(id.Draw(rt, "id")) },
 			"pause": func(rt *rapid.T) {
 				if n := m.live[id.Draw(rt, "id")]; n != nil {
-					n.asleep = true
+					n.paused = true
 				}
 			},
 			"wake": func(rt *rapid.T) { m.wake(id.Draw(rt, "id")) },
 			"leave": func(rt *rapid.T) {
 				if n := m.live[id.Draw(rt, "id")]; n != nil {
-					n.wants = !n.wants
+					n.shouldBeMember = !n.shouldBeMember
 				}
 			},
 			"cut": func(rt *rapid.T) {
-				m.cut[end.Draw(rt, "from")][end.Draw(rt, "to")] = true
+				m.blocked[end.Draw(rt, "from")][end.Draw(rt, "to")] = true
 			},
 			"isolate": func(rt *rapid.T) {
 				a, platform := id.Draw(rt, "id"), rapid.Bool().Draw(rt, "platform")
 				for b := range modelNodes + 1 {
 					if b < modelNodes || platform {
-						m.cut[a][b], m.cut[b][a] = true, true
+						m.blocked[a][b], m.blocked[b][a] = true, true
 					}
 				}
 			},
 			"mend": func(*rapid.T) {
-				m.cut, m.down, m.loss = [modelNodes + 1][modelNodes + 1]bool{}, false, 0
+				m.blocked, m.down, m.lossRate = [modelNodes + 1][modelNodes + 1]bool{}, false, 0
 				for id := range modelNodes {
 					m.wake(id)
 					m.start(id)
 				}
 			},
-			"loss":     func(rt *rapid.T) { m.loss = rapid.Float64Range(0, 0.6).Draw(rt, "loss") },
+			"loss":     func(rt *rapid.T) { m.lossRate = rapid.Float64Range(0, 0.6).Draw(rt, "loss") },
 			"outage":   func(rt *rapid.T) { m.down = rapid.Bool().Draw(rt, "down") },
-			"settings": func(rt *rapid.T) { m.set(rapid.IntRange(0, len(modelSpecs)-1).Draw(rt, "specs")) },
+			"settings": func(rt *rapid.T) { m.setSpecs(rapid.IntRange(0, len(modelSpecs)-1).Draw(rt, "specs")) },
 		})
 		runs++
 		taken += m.taken
 	})
 	t.Logf("%d runs, %d requests", runs, taken)
 	if taken < runs {
-		t.Errorf("got %d requests in %d runs, want more: the check sees nothing", taken, runs)
+		t.Errorf("got %d requests in %d runs, want more: the limits were not exercised", taken, runs)
 	}
 }
 
-// TestLostAnswer is a removal whose writer never learns that it landed, while
-// the one removed can't learn either: the writer's acks must not keep it going.
+// TestLostAnswer removes an instance while neither it nor the writer of the
+// removal receives the outcome: the writer's acks must not extend the removed
+// instance's lease.
 func TestLostAnswer(t *testing.T) {
 	removed := 0
 	for seed := range uint64(30) {
@@ -97,18 +99,18 @@
 		m.gossip = false
 		m.kill(2)
 		m.advance(4 * time.Second)
-		m.cut[1][modelNodes], m.cut[modelNodes][1] = true, true
+		m.blocked[1][modelNodes], m.blocked[modelNodes][1] = true, true
 		m.start(3)
 		m.advance(4 * time.Second)
-		m.cut[1][0], m.cut[modelNodes][0] = true, true
+		m.blocked[1][0], m.blocked[modelNodes][0] = true, true
 		m.advance(5 * time.Second)
-		m.cut[1][0] = false
+		m.blocked[1][0] = false
 		m.advance(12 * time.Second)
 		if _, ok := m.roster.Member("instance-1"); !ok {
 			removed++
 		}
 	}
 	if removed == 0 {
-		t.Error("got no removal, want some: the check sees nothing")
+		t.Error("got no removal, want some: the acks were not exercised")
 	}
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -16,15 +16,15 @@
 	modelLag     = 4 * time.Second
 	modelSettle  = 2 * time.Second
 	modelStep    = 100 * time.Millisecond
-	modelSkew    = 0.25 // more than in life, so that runs meet it
+	modelSkew    = 0.25 // larger than in production, so that runs exercise it
 	modelLimit   = 9    // of the place
 	modelNodes   = 4
 )
 
-// epoch is where the model's true time starts.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// modelStart is the true time at which a model starts.
+var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// modelSpecs are settings that the model switches between.
+// modelSpecs holds the allowances of targets that the model switches between.
 var modelSpecs = [][]int{{4, 5, 3, 1}, {2, 7, 3, 1}, {6, 0, 1, 4}}
 
 func specsOf(allowances []int) []Spec {
@@ -40,57 +40,57 @@
 	return specs
 }
 
-// dispatch is a request at a target, as the target sees it.
+// dispatch is a request at a target, as observed at the target.
 type dispatch struct {
 	key TargetKey
-	end time.Duration // true time by which it is over
+	end time.Duration // true time at which it has ended
 }
 
 // node is one process with its own clock.
 type node struct {
-	id     int
-	inc    uint64
-	book   *Book
-	rate   float64
-	offset time.Duration
-	specs  int // index of the settings in force
-	asleep bool
-	dead   bool
-	flying []dispatch
-	wants  bool // it means to stay in the roster
+	id             int
+	inc            uint64
+	book           *Book
+	rate           float64
+	offset         time.Duration
+	specs          int // index of the settings in force
+	paused         bool
+	dead           bool
+	inFlight       []dispatch
+	shouldBeMember bool // it should stay in the roster
 }
 
 func (n *node) name() string { return fmt.Sprint("instance-", n.id) }
 
-// event happens at a true time; a nil node is the platform.
+// event is an action at a true time; a nil node is the platform.
 type event struct {
 	at   time.Duration
 	node *node
 	do   func()
 }
 
-// model is a place with its platform, links and clocks, in true time.
+// model simulates a place with its platform, links and clocks, in true time.
 type model struct {
-	now     time.Duration
-	rng     *rand.Rand
-	nodes   []*node // every process that ever was
-	live    [modelNodes]*node
-	events  []event
-	roster  Roster
-	down    bool
-	cut     [modelNodes + 1][modelNodes + 1]bool // one way; the last is the platform
-	loss    float64
-	gossip  bool // heartbeats pass rosters on
-	specs   int
-	changed time.Duration   // when specs last changed
-	recent  []time.Duration // by index of modelSpecs: when it was last in force
-	taken   int
-	fail    func(string, ...any)
+	now         time.Duration
+	rng         *rand.Rand
+	nodes       []*node // all processes ever started
+	live        [modelNodes]*node
+	events      []event
+	roster      Roster
+	down        bool
+	blocked     [modelNodes + 1][modelNodes + 1]bool // one way; the last index is the platform
+	lossRate    float64
+	gossip      bool // heartbeats carry rosters
+	specs       int
+	changed     time.Duration   // when specs last changed
+	lastInForce []time.Duration // by index of modelSpecs: when it was last in force
+	taken       int
+	fail        func(string, ...any)
 }
 
 func newModel(seed uint64, fail func(string, ...any)) *model {
 	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), fail: fail, roster: Roster{}}
-	m.recent = []time.Duration{0, -time.Hour, -time.Hour}
+	m.lastInForce = []time.Duration{0, -time.Hour, -time.Hour}
 	m.changed = -time.Hour
 	m.gossip = m.rng.IntN(2) == 0
 	for id := range 3 {
@@ -99,12 +99,12 @@
 	return m
 }
 
-// start runs a new process of an instance. Clocks differ by at most the skew bound.
+// start starts a new process of an instance. Clocks differ by at most the skew bound.
 func (m *model) start(id int) {
 	if m.live[id] != nil || m.now < m.changed+2*(modelSettle+modelTimeout) {
 		return
 	}
-	n := &node{id: id, inc: 1, wants: true, specs: m.specs}
+	n := &node{id: id, inc: 1, shouldBeMember: true, specs: m.specs}
 	for _, o := range m.nodes {
 		if o.id == id {
 			n.inc = o.inc + 1
@@ -125,12 +125,13 @@
 }
 
 func (m *model) local(n *node) time.Time {
-	return epoch.Add(n.offset + time.Duration(float64(m.now)*n.rate))
+	return modelStart.Add(n.offset + time.Duration(float64(m.now)*n.rate))
 }
 
-// post does something at a node (nil: the platform) after a delay, if it gets there.
+// post schedules an action at a node (nil: the platform) after a random delay.
+// Messages may be lost or duplicated.
 func (m *model) post(from, to int, n *node, do func()) {
-	if m.cut[from][to] || m.rng.Float64() < m.loss {
+	if m.blocked[from][to] || m.rng.Float64() < m.lossRate {
 		return
 	}
 	delay := time.Duration(m.rng.Int64N(int64(150 * time.Millisecond)))
@@ -143,17 +144,17 @@
 	}
 }
 
-// advance lets true time pass, by small steps.
+// advance moves true time forward in small steps.
 func (m *model) advance(d time.Duration) {
 	for end := m.now + d; m.now < end; m.now += modelStep {
 		m.expire()
 		for i, n := range m.live {
-			if n == nil || n.asleep {
+			if n == nil || n.paused {
 				continue
 			}
-			m.load(n)
+			m.fillSlots(n)
 			if (int(m.now/modelStep)+i)%5 == 0 {
-				m.work(n)
+				m.tick(n)
 			}
 		}
 		m.deliver()
@@ -161,7 +162,7 @@
 	}
 }
 
-// deliver runs the events that are due. Those of a sleeping node wait for it.
+// deliver runs the events that are due. Those of a paused node wait until it resumes.
 func (m *model) deliver() {
 	due := m.events
 	m.events = nil
@@ -169,7 +170,7 @@
 	for _, e := range due {
 		switch {
 		case e.node != nil && e.node.dead:
-		case e.at > m.now || (e.node != nil && e.node.asleep):
+		case e.at > m.now || (e.node != nil && e.node.paused):
 			m.events = append(m.events, e)
 		default:
 			e.do()
@@ -177,12 +178,12 @@
 	}
 }
 
-// expire ends requests whose time is up, and a few at random.
+// expire ends requests whose time is over, and a few others at random.
 func (m *model) expire() {
 	for _, n := range m.nodes {
-		n.flying = slices.DeleteFunc(n.flying, func(d dispatch) bool {
+		n.inFlight = slices.DeleteFunc(n.inFlight, func(d dispatch) bool {
 			over := m.now >= d.end
-			if !n.dead && !n.asleep && (over || m.rng.IntN(60) == 0) {
+			if !n.dead && !n.paused && (over || m.rng.IntN(60) == 0) {
 				n.book.Done(d.key)
 				return true
 			}
@@ -191,23 +192,23 @@
 	}
 }
 
-// load takes every slot that the node may take.
-func (m *model) load(n *node) {
+// fillSlots takes every slot that the node may take.
+func (m *model) fillSlots(n *node) {
 	for _, s := range specsOf(modelSpecs[n.specs]) {
 		for n.book.Take(m.local(n), s.Key) {
 			m.taken++
 			life := time.Duration(float64(modelTimeout) / n.rate)
-			n.flying = append(n.flying, dispatch{key: s.Key, end: m.now + life})
+			n.inFlight = append(n.inFlight, dispatch{key: s.Key, end: m.now + life})
 		}
 	}
 }
 
-// check compares the truth at the targets with the limits.
+// check compares the actual requests at the targets with the limits.
 func (m *model) check() {
 	at := make(map[TargetKey]int)
 	total := 0
 	for _, n := range m.nodes {
-		for _, d := range n.flying {
+		for _, d := range n.inFlight {
 			if d.end > m.now {
 				at[d.key]++
 				total++
@@ -219,7 +220,7 @@
 	}
 	most := make(map[TargetKey]int)
 	for i, allowances := range modelSpecs {
-		if m.now > m.recent[i]+2*(modelSettle+modelTimeout) && i != m.specs {
+		if m.now > m.lastInForce[i]+2*(modelSettle+modelTimeout) && i != m.specs {
 			continue
 		}
 		for _, s := range specsOf(allowances) {
@@ -233,8 +234,8 @@
 	}
 }
 
-// work is what a shell does on each tick.
-func (m *model) work(n *node) {
+// tick does the periodic work of the instance that embeds the package under test.
+func (m *model) tick(n *node) {
 	m.read(n)
 	release := n.book.Release()
 	roster, sent := n.book.Roster(), m.local(n)
@@ -243,7 +244,7 @@
 			m.post(n.id, o.id, o, func() { m.heartbeat(o, n, release, roster, sent) })
 		}
 	}
-	m.change(n)
+	m.updateRoster(n)
 }
 
 func (m *model) heartbeat(n, from *node, release Release, roster Roster, sent time.Time) {
@@ -262,7 +263,7 @@
 	})
 }
 
-// read asks the platform for the roster and the list.
+// read requests the roster and the list from the platform.
 func (m *model) read(n *node) {
 	sent := m.local(n)
 	m.post(n.id, modelNodes, nil, func() {
@@ -287,7 +288,8 @@
 	})
 }
 
-// write swaps the platform's roster; whether it landed is never told.
+// write replaces the platform's roster if it is one version older. The outcome is
+// never reported.
 func (m *model) write(n *node, next Roster, err error) {
 	if err != nil {
 		return
@@ -299,17 +301,17 @@
 	})
 }
 
-// change writes a new roster if there is reason for one.
-func (m *model) change(n *node) {
+// updateRoster writes a new roster if one is needed.
+func (m *model) updateRoster(n *node) {
 	r, now := n.book.Roster(), m.local(n)
 	own, in := r.Member(n.name())
 	in = in && own.Incarnation == n.inc
 	switch {
-	case !in && n.wants:
+	case !in && n.shouldBeMember:
 		next, err := r.Join(n.name(), n.inc)
 		m.write(n, next, err)
 		return
-	case in && !n.wants && !own.Leaving():
+	case in && !n.shouldBeMember && !own.Leaving():
 		next, err := r.MarkLeaving(n.name(), n.inc)
 		m.write(n, next, err)
 		return
@@ -318,8 +320,8 @@
 		m.write(n, next, err)
 		return
 	}
-	if lines := n.book.Forgettable(now); in && len(lines) > 0 {
-		m.write(n, r.Forget(lines), nil)
+	if entries := n.book.Forgettable(now); in && len(entries) > 0 {
+		m.write(n, r.Forget(entries), nil)
 		return
 	}
 	for _, o := range r.Members {
@@ -331,17 +333,17 @@
 	}
 }
 
-// suspects says whether a node takes another for dead, at times wrongly.
+// suspects reports whether a node considers another dead, sometimes wrongly.
 func (m *model) suspects(n *node, o Member) bool {
 	for _, p := range m.live {
-		if p != nil && p.name() == o.Instance && !p.asleep && !m.cut[p.id][n.id] && p.inc == o.Incarnation {
+		if p != nil && p.name() == o.Instance && !p.paused && !m.blocked[p.id][n.id] && p.inc == o.Incarnation {
 			return m.rng.IntN(60) == 0
 		}
 	}
 	return m.rng.IntN(4) == 0
 }
 
-// kill ends a process at once; its requests go on at the targets.
+// kill ends a process at once; its requests continue at the targets.
 func (m *model) kill(id int) {
 	if n := m.live[id]; n != nil {
 		n.dead = true
@@ -349,34 +351,34 @@
 	}
 }
 
-// wake lets a paused process go on, with the settings that came meanwhile.
+// wake resumes a paused process, with the settings that changed meanwhile.
 func (m *model) wake(id int) {
 	if n := m.live[id]; n != nil {
-		n.asleep = false
-		m.settle(n)
+		n.paused = false
+		m.applySpecs(n)
 	}
 }
 
-func (m *model) settle(n *node) {
-	if n.specs != m.specs && !n.asleep {
+func (m *model) applySpecs(n *node) {
+	if n.specs != m.specs && !n.paused {
 		n.specs = m.specs
 		n.book.SetSpecs(m.local(n), specsOf(modelSpecs[n.specs]))
 	}
 }
 
-// set changes the settings: every process gets them within the settle time. A
-// process that sleeps through a change and the change back is beyond what the
-// book can know; docs/design/ownership.md says so.
-func (m *model) set(specs int) {
-	if slices.ContainsFunc(m.live[:], func(n *node) bool { return n != nil && n.asleep }) {
+// setSpecs changes the settings: every process applies them within the settle
+// time. A process that is paused throughout a change and its reversal can't be
+// detected; see docs/design/ownership.md.
+func (m *model) setSpecs(specs int) {
+	if slices.ContainsFunc(m.live[:], func(n *node) bool { return n != nil && n.paused }) {
 		return
 	}
-	m.recent[m.specs] = m.now
+	m.lastInForce[m.specs] = m.now
 	m.specs, m.changed = specs, m.now
 	for _, n := range m.live {
 		if n != nil {
 			delay := time.Duration(m.rng.Int64N(int64(modelSettle - 2*modelStep)))
-			m.events = append(m.events, event{at: m.now + delay, node: n, do: func() { m.settle(n) }})
+			m.events = append(m.events, event{at: m.now + delay, node: n, do: func() { m.applySpecs(n) }})
 		}
 	}
 }
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -7,14 +7,15 @@
 	"github.com/juju/errors"
 )
 
-// State is how far an instance may use the targets that it owns.
+// State is the state of an instance's ownership lease. It determines how much
+// the instance may use of the targets that it owns.
 type State int
 
-// States of tenure.
+// States of the ownership lease.
 const (
-	None      State = iota // the newest roster has no line of this instance: it may only finish
-	Lapsed                 // nobody vouches that the line still stands: half of each allowance
-	Confirmed              // the line stands: all of each allowance
+	None      State = iota // the newest roster has no entry of this instance: it may only finish requests in flight
+	Lapsed                 // nothing confirms that the entry is still in the roster: half of each allowance
+	Confirmed              // the entry is confirmed: all of each allowance
 )
 
 func (s State) String() string {
@@ -28,19 +29,19 @@
 	}
 }
 
-// peer is what this instance knows of another of its place.
+// peer is the cached state of another instance of the place.
 type peer struct {
-	incarnation uint64
-	version     uint64    // newest roster it is known to have
-	ackUntil    time.Time // tenure by its ack ends here
-	promised    time.Time // this instance acked, and won't remove it before this
-	removing    bool      // a write that removes it may be under way: no ack
-	release     Release   // newest
-	heard       time.Time // when release came
-	hasRelease  bool
-	before      Release   // the newest by a roster that was known here when release came, if release is by a newer one
-	beforeHeard time.Time // when before came
-	hasBefore   bool
+	incarnation    uint64
+	rosterVersion  uint64    // newest roster version that it is known to have
+	leaseUntil     time.Time // end of the lease that its last ack extends
+	keepUntil      time.Time // this instance's last ack forbids removing it before then
+	removing       bool      // a write that removes it may be in flight: send it no ack
+	release        Release   // newest
+	releaseAt      time.Time // when release arrived
+	hasRelease     bool
+	prevRelease    Release   // newest one under a roster that was known here when release arrived, if release is under a newer one
+	prevReleaseAt  time.Time // when prevRelease arrived
+	hasPrevRelease bool
 }
 
 // process is one incarnation of an instance.
@@ -49,160 +50,164 @@
 	incarnation uint64
 }
 
-// said returns what is kept of an incarnation that may have ended, or nil: what
-// it said of its requests in flight holds after its end.
-func (b *Book) said(instance string, incarnation uint64) *peer {
-	if p, ok := b.peers[instance]; ok && p.incarnation == incarnation {
+// findPeer returns the state kept of an incarnation that may have ended, or nil.
+// What it reported about its requests in flight stays valid after its end.
+func (t *Book) findPeer(instance string, incarnation uint64) *peer {
+	if p, ok := t.peers[instance]; ok && p.incarnation == incarnation {
 		return p
 	}
-	return b.old[process{instance, incarnation}]
+	return t.previous[process{instance, incarnation}]
 }
 
-// forgetOld drops what is kept of ended incarnations that the roster has no line of.
-func (b *Book) forgetOld() {
-	named := make(map[process]bool)
-	for _, s := range b.roster.spans() {
-		named[process{s.Instance, s.Incarnation}] = true
+// prunePrevious drops the state of ended incarnations without an entry in the roster.
+func (t *Book) prunePrevious() {
+	inRoster := make(map[process]bool)
+	for _, s := range t.roster.spans() {
+		inRoster[process{s.Instance, s.Incarnation}] = true
 	}
-	maps.DeleteFunc(b.old, func(p process, _ *peer) bool { return !named[p] })
+	maps.DeleteFunc(t.previous, func(p process, _ *peer) bool { return !inRoster[p] })
 }
 
-// peer returns the state kept for an incarnation, or nil if a newer is known.
-func (b *Book) peer(instance string, incarnation uint64) *peer {
-	p, ok := b.peers[instance]
+// peer returns the state kept for an incarnation, creating it if there is none,
+// or nil if a newer incarnation is known.
+func (t *Book) peer(instance string, incarnation uint64) *peer {
+	p, ok := t.peers[instance]
 	if ok && p.incarnation > incarnation {
 		return nil
 	}
 	if !ok || p.incarnation < incarnation {
 		if ok && p.hasRelease {
-			b.old[process{instance, p.incarnation}] = p
+			t.previous[process{instance, p.incarnation}] = p
 		}
 		p = &peer{incarnation: incarnation}
-		b.peers[instance] = p
+		t.peers[instance] = p
 	}
 	return p
 }
 
-// Confirm notes that the platform answered a read, sent at the given time, with
-// this roster version. Give the roster itself to SetRoster first if it is newer.
-func (b *Book) Confirm(sent time.Time, version uint64) {
-	if b.own.Instance == "" || version < b.own.Since || version > b.roster.Version {
+// Confirm records that the platform answered a read, sent at the given time,
+// with this roster version. If the roster is newer, pass it to SetRoster first.
+func (t *Book) Confirm(sent time.Time, version uint64) {
+	if t.own.Instance == "" || version < t.own.Since || version > t.roster.Version {
 		return
 	}
-	b.platformUntil = later(b.platformUntil, sent.Add(b.cfg.Term))
+	t.platformUntil = later(t.platformUntil, sent.Add(t.cfg.Term))
 }
 
-// Ack notes a peer's ack of a heartbeat that was sent at the given time;
-// version is the peer's roster version. The peer promised not to remove this
-// instance before Term after it.
-func (b *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
-	p := b.peer(peer, incarnation)
+// Ack records a peer's ack of a heartbeat that was sent at the given time;
+// version is the peer's roster version. The ack commits the peer not to remove
+// this instance before Term after that time.
+func (t *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
+	p := t.peer(peer, incarnation)
 	if p == nil {
 		return
 	}
-	b.lives(sent, peer, incarnation)
-	p.version = max(p.version, version)
-	p.ackUntil = later(p.ackUntil, sent.Add(b.cfg.Term))
+	t.markAlive(sent, peer, incarnation)
+	p.rosterVersion = max(p.rosterVersion, version)
+	p.leaseUntil = later(p.leaseUntil, sent.Add(t.cfg.Term))
 }
 
 // MayAck decides whether to ack a heartbeat of a peer that has the given roster
-// version, and notes the promise that the ack makes. Send no ack on false.
-func (b *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
-	b.newer(now, peer, incarnation)
-	p := b.peer(peer, incarnation)
+// version, and records the commitment that the ack makes. If it returns false,
+// no ack may be sent.
+func (t *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
+	t.observeIncarnation(now, peer, incarnation)
+	p := t.peer(peer, incarnation)
 	if p == nil {
 		return false
 	}
-	b.lives(now, peer, incarnation)
-	p.version = max(p.version, version)
-	m, ok := b.roster.Member(peer)
+	t.markAlive(now, peer, incarnation)
+	p.rosterVersion = max(p.rosterVersion, version)
+	m, ok := t.roster.Member(peer)
 	if !ok || m.Incarnation != incarnation || p.removing {
 		return false
 	}
-	p.promised = now.Add(b.skewed(b.cfg.Term))
+	p.keepUntil = now.Add(t.withSkew(t.cfg.Term))
 	return true
 }
 
-// Tenure returns the state of tenure at now.
-func (b *Book) Tenure(now time.Time) State {
+// Tenure returns the state of the ownership lease at now.
+func (t *Book) Tenure(now time.Time) State {
 	switch {
-	case b.own.Instance == "":
+	case t.own.Instance == "":
 		return None
-	case now.Before(b.platformUntil), b.acked(now):
+	case now.Before(t.platformUntil), t.acked(now):
 		return Confirmed
 	default:
 		return Lapsed
 	}
 }
 
-// acked reports whether every other member's ack still holds.
-func (b *Book) acked(now time.Time) bool {
-	for _, m := range b.roster.Members {
-		if m.Instance == b.own.Instance {
+// acked reports whether the last ack of every other member is still valid.
+func (t *Book) acked(now time.Time) bool {
+	for _, m := range t.roster.Members {
+		if m.Instance == t.own.Instance {
 			continue
 		}
-		p, ok := b.peers[m.Instance]
-		if !ok || p.incarnation != m.Incarnation || !now.Before(p.ackUntil) {
+		p, ok := t.peers[m.Instance]
+		if !ok || p.incarnation != m.Incarnation || !now.Before(p.leaseUntil) {
 			return false
 		}
 	}
 	return true
 }
 
-// Removable reports whether this instance may write a roster without the peer:
-// its last ack to it has run out, and the peer knows a roster in which this
-// instance's ack is needed or is no longer listed; or a newer incarnation proves
-// that the peer has ended.
-func (b *Book) Removable(now time.Time, peer string) bool {
-	m, ok := b.roster.Member(peer)
-	if !ok || b.own.Instance == "" || peer == b.own.Instance {
+// Removable reports whether this instance may write a roster without the peer.
+// This instance's last ack to the peer must have expired, and the peer must have
+// a roster in which it needs this instance's ack or is no longer listed; or a
+// newer incarnation proves that the peer has ended.
+func (t *Book) Removable(now time.Time, peer string) bool {
+	m, ok := t.roster.Member(peer)
+	if !ok || t.own.Instance == "" || peer == t.own.Instance {
 		return false
 	}
-	e, ended := b.ended[peer]
+	e, ended := t.ended[peer]
 	ended = ended && e.incarnation >= m.Incarnation
 	if ended && !e.listed {
 		return true
 	}
-	p := b.peer(peer, m.Incarnation)
-	if p == nil || now.Before(p.promised) {
+	p := t.peer(peer, m.Incarnation)
+	if p == nil || now.Before(p.keepUntil) {
 		return false
 	}
-	return ended || m.Since > b.own.Since || p.version >= b.own.Since
+	return ended || m.Since > t.own.Since || p.rosterVersion >= t.own.Since
 }
 
 // Remove returns the roster without the peer, to be written at once. From now
-// on the peer gets no ack, until a newer roster still names it or Abandon.
-func (b *Book) Remove(now time.Time, peer string) (Roster, error) {
-	if !b.Removable(now, peer) {
+// on the peer gets no ack until a newer roster still lists it or the removal is
+// abandoned.
+func (t *Book) Remove(now time.Time, peer string) (Roster, error) {
+	if !t.Removable(now, peer) {
 		return Roster{}, &NotRemovableError{Instance: peer}
 	}
-	m, _ := b.roster.Member(peer)
-	next, err := b.roster.Remove(peer, m.Incarnation, b.finished(now, m))
+	m, _ := t.roster.Member(peer)
+	next, err := t.roster.Remove(peer, m.Incarnation, t.finished(now, m))
 	if err != nil {
 		return Roster{}, errors.Annotate(err, "Book.Remove")
 	}
-	if p := b.peer(peer, m.Incarnation); p != nil {
+	if p := t.peer(peer, m.Incarnation); p != nil {
 		p.removing = true
 	}
 	return next, nil
 }
 
-// Undecided reports whether a write that removes the peer may still land. Until a
-// newer roster is known, the peer gets no ack.
-func (b *Book) Undecided(peer string) bool {
-	p, ok := b.peers[peer]
+// Undecided reports whether a write that removes the peer may still take effect.
+// Until a newer roster is known, the peer gets no ack.
+func (t *Book) Undecided(peer string) bool {
+	p, ok := t.peers[peer]
 	return ok && p.removing
 }
 
-// Abandon notes that the write which Remove began is proved not to have been
-// sent. An uncertain write may still land: it must not be abandoned.
-func (b *Book) Abandon(peer string) {
-	if p, ok := b.peers[peer]; ok {
+// Abandon records that the write begun by Remove is proved not to have been
+// sent. A write with an uncertain outcome may still take effect and must not be
+// abandoned.
+func (t *Book) Abandon(peer string) {
+	if p, ok := t.peers[peer]; ok {
 		p.removing = false
 	}
 }
 
-// NotRemovableError says that a promise to a peer still stands.
+// NotRemovableError reports that a peer may not be removed yet.
 type NotRemovableError struct{ Instance string }
 
 func (e *NotRemovableError) Error() string { return "owner: may not remove " + e.Instance + " yet" }
--- a/internal/queue/station_test.go
+++ b/internal/queue/station_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestDeadStationIsFoundAliveAgain(t *testing.T) {
+func TestDeadServiceRecovers(t *testing.T) {
 	q, now := busyQueue(5)
 	now = now.Add(time.Minute) // no completion
 	if got := q.Push(now, Item{ID: 100, Service: a1, Deadline: now.Add(10 * time.Second)}).Kind; got != VerdictLate {
@@ -23,12 +23,11 @@
 	}
 }
 
-// Right after nothing has completed for a while, who waits is not refused for that: what
-// was slow stood still. A station that goes on so is taken for dead, and one that is slow
-// for slow.
+// TestStandstillIsNoRate checks that requests are not refused right after a pause of the
+// targets, which says nothing about the rate. A service that stays paused is assumed dead.
 func TestStandstillIsNoRate(t *testing.T) {
 	tests := map[string]struct {
-		still time.Duration
+		pause time.Duration
 		want  VerdictKind
 	}{
 		"moves":       {0, VerdictQueued},
@@ -42,14 +41,14 @@
 				now = now.Add(10 * time.Millisecond)
 				q.Completed(now, a1, 5*time.Millisecond)
 			}
-			deadline := now.Add(tt.still + 3*time.Second)
+			deadline := now.Add(tt.pause + 3*time.Second)
 			for id := range uint64(90) {
 				if got := q.Push(now, Item{ID: id + 1, Service: a1, Deadline: deadline}).Kind; got != VerdictQueued {
 					t.Fatalf("request %d: got %v, want queued", id, got)
 				}
-				now = now.Add(min(tt.still, 1200*time.Millisecond) / 90)
+				now = now.Add(min(tt.pause, 1200*time.Millisecond) / 90)
 			}
-			now = now.Add(max(0, tt.still-1200*time.Millisecond))
+			now = now.Add(max(0, tt.pause-1200*time.Millisecond))
 			if got := q.Push(now, Item{ID: 1000, Service: a1, Deadline: deadline}).Kind; got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
@@ -58,10 +57,10 @@
 }
 
 func TestRateCountsOnlyWhileItemsWait(t *testing.T) {
-	q, now := busyQueue(0) // ten a second: all that came, not all that could be done
+	q, now := busyQueue(0) // ten per second: the arrival rate, not the capacity
 	q.Push(now, Item{ID: 1, Service: a1, Deadline: now.Add(time.Hour)})
 	if got := q.Wait(now, a1); got != 0 {
-		t.Errorf("got a wait of %v, want none before one was measured", got)
+		t.Errorf("got a wait of %v, want none before a rate was measured", got)
 	}
 }
 
@@ -74,11 +73,11 @@
 	}
 }
 
-// TestStallIsNoUsualTime: a few requests that stood still for seconds with their target
-// or this process tell nothing of how long the next ones take; many do.
+// TestStallIsNoUsualTime checks that a few requests that were paused for seconds with their
+// target or this process don't raise the expected duration of later ones; many do.
 func TestStallIsNoUsualTime(t *testing.T) {
 	tests := map[string]struct {
-		slow int // requests that took 3 s, the last ones
+		slow int // number of last requests that took 3 s
 		want VerdictKind
 	}{
 		"none": {0, VerdictQueued},
@@ -106,9 +105,9 @@
 	}
 }
 
-// TestStandstillIsNoUsualTime: all requests that were under way stood still with their
-// targets, and end together. They tell nothing of how long the next ones take; those of a
-// service that has become slow do.
+// TestStandstillIsNoUsualTime pauses all requests in flight with their targets; they then end
+// together. They must not raise the expected duration of later ones; those of a service that
+// has become slow must.
 func TestStandstillIsNoUsualTime(t *testing.T) {
 	const slots, slow = 8, 3 * time.Second
 	tests := map[string]struct {
--- a/internal/shift/ramp_test.go
+++ b/internal/shift/ramp_test.go
@@ -18,14 +18,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.SetCap(begin.Add(-window), c)
+	r.SetCap(begin.Add(-windowLength), c)
 	return r
 }
 
-// saturate asks every 4 ms for one window and returns what passed.
+// saturate requests admission every 4 ms for one window and returns how many were
+// admitted.
 func saturate(r *Ramp, from time.Time) int {
 	n := 0
-	for d := time.Duration(0); d < window; d += 4 * time.Millisecond {
+	for d := time.Duration(0); d < windowLength; d += 4 * time.Millisecond {
 		for r.Admit(from.Add(d)) {
 			n++
 		}
@@ -49,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRamp(t, Cap{Version: 1, Shares: tt.shares})
 			for i, want := range tt.want {
-				if got := saturate(r, begin.Add(time.Duration(i)*window)); got != want {
+				if got := saturate(r, begin.Add(time.Duration(i)*windowLength)); got != want {
 					t.Errorf("window %d: got %d, want %d", i, got, want)
 				}
 			}
@@ -58,13 +59,13 @@
 }
 
 func TestFractionPasses(t *testing.T) {
-	r := newRamp(t, Cap{Version: 1, Shares: Divide(2, []int{1, 1, 1, 1, 1})[1:2]}) // 0.4 a second
+	r := newRamp(t, Cap{Version: 1, Shares: Divide(2, []int{1, 1, 1, 1, 1})[1:2]}) // 0.4 per second
 	got := 0
 	for i := range 100 {
-		got = saturate(r, begin.Add(time.Duration(i)*window))
+		got = saturate(r, begin.Add(time.Duration(i)*windowLength))
 	}
 	if got < 39 || got > 41 {
-		t.Errorf("got %d a second after 100 s, want 40 give or take 1", got)
+		t.Errorf("got %d per second after 100 s, want 39 to 41", got)
 	}
 }
 
@@ -77,18 +78,18 @@
 	if want := 1 + 80/DefaultBurst; got != want {
 		t.Errorf("got %d at the start of the window, want %d", got, want)
 	}
-	if got, want := r.RetryAt(begin), begin.Add(window/80); !got.Equal(want) {
+	if got, want := r.RetryAt(begin), begin.Add(windowLength/80); !got.Equal(want) {
 		t.Errorf("got next at %v, want %v", got, want)
 	}
 }
 
 func TestClockSteps(t *testing.T) {
 	tests := map[string]struct {
-		step time.Duration // from the end of the second window, all 10 used
+		step time.Duration // of the clock at the end of the second window, with all 10 used
 		want []int         // admitted in the seconds that follow
 	}{
 		"none":       {0, []int{15, 20}},
-		"back a bit": {-1100 * time.Millisecond, []int{0, 15}}, // none until the clock is there again
+		"back a bit": {-1100 * time.Millisecond, []int{0, 15}}, // none until the clock has caught up
 		"back far":   {-time.Hour, []int{0, 15}},               // two windows become one
 		"on far":     {time.Hour, []int{5, 10}},
 	}
@@ -96,9 +97,9 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRamp(t, Cap{Version: 1, Shares: Divide(5, []int{1})})
 			saturate(r, begin)
-			saturate(r, begin.Add(window))
+			saturate(r, begin.Add(windowLength))
 			for i, want := range tt.want {
-				from := begin.Add(time.Duration(i+2)*window + tt.step)
+				from := begin.Add(time.Duration(i+2)*windowLength + tt.step)
 				if got := saturate(r, from); got != want {
 					t.Errorf("second %d: got %d, want %d", i, got, want)
 				}
@@ -110,29 +111,29 @@
 func TestNewVersion(t *testing.T) {
 	r := newRamp(t, Cap{Version: 1, Shares: Divide(5, []int{1})})
 	saturate(r, begin)
-	r.SetCap(begin.Add(window), Cap{Version: 2, Shares: Divide(50, []int{1})})
-	r.SetCap(begin.Add(window), Cap{Version: 3, Shares: Divide(20, []int{1})})
-	for i, want := range []int{10, 15, 20, 40} { // the first version counts for 3 s
-		if got := saturate(r, begin.Add(time.Duration(i+1)*window)); got != want {
+	r.SetCap(begin.Add(windowLength), Cap{Version: 2, Shares: Divide(50, []int{1})})
+	r.SetCap(begin.Add(windowLength), Cap{Version: 3, Shares: Divide(20, []int{1})})
+	for i, want := range []int{10, 15, 20, 40} { // the first version applies for 3 s
+		if got := saturate(r, begin.Add(time.Duration(i+1)*windowLength)); got != want {
 			t.Errorf("window %d: got %d, want %d", i+1, got, want)
 		}
 	}
-	if got := r.Counts(begin.Add(4 * window)).Version; got != 3 {
+	if got := r.Counts(begin.Add(4 * windowLength)).Version; got != 3 {
 		t.Errorf("got version %d, want 3", got)
 	}
 }
 
-func TestWait(t *testing.T) {
+func TestVerdicts(t *testing.T) {
 	tests := map[string]struct {
 		shares []Share
 		ahead  int
 		by     time.Duration
 		want   Action
 	}{
-		"room":         {Divide(5, []int{1}), 0, window, Serve},
-		"behind one":   {Divide(5, []int{1}), 1, window, Queue},
-		"next windows": {Divide(5, []int{1}), 16, 4 * window, Queue},
-		"too late":     {Divide(5, []int{1}), 16, window, Refuse},
+		"room":         {Divide(5, []int{1}), 0, windowLength, Serve},
+		"behind one":   {Divide(5, []int{1}), 1, windowLength, Queue},
+		"next windows": {Divide(5, []int{1}), 16, 4 * windowLength, Queue},
+		"too late":     {Divide(5, []int{1}), 16, windowLength, Refuse},
 		"never":        {nil, 0, time.Hour, Refuse},
 	}
 	for name, tt := range tests {
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestOwnersKeepCap counts what several owners of changing targets admit, by
-// its own clock, and holds the sum against the cap.
+// TestOwnersKeepCap counts, by its own clock, what several owners admit while
+// targets move between them, and compares the sum with the cap.
 func TestOwnersKeepCap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(0, 12).Draw(t, "cap")
@@ -162,7 +163,7 @@
 		for s := range seconds {
 			sum := 0
 			for _, ms := range []int{1, 400, 999} {
-				now := begin.Add(time.Duration(s)*window + time.Duration(ms)*time.Millisecond)
+				now := begin.Add(time.Duration(s)*windowLength + time.Duration(ms)*time.Millisecond)
 				if rapid.Bool().Draw(t, "change") {
 					assign(t, now, owners, shares)
 				}
@@ -191,10 +192,10 @@
 	n := 0
 	for _, r := range owners {
 		for range rapid.IntRange(0, 40).Draw(t, "asked") {
-			room, at := r.Room(now), r.RetryAt(now)
+			free, at := r.Room(now), r.RetryAt(now)
 			ok := r.Admit(now)
-			if ok != (room > 0) || ok != at.Equal(now) {
-				t.Fatalf("admitted %v with room %d and the next at %v", ok, room, at)
+			if ok != (free > 0) || ok != at.Equal(now) {
+				t.Fatalf("admitted %v with %d free and the next at %v", ok, free, at)
 			}
 			if ok {
 				n++
