--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -11,8 +11,8 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// rules is one version of the configuration as it is in force: its routes and its keys
-// hold together.
+// rules is one version of the configuration that is in force. Its routes and its keys
+// belong to the same version and are replaced together.
 type rules struct {
 	*routes.Table
 
@@ -23,50 +23,49 @@
 	return &rules{Table: routes.NewTable(cfg), keys: auth.NewKeyring(&cfg)}
 }
 
-// refusal is why a request is refused before a target is looked for.
+// refusal is the reason for which a request is refused before a target is chosen.
 type refusal struct {
-	status int
-	reason string
-	again  time.Duration // when it is worth coming back; 0 if it is not
+	status     int
+	reason     string
+	retryAfter time.Duration // 0 if a retry is of no use
 }
 
-// The refusals of requests that the configuration doesn't allow, or that come to an
-// instance which can't tell.
+// Refusals of requests that the configuration doesn't allow, and of requests that reach an
+// instance which can't decide yet or is stopping.
 var (
-	stopping   = &refusal{status: http.StatusServiceUnavailable, reason: "stopping", again: againSoonest}
-	unready    = &refusal{status: http.StatusServiceUnavailable, reason: "no-config", again: againUnready}
-	noRoute    = &refusal{status: http.StatusNotFound, reason: "no-route"}
-	noKey      = &refusal{status: http.StatusUnauthorized, reason: "no-key"}
-	unknownKey = &refusal{status: http.StatusUnauthorized, reason: "unknown-key"}
-	oldKeys    = &refusal{status: http.StatusServiceUnavailable, reason: "old-keys", again: againOldKeys}
+	refusedStopping   = &refusal{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: minRetryAfter}
+	refusedNoConfig   = &refusal{status: http.StatusServiceUnavailable, reason: "no-config", retryAfter: retryAfterNoConfig}
+	refusedNoRoute    = &refusal{status: http.StatusNotFound, reason: "no-route"}
+	refusedNoKey      = &refusal{status: http.StatusUnauthorized, reason: "no-key"}
+	refusedUnknownKey = &refusal{status: http.StatusUnauthorized, reason: "unknown-key"}
+	refusedStaleKeys  = &refusal{status: http.StatusServiceUnavailable, reason: "old-keys", retryAfter: retryAfterStaleKeys}
 )
 
 const (
-	// againUnready is how soon an instance that has just started is worth asking
-	// again: it lists the store in a few calls.
-	againUnready = 300 * time.Millisecond
-	// againOldKeys is how soon one is that has long heard nothing of the keys: it asks
-	// the store or a peer each second.
-	againOldKeys = time.Second
+	// retryAfterNoConfig: an instance that has just started lists the store in a few calls.
+	retryAfterNoConfig = 300 * time.Millisecond
+	// retryAfterStaleKeys: an instance whose keys have expired polls the store or a peer
+	// every second.
+	retryAfterStaleKeys = time.Second
 )
 
-// admission is what a request may do by the configuration in force.
+// admission is the result of checking a request against the configuration in force.
 type admission struct {
 	rules     *rules
 	route     *routes.Entry
-	workspace *routes.Workspace // that it is made for; nil if none
+	workspace *routes.Workspace // that sends the request; nil if none
 }
 
-// admit finds the route of a request and the workspace that it is made for, or the
+// admit finds the route of a request and the workspace that sends it, or returns the
 // refusal.
 func (n *Node) admit(r *http1.Request, info platform.Request) (admission, *refusal) {
 	a := admission{rules: n.rules.Load()}
 	if a.rules == nil {
-		return a, unready
+		return a, refusedNoConfig
 	}
 	a.route = a.rules.Match(r.Host, r.Path)
 	if a.route == nil {
-		return a, noRoute
+		return a, refusedNoRoute
 	}
 	if !a.rules.keys.Needed() {
 		return a, nil
@@ -75,24 +74,24 @@
 	switch {
 	case a.route.Open:
 		return a, nil
-	case n.keysLapsed():
-		return a, oldKeys
+	case n.keysExpired():
+		return a, refusedStaleKeys
 	case a.workspace == nil && info.Key == "":
-		return a, noKey
+		return a, refusedNoKey
 	case a.workspace == nil:
-		return a, unknownKey
+		return a, refusedUnknownKey
 	}
 	return a, nil
 }
 
-// keysLapsed says whether this instance has heard nothing of the configuration for
-// longer than the platform lets it trust the keys that it knows.
-func (n *Node) keysLapsed() bool {
+// keysExpired reports whether this instance has received no update of the configuration for
+// longer than the platform allows API keys to be trusted.
+func (n *Node) keysExpired() bool {
 	b := n.bounds.Load()
 	return b.KeysLapse && n.mirror.Age(boottime.Now()) > b.KeysFor
 }
 
-// regions is where the request may be served: as its route and its workspace allow.
+// regions returns the regions in which the request may be served, by its route and workspace.
 func (a admission) regions() routes.Regions {
 	if a.workspace == nil {
 		return a.route.Regions
@@ -100,15 +99,15 @@
 	return a.route.Regions.And(a.workspace.Regions)
 }
 
-// name is the workspace's name; "" if there is none.
-func (a admission) name() string {
+// workspaceName returns the workspace's name; "" if there is none.
+func (a admission) workspaceName() string {
 	if a.workspace == nil {
 		return ""
 	}
 	return a.workspace.Name
 }
 
-// priority is the request's rank, 0 the highest: the workspace's goes before the route's.
+// priority returns the request's priority, 0 the highest. The workspace's overrides the route's.
 func (a admission) priority() int {
 	if a.workspace != nil && a.workspace.Priority != nil {
 		return *a.workspace.Priority
@@ -116,8 +115,8 @@
 	return a.route.Priority
 }
 
-// early refuses a request whose body has yet to come, if it can't be allowed anyway.
-func (n *Node) early(r *http1.Request) *http1.Response {
+// refuseEarly refuses a request before its body is read, if it would be refused anyway.
+func (n *Node) refuseEarly(r *http1.Request) *http1.Response {
 	info := platform.ReadRequest(r.Header)
 	if _, refused := n.admit(r, info); refused != nil {
 		return n.refuse(r, info, refused)
@@ -125,18 +124,18 @@
 	return nil
 }
 
-// judgeAgain judges a request that has waited by the configuration in force now: its key
-// may have been taken away or moved to another workspace, or that may have other regions.
-// It says whether the request may be sent. No attempt may be under way.
-func (n *Node) judgeAgain(p *passage) bool {
-	now := n.rules.Load()
-	if now == p.rules {
+// reauthorize checks a waiting request against the configuration in force now, and reports
+// whether it may still be sent: its key may have been revoked or moved to another workspace,
+// or the workspace's regions may have changed. No attempt may be in flight.
+func (n *Node) reauthorize(p *pendingRequest) bool {
+	current := n.rules.Load()
+	if current == p.rules {
 		return true
 	}
-	owner := now.keys.Owner(p.info.Key)
-	if owner == nil && now.keys.Needed() && !p.route.Open {
+	owner := current.keys.Owner(p.info.Key)
+	if owner == nil && current.keys.Needed() && !p.route.Open {
 		return false
 	}
-	p.rules, p.workspace = now, owner
+	p.rules, p.workspace = current, owner
 	return true
 }
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -15,11 +15,11 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Changed takes in changes of the store.
+// Changed applies changes of the store.
 func (n *Node) Changed(changes []mirror.Change) {
 	now := boottime.Now()
 	instances := false
-	var ends []mirror.Change
+	var crashChanges []mirror.Change
 	for _, c := range changes {
 		id, isTarget := platform.TargetID(c.Key)
 		domain, isEvacuation := platform.EvacuatedDomain(c.Key)
@@ -30,8 +30,8 @@
 			n.applyTarget(now, id, c)
 		case isEvacuation:
 			n.applyEvacuation(now, domain, c)
-		case isCrash(c.Key):
-			ends = append(ends, c)
+		case isCrashKey(c.Key):
+			crashChanges = append(crashChanges, c)
 		case strings.HasPrefix(c.Key, instancePrefix):
 			n.applyInstance(c)
 			instances = true
@@ -40,26 +40,26 @@
 	if instances {
 		n.applyPeers(now)
 	}
-	if ends != nil {
-		n.crashes.apply(ends)
+	if crashChanges != nil {
+		n.crashes.apply(crashChanges)
 	}
 }
 
-// Listed notes that the whole store has been read.
+// Listed is called when the whole store has been read for the first time.
 func (n *Node) Listed() {
 	now := boottime.Now()
 	n.applyPeers(now)
-	n.quotas.Change(func(l *quota.Ledger) { l.Begin(now, !n.resumed) })
-	n.listed.Store(true)
-	n.cfg.Log.Info("store listed", "resumed", n.resumed)
+	n.quotas.Change(func(l *quota.Ledger) { l.Begin(now, !n.hadRecord) })
+	n.storeListed.Store(true)
+	n.cfg.Log.Info("store listed", "resumed", n.hadRecord)
 }
 
-// Read notes what a reading of the whole store brought.
+// Read records the result of a complete read of the store.
 func (n *Node) Read(r mirror.Reading) {
 	if r.Behind > 0 {
 		n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-items", Reason: "behind"})
 	}
-	suppressed, ok := n.failures.Allow(boottime.Now())
+	suppressed, ok := n.failureLimiter.Allow(boottime.Now())
 	if !ok {
 		return
 	}
@@ -67,48 +67,48 @@
 		"behind", r.Behind, "suppressed", suppressed)
 }
 
-// Forgotten notes that the store doesn't have the changes since a revision.
+// Forgotten is called when the store no longer has the changes since a revision.
 func (n *Node) Forgotten(since platform.Revision) {
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-history", Reason: "gone"})
-	if suppressed, ok := n.failures.Allow(boottime.Now()); ok {
+	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("store history gone", "since", since, "epoch", n.store.Epoch(), "suppressed", suppressed)
 	}
 }
 
-// Restored notes that the store has come back from a copy of itself.
+// Restored is called when the store has been restored from a snapshot.
 func (n *Node) Restored(known platform.Revision, epoch uint64) {
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-restored"})
 	n.cfg.Log.Warn("store restored", "known", known, "epoch", epoch)
 	n.registrar.checkSoon()
 }
 
-// Through notes that a peer is followed while the store is out of reach.
+// Through is called when a peer is followed because the store is unreachable.
 func (n *Node) Through(address string) {
 	n.cfg.Log.Info("store followed through a peer", "peer", address)
 }
 
-// Alone notes that the relay of the region is not followed for a while.
+// Alone is called when the region's relay has failed and is not followed for a while.
 func (n *Node) Alone(err error) {
 	n.cfg.Metrics.PlatformFailed("relay")
 	n.cfg.Log.Warn("relay lost", "err", err)
 }
 
-// AnswerFailed notes that a peer got no answer.
-func (n *Node) AnswerFailed(err error) { n.cfg.Log.Error("changes not passed on", "err", err) }
+// AnswerFailed is called when an answer to a peer could not be made.
+func (n *Node) AnswerFailed(err error) { n.cfg.Log.Error("answer to peer failed", "err", err) }
 
-// Lost notes that the store is out of reach; what is known of it is used on.
+// Lost is called when the store has become unreachable. The cached state stays in use.
 func (n *Node) Lost(err error) {
 	n.cfg.Metrics.PlatformFailed("watch")
 	n.cfg.Log.Warn("store lost", "err", err)
 }
 
-// Found notes that the store is back.
+// Found is called when the store is reachable again.
 func (n *Node) Found() { n.cfg.Log.Info("store regained") }
 
-// applyConfig puts a configuration in force, if it is newer than the last.
+// applyConfig puts a configuration in force, unless its version is lower than that in force.
 func (n *Node) applyConfig(now time.Time, c mirror.Change) {
 	if c.Removed {
-		n.cfg.Log.Warn("configuration removed; the last one stays in force")
+		n.cfg.Log.Warn("configuration removed; the previous one stays in force")
 		return
 	}
 	cfg, err := platform.DecodeConfig(c.Value)
@@ -116,7 +116,7 @@
 		err = cfg.Validate(n.regions())
 	}
 	if err != nil {
-		n.cfg.Log.Error("configuration unreadable; the last one stays in force", "revision", c.Changed, "err", err)
+		n.cfg.Log.Error("configuration unreadable; the previous one stays in force", "revision", c.Changed, "err", err)
 		return
 	}
 	if old := n.rules.Load(); old != nil && cfg.Version < old.Config().Version {
@@ -126,13 +126,13 @@
 	n.mu.Lock()
 	n.fleet.Limit(now, cfg.Services)
 	n.mu.Unlock()
-	n.quotas.Change(func(l *quota.Ledger) { l.Limit(limitsOf(&cfg)) })
+	n.quotas.Change(func(l *quota.Ledger) { l.Limit(quotaLimits(&cfg)) })
 	n.rules.Store(newRules(cfg))
 	n.cfg.Log.Info("configuration in force", "version", cfg.Version, "revision", c.Changed,
 		"routes", len(cfg.Routes), "services", len(cfg.Services), "workspaces", len(cfg.Workspaces))
 }
 
-// regions lists the regions of the deployment.
+// regions returns the regions of the deployment.
 func (n *Node) regions() routes.Regions {
 	return slices.Compact(slices.Sorted(maps.Values(n.cfg.Settings.Regions)))
 }
@@ -148,7 +148,7 @@
 		err = &platform.RegistrationError{Key: c.Key, Reason: "failure domain " + r.Domain + " is not known"}
 	}
 	if err != nil {
-		n.unusable(now, id, c, err)
+		n.dropUnusable(now, id, c, err)
 		return
 	}
 	t := steer.Target{
@@ -163,23 +163,23 @@
 	n.mu.Unlock()
 	if change == steer.Restarted {
 		n.pool.Forget(id)
-		n.crashes.restarted(now, t)
+		n.crashes.targetRestarted(now, t)
 	}
 	n.cfg.Log.Info("target", "target", id, "change", change, "service", r.Service, "domain", r.Domain, "address", r.Address,
 		"leaving", r.Leaving, "warm-in", r.WarmIn, "slots", r.Slots, "started", r.Started, "sequence", r.Sequence, "revision", c.Changed)
 }
 
-// unusable forgets the target of an entry that can't be used: nobody knows whether it
-// still is what it was. The others stay.
-func (n *Node) unusable(now time.Time, id string, c mirror.Change, err error) {
+// dropUnusable removes the target of a store entry that can't be used, as it is uncertain
+// whether the last valid registration still holds. Other targets are not affected.
+func (n *Node) dropUnusable(now time.Time, id string, c mirror.Change, err error) {
 	n.removeTarget(id)
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: "registration", Reason: "unusable"})
-	if suppressed, ok := n.failures.Allow(now); ok {
+	if suppressed, ok := n.failureLimiter.Allow(now); ok {
 		n.cfg.Log.Error("registration unusable", "key", c.Key, "revision", c.Changed, "suppressed", suppressed, "err", err)
 	}
 }
 
-// removeTarget forgets a target, and drops the connections to it.
+// removeTarget removes a target and drops the connections to it.
 func (n *Node) removeTarget(id string) {
 	n.mu.Lock()
 	n.fleet.Remove(id)
@@ -213,8 +213,8 @@
 		return
 	}
 	n.instances.put(name, r)
-	if name == n.cfg.Settings.Instance && (r.Run != n.started || c.Created != c.Changed) {
-		n.resumed = true
+	if name == n.cfg.Settings.Instance && (r.Run != n.processStart || c.Created != c.Changed) {
+		n.hadRecord = true
 	}
 	n.cfg.Log.Info("instance", "name", name, "domain", r.Domain, "leaving", r.Leaving, "revision", c.Changed)
 }
@@ -224,6 +224,6 @@
 	n.mu.Lock()
 	n.fleet.Peers(now, names)
 	n.mu.Unlock()
-	members := n.members()
+	members := n.quotaMembers()
 	n.quotas.Change(func(l *quota.Ledger) { l.Peers(now, members) })
 }
--- a/internal/edge/busy_test.go
+++ b/internal/edge/busy_test.go
@@ -9,8 +9,8 @@
 	"github.com/firlever/firlever/internal/overload"
 )
 
-// What an overloaded instance has no time for is refused at once, with a time to come back,
-// and reaches no target.
+// An overloaded instance refuses requests at once, with a Retry-After header, and they reach no
+// target.
 func TestRefusedOnOverload(t *testing.T) {
 	r := newRig(t)
 	r.configure(1, "s")
@@ -18,8 +18,8 @@
 	r.register("a", target.address, "n1", "ready")
 	r.load = overload.NewMeter(0)
 	r.start()
-	r.knows(1)
-	ahead := time.Now().Add(time.Hour) // what is measured meanwhile counts for nothing
+	r.waitUsable(1)
+	ahead := time.Now().Add(time.Hour) // measurements of the test's own time must not count
 	for name, tt := range map[string]struct {
 		delay time.Duration
 		want  int
@@ -41,9 +41,9 @@
 			if tt.want != http.StatusServiceUnavailable {
 				return
 			}
-			again, err := strconv.ParseFloat(got.again, 64)
-			if least, most := againSoonest.Seconds(), (againSoonest + againBusy).Seconds(); err != nil || again < least || again > most+0.01 {
-				t.Errorf("got %q s to come back, want %g to %g", got.again, least, most)
+			again, err := strconv.ParseFloat(got.retryAfter, 64)
+			if least, most := minRetryAfter.Seconds(), (minRetryAfter + overloadRetrySpread).Seconds(); err != nil || again < least || again > most+0.01 {
+				t.Errorf("got Retry-After %q s, want %g to %g", got.retryAfter, least, most)
 			}
 		})
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -25,46 +25,46 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// failureLines bounds the lines a second about failed requests and attempts: a
-// node of today sees about 70 requests a second, and each of them may fail.
-const failureLines = 200
+// failureLogRate bounds the log lines a second about failed requests and attempts: a node gets
+// about 70 requests a second today, and each of them may fail.
+const failureLogRate = 200
 
-// Node is an instance.
+// Node is one instance.
 type Node struct {
-	cfg       Config
-	store     *platform.Store
-	mirror    *mirror.Mirror
-	loads     *loads.Exchange
-	quotas    *quota.Exchange
-	registrar *registrar
-	pool      *http1.Pool
-	crashes   *crashes
-	server    *http1.Server
-	web       []*http.Server // look-ups, readiness and metrics
-	callers   net.Listener
-	peers     string // address for other instances, IP:port
-
-	instances instances
-	started   int64                 // start of this process, in Unix nanoseconds
-	resumed   bool                  // the store had a record of an earlier run; used by the mirror's goroutine alone
-	evacuated map[string]bool       // used by the mirror's goroutine alone
-	rules     atomic.Pointer[rules] // nil until a configuration is known
-	bounds    atomic.Pointer[platform.Bounds]
-	listed    atomic.Bool // the store was read once
-	stopping  atomic.Bool
-	taken     atomic.Pointer[time.Time] // requests that come later are refused, as the instance stops; nil while it does not
-	successes *logs.Limiter
-	failures  *logs.Limiter
-
-	mu    sync.Mutex
-	fleet *steer.Fleet       // guarded by mu
-	sizes map[string]float64 // mean bytes of an answer by route; guarded by mu
-
-	cancel context.CancelFunc
-	work   sync.WaitGroup // the mirror, the registrar, the loads and the gauges
+	cfg            Config
+	store          *platform.Store
+	mirror         *mirror.Mirror
+	loads          *loads.Exchange
+	quotas         *quota.Exchange
+	registrar      *registrar
+	pool           *http1.Pool
+	crashes        *crashTracker
+	server         *http1.Server
+	webServers     []*http.Server // look-ups, readiness, peers and metrics
+	callerListener net.Listener
+	peerAddress    string // address for other instances, IP:port
+
+	instances      instances
+	processStart   int64                 // start of this process, in Unix nanoseconds
+	hadRecord      bool                  // the store had a record of an earlier run; used by the mirror's goroutine alone
+	evacuated      map[string]bool       // used by the mirror's goroutine alone
+	rules          atomic.Pointer[rules] // nil before the first configuration
+	bounds         atomic.Pointer[platform.Bounds]
+	storeListed    atomic.Bool // the store was read once
+	stopping       atomic.Bool
+	acceptUntil    atomic.Pointer[time.Time] // requests that arrive later are refused, as the instance stops; nil while it runs
+	successLimiter *logs.Limiter
+	failureLimiter *logs.Limiter
+
+	mu          sync.Mutex
+	fleet       *steer.Fleet       // guarded by mu
+	answerSizes map[string]float64 // average bytes of an answer by route; guarded by mu
+
+	cancel     context.CancelFunc
+	background sync.WaitGroup // goroutines that Start started
 }
 
-// New makes a node. Start starts it.
+// New creates a node. Start starts it.
 func New(cfg Config) (*Node, error) {
 	cfg.Defaults()
 	s := &cfg.Settings
@@ -74,37 +74,37 @@
 	}
 	n := &Node{
 		cfg: cfg, store: platform.NewStore(s.Store), pool: http1.NewPool(s.IP), fleet: fleet,
-		evacuated: make(map[string]bool), sizes: make(map[string]float64),
-		successes: logs.NewLimiter(cfg.LogRate), failures: logs.NewLimiter(failureLines),
+		evacuated: make(map[string]bool), answerSizes: make(map[string]float64),
+		successLimiter: logs.NewLimiter(cfg.LogRate), failureLimiter: logs.NewLimiter(failureLogRate),
 	}
-	n.store.Note(n.called)
-	n.started = time.Now().UnixNano()
+	n.store.Note(n.countStoreCall)
+	n.processStart = time.Now().UnixNano()
 	if n.quotas, err = n.newQuotas(); err != nil {
 		return nil, errors.Annotate(err, "edge.New")
 	}
 	n.bounds.Store(&s.Bounds)
-	n.peers = peersAddress(s)
-	n.mirror = mirror.New(n.store, n, mirror.Peers{Relays: n.relays, Others: n.others, Seeds: n.seeds(), First: s.FirstStart}, order)
-	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Told: n.told, Hear: n.hear, Failed: n.loadsFailed})
+	n.peerAddress = choosePeerAddress(s)
+	n.mirror = mirror.New(n.store, n, mirror.Peers{Relays: n.relays, Others: n.others, Seeds: n.seeds(), First: s.FirstStart}, compareItems)
+	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Told: n.loadReports, Hear: n.receiveLoadReports, Failed: n.loadExchangeFailed})
 	n.registrar = newRegistrar(n)
-	n.crashes = newCrashes(n)
-	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.early, Busy: cfg.Load.Refuse, TooBusy: n.tooBusy, Limits: n.limits, Unreadable: n.unreadable})
+	n.crashes = newCrashTracker(n)
+	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.refuseEarly, Busy: cfg.Load.Refuse, TooBusy: n.refuseOverloaded, Limits: n.limits, Unreadable: n.refuseUnreadable})
 	return n, nil
 }
 
-// Start listens and begins to serve. Ports that the settings leave open are
-// chosen, and then known.
+// Start opens the listeners and serves. Ports that the settings leave open are chosen by the
+// system and written into the settings.
 func (n *Node) Start() error {
 	s := &n.cfg.Settings
 	ln, err := net.Listen("tcp", s.Callers)
 	if err != nil {
 		return errors.Annotate(err, "callers")
 	}
-	n.callers = ln
+	n.callerListener = ln
 	s.Callers = ln.Addr().String()
 	go n.server.Serve(ln)
 	for address, handler := range map[*string]http.Handler{
-		&s.Lookups: n.lookups(), &s.Ready: n.readiness(), &n.peers: n.forPeers(),
+		&s.Lookups: n.lookupHandler(), &s.Ready: n.readinessHandler(), &n.peerAddress: n.peerHandler(),
 	} {
 		if err := n.serveWeb(address, handler); err != nil {
 			return err
@@ -112,31 +112,31 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
-	n.work.Go(func() { boottime.Watch(ctx) })
-	n.work.Go(func() { n.mirror.Run(ctx) })
-	n.work.Go(func() { n.registrar.run(ctx) })
-	n.work.Go(func() { n.loads.Run(ctx) })
-	n.work.Go(func() { n.crashes.tell.run(ctx) })
-	n.work.Go(func() { n.gauge(ctx) })
+	n.background.Go(func() { boottime.Watch(ctx) })
+	n.background.Go(func() { n.mirror.Run(ctx) })
+	n.background.Go(func() { n.registrar.run(ctx) })
+	n.background.Go(func() { n.loads.Run(ctx) })
+	n.background.Go(func() { n.crashes.notifier.run(ctx) })
+	n.background.Go(func() { n.updateGauges(ctx) })
 	return nil
 }
 
-// peersAddress is where other instances reach this one: at the address that the
-// platform gives for that, or else at the first of the ports that are ours.
-func peersAddress(s *platform.Settings) string {
+// choosePeerAddress returns the address at which other instances reach this one: the address in the
+// settings, or the first of the internal ports.
+func choosePeerAddress(s *platform.Settings) string {
 	if s.Peers != "" {
 		return s.Peers
 	}
 	return net.JoinHostPort(s.IP, strconv.Itoa(s.Ports.First))
 }
 
-// relays are the peers to follow instead of the store, the first if it can be.
+// relays returns the addresses of the peers to follow in place of the store, the preferred first.
 func (n *Node) relays() []string {
 	s := &n.cfg.Settings
-	return n.instances.relays(s.Region, member{name: s.Instance, cores: s.Cores}, mirror.Relays)
+	return n.instances.relays(s.Region, relayCandidate{name: s.Instance, cores: s.Cores}, mirror.Relays)
 }
 
-// collector is the peer that collects the loads of targets; "" if it is this instance.
+// collector returns the address of the peer that collects load reports; "" if it is this instance.
 func (n *Node) collector() string {
 	if relays := n.relays(); len(relays) > 0 {
 		return relays[0]
@@ -144,33 +144,33 @@
 	return ""
 }
 
-// seeds are the peers to ask at the start: none if this instance is one itself, or if
-// the settings name none.
+// seeds returns the peers to ask at the start: none if this instance is a seed, or if the settings
+// name none.
 func (n *Node) seeds() []string {
 	seeds := n.cfg.Settings.Seeds
-	if slices.Contains(seeds, n.peers) {
+	if slices.Contains(seeds, n.peerAddress) {
 		return nil
 	}
 	return seeds
 }
 
-// others are the peers to ask while the store is out of reach: those of the region
-// first, and the instances that the settings name when none is known yet.
+// others returns the peers to ask while the store is unreachable: those of the region first, then
+// other instances, then the seeds, which are all that is known at the start.
 func (n *Node) others() []string {
 	s := &n.cfg.Settings
-	list := n.instances.others(s.Region, s.Instance)
+	list := n.instances.otherPeers(s.Region, s.Instance)
 	for _, seed := range s.Seeds {
-		if seed != n.peers && !slices.Contains(list, seed) {
+		if seed != n.peerAddress && !slices.Contains(list, seed) {
 			list = append(list, seed)
 		}
 	}
 	return list
 }
 
-// MetricsPath is where the metrics are, in the Prometheus text format.
+// MetricsPath is the path of the metrics, in the Prometheus text format.
 const MetricsPath = "/metrics"
 
-// ServeMetrics serves the metrics at a port of the instance's own address.
+// ServeMetrics serves the metrics on a port of the instance's own address.
 func (n *Node) ServeMetrics(port int) error {
 	mux := http.NewServeMux()
 	mux.Handle(MetricsPath, n.cfg.Metrics.Handler())
@@ -179,10 +179,10 @@
 }
 
 // Peers returns the address for other instances, IP:port.
-func (n *Node) Peers() string { return n.peers }
+func (n *Node) Peers() string { return n.peerAddress }
 
-// forPeers serves other instances.
-func (n *Node) forPeers() http.Handler {
+// peerHandler serves other instances.
+func (n *Node) peerHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Handle(mirror.RelayPath, n.mirror)
 	r.Handle(loads.Path, n.loads)
@@ -191,36 +191,36 @@
 	return r
 }
 
-// serveWeb serves at an address, in which it fills in the port that was chosen.
+// serveWeb serves HTTP at an address, and writes the port that was chosen into it.
 func (n *Node) serveWeb(address *string, handler http.Handler) error {
 	ln, err := net.Listen("tcp", *address)
 	if err != nil {
 		return errors.Annotate(err, "listen")
 	}
 	*address = ln.Addr().String()
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime}
-	n.web = append(n.web, server)
-	go server.Serve(tcp.NewListener(ln, headerTime, idleTime))
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	n.webServers = append(n.webServers, server)
+	go server.Serve(tcp.NewListener(ln, headerTimeout, idleTimeout))
 	return nil
 }
 
-// Limits of the connections for look-ups, readiness and metrics.
+// Timeouts of connections for look-ups, readiness, peers and metrics.
 const (
-	headerTime = 5 * time.Second
-	idleTime   = 30 * time.Second
+	headerTimeout = 5 * time.Second
+	idleTimeout   = 30 * time.Second
 )
 
-// Ready says whether this instance can serve: it knows the configuration and the
-// targets, and does not stop.
+// Ready reports whether this instance can serve: it has read the store, has a configuration, and
+// is not stopping.
 func (n *Node) Ready() bool {
-	return n.listed.Load() && n.rules.Load() != nil && !n.stopping.Load()
+	return n.storeListed.Load() && n.rules.Load() != nil && !n.stopping.Load()
 }
 
-// limits are the bounds on requests by the configuration in force.
+// limits returns the bounds on requests from the configuration in force.
 func (n *Node) limits() http1.Limits {
 	var l routes.Limits
-	if now := n.rules.Load(); now != nil {
-		l = now.Config().Limits
+	if current := n.rules.Load(); current != nil {
+		l = current.Config().Limits
 	}
 	l.Defaults()
 	return http1.Limits{
@@ -228,7 +228,7 @@
 	}
 }
 
-// unreadable answers a request that can't be read.
-func (n *Node) unreadable(status int) *http1.Response {
+// refuseUnreadable answers a request that can't be parsed.
+func (n *Node) refuseUnreadable(status int) *http1.Response {
 	return n.refuse(&http1.Request{}, platform.Request{}, &refusal{status: status, reason: "unreadable"})
 }
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/emulator/store"
 )
 
-// What a target has said of the requests that it wants holds on each way to it.
+// No attempt of any kind is sent to a target whose notice forbids it.
 func TestNoWayPastANotice(t *testing.T) {
 	notices := map[string]string{
 		"limit":   "good, Server-Limit: 0",
@@ -16,15 +16,15 @@
 		"rest":    "shed, Retry-After: 3",
 	}
 	ways := map[string]struct {
-		other string // behaviour of another target; "" for none
-		away  bool   // the store is
+		other  string // behaviour of another target; "" for none
+		outage bool   // the store is unreachable
 	}{
 		"first attempt":               {},
 		"retry":                       {other: "shed"},
 		"second attempt":              {other: "hang"},
-		"first attempt in an outage":  {away: true},
-		"retry in an outage":          {other: "shed", away: true},
-		"second attempt in an outage": {other: "hang", away: true},
+		"first attempt in an outage":  {outage: true},
+		"retry in an outage":          {other: "shed", outage: true},
+		"second attempt in an outage": {other: "hang", outage: true},
 	}
 	for notice, behaviour := range notices {
 		for way, tt := range ways {
@@ -35,8 +35,8 @@
 				a := r.target(behaviour)
 				r.register("a", a.address, "n1", "ready")
 				r.start()
-				r.knows(1)
-				if tt.away {
+				r.waitUsable(1)
+				if tt.outage {
 					r.store.SetFaults(store.Faults{Refuse: true})
 				}
 				r.send("GET", "/get/x")
@@ -44,16 +44,16 @@
 					t.Fatalf("got %d requests at the target, want 1", got)
 				}
 				if tt.other != "" {
-					r.add(r.target(tt.other).address)
+					r.addTarget(r.target(tt.other).address)
 				}
 				before := a.requests()
-				// What the store says of the same run is older.
+				// A report of the same run in the store is older than the notice.
 				r.report("a", a.address, "n1", "ready", 0, 1000)
 				for range 4 {
 					begun := time.Now()
 					got := r.send("GET", "/get/x")
-					if tt.other == "" && (got.status != http.StatusServiceUnavailable || got.again == "" || time.Since(begun) >= routeTimeout) {
-						t.Errorf("got %+v, want 503 before the deadline, and when to come back", got)
+					if tt.other == "" && (got.status != http.StatusServiceUnavailable || got.retryAfter == "" || time.Since(begun) >= routeTimeout) {
+						t.Errorf("got %+v, want 503 with Retry-After before the deadline", got)
 					}
 				}
 				if got := a.requests() - before; got != 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A header that can't be read counts for nothing: it does not end a limit either.
+// An unreadable header is ignored: it doesn't end a limit either.
 func TestUnreadableNotice(t *testing.T) {
 	tests := map[string]struct {
 		second string
@@ -81,9 +81,9 @@
 			a := r.target("good, Server-Limit: 1000", tt.second)
 			r.register("a", a.address, "n1", "ready")
 			r.start()
-			r.knows(1)
+			r.waitUsable(1)
 			r.send("GET", "/get/x")
-			time.Sleep(10 * time.Millisecond) // a token comes in
+			time.Sleep(10 * time.Millisecond) // a token is added
 			if got := r.send("GET", "/get/x"); got.status != http.StatusOK {
 				t.Fatalf("got %+v, want 200", got)
 			}
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -12,22 +12,22 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// newQuotas makes the quotas of an instance.
+// newQuotas creates this instance's part of the workspaces' quotas.
 func (n *Node) newQuotas() (*quota.Exchange, error) {
 	s := &n.cfg.Settings
 	ledger, err := quota.New(quota.Config{Self: s.Instance, Domain: s.Domain, Region: s.Region, Bounds: quotaBounds(s.Bounds)})
 	if err != nil {
 		return nil, err
 	}
-	return quota.NewExchange(ledger, s.IP, n.tokensFailed), nil
+	return quota.NewExchange(ledger, s.IP, n.tokenRequestFailed), nil
 }
 
 func quotaBounds(b platform.Bounds) quota.Bounds {
 	return quota.Bounds{Window: b.QuotaWindow, Over: b.QuotaOver, Slack: b.QuotaSlack}
 }
 
-// limitsOf returns the quotas of a configuration's workspaces, as far as they have one.
-func limitsOf(cfg *routes.Config) map[string]quota.Limit {
+// quotaLimits returns the quotas of a configuration's workspaces; those without one are left out.
+func quotaLimits(cfg *routes.Config) map[string]quota.Limit {
 	limits := make(map[string]quota.Limit)
 	for _, w := range cfg.Workspaces {
 		if w.Rate > 0 {
@@ -37,9 +37,9 @@
 	return limits
 }
 
-// overQuota takes a token for a request of a workspace. It returns the refusal if there
-// is none.
-func (n *Node) overQuota(ctx context.Context, a admission, r *http1.Request, info platform.Request) *http1.Response {
+// takeToken takes a token from the quota of a request's workspace. If there is none, it returns
+// the answer that refuses the request.
+func (n *Node) takeToken(ctx context.Context, a admission, r *http1.Request, info platform.Request) *http1.Response {
 	if a.workspace == nil || a.workspace.Rate <= 0 {
 		return nil
 	}
@@ -54,34 +54,34 @@
 	return resp
 }
 
-// logOverQuota logs a request that no token was left for.
+// logOverQuota counts and logs a request that was refused for lack of a token.
 func (n *Node) logOverQuota(r *http1.Request, info platform.Request, a admission, d quota.Decision) {
 	now := boottime.Now()
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: statusKind(http.StatusTooManyRequests), Reason: "over-quota"})
-	suppressed, ok := n.failures.Allow(now)
+	suppressed, ok := n.failureLimiter.Allow(now)
 	if !ok {
 		return
 	}
-	asked := make([]string, 0, len(d.Ask))
+	askedMembers := make([]string, 0, len(d.Ask))
 	for _, m := range d.Ask {
-		asked = append(asked, m.Name)
+		askedMembers = append(askedMembers, m.Name)
 	}
-	n.cfg.Log.Warn("request", "id", info.ID, "route", a.route.Name, "workspace", a.name(), "status", http.StatusTooManyRequests,
-		"reason", "over-quota", "tokens", d.Left, "rate", d.Rate, "demand", d.Demand, "asked", asked, "wanted", d.Want.Tokens,
+	n.cfg.Log.Warn("request", "id", info.ID, "route", a.route.Name, "workspace", a.workspaceName(), "status", http.StatusTooManyRequests,
+		"reason", "over-quota", "tokens", d.Left, "rate", d.Rate, "demand", d.Demand, "asked", askedMembers, "wanted", d.Want.Tokens,
 		"again", d.Again, "took", now.Sub(r.At), "config", a.rules.Config().Version, "store-age", n.mirror.Age(now), "suppressed", suppressed)
 }
 
-// members lists the instances among which quotas are divided, this one among them.
-func (n *Node) members() []quota.Member {
+// quotaMembers returns the instances among which quotas are divided, including this one.
+func (n *Node) quotaMembers() []quota.Member {
 	s := &n.cfg.Settings
-	self := record{Peers: n.peers, Domain: s.Domain, Region: s.Region, Cores: s.Cores, Link: s.LinkMbps}
+	self := record{Peers: n.peerAddress, Domain: s.Domain, Region: s.Region, Cores: s.Cores, Link: s.LinkMbps}
 	return n.instances.members(s.Instance, self)
 }
 
-// tokensFailed notes that a holder of tokens could not be asked.
-func (n *Node) tokensFailed(err error) {
+// tokenRequestFailed counts and logs a failed request for another instance's tokens.
+func (n *Node) tokenRequestFailed(err error) {
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: "tokens", Reason: "failed"})
-	if suppressed, ok := n.failures.Allow(boottime.Now()); ok {
+	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("tokens not asked for", "suppressed", suppressed, "err", err)
 	}
 }
--- a/internal/edge/register_test.go
+++ b/internal/edge/register_test.go
@@ -12,10 +12,10 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// registered says whether the record of an instance is in the store.
+// registered reports whether the record of an instance is in the store.
 func (r *rig) registered(name string) bool { return r.store.Get(instancePrefix+name) != nil }
 
-// leaseOf is the number of the lease under which an instance is registered.
+// leaseOf returns the number of the lease under which an instance is registered.
 func (r *rig) leaseOf(name string) uint64 {
 	r.t.Helper()
 	item, err := platform.NewStoreOver("stand-in", r.store).Get(context.Background(), instancePrefix+name)
@@ -25,9 +25,9 @@
 	return item.Lease.Number()
 }
 
-// takeLease has another writer take the lease of a number that the store gives out again, and
-// write a key under it.
-func (r *rig) takeLease(number uint64, key string) {
+// reassignLease lets another writer obtain the lease with a number that the store gives out again,
+// and writes a key under it.
+func (r *rig) reassignLease(number uint64, key string) {
 	r.t.Helper()
 	other := platform.NewStoreOver("stand-in", r.store)
 	for {
@@ -45,12 +45,13 @@
 	}
 }
 
-// An instance whose registration the store has lost is back before others take it for gone,
-// also if its lease is another's by now. One whose registration was kept writes nothing.
+// An instance whose registration was lost by a restore of the store registers again before others
+// take it for departed, also if its lease has been given to another writer. One whose registration
+// was kept writes nothing.
 func TestRegistrationLostByRestore(t *testing.T) {
 	tests := map[string]struct {
-		late  bool // the instance registers after the copy
-		taken bool // its lease is given to another
+		late  bool // the instance registers after the snapshot
+		taken bool // its lease is given to another writer
 	}{
 		"kept":                        {false, false},
 		"lost":                        {true, false},
@@ -61,32 +62,32 @@
 			t.Parallel()
 			r := newRig(t)
 			r.configure(1, "s")
-			c := r.store.Copy()
+			snapshot := r.store.Copy()
 			r.start()
-			r.within("the first is registered", func() bool { return r.registered("e1") })
+			r.eventually("the first is registered", func() bool { return r.registered("e1") })
 			if !tt.late {
-				c = r.store.Copy()
+				snapshot = r.store.Copy()
 			}
-			second := r.instance("e2", "n1")
-			r.within("each knows the other", func() bool {
+			second := r.startInstance("e2", "n1")
+			r.eventually("each knows the other", func() bool {
 				return len(r.node.instances.names()) == 2 && len(second.instances.names()) == 2
 			})
 			lease := r.leaseOf("e1")
 			writes := r.store.Calls("/kv-txn") + r.store.Calls("/kv-lease")
 			r.store.SetFaults(store.Faults{Closed: []string{"127.0.0.1"}}) // all instances
 			time.Sleep(200 * time.Millisecond)
-			r.store.GoBack(c)
+			r.store.GoBack(snapshot)
 			if tt.taken {
-				r.takeLease(lease, "another's")
+				r.reassignLease(lease, "another's")
 			}
 			r.store.SetFaults(store.Faults{})
 			r.store.Rewrite()
-			for begin := time.Now(); time.Since(begin) < 2*bound; time.Sleep(20 * time.Millisecond) {
+			for begin := time.Now(); time.Since(begin) < 2*changeTimeout; time.Sleep(20 * time.Millisecond) {
 				if len(r.node.instances.names()) != 2 || len(second.instances.names()) != 2 {
-					t.Fatalf("got %v and %v known %s after the return, want both", r.node.instances.names(), second.instances.names(), time.Since(begin))
+					t.Fatalf("got %v and %v known %s after the restore, want both", r.node.instances.names(), second.instances.names(), time.Since(begin))
 				}
-				if time.Since(begin) > bound && !r.registered("e1") {
-					t.Fatalf("got no registration %s after the return", time.Since(begin))
+				if time.Since(begin) > changeTimeout && !r.registered("e1") {
+					t.Fatalf("got no registration %s after the restore", time.Since(begin))
 				}
 			}
 			if got := r.store.Calls("/kv-txn") + r.store.Calls("/kv-lease") - writes; !tt.late && got > 2 { // e2's
@@ -96,23 +97,23 @@
 	}
 }
 
-// An instance that stops takes nothing away that isn't its own, also if it has not noticed that
-// the store has come back from a copy.
+// A stopping instance removes only what it wrote, also if it has not observed that the store was
+// restored from a snapshot.
 func TestStopAfterRestore(t *testing.T) {
 	r := newRig(t)
 	r.configure(1, "s")
-	c := r.store.Copy()
+	snapshot := r.store.Copy()
 	n, err := New(Config{Log: log.New(io.Discard), Settings: platform.Settings{Instance: "e1", Domain: "n1", Regions: map[string]string{"n1": "north"}, Store: r.url}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n.registrar.step(t.Context()); err != nil {
+	if err := n.registrar.renewOrRegister(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	lease := r.leaseOf("e1")
-	r.store.GoBack(c)
-	r.takeLease(lease, "another's")
-	n.registrar.end(t.Context())
+	r.store.GoBack(snapshot)
+	r.reassignLease(lease, "another's")
+	n.registrar.deregister(t.Context())
 	if r.store.Get("another's") == nil {
 		t.Error("got the key of another instance removed")
 	}
--- a/internal/edge/teller.go
+++ b/internal/edge/teller.go
@@ -17,96 +17,96 @@
 )
 
 const (
-	// answerTime is how long an answer is remembered: the longest lease that the platform
-	// gives. evidenceTime is how long a target's end is: a lease is written under for half
-	// of its time, so that an answer outlasts all ends from before it, which would count
-	// again without it at an instance that starts then.
-	answerTime   = 10 * time.Minute
-	evidenceTime = answerTime / 2
-	// mostOutbox bounds what waits to be written, mostWrites what one call writes. Writes are
-	// gathered for writePause, as many targets may end at once; while calls fail, one is made
-	// each renewRetry.
-	mostOutbox = 256
-	mostWrites = 32
-	writePause = 250 * time.Millisecond
-	// tellTime is how long a peer may take to be told: some round trips in a region.
-	// tellAtOnce bounds how many are told at the same time.
-	tellTime   = 400 * time.Millisecond
-	tellAtOnce = 16
-	// maxTold bounds what is read of what a peer tells, in bytes.
-	maxTold = 64 << 10
+	// answerRetention is how long a published answer is kept: the longest lease that the platform
+	// grants. crashRetention is how long the report of a crash is kept. Entries are written under
+	// a lease for half of its duration, so an answer outlasts all reports from before it. Without
+	// the answer, these would count again at an instance that starts then.
+	answerRetention = 10 * time.Minute
+	crashRetention  = answerRetention / 2
+	// maxOutbox bounds the entries that wait to be written, and maxBatch those of one
+	// transaction. writeInterval lets the reports of many targets that end at once be batched.
+	// While calls fail, one is made each renewRetry.
+	maxOutbox     = 256
+	maxBatch      = 32
+	writeInterval = 250 * time.Millisecond
+	// notifyTimeout bounds the notification of peers: some round trips within a region.
+	// maxConcurrentNotify bounds the peers that are notified at the same time.
+	notifyTimeout       = 400 * time.Millisecond
+	maxConcurrentNotify = 16
+	// maxNotification bounds the bytes that are read of a peer's notification.
+	maxNotification = 64 << 10
 )
 
-// crashesPath is where an instance takes what peers tell while the store is out of reach.
+// crashesPath is where an instance receives notifications from peers that can't reach the store.
 const crashesPath = "/crashes"
 
-// teller tells other instances what this one has found out: through the store, which keeps
-// it for those that start later, and while that is out of reach to the peers of the region.
-// It is safe for concurrent use.
-type teller struct {
+// notifier passes this instance's crash reports and answers to the others: through the store, which
+// keeps them for instances that start later, and to the peers of the region while the store is
+// unreachable. It is safe for concurrent use.
+type notifier struct {
 	node   *Node
 	client *peerhttp.Client
-	soon   chan struct{} // tells run that there is something to write
+	wake   chan struct{} // wakes run when there is something to write
 
 	mu     sync.Mutex
-	outbox []note // that have to be written yet; the oldest first, mostOutbox at most; guarded by mu
+	outbox []entry // waiting to be written; the oldest first, maxOutbox at most; guarded by mu
 
-	// Used by the goroutine of run alone.
-	leases map[time.Duration]lease // by how long they last
-	told   string                  // key of the last that peers were told
+	// Used only by the goroutine of run.
+	leases   map[time.Duration]currentLease // by duration
+	notified string                         // last key of the last batch that peers were notified of
 }
 
-// note is what has to be written, and how long it has to last.
-type note struct {
-	key   string
-	value []byte
-	life  time.Duration
+// entry is a key and value to be written to the store, and its lifetime.
+type entry struct {
+	key      string
+	value    []byte
+	lifetime time.Duration
 }
 
-// lease is one of the platform's, under which notes are written until a time.
-type lease struct {
+// currentLease is a lease of the store under which entries are written until a time.
+type currentLease struct {
 	platform.Lease
-	until time.Time
+	usableUntil time.Time
 }
 
-func newTeller(n *Node) *teller {
-	return &teller{node: n, soon: make(chan struct{}, 1), client: peerhttp.New("", 1, maxTold), leases: make(map[time.Duration]lease)}
+func newNotifier(n *Node) *notifier {
+	return &notifier{node: n, wake: make(chan struct{}, 1), client: peerhttp.New("", 1, maxNotification), leases: make(map[time.Duration]currentLease)}
 }
 
-// post has a note written. It takes the place of one that waits under its key: one call writes
-// no key twice.
-func (t *teller) post(w note) {
+// enqueue queues an entry to be written. It replaces a waiting entry with the same key, as a
+// transaction can't write a key twice.
+func (t *notifier) enqueue(e entry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if i := slices.IndexFunc(t.outbox, func(o note) bool { return o.key == w.key }); i >= 0 {
-		t.outbox[i] = w
+	if i := slices.IndexFunc(t.outbox, func(o entry) bool { return o.key == e.key }); i >= 0 {
+		t.outbox[i] = e
 		return
 	}
-	if len(t.outbox) >= mostOutbox {
-		t.node.cfg.Log.Warn("not told, as too much waits", "key", t.outbox[0].key)
+	if len(t.outbox) >= maxOutbox {
+		t.node.cfg.Log.Warn("outbox full; oldest entry dropped", "key", t.outbox[0].key)
 		t.outbox = t.outbox[1:]
 	}
-	t.outbox = append(t.outbox, w)
+	t.outbox = append(t.outbox, e)
 	select {
-	case t.soon <- struct{}{}:
+	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run writes what there is until ctx ends.
-func (t *teller) run(ctx context.Context) {
+// run writes queued entries until ctx ends.
+func (t *notifier) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-t.soon:
+		case <-t.wake:
 		}
-		boottime.Sleep(ctx, boottime.Now().Add(writePause))
-		for batch := t.first(); len(batch) > 0 && ctx.Err() == nil; batch = t.first() {
-			pause := writePause
+		boottime.Sleep(ctx, boottime.Now().Add(writeInterval))
+		for batch := t.nextBatch(); len(batch) > 0 && ctx.Err() == nil; batch = t.nextBatch() {
+			pause := writeInterval
 			if err := t.write(ctx, batch); err != nil && ctx.Err() == nil {
 				t.node.cfg.Metrics.PlatformFailed("crashes")
-				t.tellPeers(ctx, batch)
+				t.notifyPeers(ctx, batch)
 				pause = renewRetry
 			}
 			boottime.Sleep(ctx, boottime.Now().Add(pause))
@@ -114,16 +114,16 @@
 	}
 }
 
-// first returns the first of what has to be written.
-func (t *teller) first() []note {
+// nextBatch returns the oldest queued entries, maxBatch at most.
+func (t *notifier) nextBatch() []entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return slices.Clone(t.outbox[:min(len(t.outbox), mostWrites)])
+	return slices.Clone(t.outbox[:min(len(t.outbox), maxBatch)])
 }
 
-// write writes a batch into the store, and takes it out of the outbox. A lease that has ended
-// is replaced at once: whoever starts now should find what went with it.
-func (t *teller) write(ctx context.Context, batch []note) error {
+// write writes a batch to the store, and removes it from the outbox. An expired lease is replaced
+// at once, as instances that start now need the entries that expired with it.
+func (t *notifier) write(ctx context.Context, batch []entry) error {
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	at, err := t.put(ctx, batch)
@@ -138,17 +138,17 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	last := batch[len(batch)-1].key
-	if i := slices.IndexFunc(t.outbox, func(w note) bool { return w.key == last }); i >= 0 {
+	if i := slices.IndexFunc(t.outbox, func(w entry) bool { return w.key == last }); i >= 0 {
 		t.outbox = t.outbox[i+1:]
 	}
 	return nil
 }
 
-// put makes one transaction of a batch.
-func (t *teller) put(ctx context.Context, batch []note) (platform.Revision, error) {
+// put writes a batch in one transaction.
+func (t *notifier) put(ctx context.Context, batch []entry) (platform.Revision, error) {
 	var txn platform.Txn
 	for _, w := range batch {
-		l, err := t.under(ctx, w.life)
+		l, err := t.leaseFor(ctx, w.lifetime)
 		if err != nil {
 			return platform.Revision{}, err
 		}
@@ -157,48 +157,48 @@
 	return t.node.store.Do(ctx, txn)
 }
 
-// under returns a lease under which a note lasts for half of a time at least.
-func (t *teller) under(ctx context.Context, life time.Duration) (platform.Lease, error) {
+// leaseFor returns a lease under which an entry exists for at least half of its lifetime.
+func (t *notifier) leaseFor(ctx context.Context, lifetime time.Duration) (platform.Lease, error) {
 	now := boottime.Now()
-	if l := t.leases[life]; now.Before(l.until) {
+	if l := t.leases[lifetime]; now.Before(l.usableUntil) {
 		return l.Lease, nil
 	}
-	granted, err := t.node.store.Grant(ctx, life)
+	granted, err := t.node.store.Grant(ctx, lifetime)
 	if err != nil {
 		return platform.Lease{}, err
 	}
-	t.leases[life] = lease{Lease: granted, until: now.Add(life / 2)}
+	t.leases[lifetime] = currentLease{Lease: granted, usableUntil: now.Add(lifetime / 2)}
 	return granted, nil
 }
 
-// toldWrite is a write as peers are told of it.
-type toldWrite struct {
+// peerEntry is the form of an entry in a notification to peers.
+type peerEntry struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 }
 
-// tellPeers tells the peers of the region what could not be written, once.
-func (t *teller) tellPeers(ctx context.Context, batch []note) {
+// notifyPeers sends the peers of the region a batch that could not be written, once.
+func (t *notifier) notifyPeers(ctx context.Context, batch []entry) {
 	last := batch[len(batch)-1].key
-	if t.told == last {
+	if t.notified == last {
 		return
 	}
-	t.told = last
-	list := make([]toldWrite, 0, len(batch))
+	t.notified = last
+	list := make([]peerEntry, 0, len(batch))
 	for _, w := range batch {
-		list = append(list, toldWrite{Key: w.key, Value: w.value})
+		list = append(list, peerEntry{Key: w.key, Value: w.value})
 	}
 	body, err := json.Marshal(list)
 	if err != nil {
-		t.node.cfg.Log.Error("peers not told", "key", last, "err", err)
+		t.node.cfg.Log.Error("notification of peers not encoded", "key", last, "err", err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTime)
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	slots := make(chan struct{}, tellAtOnce)
+	slots := make(chan struct{}, maxConcurrentNotify)
 	var all sync.WaitGroup
 	s := &t.node.cfg.Settings
-	for _, address := range t.node.instances.region(s.Region, s.Instance) {
+	for _, address := range t.node.instances.regionPeers(s.Region, s.Instance) {
 		slots <- struct{}{}
 		all.Go(func() {
 			defer func() { <-slots }()
@@ -210,10 +210,10 @@
 	all.Wait()
 }
 
-// ServeHTTP takes what a peer tells.
-func (c *crashes) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxTold))
-	var list []toldWrite
+// ServeHTTP receives a notification from a peer.
+func (c *crashTracker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxNotification))
+	var list []peerEntry
 	if err == nil {
 		err = json.Unmarshal(b, &list)
 	}
@@ -222,9 +222,9 @@
 		return
 	}
 	var changes []mirror.Change
-	for _, told := range list {
-		if isCrash(told.Key) {
-			changes = append(changes, mirror.Change{Item: platform.Item{Key: told.Key, Value: told.Value}})
+	for _, e := range list {
+		if isCrashKey(e.Key) {
+			changes = append(changes, mirror.Change{Item: platform.Item{Key: e.Key, Value: e.Value}})
 		}
 	}
 	c.apply(changes)
