--- a/internal/steer/capacity_test.go
+++ b/internal/steer/capacity_test.go
@@ -12,7 +12,7 @@
 // What a choice costs grows with the targets of the service.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, n := range []int{12, 100, 300, 1000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { pickOf(b, fleetOf(b, n, 0)) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkPick(b, newBenchFleet(b, n, 0)) })
 	}
 }
 
@@ -20,17 +20,17 @@
 func BenchmarkCapacityPickLimited(b *testing.B) {
 	for _, n := range []int{12, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := fleetOf(b, n, 2*n)
+			f := newBenchFleet(b, n, 2*n)
 			for _, t := range f.targets {
 				f.Notice(start, t.Target, start, notice.Notice{Limit: 5, Limited: true}, true)
 			}
-			pickOf(b, f)
+			benchmarkPick(b, f)
 		})
 	}
 }
 
-// fleetOf is a fleet of so many targets and further instances.
-func fleetOf(b *testing.B, targets, others int) *Fleet {
+// newBenchFleet is a fleet of so many targets and further instances.
+func newBenchFleet(b *testing.B, targets, others int) *Fleet {
 	b.Helper()
 	f, err := New(config("a", "n1"))
 	if err != nil {
@@ -49,8 +49,8 @@
 	return f
 }
 
-// pickOf chooses targets, a thousand a second.
-func pickOf(b *testing.B, f *Fleet) {
+// benchmarkPick chooses targets, a thousand a second.
+func benchmarkPick(b *testing.B, f *Fleet) {
 	now := start
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
--- a/internal/steer/config.go
+++ b/internal/steer/config.go
@@ -100,56 +100,56 @@
 
 // Times and weights of the decisions.
 const (
-	// loadLife is how long a target's own report of its load counts, less and less.
+	// loadReportTTL is how long a target's own report of its load counts, less and less.
 	// An instance waits 0.5 s between two answers of a busy target where there are 8
 	// instances, and 10 s where there are 70. With a life of 1 s, the credit of a day of
 	// high load with 70 instances falls by 1.7%.
-	loadLife = 5 * time.Second
-	// usualWeight is the weight of one report in the usual load of a service's targets.
+	loadReportTTL = 5 * time.Second
+	// typicalLoadWeight is the weight of one report in the usual load of a service's targets.
 	// That stands in for old reports: with targets that have none taken for idle, 2% to
 	// 3% of the credit are lost on days of high load.
-	usualWeight = 0.05
-	// shedLife is how long a target that refused for want of room counts as full.
-	shedLife = 200 * time.Millisecond
-	// shareOfBound is the part of a bound over all instances that is divided; the
+	typicalLoadWeight = 0.05
+	// shedPeriod is how long a target that refused for want of room counts as full.
+	shedPeriod = 200 * time.Millisecond
+	// dividedShare is the part of a bound over all instances that is divided; the
 	// rest is for instances that don't yet know of each other.
-	shareOfBound = 0.8
+	dividedShare = 0.8
 	// coldWindow is the window of the bound of cold targets.
 	coldWindow = time.Second
-	// domainHome and regionHome are what an object's home in the own failure
+	// domainHomeCost and regionHome are what an object's home in the own failure
 	// domain or region costs over its home among all targets: its answers warm
 	// fewer requests. They keep answers of up to about 15 KB at the one home.
-	domainHome = 45 * time.Millisecond
-	regionHome = 30 * time.Millisecond
-	// missShare is the part of a service's latency that a target costs which is no
+	domainHomeCost = 45 * time.Millisecond
+	regionHomeCost = 30 * time.Millisecond
+	// missCostFactor is the part of a service's latency that a target costs which is no
 	// home of the object and has to do the work cold.
-	missShare = 1.5
-	// homes is how many targets keep an object warm: its home, and one that gets what
+	missCostFactor = 1.5
+	// homeCount is how many targets keep an object warm: its home, and one that gets what
 	// the home has no room for. Others do its work cold, which takes three times as
-	// long, so they get it only while all of their slots are free. With three homes
+	// long, so they get it only while all of their slots are free. With three homeCount
 	// and half of the slots, a service that was overloaded when cold needed 20 s
 	// instead of 8 s to get warm.
-	homes     = 2
-	freeShare = 0.1
+	homeCount = 2
+	idleShare = 0.1
 	// slowFactor: a target counts as slow by what exceeds this multiple of the service's
 	// latency. Work that is done cold takes up to three times as long, and a target that
 	// gets new objects would lose them again: with 2, 0.3% of the credit are lost on days
 	// on which targets are replaced or slow for seconds.
 	slowFactor = 4.0
-	// slowDomain is how many times the service's latency a failure domain's must be for
+	// slowDomainFactor is how many times the service's latency a failure domain's must be for
 	// its own to count. With any difference counted, 0.3% less is earned on the days of
 	// overloaded regions; with twice, half as many late failures are spared.
-	slowDomain = 1.5
-	// farthest is more than a round trip between regions adds to the time of a request: a
+	slowDomainFactor = 1.5
+	// maxDistanceLatency is more than a round trip between regions adds to the time of a request: a
 	// domain is not slow by being far away.
-	farthest = 100 * time.Millisecond
+	maxDistanceLatency = 100 * time.Millisecond
 	// hedgeFactor times a service's latency passes before a request goes to a second
 	// target beside the first. Work that a target does cold takes up to three times as
 	// long, so that a cold one is not doubled. With a fifth of the targets dark, mute or
 	// hanging in turn, 89 of 45,286 reads failed instead of 256.
 	hedgeFactor = 4
-	// slowLife halves what is held against a target that isn't measured any more.
-	slowLife = 3 * time.Second
-	// smoothing is the weight of a new sample in a mean: about the last ten count.
-	smoothing = 0.1
+	// slownessHalfLife halves what is held against a target that isn't measured any more.
+	slownessHalfLife = 3 * time.Second
+	// smoothingWeight is the weight of a new sample in a mean: about the last ten count.
+	smoothingWeight = 0.1
 )
--- a/internal/steer/fleet.go
+++ b/internal/steer/fleet.go
@@ -14,28 +14,28 @@
 
 // Fleet holds the targets of all services and decides who gets a request.
 type Fleet struct {
-	cfg         Config
-	region      string // of this instance
-	targets     map[string]*target
-	bySeed      map[uint64]*target // the same, by the hashes of their IDs
-	services    map[string]*service
-	constraints map[run]*constraints // of runs that have said any, known or gone not long ago
-	evacuated   map[string]bool      // by failure domain
-	peers       []string             // instances that bounds are divided among, this one among them; sorted
-	peerSeeds   []uint64             // hashes of peers
-	lapsed      map[string]time.Time // those of peers whose records are gone: they count until then
-	division    int                  // counts the changes of peers
+	cfg          Config
+	region       string // of this instance
+	targets      map[string]*target
+	byHash       map[uint64]*target // the same, by the hashes of their IDs
+	services     map[string]*service
+	constraints  map[runKey]*constraints // of runs that have said any, known or gone not long ago
+	evacuated    map[string]bool         // by failure domain
+	peers        []string                // instances that bounds are divided among, this one among them; sorted
+	peerHashes   []uint64                // hashes of peers
+	expiredPeers map[string]time.Time    // those of peers whose records are gone: they count until then
+	peersVersion int                     // counts the changes of peers
 }
 
 // service is what is known of a service as a whole.
 type service struct {
-	limits  routes.Service
-	targets []*target                // sorted by ID
-	mean    time.Duration            // smoothed time of one request's work at any target; 0 before the first
-	domains map[string]time.Duration // the same at the targets of a failure domain
-	budget  *retry.Window            // additional attempts of this instance
-	usual   float64                  // requests of other instances for each slot of a target, smoothed over reports; 0 or more
-	booked  time.Time                // refused callers were told to come back until then
+	limits        routes.Service
+	targets       []*target                // sorted by ID
+	meanLatency   time.Duration            // smoothed time of one request's work at any target; 0 before the first
+	domainLatency map[string]time.Duration // the same at the targets of a failure domain
+	budget        *retry.Window            // additional attempts of this instance
+	typicalLoad   float64                  // requests of other instances for each slot of a target, smoothed over reports; 0 or more
+	retriesUntil  time.Time                // refused callers were told to come back until then
 }
 
 // New makes an empty fleet. It returns a *ConfigError.
@@ -45,14 +45,14 @@
 		return nil, errors.Annotate(err, "steer.New")
 	}
 	return &Fleet{
-		cfg:         cfg,
-		region:      cfg.Regions[cfg.Domain],
-		targets:     make(map[string]*target),
-		bySeed:      make(map[uint64]*target),
-		services:    make(map[string]*service),
-		constraints: make(map[run]*constraints),
-		evacuated:   make(map[string]bool),
-		lapsed:      make(map[string]time.Time),
+		cfg:          cfg,
+		region:       cfg.Regions[cfg.Domain],
+		targets:      make(map[string]*target),
+		byHash:       make(map[uint64]*target),
+		services:     make(map[string]*service),
+		constraints:  make(map[runKey]*constraints),
+		evacuated:    make(map[string]bool),
+		expiredPeers: make(map[string]time.Time),
 	}, nil
 }
 
@@ -73,7 +73,7 @@
 	change := Added
 	if old, ok := f.targets[t.ID]; ok {
 		switch {
-		case t.before(&old.Target):
+		case t.olderThan(&old.Target):
 			return Outdated
 		case old.Service == t.Service && old.Started.Equal(t.Started):
 			old.Target = t
@@ -84,9 +84,9 @@
 	}
 	s := f.service(now, t.Service)
 	n := newTarget(now, t, s, f.cfg.Regions[t.Domain])
-	n.constraints = f.constraints[runOf(&t)]
-	f.targets[t.ID], f.bySeed[n.seed] = n, n
-	i, _ := slices.BinarySearchFunc(s.targets, t.ID, byID)
+	n.constraints = f.constraints[runKeyOf(&t)]
+	f.targets[t.ID], f.byHash[n.idHash] = n, n
+	i, _ := slices.BinarySearchFunc(s.targets, t.ID, compareID)
 	s.targets = slices.Insert(s.targets, i, n)
 	return change
 }
@@ -98,9 +98,9 @@
 		return
 	}
 	delete(f.targets, id)
-	delete(f.bySeed, t.seed)
+	delete(f.byHash, t.idHash)
 	s := f.services[t.Service]
-	if i, found := slices.BinarySearchFunc(s.targets, id, byID); found {
+	if i, found := slices.BinarySearchFunc(s.targets, id, compareID); found {
 		s.targets = slices.Delete(s.targets, i, i+1)
 	}
 }
@@ -112,9 +112,9 @@
 	if !ok {
 		return Target{}, false
 	}
-	known := t.Target
-	known.Leaving = t.leaves()
-	return known, true
+	registered := t.Target
+	registered.Leaving = t.isLeaving()
+	return registered, true
 }
 
 // Limit sets what the configuration says of the services.
@@ -166,7 +166,7 @@
 		return 0, 0
 	}
 	for _, t := range s.targets {
-		if f.open(t) && !t.ejected(now) && !t.rests(now) {
+		if f.available(t) && !t.ejected(now) && !t.backingOff(now) {
 			usable++
 		}
 	}
@@ -179,17 +179,17 @@
 	if !ok {
 		s = &service{
 			limits: routes.Service{Name: name}, budget: f.newBudget(now),
-			domains: make(map[string]time.Duration),
+			domainLatency: make(map[string]time.Duration),
 		}
 		f.services[name] = s
 	}
 	return s
 }
 
-// open says whether a target may get requests at all.
-func (f *Fleet) open(t *target) bool { return !t.leaves() && !f.evacuated[t.Domain] }
+// available says whether a target may get requests at all.
+func (f *Fleet) available(t *target) bool { return !t.isLeaving() && !f.evacuated[t.Domain] }
 
-func byID(t *target, id string) int { return cmp.Compare(t.ID, id) }
+func compareID(t *target, id string) int { return cmp.Compare(t.ID, id) }
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
--- a/internal/steer/fleet_test.go
+++ b/internal/steer/fleet_test.go
@@ -104,7 +104,7 @@
 			if c.First == "" || c.Busy == 0 {
 				t.Fatalf("got %+v, want what it rests on", c)
 			}
-			if c.Again < againSoonest {
+			if c.Again < minRetryAfter {
 				t.Fatalf("got %s until to come back", c.Again)
 			}
 			continue
@@ -120,8 +120,8 @@
 			t.Errorf("got %d requests at %s with 4 slots", n, id)
 		}
 	}
-	if full != homes {
-		t.Errorf("got %d targets used in full, want %d", full, homes)
+	if full != homeCount {
+		t.Errorf("got %d targets used in full, want %d", full, homeCount)
 	}
 	if refused == 0 {
 		t.Error("got no refusal")
@@ -205,7 +205,7 @@
 		},
 		"ejected": {
 			prepare: func(f *Fleet) {
-				for range ejectInRow {
+				for range ejectAfter {
 					f.Done(start, Target{ID: "t00"}, Outcome{Ending: Failed})
 				}
 			},
@@ -243,7 +243,7 @@
 func TestEjectionFloor(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	for _, id := range []string{"t00", "t01", "t02"} {
-		for range ejectInRow {
+		for range ejectAfter {
 			f.Done(start, Target{ID: id}, Outcome{Ending: Failed})
 		}
 	}
@@ -270,7 +270,7 @@
 	for range 10 {
 		f.Done(start, Target{ID: home}, Outcome{Ending: Late, Took: 2 * time.Second})
 		f.targets[home].ejectedUntil = time.Time{}
-		f.services["s"].mean = 100 * time.Millisecond
+		f.services["s"].meanLatency = 100 * time.Millisecond
 	}
 	if got := f.best(start, f.services["s"], query("x")).Target.ID; got == home {
 		t.Errorf("got the slow home %s", got)
@@ -283,7 +283,7 @@
 
 // The report of a target counts less and less, and not at all in the end; the usual
 // load of the service's targets takes its place.
-func TestReportFades(t *testing.T) {
+func TestLoadReportDecays(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	f.Done(start, Target{ID: "t00"}, Outcome{Ending: Answered, Took: time.Second, Load: &Load{Running: 4, Waiting: 6}})
 	tests := map[string]struct {
@@ -292,16 +292,16 @@
 		want  int
 	}{
 		"at once":                    {0, 0, 10},
-		"half its life":              {0, loadLife / 2, 5},
-		"at its end":                 {0, loadLife, 0},
+		"half its life":              {0, loadReportTTL / 2, 5},
+		"at its end":                 {0, loadReportTTL, 0},
 		"at once, in a busy service": {0.5, 0, 10},
-		"half its life, in one":      {0.5, loadLife / 2, 6},
-		"at its end, in one":         {0.5, loadLife, 2},
+		"half its life, in one":      {0.5, loadReportTTL / 2, 6},
+		"at its end, in one":         {0.5, loadReportTTL, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			f.services["s"].usual = tt.usual
-			if got := f.targets["t00"].occupied(start.Add(tt.after)); got != tt.want {
+			f.services["s"].typicalLoad = tt.usual
+			if got := f.targets["t00"].currentLoad(start.Add(tt.after)); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
 		})
@@ -309,7 +309,7 @@
 }
 
 // Targets of a domain that is taken back may have gone cold unseen.
-func TestTakenBackIsCold(t *testing.T) {
+func TestReinstatedDomainIsCold(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	f.Evacuate(start, []string{"n1"})
 	f.Evacuate(start.Add(time.Second), nil)
@@ -322,7 +322,7 @@
 }
 
 // No run of outcomes in any order breaks the counts.
-func TestCountsStaySound(t *testing.T) {
+func TestRandomOutcomesKeepCounters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	f := newFleet(t, 8, 3)
 	now := start
@@ -345,8 +345,8 @@
 			f.Put(now, Target{ID: id, Service: "s", Domain: "n1", Slots: 3, Leaving: rng.IntN(4) == 0})
 		}
 		for id, target := range f.targets {
-			if target.inFlight() < 0 || target.failures < 0 || target.failures > 1 {
-				t.Fatalf("target %s: got %d in flight, %f failures", id, target.inFlight(), target.failures)
+			if target.inFlight() < 0 || target.failureShare < 0 || target.failureShare > 1 {
+				t.Fatalf("target %s: got %d in flight, %f failures", id, target.inFlight(), target.failureShare)
 			}
 		}
 	}
@@ -354,7 +354,7 @@
 
 // Most objects have their homes in the region that asks for them, whichever it is, and
 // some elsewhere, so that a small region is not overloaded.
-func TestHomesNearby(t *testing.T) {
+func TestHomesInOwnRegion(t *testing.T) {
 	for domain, region := range map[string]string{"n1": "north", "s2": "south"} {
 		f := newFleet(t, 16, 8)
 		f.cfg.Domain, f.region = domain, region
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -8,18 +8,18 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// limited says that the watched target names a limit from a second on.
-func limited(rate, from float64) func(target string, now time.Time) word {
-	return func(target string, now time.Time) word {
+// limitFrom says that the watched target names a limit from a second on.
+func limitFrom(rate, from float64) func(target string, now time.Time) stubAnswer {
+	return func(target string, now time.Time) stubAnswer {
 		if target == "t00" && now.Sub(start) >= seconds(from) {
-			return word{Notice: notice.Notice{Limit: rate, Limited: true}}
+			return stubAnswer{Notice: notice.Notice{Limit: rate, Limited: true}}
 		}
-		return word{}
+		return stubAnswer{}
 	}
 }
 
-// even is n instances that get so many requests a second together.
-func even(n int, rate float64) []float64 {
+// evenRates is n instances that get so many requests a second together.
+func evenRates(n int, rate float64) []float64 {
 	rates := make([]float64, n)
 	for i := range rates {
 		rates[i] = rate / float64(n)
@@ -33,21 +33,21 @@
 		targets int
 		limit   float64
 	}{
-		"even load":            {even(9, 360), 16, 9},
+		"even load":            {evenRates(9, 360), 16, 9},
 		"unequal load":         {[]float64{200, 100, 40, 10, 5, 2, 1, 1, 1}, 16, 9},
 		"all at one instance":  {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, 9},
-		"fewer than instances": {even(60, 300), 12, 2.5},
-		"less than one":        {even(195, 400), 8, 0.4},
-		"none":                 {even(9, 360), 16, 0},
-		"of the only target":   {even(9, 200), 1, 50},
-		"as small as anything": {even(9, 360), 16, 5e-324},
+		"fewer than instances": {evenRates(60, 300), 12, 2.5},
+		"less than one":        {evenRates(195, 400), 8, 0.4},
+		"none":                 {evenRates(9, 360), 16, 0},
+		"of the only target":   {evenRates(9, 200), 1, 50},
+		"as small as anything": {evenRates(9, 360), 16, 5e-324},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, tt.targets, limited(tt.limit, 5))
+			w := newNoticeSim(t, tt.rates, tt.targets, limitFrom(tt.limit, 5))
 			w.run(0, 45)
 			want := int(1.5*tt.limit*4) + 5
-			if got := w.most(4*time.Second, 500*time.Millisecond, start); got > want {
+			if got := w.maxArrivals(4*time.Second, 500*time.Millisecond, start); got > want {
 				t.Errorf("got %d requests in 4 s, want %d at most", got, want)
 			}
 		})
@@ -61,13 +61,13 @@
 		limit float64
 		want  int // requests in 20 s, at least
 	}{
-		"even load":           {even(9, 200), 50, 950},
+		"even load":           {evenRates(9, 200), 50, 950},
 		"unequal load":        {[]float64{100, 50, 20, 10, 8, 6, 5, 5, 5}, 18, 350},
 		"all at one instance": {[]float64{200, 0, 0, 0, 0, 0, 0, 0, 0}, 18, 40},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, 1, limited(tt.limit, 5))
+			w := newNoticeSim(t, tt.rates, 1, limitFrom(tt.limit, 5))
 			w.run(0, 10)
 			before := len(w.arrivals)
 			w.run(10, 30)
@@ -85,21 +85,21 @@
 		limit  float64
 		within float64 // seconds
 	}{
-		"even load":                {even(9, 360), 9, 2},
+		"even load":                {evenRates(9, 360), 9, 2},
 		"unequal load":             {[]float64{200, 100, 40, 10, 5, 2, 1, 1, 1}, 9, 2},
-		"none was let in":          {even(9, 360), 0, 12},
-		"few of many were let in":  {even(195, 360), 1.2, 10},
-		"of many, none was let in": {even(195, 360), 0, 25},
+		"none was let in":          {evenRates(9, 360), 0, 12},
+		"few of many were let in":  {evenRates(195, 360), 1.2, 10},
+		"of many, none was let in": {evenRates(195, 360), 0, 25},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, 16, func(target string, now time.Time) word {
+			w := newNoticeSim(t, tt.rates, 16, func(target string, now time.Time) stubAnswer {
 				if now.Sub(start) < seconds(25) {
-					return limited(tt.limit, 5)(target, now)
+					return limitFrom(tt.limit, 5)(target, now)
 				}
-				return word{}
+				return stubAnswer{}
 			})
-			w.shares = true
+			w.exchanges = true
 			w.run(0, 25)
 			w.run(25, 25+tt.within)
 			begin := len(w.arrivals)
@@ -112,7 +112,7 @@
 }
 
 // Callers that are refused for limits come back one after the other.
-func TestPlacesWithinLimits(t *testing.T) {
+func TestRetryAfterWithinLimits(t *testing.T) {
 	f := newFleet(t, 1, 9)
 	target := f.targets["t00"].Target
 	f.Notice(start, target, start, notice.Notice{Limit: 20, Limited: true}, true)
@@ -125,10 +125,10 @@
 		}
 		got = append(got, c.Again)
 	}
-	for i, again := range got {
+	for i, retryAfter := range got {
 		// One of two instances may send 10 a second.
-		if want := 90*time.Millisecond + time.Duration(i)*100*time.Millisecond; (again - want).Abs() > time.Millisecond {
-			t.Errorf("caller %d: got %s, want %s", i, again, want)
+		if want := 90*time.Millisecond + time.Duration(i)*100*time.Millisecond; (retryAfter - want).Abs() > time.Millisecond {
+			t.Errorf("caller %d: got %s, want %s", i, retryAfter, want)
 		}
 	}
 }
--- a/internal/steer/load_test.go
+++ b/internal/steer/load_test.go
@@ -12,7 +12,7 @@
 
 // All targets refuse half of what they get though they have room. No request waits or
 // is refused for want of room, and whose retry is not allowed may come back at once.
-func TestRefusalsWithRoom(t *testing.T) {
+func TestRefusalsWithFreeSlots(t *testing.T) {
 	f := newFleet(t, 16, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
 	now, served, budget := start, 0, 0
@@ -21,7 +21,7 @@
 		q := query(fmt.Sprint(i % 40))
 		for range 2 {
 			c := f.Pick(now, q)
-			if c.Reason == NoBudget && c.Again <= againSoonest {
+			if c.Reason == NoBudget && c.Again <= minRetryAfter {
 				budget++
 				break
 			}
@@ -48,7 +48,7 @@
 func TestSilentTargetsOfBusyService(t *testing.T) {
 	const targets, slots = 16, 4
 	f := newFleet(t, targets, slots)
-	now, unforeseen := start, 0
+	now, withoutWait := start, 0
 	for i := range 400 {
 		now = now.Add(500 * time.Millisecond)
 		q := query(fmt.Sprint(i))
@@ -56,15 +56,15 @@
 		c := f.Pick(now, q)
 		if c.Reason == "" {
 			if i > 100 && c.Wait == 0 {
-				unforeseen++
+				withoutWait++
 			}
 			f.Done(now, c.Target, Outcome{
 				Ending: Answered, Took: 100 * time.Millisecond, Load: &Load{Running: slots, Waiting: 3},
 			})
 		}
 	}
-	if unforeseen > 0 {
-		t.Errorf("got %d of 300 requests that were taken to wait for nothing, want none", unforeseen)
+	if withoutWait > 0 {
+		t.Errorf("got %d of 300 requests that were taken to wait for nothing, want none", withoutWait)
 	}
 }
 
@@ -82,7 +82,7 @@
 			f.Done(start, Target{ID: id}, Outcome{Ending: Answered, Took: took, Load: &Load{}})
 		}
 	}
-	f.services["s"].mean = 100 * time.Millisecond
+	f.services["s"].meanLatency = 100 * time.Millisecond
 	if got := f.best(start, f.services["s"], query("x")).Target.ID; got != home {
 		t.Errorf("got %s, want the home %s", got, home)
 	}
@@ -130,14 +130,14 @@
 	}
 }
 
-// slowRegion plays requests for two regions with as many targets each. Those of the north
+// slowRegionSim plays requests for two regions with as many targets each. Those of the north
 // do all work cold, which takes four times as long, and get more than they can do; those
 // of the south have room, which is no help to who is bound to the north.
-type slowRegion struct {
-	fleet *Fleet
-	rng   *rand.Rand
-	free  map[string][]time.Time // when each slot of a target is free, by ID
-	ends  []attempt              // sorted by end
+type slowRegionSim struct {
+	fleet    *Fleet
+	rng      *rand.Rand
+	free     map[string][]time.Time // when each slot of a target is free, by ID
+	inFlight []attempt              // sorted by end
 
 	served, late int // of the requests for the north
 }
@@ -151,7 +151,7 @@
 }
 
 // send sends one request at a time.
-func (s *slowRegion) send(now time.Time, object string, north bool) {
+func (s *slowRegionSim) send(now time.Time, object string, north bool) {
 	q := query(object)
 	q.Deadline = now.Add(900 * time.Millisecond)
 	q.Regions = routes.RegionsOf([]string{"south"})
@@ -171,17 +171,17 @@
 	slices.SortFunc(slots, time.Time.Compare)
 	slots[0] = later(slots[0], now).Add(work)
 	s.free[c.Target.ID] = slots
-	s.ends = append(s.ends, attempt{c.Target, now, slots[0], q.Deadline, north})
-	slices.SortFunc(s.ends, func(a, b attempt) int { return a.end.Compare(b.end) })
+	s.inFlight = append(s.inFlight, attempt{c.Target, now, slots[0], q.Deadline, north})
+	slices.SortFunc(s.inFlight, func(a, b attempt) int { return a.end.Compare(b.end) })
 }
 
 // finish ends what has ended by now.
-func (s *slowRegion) finish(now time.Time) {
-	for len(s.ends) > 0 && !s.ends[0].end.After(now) {
-		a := s.ends[0]
-		s.ends = s.ends[1:]
+func (s *slowRegionSim) finish(now time.Time) {
+	for len(s.inFlight) > 0 && !s.inFlight[0].end.After(now) {
+		a := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		busy := 0
-		for _, other := range s.ends {
+		for _, other := range s.inFlight {
 			if other.target.ID == a.target.ID {
 				busy++
 			}
@@ -200,9 +200,9 @@
 // A region whose targets are slow and overloaded is not judged by the others: what would
 // end too late is refused at once, and its targets stay busy.
 func TestWaitsInASlowRegion(t *testing.T) {
-	const warmUp, played, capacity = 5 * time.Second, 25 * time.Second, 4 * 8 / 0.4 // requests a second of the north
-	s := &slowRegion{fleet: newFleet(t, 16, 4), rng: rand.New(rand.NewPCG(1, 1)), free: map[string][]time.Time{}}
-	for at := time.Duration(0); at < played; at += 10 * time.Millisecond {
+	const warmUp, simulated, capacity = 5 * time.Second, 25 * time.Second, 4 * 8 / 0.4 // requests a second of the north
+	s := &slowRegionSim{fleet: newFleet(t, 16, 4), rng: rand.New(rand.NewPCG(1, 1)), free: map[string][]time.Time{}}
+	for at := time.Duration(0); at < simulated; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		s.finish(now)
 		if at == warmUp {
@@ -216,13 +216,13 @@
 	if s.late*20 > s.served {
 		t.Errorf("got %d late of %d answers, want a twentieth at most", s.late, s.served+s.late)
 	}
-	if want := int(0.85 * capacity * (played - warmUp).Seconds()); s.served < want {
+	if want := int(0.85 * capacity * (simulated - warmUp).Seconds()); s.served < want {
 		t.Errorf("got %d served in time, want %d or more", s.served, want)
 	}
 }
 
 // Work at a far domain takes longer by the way there. That makes no queue longer.
-func TestFarDomainIsNotSlow(t *testing.T) {
+func TestDistanceIsNotSlowness(t *testing.T) {
 	tests := map[string]struct {
 		near, far time.Duration // of one request
 		want      bool          // the far domain's own work counts
@@ -246,7 +246,7 @@
 			mean := f.services["s"].latency(time.Second)
 			for _, target := range f.services["s"].targets {
 				want := target.Domain == "s1" && tt.want
-				if got := target.work(mean) != mean; got != want {
+				if got := target.workTime(mean) != mean; got != want {
 					t.Errorf("%s: got own work counted %t, want %t", target.Domain, got, want)
 				}
 			}
@@ -255,7 +255,7 @@
 }
 
 // The first requests at a domain are done cold. It takes more of them to call it slow.
-func TestFirstRunsAreNoSlowDomain(t *testing.T) {
+func TestColdRunsDoNotMarkDomainSlow(t *testing.T) {
 	const warm, cold = 200 * time.Millisecond, 600 * time.Millisecond
 	f := newFleet(t, 4, 4)
 	list := f.services["s"].targets
@@ -264,7 +264,7 @@
 	}
 	f.measure(start, list[1], cold)
 	mean := f.services["s"].latency(time.Second)
-	if got := list[1].work(mean); got != mean {
+	if got := list[1].workTime(mean); got != mean {
 		t.Errorf("got %s after one cold run, want %s", got, mean)
 	}
 	for range 20 {
@@ -274,7 +274,7 @@
 		f.measure(start, list[1], cold)
 	}
 	mean = f.services["s"].latency(time.Second)
-	if got := list[1].work(mean); got <= mean {
+	if got := list[1].workTime(mean); got <= mean {
 		t.Errorf("got %s after 20 more, want over %s", got, mean)
 	}
 }
--- a/internal/steer/notice_test.go
+++ b/internal/steer/notice_test.go
@@ -84,23 +84,23 @@
 		targets int
 		shares  bool
 	}{
-		"even load":           {even(9, 360), 16, false},
+		"even load":           {evenRates(9, 360), 16, false},
 		"all at one instance": {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, false},
-		"the only target":     {even(9, 200), 1, false},
-		"told by peers":       {even(60, 300), 12, true},
+		"the only target":     {evenRates(9, 200), 1, false},
+		"told by peers":       {evenRates(60, 300), 12, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, tt.targets, func(target string, now time.Time) word {
-				return word{Notice: notice.Notice{Leaving: target == "t00" && now.Sub(start) >= seconds(5)}}
+			w := newNoticeSim(t, tt.rates, tt.targets, func(target string, now time.Time) stubAnswer {
+				return stubAnswer{Notice: notice.Notice{Leaving: target == "t00" && now.Sub(start) >= seconds(5)}}
 			})
-			w.shares = tt.shares
+			w.exchanges = tt.shares
 			w.run(0, 5)
 			if len(w.arrivals) == 0 {
 				t.Fatal("the target got nothing before it left")
 			}
 			w.run(5, 20)
-			if got := w.most(time.Minute, worldTick, start); got != 0 {
+			if got := w.maxArrivals(time.Minute, noticeSimTick, start); got != 0 {
 				t.Errorf("got %d requests of instances that had been told, want none", got)
 			}
 		})
@@ -113,16 +113,16 @@
 	leaving, rests := f.targets["t00"].Target, f.targets["t01"].Target
 	f.Notice(start, leaving, start, notice.Notice{Leaving: true}, true)
 	f.Notice(start, rests, start, notice.Notice{Rest: time.Hour}, false)
-	now := start.Add(2 * noticeLife)
+	now := start.Add(2 * noticeTTL)
 	f.Put(now, Target{ID: "t02", Service: "s", Domain: "n1", Slots: 9})
 	f.Notice(now, f.targets["t02"].Target, now, notice.Notice{Limit: 1, Limited: true}, true)
 	f.Notice(now, leaving, now, notice.Notice{}, false)
-	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].seed, Limit: 5, Limited: true, At: now}})
+	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].idHash, Limit: 5, Limited: true, At: now}})
 	f.Remove("t01")
 	f.Put(now, rests)
-	for _, of := range []Target{leaving, rests} {
-		if f.Wanted(now, of) {
-			t.Errorf("%s: got a request that is wanted, want none", of.ID)
+	for _, target := range []Target{leaving, rests} {
+		if f.Wanted(now, target) {
+			t.Errorf("%s: got a request that is wanted, want none", target.ID)
 		}
 	}
 	q := query("7")
@@ -135,15 +135,15 @@
 // What a peer heard before the end of a limit does not bring it back.
 func TestOldWordOfALimit(t *testing.T) {
 	f := newFleet(t, 1, 9)
-	of := f.targets["t00"]
-	f.Notice(start, of.Target, start, notice.Notice{Limited: true}, true)
-	f.Notice(start.Add(2*time.Second), of.Target, start.Add(time.Second), notice.Notice{}, true)
+	target := f.targets["t00"]
+	f.Notice(start, target.Target, start, notice.Notice{Limited: true}, true)
+	f.Notice(start.Add(2*time.Second), target.Target, start.Add(time.Second), notice.Notice{}, true)
 	now := start.Add(3 * time.Second)
-	f.HearConstraints(now, []Constraint{{Target: of.seed, Limited: true, At: start.Add(time.Second / 2)}})
+	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(time.Second / 2)}})
 	if got := f.Pick(now, query("7")).Reason; got != "" {
 		t.Errorf("got %q, want a target that may get the request", got)
 	}
-	f.HearConstraints(now, []Constraint{{Target: of.seed, Limited: true, At: start.Add(2 * time.Second)}})
+	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(2 * time.Second)}})
 	if got := f.Pick(now, query("7")).Reason; got != Limited {
 		t.Errorf("got %q, want %q", got, Limited)
 	}
--- a/internal/steer/notice_world_test.go
+++ b/internal/steer/notice_world_test.go
@@ -11,67 +11,67 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// word is what a stand-in answers.
-type word struct {
+// stubAnswer is what a stand-in answers.
+type stubAnswer struct {
 	notice.Notice
 	refused bool
 }
 
 // arrival is a request at the target that is watched.
 type arrival struct {
-	at       time.Time
-	instance int
-	told     time.Time // when the instance had first passed on a notice; zero before
+	at         time.Time
+	instance   int
+	notifiedAt time.Time // when the instance had first passed on a notice; zero before
 }
 
-// due is an answer on its way.
-type due struct {
+// pendingAnswer is an answer on its way.
+type pendingAnswer struct {
 	at       time.Time
-	begun    time.Time
+	sentAt   time.Time
 	instance int
 	target   Target
-	word     word
+	answer   stubAnswer
 }
 
-type answers []due
+type pendingAnswers []pendingAnswer
 
-func (a answers) Len() int           { return len(a) }
-func (a answers) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
-func (a answers) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *answers) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *answers) Pop() any {
+func (a pendingAnswers) Len() int           { return len(a) }
+func (a pendingAnswers) Less(i, j int) bool { return a[i].at.Before(a[j].at) }
+func (a pendingAnswers) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *pendingAnswers) Push(x any)        { *a = append(*a, x.(pendingAnswer)) }
+func (a *pendingAnswers) Pop() any {
 	old := *a
 	x := old[len(old)-1]
 	*a = old[:len(old)-1]
 	return x
 }
 
-// noticeWorld is some instances with the same targets, in simulated time.
-type noticeWorld struct {
+// noticeSim is some instances with the same targets, in simulated time.
+type noticeSim struct {
 	fleets  []*Fleet
 	rates   []float64 // requests a second that come to each
-	says    func(target string, now time.Time) word
+	respond func(target string, now time.Time) stubAnswer
 	watched string // ID of a target
 
-	answers  answers
-	told     map[int]time.Time
-	arrivals []arrival
-	refused  int
-	served   int
-	rng      *rand.Rand
+	pending    pendingAnswers
+	notifiedAt map[int]time.Time
+	arrivals   []arrival
+	refused    int
+	served     int
+	rng        *rand.Rand
 
-	shares bool // instances of a region tell each other
-	shared time.Time
+	exchanges   bool // instances of a region tell each other
+	exchangedAt time.Time
 }
 
 const (
-	worldTick = 5 * time.Millisecond
-	worldWork = 150 * time.Millisecond
+	noticeSimTick = 5 * time.Millisecond
+	noticeSimWork = 150 * time.Millisecond
 )
 
-func newNoticeWorld(t *testing.T, rates []float64, targets int, says func(target string, now time.Time) word) *noticeWorld {
+func newNoticeSim(t *testing.T, rates []float64, targets int, says func(target string, now time.Time) stubAnswer) *noticeSim {
 	t.Helper()
-	w := &noticeWorld{rates: rates, says: says, watched: "t00", told: make(map[int]time.Time), rng: rand.New(rand.NewPCG(1, 2))}
+	w := &noticeSim{rates: rates, respond: says, watched: "t00", notifiedAt: make(map[int]time.Time), rng: rand.New(rand.NewPCG(1, 2))}
 	domains := []string{"n1", "n2", "s1", "s2"}
 	var names []string
 	for i := range rates {
@@ -92,39 +92,39 @@
 }
 
 // run plays the world from one time to another, in seconds after start.
-func (w *noticeWorld) run(from, to float64) {
+func (w *noticeSim) run(from, to float64) {
 	end := start.Add(seconds(to))
-	for now := start.Add(seconds(from)); now.Before(end); now = now.Add(worldTick) {
-		for len(w.answers) > 0 && !w.answers[0].at.After(now) {
-			w.answer(heap.Pop(&w.answers).(due))
+	for now := start.Add(seconds(from)); now.Before(end); now = now.Add(noticeSimTick) {
+		for len(w.pending) > 0 && !w.pending[0].at.After(now) {
+			w.finish(heap.Pop(&w.pending).(pendingAnswer))
 		}
-		if w.shares && now.Sub(w.shared) >= 500*time.Millisecond {
-			w.share(now)
+		if w.exchanges && now.Sub(w.exchangedAt) >= 500*time.Millisecond {
+			w.exchange(now)
 		}
 		for i, rate := range w.rates {
-			for more := rate * worldTick.Seconds(); w.rng.Float64() < more; more-- {
+			for more := rate * noticeSimTick.Seconds(); w.rng.Float64() < more; more-- {
 				w.send(now, i)
 			}
 		}
 	}
 }
 
-// share passes on in each region what its instances were told.
-func (w *noticeWorld) share(now time.Time) {
+// exchange passes on in each region what its instances were told.
+func (w *noticeSim) exchange(now time.Time) {
 	for i, from := range w.fleets {
-		list := from.Constraints(w.shared)
+		list := from.Constraints(w.exchangedAt)
 		for j, to := range w.fleets {
 			if i != j && from.region == to.region {
 				to.HearConstraints(now, list)
 			}
 		}
 	}
-	w.shared = now
+	w.exchangedAt = now
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func (w *noticeWorld) send(now time.Time, instance int) {
+func (w *noticeSim) send(now time.Time, instance int) {
 	q := query(fmt.Sprint(w.rng.IntN(90)))
 	q.Deadline = now.Add(time.Second)
 	c := w.fleets[instance].Pick(now, q)
@@ -133,24 +133,24 @@
 		return
 	}
 	if c.Target.ID == w.watched {
-		w.arrivals = append(w.arrivals, arrival{at: now, instance: instance, told: w.told[instance]})
+		w.arrivals = append(w.arrivals, arrival{at: now, instance: instance, notifiedAt: w.notifiedAt[instance]})
 	}
-	said := w.says(c.Target.ID, now)
-	took := worldWork
-	if said.refused {
-		took = worldTick
+	answer := w.respond(c.Target.ID, now)
+	took := noticeSimWork
+	if answer.refused {
+		took = noticeSimTick
 	}
-	heap.Push(&w.answers, due{at: now.Add(took), begun: now, instance: instance, target: c.Target, word: said})
+	heap.Push(&w.pending, pendingAnswer{at: now.Add(took), sentAt: now, instance: instance, target: c.Target, answer: answer})
 }
 
-func (w *noticeWorld) answer(d due) {
+func (w *noticeSim) finish(d pendingAnswer) {
 	f := w.fleets[d.instance]
-	f.Notice(d.at, d.target, d.begun, d.word.Notice, !d.word.refused)
-	if d.target.ID == w.watched && d.word.Any() && w.told[d.instance].IsZero() {
-		w.told[d.instance] = d.at
+	f.Notice(d.at, d.target, d.sentAt, d.answer.Notice, !d.answer.refused)
+	if d.target.ID == w.watched && d.answer.Any() && w.notifiedAt[d.instance].IsZero() {
+		w.notifiedAt[d.instance] = d.at
 	}
-	o := Outcome{Ending: Answered, Took: d.at.Sub(d.begun), Load: &Load{Running: 1}}
-	if d.word.refused {
+	o := Outcome{Ending: Answered, Took: d.at.Sub(d.sentAt), Load: &Load{Running: 1}}
+	if d.answer.refused {
 		o.Ending = Shed
 	} else {
 		w.served++
@@ -158,11 +158,11 @@
 	f.Done(d.at, d.target, o)
 }
 
-// most returns the most arrivals within a window of instances that had been told some time before.
-func (w *noticeWorld) most(window, told time.Duration, from time.Time) int {
+// maxArrivals returns the maxArrivals arrivals within a window of instances that had been told some time before.
+func (w *noticeSim) maxArrivals(window, delay time.Duration, from time.Time) int {
 	var times []time.Time
 	for _, a := range w.arrivals {
-		if !a.told.IsZero() && a.at.Sub(a.told) >= told && !a.at.Before(from) {
+		if !a.notifiedAt.IsZero() && a.at.Sub(a.notifiedAt) >= delay && !a.at.Before(from) {
 			times = append(times, a.at)
 		}
 	}
--- a/internal/steer/order.go
+++ b/internal/steer/order.go
@@ -7,83 +7,83 @@
 )
 
 const (
-	// ranked is how many targets are ranked for an object among all, in its region
+	// rankedCount is how many targets are rankedCount for an object among all, in its region
 	// and in its domain: its homes, and some more for when they are tried or cold.
-	ranked = 4
-	// lowest is the place of a target that is not ranked.
-	lowest = 10
-	// ownRegion is how much more often than others a target of the own region is the
+	rankedCount = 4
+	// lowestRank is the place of a target that is not ranked.
+	lowestRank = 10
+	// ownRegionWeight is how much more often than others a target of the own region is the
 	// home of an object. Callers mostly ask for objects of their region, so that their
 	// answers are carried less: with 4, two fifths less bytes between regions, at the same
 	// credit. With 14, or all homes in the region, small regions are overloaded, and 2%
 	// to 5% of the credit are lost on days of high load.
-	ownRegion = 4.0
+	ownRegionWeight = 4.0
 )
 
 // candidate is a target that may get the request, with its place in the order of
 // the object's hash among all candidates, those of the region and of the domain.
 type candidate struct {
 	*target
-	weight float64
-	global int
-	region int
-	domain int
+	weight     float64
+	globalRank int
+	regionRank int
+	domainRank int
 }
 
 // top holds the candidates of the greatest weights, the greatest first.
 type top struct {
-	list [ranked]candidate
+	list [rankedCount]candidate
 	n    int // of list that is used
 }
 
 func (t *top) insert(c candidate) {
-	if t.n == ranked && c.weight <= t.list[ranked-1].weight {
+	if t.n == rankedCount && c.weight <= t.list[rankedCount-1].weight {
 		return
 	}
-	i := min(t.n, ranked-1)
+	i := min(t.n, rankedCount-1)
 	for ; i > 0 && t.list[i-1].weight < c.weight; i-- {
 		t.list[i] = t.list[i-1]
 	}
 	t.list[i] = c
-	t.n = min(t.n+1, ranked)
+	t.n = min(t.n+1, rankedCount)
 }
 
 // order is how the targets of a service rank for an object.
 type order struct {
-	size    int  // candidates
-	ejected bool // ejected ones are among the candidates, as too many are ejected
-	global  top
-	region  top
-	domain  top
+	size           int  // candidates
+	includeEjected bool // ejected ones are among the candidates, as too many are ejected
+	global         top
+	region         top
+	domain         top
 }
 
 // order ranks the targets that may get the request, in time that grows with their
 // number.
 func (f *Fleet) order(now time.Time, s *service, q Query) *order {
 	o := &order{}
-	out := 0
+	ejected := 0
 	slots := make(map[string]int, 4)
 	for _, t := range s.targets {
-		if f.may(now, t, q) {
+		if f.eligible(now, t, q) {
 			o.size++
 			slots[t.region] += t.Slots
 			if t.ejected(now) {
-				out++
+				ejected++
 			}
 		}
 	}
 	// Where more are ejected than work, the fault is hardly the targets' own.
-	o.ejected = out*ejectHalf > o.size
-	if !o.ejected {
-		o.size -= out
+	o.includeEjected = ejected*ejectOneIn > o.size
+	if !o.includeEjected {
+		o.size -= ejected
 	}
-	sum := hash(q.key())
-	own := f.preference(slots)
+	keyHash := hash(q.key())
+	preference := f.regionPreference(slots)
 	for _, t := range s.targets {
-		if !f.candidate(now, t, q, o) {
+		if !f.isCandidate(now, t, q, o) {
 			continue
 		}
-		c := candidate{target: t, weight: f.weight(t, sum, own), global: lowest, region: lowest, domain: lowest}
+		c := candidate{target: t, weight: f.weight(t, keyHash, preference), globalRank: lowestRank, regionRank: lowestRank, domainRank: lowestRank}
 		o.global.insert(c)
 		if t.region == f.region {
 			o.region.insert(c)
@@ -95,12 +95,12 @@
 	return o
 }
 
-// preference is how much more often than others a target of the own region is the home
+// regionPreference is how much more often than others a target of the own region is the home
 // of an object: less than ownRegion where the region has less than its part of the slots.
 // With a tenth of the slots for a third of the callers, targets of the region were homes
 // of 1.35 times as many objects as the mean, and its domains the worst served ones: 0.824
 // of the credit on a day of high load, 0.837 with this.
-func (f *Fleet) preference(slots map[string]int) float64 {
+func (f *Fleet) regionPreference(slots map[string]int) float64 {
 	total := 0
 	for _, n := range slots {
 		total += n
@@ -108,17 +108,17 @@
 	if total == 0 {
 		return 1
 	}
-	part := float64(slots[f.region]*len(slots)) / float64(total)
-	return 1 + (ownRegion-1)*min(1, part)
+	share := float64(slots[f.region]*len(slots)) / float64(total)
+	return 1 + (ownRegionWeight-1)*min(1, share)
 }
 
-// may says whether a target may get the request, were it sound.
-func (f *Fleet) may(now time.Time, t *target, q Query) bool {
-	return f.open(t) && !t.rests(now) && q.Regions.Allow(t.region) && !slices.Contains(q.Tried, t.ID)
+// eligible says whether a target eligible get the request, were it sound.
+func (f *Fleet) eligible(now time.Time, t *target, q Query) bool {
+	return f.available(t) && !t.backingOff(now) && q.Regions.Allow(t.region) && !slices.Contains(q.Tried, t.ID)
 }
 
-func (f *Fleet) candidate(now time.Time, t *target, q Query, o *order) bool {
-	return f.may(now, t, q) && (o.ejected || !t.ejected(now))
+func (f *Fleet) isCandidate(now time.Time, t *target, q Query, o *order) bool {
+	return f.eligible(now, t, q) && (o.includeEjected || !t.ejected(now))
 }
 
 // key is what the targets are ranked by.
@@ -129,9 +129,9 @@
 	return q.Spread
 }
 
-// short lists the ranked candidates, the first of all first.
-func (o *order) short() []candidate {
-	list := make([]candidate, 0, 3*ranked)
+// rankedCandidates lists the ranked candidates, the first of all first.
+func (o *order) rankedCandidates() []candidate {
+	list := make([]candidate, 0, 3*rankedCount)
 	find := func(c candidate) *candidate {
 		for i := range list {
 			if list[i].target == c.target {
@@ -142,24 +142,24 @@
 		return &list[len(list)-1]
 	}
 	for i, c := range o.global.list[:o.global.n] {
-		find(c).global = i
+		find(c).globalRank = i
 	}
 	for i, c := range o.region.list[:o.region.n] {
-		find(c).region = i
+		find(c).regionRank = i
 	}
 	for i, c := range o.domain.list[:o.domain.n] {
-		find(c).domain = i
+		find(c).domainRank = i
 	}
 	return list
 }
 
-// unranked lists all candidates without their places. It begins at another one for
+// allCandidates lists all candidates without their places. It begins at another one for
 // each key, so that the cheapest of equals is not always the same.
-func (f *Fleet) unranked(now time.Time, s *service, q Query, o *order) []candidate {
+func (f *Fleet) allCandidates(now time.Time, s *service, q Query, o *order) []candidate {
 	list := make([]candidate, 0, o.size)
 	for _, t := range s.targets {
-		if f.candidate(now, t, q, o) {
-			list = append(list, candidate{target: t, global: lowest, region: lowest, domain: lowest})
+		if f.isCandidate(now, t, q, o) {
+			list = append(list, candidate{target: t, globalRank: lowestRank, regionRank: lowestRank, domainRank: lowestRank})
 		}
 	}
 	begin := hash(q.key()) % uint64(len(list))
@@ -168,11 +168,11 @@
 
 // weight is how high a target ranks for an object, by rendezvous hashing in which the
 // targets of the own region count ownRegion times.
-func (f *Fleet) weight(t *target, sum uint64, own float64) float64 {
-	drawn := (float64(mix(t.seed, sum)) + 1) / (math.MaxUint64 + 2.0) // within 0 and 1
-	weight := -1 / math.Log(drawn)
+func (f *Fleet) weight(t *target, keyHash uint64, preference float64) float64 {
+	uniform := (float64(mix(t.idHash, keyHash)) + 1) / (math.MaxUint64 + 2.0) // within 0 and 1
+	weight := -1 / math.Log(uniform)
 	if t.region == f.region {
-		weight *= own
+		weight *= preference
 	}
 	return weight
 }
--- a/internal/steer/outcome.go
+++ b/internal/steer/outcome.go
@@ -32,36 +32,36 @@
 // Done gives back the place that Pick took at a target, and takes in what came of it.
 // It reports whether the target is ejected for it. What came of a run that has ended
 // tells nothing of the next.
-func (f *Fleet) Done(now time.Time, of Target, o Outcome) bool {
-	t, ok := f.targets[of.ID]
-	if !ok || !t.Started.Equal(of.Started) {
+func (f *Fleet) Done(now time.Time, target Target, o Outcome) bool {
+	t, ok := f.targets[target.ID]
+	if !ok || !t.Started.Equal(target.Started) {
 		return false
 	}
-	t.end(now, o.Took)
+	t.finishRequest(now, o.Took)
 	if o.WarmIn > 0 {
 		t.WarmAt = later(t.WarmAt, now.Add(o.WarmIn))
 	}
 	if o.Load != nil {
-		t.tell(now, *o.Load)
+		t.recordOwnLoad(now, *o.Load)
 	}
 	switch o.Ending {
 	case Answered:
-		t.succeeded()
+		t.recordSuccess()
 		f.measure(now, t, o.Took)
 	case Shed:
 		// A target that refuses with free slots by its own word is not full. With half of
 		// the requests refused so at all targets for 8.5 of 50 s, those that ended refused
 		// fell from 4.0% to 3.2% of a day's.
 		if o.Load == nil || o.Load.Running+o.Load.Waiting >= t.Slots {
-			t.full(now)
+			t.markFull(now)
 		}
 	case Replaced:
-		f.Remove(of.ID)
+		f.Remove(target.ID)
 	case Late:
 		f.measure(now, t, o.Took)
-		return t.failed(now)
+		return t.recordFailure(now)
 	case Failed:
-		return t.failed(now)
+		return t.recordFailure(now)
 	case Left, Withheld:
 	}
 	return false
@@ -70,15 +70,15 @@
 // measure takes in the time that one request's work took: what the target had to
 // do at once besides shares the time.
 func (f *Fleet) measure(now time.Time, t *target, took time.Duration) {
-	if n := t.occupied(now) + 1; n > t.Slots {
+	if n := t.currentLoad(now) + 1; n > t.Slots {
 		took = took * time.Duration(t.Slots) / time.Duration(n)
 	}
-	t.sample(now, took)
+	t.recordLatency(now, took)
 	s := f.services[t.Service]
-	s.mean = smooth(s.mean, took)
-	own, known := s.domains[t.Domain]
+	s.meanLatency = smooth(s.meanLatency, took)
+	domainMean, known := s.domainLatency[t.Domain]
 	if !known {
-		own = s.mean // the first runs in a domain are cold, and tell little of it
+		domainMean = s.meanLatency // the first runs in a domain are cold, and tell little of it
 	}
-	s.domains[t.Domain] = smooth(own, took)
+	s.domainLatency[t.Domain] = smooth(domainMean, took)
 }
--- a/internal/steer/peers_test.go
+++ b/internal/steer/peers_test.go
@@ -12,16 +12,16 @@
 // all. A target has just come, cold, and everyone has as many requests for it as it may
 // send: the bound over all of them holds.
 func TestColdBoundWithLapsedPeers(t *testing.T) {
-	const instances, lapsed = 10, 3
+	const instances, expired = 10, 3
 	var names []string
 	for i := range instances {
 		names = append(names, fmt.Sprintf("i%d", i))
 	}
 	cfg := config("", "n1")
 	bound := 2.6*cfg.ColdFactor + cfg.ColdSlack
-	for at, want := range map[time.Duration]bool{0: true, lapsedLife - time.Second: true, lapsedLife: false} {
+	for at, want := range map[time.Duration]bool{0: true, expiredPeerTTL - time.Second: true, expiredPeerTTL: false} {
 		t.Run(at.String(), func(t *testing.T) {
-			now, sent, wider := start.Add(at), 0, false
+			now, sent, dividedAmongFewer := start.Add(at), 0, false
 			for i, name := range names {
 				cfg.Instance = name
 				f, err := New(cfg)
@@ -30,8 +30,8 @@
 				}
 				f.Limit(start, map[string]routes.Service{"s": {Name: "s", ColdRate: 2.6}})
 				f.Peers(start, names)
-				if i >= lapsed {
-					f.Peers(start, names[lapsed:])
+				if i >= expired {
+					f.Peers(start, names[expired:])
 				}
 				f.Put(now, Target{ID: "t", Service: "s", Domain: "n1", Slots: 9, WarmAt: now.Add(3 * time.Second)})
 				q := query("x")
@@ -39,13 +39,13 @@
 				for f.Pick(now, q).Reason == "" {
 					sent++
 				}
-				wider = wider || len(f.peers) < instances
+				dividedAmongFewer = dividedAmongFewer || len(f.peers) < instances
 			}
 			if want && float64(sent) > bound {
 				t.Errorf("got %d requests in a second, want %.1f at most", sent, bound)
 			}
-			if wider == want {
-				t.Errorf("got the bound divided among fewer: %t, want %t", wider, !want)
+			if dividedAmongFewer == want {
+				t.Errorf("got the bound divided among fewer: %t, want %t", dividedAmongFewer, !want)
 			}
 		})
 	}
--- a/internal/steer/pick.go
+++ b/internal/steer/pick.go
@@ -51,25 +51,25 @@
 
 // Times that refused callers are told to come back after.
 const (
-	againSoonest = 50 * time.Millisecond // a slot is free again by then at most targets
-	againCold    = 300 * time.Millisecond
-	againNone    = time.Second // until a target has registered
+	minRetryAfter      = 50 * time.Millisecond // a slot is free again by then at most targets
+	coldRetryAfter     = 300 * time.Millisecond
+	noTargetRetryAfter = time.Second // until a target has registered
 )
 
 // defaultObjective is for routes that have none: what an interactive caller bears.
 const defaultObjective = time.Second
 
-// guessedLatency is the share of the objective that one request's work is taken to
+// initialLatencyShare is the share of the objective that one request's work is taken to
 // need before any was measured.
-const guessedLatency = 0.5
+const initialLatencyShare = 0.5
 
 // Pick chooses a target and takes a place at it; Done gives it back.
 func (f *Fleet) Pick(now time.Time, q Query) Choice {
 	s, ok := f.services[q.Service]
 	if !ok {
-		return Choice{Reason: NoTarget, Again: againNone}
+		return Choice{Reason: NoTarget, Again: noTargetRetryAfter}
 	}
-	f.forget(now)
+	f.expirePeers(now)
 	if q.Objective <= 0 {
 		q.Objective = defaultObjective
 	}
@@ -81,20 +81,20 @@
 		return c
 	}
 	if q.Retry && !s.budget.Spend(now) {
-		return c.noBudget()
+		return c.refuseRetry()
 	}
-	f.spend(now, f.targets[c.Target.ID])
-	f.targets[c.Target.ID].begin(now)
+	f.spendToken(now, f.targets[c.Target.ID])
+	f.targets[c.Target.ID].startRequest(now)
 	c.SlowAt = now.Add(c.Wait + max(q.Objective, hedgeFactor*s.latency(q.Objective)))
 	return c
 }
 
-// noBudget refuses a retry for which there was a target: the caller comes back when
+// refuseRetry refuses a retry for which there was a target: the caller comes back when
 // that has room, as its next attempt is no retry of ours. With half of the requests
 // refused at all targets, 0.899 instead of 0.886 of the credit of a day was earned.
-func (c Choice) noBudget() Choice {
+func (c Choice) refuseRetry() Choice {
 	return Choice{
-		Reason: NoBudget, Again: max(againSoonest, c.Wait), First: c.Target.ID,
+		Reason: NoBudget, Again: max(minRetryAfter, c.Wait), First: c.Target.ID,
 		Wait: c.Wait, Busy: c.Busy, Usual: c.Usual, Age: c.Age, Part: c.Part,
 	}
 }
@@ -104,16 +104,16 @@
 func (f *Fleet) best(now time.Time, s *service, q Query) Choice {
 	o := f.order(now, s, q)
 	if o.size == 0 {
-		if c, ok := f.rested(now, s, q); ok {
+		if c, ok := f.refuseBackingOff(now, s, q); ok {
 			return c
 		}
-		return Choice{Reason: NoTarget, Again: againNone}
+		return Choice{Reason: NoTarget, Again: noTargetRetryAfter}
 	}
 	mean := s.latency(q.Objective)
-	found, refused := f.cheapest(now, o.short(), q, mean)
+	found, refused := f.cheapest(now, o.rankedCandidates(), q, mean)
 	if found.Target.ID == "" || q.Object == "" {
 		var all Choice
-		found, all = f.cheapest(now, f.unranked(now, s, q, o), q, mean)
+		found, all = f.cheapest(now, f.allCandidates(now, s, q, o), q, mean)
 		if refused.Reason == Limited {
 			refused = all
 		}
@@ -122,7 +122,7 @@
 		return found
 	}
 	if refused.Reason == Limited {
-		refused.Again = s.place(now, now.Add(refused.Again), f.limitGap(now, s))
+		refused.Again = s.scheduleRetry(now, now.Add(refused.Again), f.limitRetryGap(now, s))
 	}
 	return refused
 }
@@ -131,98 +131,98 @@
 // refusal if there is none.
 func (f *Fleet) cheapest(now time.Time, list []candidate, q Query, mean time.Duration) (found, refused Choice) {
 	first := list[0]
-	limited, next := 0, againLimited
-	refused = Choice{Reason: NoRoom, Again: againNone, First: first.ID, Wait: first.wait(now, first.work(mean))}.basedOn(now, first)
+	limitedCount, limitRetry := 0, maxLimitWait
+	refused = Choice{Reason: NoRoom, Again: noTargetRetryAfter, First: first.ID, Wait: first.queueWait(now, first.workTime(mean))}.withLoadOf(now, first)
 	for _, c := range list {
-		if wait := f.limitRoom(now, c.target); wait > 0 {
-			limited, next = limited+1, min(next, wait)
+		if wait := f.limitWait(now, c.target); wait > 0 {
+			limitedCount, limitRetry = limitedCount+1, min(limitRetry, wait)
 			continue
 		}
-		wait := c.wait(now, c.work(mean))
+		wait := c.queueWait(now, c.workTime(mean))
 		if wait > q.Objective || !q.Deadline.After(now.Add(wait)) || now.Before(c.shedUntil) {
-			refused.Again = min(refused.Again, max(againSoonest, mean/2, wait-q.Objective))
+			refused.Again = min(refused.Again, max(minRetryAfter, mean/2, wait-q.Objective))
 			continue
 		}
-		if q.Object != "" && !f.home(c, q) && !c.idle(now) {
-			refused.Again = min(refused.Again, max(againSoonest, mean/2))
+		if q.Object != "" && !f.isHome(c, q) && !c.idle(now) {
+			refused.Again = min(refused.Again, max(minRetryAfter, mean/2))
 			continue
 		}
-		if !f.coldRoom(now, c.target) {
-			refused.Reason, refused.Again = Cold, min(refused.Again, againCold)
+		if !f.coldAllowed(now, c.target) {
+			refused.Reason, refused.Again = Cold, min(refused.Again, coldRetryAfter)
 			continue
 		}
-		cost := wait + f.penalty(c, q, mean) + c.slowness(now, mean)
+		cost := wait + f.penalty(c, q, mean) + c.excessLatency(now, mean)
 		if c.cold(now) {
 			cost += mean
 		}
 		if found.Target.ID == "" || cost < found.Cost {
 			found = Choice{
-				Target: c.Target, Wait: wait, Cost: cost, Home: c.global == 0, Cold: c.cold(now),
-			}.basedOn(now, c)
+				Target: c.Target, Wait: wait, Cost: cost, Home: c.globalRank == 0, Cold: c.cold(now),
+			}.withLoadOf(now, c)
 		}
 	}
-	if limited == len(list) {
-		refused.Reason, refused.Again = Limited, next
-	} else if limited > 0 {
-		refused.Again = min(refused.Again, max(againSoonest, next))
+	if limitedCount == len(list) {
+		refused.Reason, refused.Again = Limited, limitRetry
+	} else if limitedCount > 0 {
+		refused.Again = min(refused.Again, max(minRetryAfter, limitRetry))
 	}
 	return found, refused
 }
 
-// basedOn notes what is known of the load of the target that decided.
-func (c Choice) basedOn(now time.Time, t candidate) Choice {
-	c.Busy, c.Usual, c.Age = t.occupied(now), t.service.usual, t.loadAge(now)
-	c.Part = t.limitPart()
+// withLoadOf notes what is known of the load of the target that decided.
+func (c Choice) withLoadOf(now time.Time, t candidate) Choice {
+	c.Busy, c.Usual, c.Age = t.currentLoad(now), t.service.typicalLoad, t.loadAge(now)
+	c.Part = t.limitShare()
 	return c
 }
 
-// home says whether the target is one of those that keep the object warm.
-func (f *Fleet) home(c candidate, q Query) bool {
-	if c.global < homes {
+// isHome says whether the target is one of those that keep the object warm.
+func (f *Fleet) isHome(c candidate, q Query) bool {
+	if c.globalRank < homeCount {
 		return true
 	}
-	return f.near(q) && (c.target.region == f.region && c.region < homes || c.Domain == f.cfg.Domain && c.domain < homes)
+	return f.hasLocalHomes(q) && (c.target.region == f.region && c.regionRank < homeCount || c.Domain == f.cfg.Domain && c.domainRank < homeCount)
 }
 
-// near says whether the object has homes in each failure domain and region too, as
+// hasLocalHomes says whether the object has homes in each failure domain and region too, as
 // its answers are too large to be carried from one home.
-func (f *Fleet) near(q Query) bool { return f.carry(q) > domainHome }
+func (f *Fleet) hasLocalHomes(q Query) bool { return f.transferCost(q) > domainHomeCost }
 
-// carry is what it costs to carry the answer between failure domains.
-func (f *Fleet) carry(q Query) time.Duration { return time.Duration(f.cfg.ByteCost * q.Size) }
+// transferCost is what it costs to transferCost the answer between failure domains.
+func (f *Fleet) transferCost(q Query) time.Duration { return time.Duration(f.cfg.ByteCost * q.Size) }
 
 // latency is the time of one request's work, measured or guessed.
 func (s *service) latency(objective time.Duration) time.Duration {
-	if s.mean > 0 {
-		return s.mean
+	if s.meanLatency > 0 {
+		return s.meanLatency
 	}
-	return time.Duration(guessedLatency * float64(objective))
+	return time.Duration(initialLatencyShare * float64(objective))
 }
 
 // penalty is what a target costs by where it is and by not being the object's home.
 func (f *Fleet) penalty(c candidate, q Query, mean time.Duration) time.Duration {
 	cost := time.Duration(0)
 	if c.Domain != f.cfg.Domain {
-		cost += f.carry(q)
+		cost += f.transferCost(q)
 	}
 	if q.Object == "" {
 		return cost
 	}
-	miss := float64(mean) * missShare
-	lost := missed(miss, c.global)
-	if f.near(q) {
+	miss := float64(mean) * missCostFactor
+	missed := missCost(miss, c.globalRank)
+	if f.hasLocalHomes(q) {
 		if c.target.region == f.region {
-			lost = min(lost, regionHome+missed(miss, c.region))
+			missed = min(missed, regionHomeCost+missCost(miss, c.regionRank))
 		}
 		if c.Domain == f.cfg.Domain {
-			lost = min(lost, domainHome+missed(miss, c.domain))
+			missed = min(missed, domainHomeCost+missCost(miss, c.domainRank))
 		}
 	}
-	return cost + lost
+	return cost + missed
 }
 
-// missed is the expected loss at the target in a place of the order: nothing at
+// missCost is the expected loss at the target in a place of the order: nothing at
 // the home, half of it at the second, as that gets what the home has no room for.
-func missed(miss float64, place int) time.Duration {
-	return time.Duration(miss * (1 - 1/float64(uint64(1)<<min(place, lowest))))
+func missCost(miss float64, rank int) time.Duration {
+	return time.Duration(miss * (1 - 1/float64(uint64(1)<<min(rank, lowestRank))))
 }
--- a/internal/steer/report.go
+++ b/internal/steer/report.go
@@ -31,85 +31,87 @@
 func (f *Fleet) Reports(now, since time.Time) []Report {
 	var list []Report
 	for _, t := range f.targets {
-		if !t.toldAt.After(since) || t.waiting(t.told) == t.waiting(t.foreseen(now)) {
+		if !t.ownLoadAt.After(since) || t.queueLength(t.ownLoad) == t.queueLength(t.peersEstimate(now)) {
 			continue
 		}
-		r := Report{Target: t.seed, Load: t.told, At: t.toldAt}
-		t.passed(r)
+		r := Report{Target: t.idHash, Load: t.ownLoad, At: t.ownLoadAt}
+		t.recordShared(r)
 		list = append(list, r)
 	}
 	return list
 }
 
-// passed notes the last report of the target that instances have told each other.
-func (t *target) passed(r Report) { t.shared, t.sharedUntil = r.Load, r.At.Add(loadLife) }
+// recordShared notes the last report of the target that instances have told each other.
+func (t *target) recordShared(r Report) {
+	t.sharedLoad, t.sharedLoadUntil = r.Load, r.At.Add(loadReportTTL)
+}
 
-// foreseen is how many requests the target has to do as far as others know, who have not
+// peersEstimate is how many requests the target has to do as far as others know, who have not
 // heard of it by themselves.
-func (t *target) foreseen(now time.Time) int {
-	return t.aged(now, t.shared, t.sharedUntil)
+func (t *target) peersEstimate(now time.Time) int {
+	return t.decayedLoad(now, t.sharedLoad, t.sharedLoadUntil)
 }
 
-// waiting is how many requests wait for a slot beside one that comes now.
-func (t *target) waiting(load int) int { return max(0, load+1-t.Slots) }
+// queueLength is how many requests wait for a slot beside one that comes now.
+func (t *target) queueLength(load int) int { return max(0, load+1-t.Slots) }
 
 // Hear takes in what targets have told other instances. What is older than the last that
 // is known of a target, or than its run, changes nothing.
 func (f *Fleet) Hear(now time.Time, reports []Report) {
 	for _, r := range reports {
-		t := f.bySeed[r.Target]
-		if t == nil || r.At.After(now) || !r.At.After(t.reported) || r.At.Before(t.added) {
+		t := f.byHash[r.Target]
+		if t == nil || r.At.After(now) || !r.At.After(t.reportedAt) || r.At.Before(t.addedAt) {
 			continue
 		}
-		t.passed(r)
-		t.hear(r)
+		t.recordShared(r)
+		t.recordPeerReport(r)
 	}
 }
 
-// tell takes in what the target says of its load with an answer to this instance.
-func (t *target) tell(now time.Time, l Load) {
-	t.told, t.toldAt = l.Running+l.Waiting, now
-	t.note(now, t.told-t.inFlight())
+// recordOwnLoad takes in what the target says of its load with an answer to this instance.
+func (t *target) recordOwnLoad(now time.Time, l Load) {
+	t.ownLoad, t.ownLoadAt = l.Running+l.Waiting, now
+	t.setOtherLoad(now, t.ownLoad-t.inFlight())
 	if t.Slots > 0 {
 		// What others tell is not usual: they tell what is.
-		t.service.usual += usualWeight * (float64(t.others)/float64(t.Slots) - t.service.usual)
+		t.service.typicalLoad += typicalLoadWeight * (float64(t.otherLoad)/float64(t.Slots) - t.service.typicalLoad)
 	}
 }
 
-// hear takes in what the target said to another instance. Of this instance's requests,
+// recordPeerReport takes in what the target said to another instance. Of this instance's requests,
 // those that were sent since are none that the target spoke of.
-func (t *target) hear(r Report) {
-	mine := 0
-	for mine < len(t.starts) && !t.starts[mine].After(r.At) {
-		mine++
+func (t *target) recordPeerReport(r Report) {
+	ownRequests := 0
+	for ownRequests < len(t.startTimes) && !t.startTimes[ownRequests].After(r.At) {
+		ownRequests++
 	}
-	t.note(r.At, r.Load-mine)
+	t.setOtherLoad(r.At, r.Load-ownRequests)
 }
 
-// note keeps how many requests of others the target has to do.
-func (t *target) note(at time.Time, others int) {
-	t.others = max(0, others)
-	t.othersUntil = at.Add(loadLife)
-	t.reported = at
+// setOtherLoad keeps how many requests of others the target has to do.
+func (t *target) setOtherLoad(at time.Time, others int) {
+	t.otherLoad = max(0, others)
+	t.otherLoadUntil = at.Add(loadReportTTL)
+	t.reportedAt = at
 }
 
-// occupied is how many requests the target has to do: this instance's own, and those of
+// currentLoad is how many requests the target has to do: this instance's own, and those of
 // others by the last report.
-func (t *target) occupied(now time.Time) int {
-	return t.inFlight() + t.aged(now, t.others, t.othersUntil)
+func (t *target) currentLoad(now time.Time) int {
+	return t.inFlight() + t.decayedLoad(now, t.otherLoad, t.otherLoadUntil)
 }
 
-// aged is what a report of a load that counts until a time is worth now: the older it is,
+// decayedLoad is what a report of a load that counts until a time is worth now: the older it is,
 // the more the usual load of the service's targets stands in for it.
-func (t *target) aged(now time.Time, load int, until time.Time) int {
-	fresh := min(1, max(0, float64(until.Sub(now))/float64(loadLife)))
-	return int(math.Round(fresh*float64(load) + (1-fresh)*t.service.usual*float64(t.Slots)))
+func (t *target) decayedLoad(now time.Time, load int, expiry time.Time) int {
+	weight := min(1, max(0, float64(expiry.Sub(now))/float64(loadReportTTL)))
+	return int(math.Round(weight*float64(load) + (1-weight)*t.service.typicalLoad*float64(t.Slots)))
 }
 
 // loadAge is how old the last report of the target's load is; -1 before the first.
 func (t *target) loadAge(now time.Time) time.Duration {
-	if t.reported.IsZero() {
+	if t.reportedAt.IsZero() {
 		return -1
 	}
-	return now.Sub(t.reported)
+	return now.Sub(t.reportedAt)
 }
--- a/internal/steer/rest_test.go
+++ b/internal/steer/rest_test.go
@@ -9,14 +9,14 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// rests says that some targets refuse requests in a span, and ask for rest.
-func rests(which func(target string) bool, from, to float64, rest time.Duration) func(target string, now time.Time) word {
-	return func(target string, now time.Time) word {
+// backOffBetween says that some targets refuse requests in a span, and ask for rest.
+func backOffBetween(which func(target string) bool, from, to float64, rest time.Duration) func(target string, now time.Time) stubAnswer {
+	return func(target string, now time.Time) stubAnswer {
 		at := now.Sub(start)
 		if which(target) && at >= seconds(from) && at < seconds(to) {
-			return word{Notice: notice.Notice{Rest: rest}, refused: true}
+			return stubAnswer{Notice: notice.Notice{Rest: rest}, refused: true}
 		}
-		return word{}
+		return stubAnswer{}
 	}
 }
 
@@ -30,18 +30,18 @@
 		targets int
 		which   func(target string) bool
 	}{
-		"one target":          {even(9, 360), 16, one},
-		"a third of them":     {even(9, 360), 16, third},
-		"all at once":         {even(9, 360), 16, all},
+		"one target":          {evenRates(9, 360), 16, one},
+		"a third of them":     {evenRates(9, 360), 16, third},
+		"all at once":         {evenRates(9, 360), 16, all},
 		"all at one instance": {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, third},
-		"the only target":     {even(9, 200), 1, all},
+		"the only target":     {evenRates(9, 200), 1, all},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, tt.targets, rests(tt.which, 5, 14, 3*time.Second))
+			w := newNoticeSim(t, tt.rates, tt.targets, backOffBetween(tt.which, 5, 14, 3*time.Second))
 			w.run(0, 14)
 			for i := range w.rates {
-				if got := w.inRest(i); got > 2 {
+				if got := w.maxDuringBackOff(i); got > 2 {
 					t.Errorf("instance %d: got %d requests within 3 s of rest, want 2 at most", i, got)
 				}
 			}
@@ -49,9 +49,9 @@
 	}
 }
 
-// inRest is the most requests of an instance between half a second after the watched target
+// maxDuringBackOff is the most requests of an instance between half a second after the watched target
 // refused one of its, and the end of the rest that it asked for.
-func (w *noticeWorld) inRest(instance int) int {
+func (w *noticeSim) maxDuringBackOff(instance int) int {
 	var times []time.Time
 	for _, a := range w.arrivals {
 		if a.instance == instance {
@@ -60,12 +60,12 @@
 	}
 	most := 0
 	for _, at := range times {
-		if !w.says(w.watched, at).refused {
+		if !w.respond(w.watched, at).refused {
 			continue
 		}
-		told := at.Add(worldTick)
-		from, _ := slices.BinarySearchFunc(times, told.Add(500*time.Millisecond), time.Time.Compare)
-		to, _ := slices.BinarySearchFunc(times, told.Add(3*time.Second), time.Time.Compare)
+		notified := at.Add(noticeSimTick)
+		from, _ := slices.BinarySearchFunc(times, notified.Add(500*time.Millisecond), time.Time.Compare)
+		to, _ := slices.BinarySearchFunc(times, notified.Add(3*time.Second), time.Time.Compare)
 		most = max(most, to-from)
 	}
 	return most
@@ -85,7 +85,7 @@
 		if c.Reason != Resting || c.Target.ID != "" {
 			t.Fatalf("got %+v, want a refusal as resting", c)
 		}
-		if c.Again < 2*time.Second || c.Again > 2*time.Second+placesTime || c.Again <= before {
+		if c.Again < 2*time.Second || c.Again > 2*time.Second+retrySpread || c.Again <= before {
 			t.Errorf("got %s, want another time than %s between 2 s and 3 s", c.Again, before)
 		}
 		before = c.Again
@@ -107,11 +107,11 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, even(9, 360), tt.targets, rests(func(target string) bool { return target == "t00" }, 5, 6, 3*time.Second))
+			w := newNoticeSim(t, evenRates(9, 360), tt.targets, backOffBetween(func(target string) bool { return target == "t00" }, 5, 6, 3*time.Second))
 			w.run(0, 8)
 			w.arrivals = nil
 			w.run(8, 20)
-			end := w.arrivals[0].at.Add(worldWork)
+			end := w.arrivals[0].at.Add(noticeSimWork)
 			got, _ := slices.BinarySearchFunc(w.arrivals, end, func(a arrival, at time.Time) int { return a.at.Compare(at) })
 			if got > len(w.rates) {
 				t.Errorf("got %d requests before the first answer, want %d at most", got, len(w.rates))
--- a/internal/steer/share.go
+++ b/internal/steer/share.go
@@ -11,7 +11,7 @@
 // its own requests, and its part of the slack. The sums over all instances stay
 // within the bound by construction.
 func (f *Fleet) newBudget(now time.Time) *retry.Window {
-	w := retry.NewWindow(now, f.cfg.RetryWindow, shareOfBound*f.cfg.RetryRatio)
+	w := retry.NewWindow(now, f.cfg.RetryWindow, dividedShare*f.cfg.RetryRatio)
 	w.SetSlack(f.slack())
 	return w
 }
@@ -22,7 +22,7 @@
 	if len(f.peers) == 0 {
 		return 0
 	}
-	return shareOfBound * float64(f.cfg.RetrySlack) / float64(len(f.peers))
+	return dividedShare * float64(f.cfg.RetrySlack) / float64(len(f.peers))
 }
 
 // coldShare is how many requests this instance may send to a cold target within
@@ -33,9 +33,9 @@
 	if len(f.peers) == 0 {
 		return 0
 	}
-	bound := int(shareOfBound * (f.services[t.Service].limits.ColdRate*f.cfg.ColdFactor + f.cfg.ColdSlack))
-	share, rest := bound/len(f.peers), bound%len(f.peers)
-	if f.rank(t) < rest {
+	bound := int(dividedShare * (f.services[t.Service].limits.ColdRate*f.cfg.ColdFactor + f.cfg.ColdSlack))
+	share, remainder := bound/len(f.peers), bound%len(f.peers)
+	if f.rank(t) < remainder {
 		share++
 	}
 	return share
@@ -46,17 +46,17 @@
 	if !slices.Contains(f.peers, f.cfg.Instance) {
 		return len(f.peers)
 	}
-	own := mix(t.seed, hash(f.cfg.Instance))
+	own := mix(t.idHash, hash(f.cfg.Instance))
 	n := 0
-	for _, seed := range f.peerSeeds {
-		if mix(t.seed, seed) > own {
+	for _, seed := range f.peerHashes {
+		if mix(t.idHash, seed) > own {
 			n++
 		}
 	}
 	return n
 }
 
-// coldRoom says whether a target may get a request as far as it is cold.
-func (f *Fleet) coldRoom(now time.Time, t *target) bool {
-	return !t.cold(now) || t.recent(now) < f.coldShare(t)
+// coldAllowed says whether a target may get a request as far as it is cold.
+func (f *Fleet) coldAllowed(now time.Time, t *target) bool {
+	return !t.cold(now) || t.recentColdRequests(now) < f.coldShare(t)
 }
