--- a/internal/steer/capacity_test.go
+++ b/internal/steer/capacity_test.go
@@ -9,14 +9,14 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// What a choice costs grows with the targets of the service.
+// The cost of a choice grows with the number of the service's targets.
 func BenchmarkCapacityPick(b *testing.B) {
 	for _, n := range []int{12, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmarkPick(b, newBenchFleet(b, n, 0)) })
 	}
 }
 
-// What a choice costs where all targets have named limits, and there are many instances.
+// Measures the cost of a choice if all targets have limits and there are many instances.
 func BenchmarkCapacityPickLimited(b *testing.B) {
 	for _, n := range []int{12, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// newBenchFleet is a fleet of so many targets and further instances.
+// newBenchFleet returns a fleet with the given numbers of targets and of other instances.
 func newBenchFleet(b *testing.B, targets, others int) *Fleet {
 	b.Helper()
 	f, err := New(config("a", "n1"))
@@ -49,7 +49,7 @@
 	return f
 }
 
-// benchmarkPick chooses targets, a thousand a second.
+// benchmarkPick measures Pick at a thousand requests per second.
 func benchmarkPick(b *testing.B, f *Fleet) {
 	now := start
 	for i := 0; b.Loop(); i++ {
--- a/internal/steer/fleet.go
+++ b/internal/steer/fleet.go
@@ -12,33 +12,33 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// Fleet holds the targets of all services and decides who gets a request.
+// Fleet holds the targets of all services and selects one for each request.
 type Fleet struct {
 	cfg          Config
 	region       string // of this instance
 	targets      map[string]*target
-	byHash       map[uint64]*target // the same, by the hashes of their IDs
+	byHash       map[uint64]*target // same targets by the hashes of their IDs
 	services     map[string]*service
-	constraints  map[runKey]*constraints // of runs that have said any, known or gone not long ago
+	constraints  map[runKey]*constraints // of runs that sent any; kept for noticeTTL after the run is removed
 	evacuated    map[string]bool         // by failure domain
-	peers        []string                // instances that bounds are divided among, this one among them; sorted
+	peers        []string                // instances that bounds are divided among, including this one; sorted
 	peerHashes   []uint64                // hashes of peers
-	expiredPeers map[string]time.Time    // those of peers whose records are gone: they count until then
-	peersVersion int                     // counts the changes of peers
+	expiredPeers map[string]time.Time    // peers whose records were removed, with the time until which they count
+	peersVersion int                     // incremented with each change of peers
 }
 
-// service is what is known of a service as a whole.
+// service is the state of one service.
 type service struct {
 	limits        routes.Service
 	targets       []*target                // sorted by ID
-	meanLatency   time.Duration            // smoothed time of one request's work at any target; 0 before the first
-	domainLatency map[string]time.Duration // the same at the targets of a failure domain
-	budget        *retry.Window            // additional attempts of this instance
-	typicalLoad   float64                  // requests of other instances for each slot of a target, smoothed over reports; 0 or more
-	retriesUntil  time.Time                // refused callers were told to come back until then
+	meanLatency   time.Duration            // running mean of the latency of one request over all targets; 0 before the first sample
+	domainLatency map[string]time.Duration // meanLatency by failure domain of the targets
+	budget        *retry.Window            // additional attempts allowed to this instance
+	typicalLoad   float64                  // running mean of other instances' requests per slot of a target, from load reports; 0 or more
+	retriesUntil  time.Time                // latest time at which a refused caller was asked to retry
 }
 
-// New makes an empty fleet. It returns a *ConfigError.
+// New returns an empty fleet, or a *ConfigError if cfg is invalid.
 func New(cfg Config) (*Fleet, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -56,19 +56,19 @@
 	}, nil
 }
 
-// Change is what Put made of a report.
+// Change is the effect of Put.
 type Change string
 
-// The changes.
+// Values of Change.
 const (
 	Added     Change = "added"
 	Updated   Change = "updated"
-	Restarted Change = "restarted" // the target runs anew: all that was known of it is forgotten
-	Outdated  Change = "outdated"  // a later report is known: nothing is changed
+	Restarted Change = "restarted" // the target runs anew; the state of its previous run was dropped
+	Outdated  Change = "outdated"  // a later registration is stored; nothing was changed
 )
 
-// Put adds a target, or changes what is known of one by its ID. Reports may come late
-// and out of their order.
+// Put adds a target, or updates the one with the same ID. Registrations may arrive late and out
+// of order.
 func (f *Fleet) Put(now time.Time, t Target) Change {
 	change := Added
 	if old, ok := f.targets[t.ID]; ok {
@@ -91,7 +91,7 @@
 	return change
 }
 
-// Remove forgets a target that is gone.
+// Remove drops a target that was removed or has departed.
 func (f *Fleet) Remove(id string) {
 	t, ok := f.targets[id]
 	if !ok {
@@ -105,8 +105,8 @@
 	}
 }
 
-// Target returns what is known of a target: what it has registered, and whether it leaves by
-// its answers.
+// Target returns the registration of a target. Leaving is also set if the target announced in its
+// answers that it is leaving.
 func (f *Fleet) Target(id string) (Target, bool) {
 	t, ok := f.targets[id]
 	if !ok {
@@ -117,15 +117,16 @@
 	return registered, true
 }
 
-// Limit sets what the configuration says of the services.
+// Limit sets the configuration of the given services.
 func (f *Fleet) Limit(now time.Time, services map[string]routes.Service) {
 	for name, limits := range services {
 		f.service(now, name).limits = limits
 	}
 }
 
-// Evacuate takes the failure domains whose targets get nothing. Targets of one
-// that is taken back may have gone cold unseen: they count as cold for a while.
+// Evacuate sets the failure domains whose targets get no requests. The caches of targets in a
+// domain that is reinstated may have gone cold meanwhile, so those targets count as cold for the
+// warm-up time.
 func (f *Fleet) Evacuate(now time.Time, domains []string) {
 	next := make(map[string]bool, len(domains))
 	for _, d := range domains {
@@ -139,10 +140,10 @@
 	f.evacuated = next
 }
 
-// Evacuated says whether targets of a failure domain get nothing.
+// Evacuated reports whether the targets of a failure domain get no requests.
 func (f *Fleet) Evacuated(domain string) bool { return f.evacuated[domain] }
 
-// Bound takes new bounds. It returns a *ConfigError, and then changes nothing.
+// Bound sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
 func (f *Fleet) Bound(now time.Time, b Bounds) error {
 	b.Defaults()
 	if faults := b.faults(); faults != nil {
@@ -158,8 +159,7 @@
 	return nil
 }
 
-// Targets returns how many targets a service has, and how many of them may get
-// requests now.
+// Targets returns the number of targets of a service, and how many of them may get requests now.
 func (f *Fleet) Targets(now time.Time, name string) (all, usable int) {
 	s, ok := f.services[name]
 	if !ok {
@@ -173,7 +173,7 @@
 	return len(s.targets), usable
 }
 
-// service returns a service, made when it is first heard of.
+// service returns the state of a service, and creates it at the first use.
 func (f *Fleet) service(now time.Time, name string) *service {
 	s, ok := f.services[name]
 	if !ok {
@@ -186,7 +186,7 @@
 	return s
 }
 
-// available says whether a target may get requests at all.
+// available reports whether a target is neither leaving nor evacuated.
 func (f *Fleet) available(t *target) bool { return !t.isLeaving() && !f.evacuated[t.Domain] }
 
 func compareID(t *target, id string) int { return cmp.Compare(t.ID, id) }
@@ -198,12 +198,12 @@
 	return b
 }
 
-// hash spreads a key over 64 bits.
+// hash maps a key to 64 uniformly distributed bits.
 func hash(key string) uint64 { return xxhash.Sum64String(key) }
 
-// mix is the rendezvous weight of a key at a target or instance, by their hashes.
+// mix returns the rendezvous weight of a key at a target or instance from their two hashes.
 func mix(a, b uint64) uint64 {
-	x := a ^ (b * 0x9e3779b97f4a7c15) // odd multiplier of the golden ratio; the rest is the finalizer of splitmix64
+	x := a ^ (b * 0x9e3779b97f4a7c15) // odd multiplier from the golden ratio; the remainder is the finalizer of splitmix64
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
--- a/internal/steer/fleet_test.go
+++ b/internal/steer/fleet_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// newFleet makes a fleet with n targets of service s, spread over the domains.
+// newFleet returns a fleet with n targets of service s, spread over the domains.
 func newFleet(t *testing.T, n, slots int) *Fleet {
 	t.Helper()
 	f, err := New(config("a", "n1"))
@@ -61,8 +61,8 @@
 	}
 }
 
-// An object has the same home at every instance of a region, and keeps it when another
-// target comes or goes.
+// An object has the same home at every instance of a region, and keeps it when another target is
+// added or removed.
 func TestOneHome(t *testing.T) {
 	homes := map[string]string{}
 	a, b := newFleet(t, 16, 8), newFleet(t, 16, 8)
@@ -91,8 +91,8 @@
 	}
 }
 
-// What an object's homes have no room for is refused, with a time to come back,
-// unless others are mostly idle: work that is done cold takes the slots of three.
+// Requests that exceed the capacity of an object's homes are refused with a time to retry, unless
+// other targets are mostly idle: cold work takes the slots of three requests.
 func TestSpill(t *testing.T) {
 	f := newFleet(t, 16, 4)
 	used := map[string]int{}
@@ -102,10 +102,10 @@
 		if c.Reason != "" {
 			refused++
 			if c.First == "" || c.Busy == 0 {
-				t.Fatalf("got %+v, want what it rests on", c)
+				t.Fatalf("got %+v, want the first candidate and its load", c)
 			}
 			if c.Again < minRetryAfter {
-				t.Fatalf("got %s until to come back", c.Again)
+				t.Fatalf("got a retry after %s", c.Again)
 			}
 			continue
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-// A route without an objective waits too.
+// Requests of a route without an objective can queue too.
 func TestNoObjective(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	f.Done(start, Target{ID: "t00"}, Outcome{Ending: Answered, Took: 100 * time.Millisecond})
@@ -136,12 +136,12 @@
 		q := query("x")
 		q.Objective = 0
 		if c := f.Pick(start, q); c.Reason != "" {
-			t.Errorf("request %d: got %+v, want a place in the queue", i, c)
+			t.Errorf("request %d: got %+v, want it queued", i, c)
 		}
 	}
 }
 
-// Requests about no object spread over all targets.
+// Requests without an object are spread over all targets.
 func TestSpread(t *testing.T) {
 	f := newFleet(t, 16, 4)
 	used := map[string]int{}
@@ -160,7 +160,7 @@
 	}
 }
 
-// Large answers stay in the failure domain while it has room.
+// Large answers are served in the own failure domain while it has capacity.
 func TestLargeAnswersStay(t *testing.T) {
 	f := newFleet(t, 16, 4)
 	for i := range 50 {
@@ -211,7 +211,7 @@
 			},
 			want: func(c Choice) bool { return c.Target.ID != "t00" },
 		},
-		"full by its own word": {
+		"refused for lack of capacity": {
 			prepare: func(f *Fleet) { f.Done(start, Target{ID: "t00"}, Outcome{Ending: Shed}) },
 			want:    func(c Choice) bool { return c.Target.ID != "t00" },
 		},
@@ -239,7 +239,7 @@
 	}
 }
 
-// Where most targets fail, none is kept out.
+// If most targets fail, none is excluded.
 func TestEjectionFloor(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	for _, id := range []string{"t00", "t01", "t02"} {
@@ -259,8 +259,8 @@
 	}
 }
 
-// A slow target loses its objects to their second homes, and gets them back some
-// time after it was last measured.
+// A slow target loses its objects to their second homes, and gets them back some time after its
+// last measurement.
 func TestSlowTarget(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	for id := range f.targets {
@@ -281,22 +281,22 @@
 	}
 }
 
-// The report of a target counts less and less, and not at all in the end; the usual
-// load of the service's targets takes its place.
+// A load report loses its weight with age until it counts for nothing, and the typical load of
+// the service's targets replaces it.
 func TestLoadReportDecays(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	f.Done(start, Target{ID: "t00"}, Outcome{Ending: Answered, Took: time.Second, Load: &Load{Running: 4, Waiting: 6}})
 	tests := map[string]struct {
-		usual float64 // for each of the 4 slots
+		usual float64 // per slot; there are 4
 		after time.Duration
 		want  int
 	}{
-		"at once":                    {0, 0, 10},
-		"half its life":              {0, loadReportTTL / 2, 5},
-		"at its end":                 {0, loadReportTTL, 0},
-		"at once, in a busy service": {0.5, 0, 10},
-		"half its life, in one":      {0.5, loadReportTTL / 2, 6},
-		"at its end, in one":         {0.5, loadReportTTL, 2},
+		"at once":                         {0, 0, 10},
+		"half expired":                    {0, loadReportTTL / 2, 5},
+		"expired":                         {0, loadReportTTL, 0},
+		"at once, in a busy service":      {0.5, 0, 10},
+		"half expired, in a busy service": {0.5, loadReportTTL / 2, 6},
+		"expired, in a busy service":      {0.5, loadReportTTL, 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -308,7 +308,7 @@
 	}
 }
 
-// Targets of a domain that is taken back may have gone cold unseen.
+// Targets of a reinstated domain may have gone cold while it was evacuated.
 func TestReinstatedDomainIsCold(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	f.Evacuate(start, []string{"n1"})
@@ -321,7 +321,7 @@
 	}
 }
 
-// No run of outcomes in any order breaks the counts.
+// No sequence of outcomes makes the counters inconsistent.
 func TestRandomOutcomesKeepCounters(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	f := newFleet(t, 8, 3)
@@ -352,8 +352,8 @@
 	}
 }
 
-// Most objects have their homes in the region that asks for them, whichever it is, and
-// some elsewhere, so that a small region is not overloaded.
+// Most objects have their homes in the region that requests them, whichever it is. Some have them
+// elsewhere, which keeps a small region from being overloaded.
 func TestHomesInOwnRegion(t *testing.T) {
 	for domain, region := range map[string]string{"n1": "north", "s2": "south"} {
 		f := newFleet(t, 16, 8)
@@ -365,7 +365,7 @@
 				near++
 			}
 		}
-		// Half of the targets count four times: four fifths of the objects.
+		// Half of the targets have a weight of 4: four fifths of the objects.
 		if near < 750 || near > 850 {
 			t.Errorf("%s: got %d of 1000 objects in the region, want about 800", region, near)
 		}
--- a/internal/steer/health.go
+++ b/internal/steer/health.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Ejections. A target that fails gets no requests for a while; then a few show
+// Ejection. A target that fails gets no requests for a while; after that, a few requests probe
 // whether it works again.
 const (
-	ejectAfter        = 3   // failures in a row that eject a target
-	ejectFailureShare = 0.4 // smoothed share of failures that ejects a target
+	ejectAfter        = 3   // consecutive failures that eject a target
+	ejectFailureShare = 0.4 // running mean of failures that ejects a target
 	minEjection       = time.Second
-	maxEjection       = 8 * time.Second // short: a target that works again is missed at high load
-	ejectOneIn        = 2               // at most 1 of so many targets of a service are kept out
-	failureWeight     = 0.15            // of one outcome in the share of failures
+	maxEjection       = 8 * time.Second // kept short, as a recovered target is missing capacity at high load
+	ejectOneIn        = 2               // at most 1 in this many targets of a service is ejected
+	failureWeight     = 0.15            // weight of one outcome in the running mean of failures
 )
 
-// recordSuccess notes a whole answer.
+// recordSuccess records a complete answer.
 func (t *target) recordSuccess() {
 	t.consecutiveFailures = 0
 	t.failureShare -= failureWeight * t.failureShare
@@ -22,7 +22,7 @@
 	}
 }
 
-// recordFailure notes a failure, and reports whether it ejects the target.
+// recordFailure records a failure, and reports whether it ejects the target.
 func (t *target) recordFailure(now time.Time) bool {
 	t.consecutiveFailures++
 	t.failureShare += failureWeight * (1 - t.failureShare)
@@ -34,7 +34,7 @@
 	}
 	t.ejectedUntil = now.Add(min(minEjection<<min(t.ejections, 6), maxEjection))
 	t.ejections++
-	t.consecutiveFailures = ejectAfter - 1 // the next failure after the ejection is enough for another
+	t.consecutiveFailures = ejectAfter - 1 // one failure after the ejection is enough for the next
 	t.failureShare = ejectFailureShare / 2
 	return true
 }
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// What a target that names a limit gets within limitWindow, over all instances, is at most
-// limitOver times as much as it names, and limitSlack requests.
+// Bounds on requests to a target that announced a limit: within limitWindow, all instances
+// together send at most limitOver times the limit plus limitSlack requests.
 const (
 	limitWindow = 4 * time.Second
 	limitOver   = 1.5
@@ -14,40 +14,40 @@
 )
 
 const (
-	// probeInterval spaces the requests that show whether a target still has its limit where
-	// nobody may send any otherwise.
+	// probeInterval is the interval of requests that probe whether a target still has its limit,
+	// when no instance may send any otherwise.
 	probeInterval = 10 * time.Second
-	// maxLimitWait is the longest that a refused caller is told to wait for limits: they may
-	// end any time. placesTime is the span in which callers that may come back at the same
-	// time are given their places, mostGap the most between two of these.
+	// maxLimitWait is the longest time after which a caller refused for limits is asked to retry,
+	// as limits may end at any time. retrySpread is the span over which callers that may retry at
+	// the same time are spread, and maxRetryGap the longest gap between two of them.
 	maxLimitWait = 1500 * time.Millisecond
 	retrySpread  = time.Second
 	maxRetryGap  = retrySpread / 8
 )
 
-// limit is how many requests a target takes from all instances together, and this instance's
-// part of them.
+// limit is the number of requests that a target accepts from all instances together, and this
+// instance's share of it.
 type limit struct {
 	active     bool
-	rate       float64   // requests a second; 0 or more
-	observedAt time.Time // when an answer last named it, or said that there is none
+	rate       float64   // requests per second; 0 or more
+	observedAt time.Time // when an answer last gave the limit, or showed that there is none
 	probedAt   time.Time // when a request was last sent without a token
 
 	share      tokenShare
-	tokens     float64   // requests that may be sent; 0 to part.most
-	refilledAt time.Time // until when tokens came in
+	tokens     float64   // requests that may be sent; 0 to share.burst
+	refilledAt time.Time // when tokens were last added
 }
 
-// tokenShare is an instance's tokenShare of a limit. The parts of all hold no more tokens together than a
-// window has beyond the rate, and take in no more than the rate.
+// tokenShare is one instance's share of a limit. Together, the shares of all instances hold no
+// more tokens than a window allows beyond the rate, and refill at no more than the rate.
 type tokenShare struct {
-	peersVersion int // of the peers by which it was divided; 0 if it has to be divided
-	rank         int // of this instance for the target
+	peersVersion int // Fleet.peersVersion at which it was computed; 0: has to be computed
+	rank         int // of this instance in the target's order of instances
 	rate         float64
-	burst        float64 // tokens that it may save up
+	burst        float64 // most tokens that can accumulate
 }
 
-// observe takes in that an answer named the limit.
+// observe records that an answer gave the limit.
 func (l *limit) observe(now time.Time, rate float64) {
 	if !l.active {
 		*l = limit{active: true, refilledAt: now}
@@ -58,8 +58,9 @@
 	l.observedAt = now
 }
 
-// tokenShareOf returns this instance's part. A limit is divided evenly among as many instances
-// as can save up a token each; those that rank lower for the target have none.
+// tokenShareOf returns this instance's share of a limit. The limit is divided evenly among as
+// many instances as can accumulate a whole token each; instances that rank lower for the target
+// get no share.
 func (f *Fleet) tokenShareOf(t *target, rate float64) tokenShare {
 	n := len(f.peers)
 	if n == 0 {
@@ -74,7 +75,7 @@
 	return p
 }
 
-// refill takes in the tokens up to now.
+// refill adds the tokens accrued up to now.
 func (f *Fleet) refill(now time.Time, t *target) {
 	l := &t.constraints.limit
 	if l.share.peersVersion != f.peersVersion {
@@ -84,8 +85,8 @@
 	l.refilledAt = now
 }
 
-// limitWait returns how long until the target may get a request of this instance, as far as
-// its limit goes; 0 if it may now.
+// limitWait returns how long the target's limit keeps this instance from sending it a request; 0
+// if it may send one now.
 func (f *Fleet) limitWait(now time.Time, t *target) time.Duration {
 	if t.constraints == nil || !t.constraints.limit.active {
 		return 0
@@ -99,8 +100,8 @@
 	return min(wait, refillTime(1-l.tokens, l.share.rate))
 }
 
-// refillTime is how long so many tokens take to come in at a rate; noticeLife at most, as rates may
-// be as small as anything.
+// refillTime returns how long the given tokens take to accrue at a rate. It is capped at
+// noticeTTL, as a rate may be arbitrarily small.
 func refillTime(tokens, rate float64) time.Duration {
 	if tokens >= rate*noticeTTL.Seconds() {
 		return noticeTTL
@@ -108,8 +109,8 @@
 	return time.Duration(tokens / rate * float64(time.Second))
 }
 
-// probeAt is when this instance may try whether the limit is over without a token. Each has
-// its turn, by its rank, after the limit was last heard of.
+// probeAt returns when this instance may probe without a token whether the limit is over. After
+// the limit was last observed, the instances probe in turn, in the order of their ranks.
 func (l *limit) probeAt(peers int) time.Time {
 	last := later(l.observedAt, l.probedAt)
 	if peers == 0 {
@@ -118,7 +119,7 @@
 	return last.Add(time.Duration(l.share.rank+1) * probeInterval)
 }
 
-// spendToken takes the token of a request to the target.
+// spendToken takes the token for a request to the target.
 func (f *Fleet) spendToken(now time.Time, t *target) {
 	if t.constraints == nil || !t.constraints.limit.active {
 		return
@@ -130,8 +131,8 @@
 	l.tokens = max(0, l.tokens-1)
 }
 
-// scheduleRetry returns when a refused caller should come back: one after the other from a time on, as
-// each takes so long, so that they don't come back at once.
+// scheduleRetry returns after which time a refused caller should retry. From first on, retries
+// are spaced by gap, which keeps callers from returning all at once.
 func (s *service) scheduleRetry(now, first time.Time, gap time.Duration) time.Duration {
 	at := s.retriesUntil.Add(gap)
 	if at.Before(first) || at.Sub(first) > retrySpread {
@@ -141,8 +142,8 @@
 	return max(minRetryAfter, at.Sub(now))
 }
 
-// limitRetryGap is how long it takes until this instance may send one more request to any target
-// of a service, where all have limits; mostGap at most.
+// limitRetryGap returns how long it takes until this instance may send one more request to any
+// target of a service whose targets all have limits; maxRetryGap at most.
 func (f *Fleet) limitRetryGap(now time.Time, s *service) time.Duration {
 	rate := 0.0
 	for _, t := range s.targets {
@@ -154,10 +155,12 @@
 	return min(maxRetryGap, refillTime(1, rate))
 }
 
-// Part is the limit that a target has named, and this instance's part of it, in requests a second.
+// Part is the limit that a target announced, and this instance's share of it, both in requests
+// per second.
 type Part struct{ Limit, Rate float64 }
 
-// limitShare is the part of the target's limit; nil if it has named none.
+// limitShare returns the target's limit and this instance's share of it; nil if there is no
+// limit.
 func (t *target) limitShare() *Part {
 	if t.constraints == nil || !t.constraints.limit.active {
 		return nil
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// limitFrom says that the watched target names a limit from a second on.
+// limitFrom makes the watched target announce a limit from the given second on.
 func limitFrom(rate, from float64) func(target string, now time.Time) stubAnswer {
 	return func(target string, now time.Time) stubAnswer {
 		if target == "t00" && now.Sub(start) >= seconds(from) {
@@ -18,7 +18,7 @@
 	}
 }
 
-// evenRates is n instances that get so many requests a second together.
+// evenRates spreads a total rate of requests per second over n instances.
 func evenRates(n int, rate float64) []float64 {
 	rates := make([]float64, n)
 	for i := range rates {
@@ -38,9 +38,9 @@
 		"all at one instance":  {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, 9},
 		"fewer than instances": {evenRates(60, 300), 12, 2.5},
 		"less than one":        {evenRates(195, 400), 8, 0.4},
-		"none":                 {evenRates(9, 360), 16, 0},
+		"zero":                 {evenRates(9, 360), 16, 0},
 		"of the only target":   {evenRates(9, 200), 1, 50},
-		"as small as anything": {evenRates(9, 360), 16, 5e-324},
+		"smallest rate":        {evenRates(9, 360), 16, 5e-324},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -54,12 +54,12 @@
 	}
 }
 
-// A limit is used: callers are served by it where nothing else has room.
+// A limit is used up: where no other target has capacity, requests are served up to the limit.
 func TestLimitIsUsed(t *testing.T) {
 	tests := map[string]struct {
 		rates []float64
 		limit float64
-		want  int // requests in 20 s, at least
+		want  int // minimum requests in 20 s
 	}{
 		"even load":           {evenRates(9, 200), 50, 950},
 		"unequal load":        {[]float64{100, 50, 20, 10, 8, 6, 5, 5, 5}, 18, 350},
@@ -78,18 +78,18 @@
 	}
 }
 
-// Once a target names no limit any more, it is used as before, and not by all at once.
+// After a target has dropped its limit, it is used as before, but not by all instances at once.
 func TestLimitEnds(t *testing.T) {
 	tests := map[string]struct {
 		rates  []float64
 		limit  float64
 		within float64 // seconds
 	}{
-		"even load":                {evenRates(9, 360), 9, 2},
-		"unequal load":             {[]float64{200, 100, 40, 10, 5, 2, 1, 1, 1}, 9, 2},
-		"none was let in":          {evenRates(9, 360), 0, 12},
-		"few of many were let in":  {evenRates(195, 360), 1.2, 10},
-		"of many, none was let in": {evenRates(195, 360), 0, 25},
+		"even load":                      {evenRates(9, 360), 9, 2},
+		"unequal load":                   {[]float64{200, 100, 40, 10, 5, 2, 1, 1, 1}, 9, 2},
+		"none allowed":                   {evenRates(9, 360), 0, 12},
+		"few of many instances allowed":  {evenRates(195, 360), 1.2, 10},
+		"none of many instances allowed": {evenRates(195, 360), 0, 25},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Callers that are refused for limits come back one after the other.
+// Callers refused for limits are asked to retry one after the other.
 func TestRetryAfterWithinLimits(t *testing.T) {
 	f := newFleet(t, 1, 9)
 	target := f.targets["t00"].Target
@@ -126,7 +126,7 @@
 		got = append(got, c.Again)
 	}
 	for i, retryAfter := range got {
-		// One of two instances may send 10 a second.
+		// One of two instances may send 10 requests per second.
 		if want := 90*time.Millisecond + time.Duration(i)*100*time.Millisecond; (retryAfter - want).Abs() > time.Millisecond {
 			t.Errorf("caller %d: got %s, want %s", i, retryAfter, want)
 		}
--- a/internal/steer/load_test.go
+++ b/internal/steer/load_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// All targets refuse half of what they get though they have room. No request waits or
-// is refused for want of room, and whose retry is not allowed may come back at once.
+// All targets refuse half of their requests although they have capacity. No request waits or is
+// refused for lack of capacity, and callers whose retry exceeds the budget may retry at once.
 func TestRefusalsWithFreeSlots(t *testing.T) {
 	f := newFleet(t, 16, 4)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -26,7 +26,7 @@
 				break
 			}
 			if c.Reason != "" {
-				t.Fatalf("request %d: got refused with %s, again in %s", i, c.Reason, c.Again)
+				t.Fatalf("request %d: got refused with %s, retry after %s", i, c.Reason, c.Again)
 			}
 			if rng.IntN(2) == 0 {
 				f.Done(now, c.Target, Outcome{Ending: Answered, Took: 100 * time.Millisecond, Load: &Load{}})
@@ -42,9 +42,9 @@
 	}
 }
 
-// All targets of a service have more to do than they have slots, and this instance hears
-// of each of them only once in a while, as it is one of many. What it has not heard of
-// for long, or never, is not taken for idle.
+// All targets of a service have more requests than slots, and this instance, one of many,
+// receives a report from each only now and then. A target without a recent report must not be
+// treated as idle.
 func TestSilentTargetsOfBusyService(t *testing.T) {
 	const targets, slots = 16, 4
 	f := newFleet(t, targets, slots)
@@ -64,12 +64,12 @@
 		}
 	}
 	if withoutWait > 0 {
-		t.Errorf("got %d of 300 requests that were taken to wait for nothing, want none", withoutWait)
+		t.Errorf("got %d of 300 requests without an expected wait, want none", withoutWait)
 	}
 }
 
-// A target that has just come does all of its objects' work cold, in three times the
-// time of others. It keeps the objects, or it would never get warm.
+// A target that was just added does all of its objects' work cold, which takes three times as
+// long as at other targets. It must keep the objects to become warm.
 func TestNewTargetKeepsObjects(t *testing.T) {
 	f := newFleet(t, 4, 4)
 	home := f.best(start, f.services["s"], query("x")).Target.ID
@@ -88,11 +88,11 @@
 	}
 }
 
-// A region has as many callers as the others and a tenth of the targets. Its targets are
-// the homes of hardly more objects than those of the others, and most objects that are
-// asked for in a large region have their home there.
+// A region has as many callers as the others and a tenth of the targets. Its targets must be
+// homes of hardly more objects than those of the others, and most objects requested in a large
+// region must have their home there.
 func TestSmallRegion(t *testing.T) {
-	const objects = 3000 // that are asked for in each region
+	const objects = 3000 // requested in each region
 	targets := map[string]int{"east": 48, "south": 192, "north": 231}
 	regions := map[string]string{"east": "east", "south": "south", "north": "north"}
 	homes, own := map[string]int{}, map[string]int{}
@@ -130,16 +130,16 @@
 	}
 }
 
-// slowRegionSim plays requests for two regions with as many targets each. Those of the north
-// do all work cold, which takes four times as long, and get more than they can do; those
-// of the south have room, which is no help to who is bound to the north.
+// slowRegionSim simulates requests for two regions with the same number of targets. Those in the
+// north do all work cold, which takes four times as long, and get more requests than they can
+// serve. Those in the south have free slots, but requests bound to the north can't use them.
 type slowRegionSim struct {
 	fleet    *Fleet
 	rng      *rand.Rand
-	free     map[string][]time.Time // when each slot of a target is free, by ID
-	inFlight []attempt              // sorted by end
+	free     map[string][]time.Time // when each slot of a target becomes free, by target ID
+	inFlight []attempt              // sorted by end time
 
-	served, late int // of the requests for the north
+	served, late int // requests for the north
 }
 
 // attempt is a request at a target.
@@ -150,7 +150,7 @@
 	north      bool
 }
 
-// send sends one request at a time.
+// send sends one request.
 func (s *slowRegionSim) send(now time.Time, object string, north bool) {
 	q := query(object)
 	q.Deadline = now.Add(900 * time.Millisecond)
@@ -175,7 +175,7 @@
 	slices.SortFunc(s.inFlight, func(a, b attempt) int { return a.end.Compare(b.end) })
 }
 
-// finish ends what has ended by now.
+// finish completes the requests that have ended by now.
 func (s *slowRegionSim) finish(now time.Time) {
 	for len(s.inFlight) > 0 && !s.inFlight[0].end.After(now) {
 		a := s.inFlight[0]
@@ -197,10 +197,10 @@
 	}
 }
 
-// A region whose targets are slow and overloaded is not judged by the others: what would
-// end too late is refused at once, and its targets stay busy.
+// A region with slow and overloaded targets must not be estimated by the latency of the other
+// region: requests that would finish too late are refused at once, and the targets stay busy.
 func TestWaitsInASlowRegion(t *testing.T) {
-	const warmUp, simulated, capacity = 5 * time.Second, 25 * time.Second, 4 * 8 / 0.4 // requests a second of the north
+	const warmUp, simulated, capacity = 5 * time.Second, 25 * time.Second, 4 * 8 / 0.4 // requests per second in the north
 	s := &slowRegionSim{fleet: newFleet(t, 16, 4), rng: rand.New(rand.NewPCG(1, 1)), free: map[string][]time.Time{}}
 	for at := time.Duration(0); at < simulated; at += 10 * time.Millisecond {
 		now := start.Add(at)
@@ -221,11 +221,11 @@
 	}
 }
 
-// Work at a far domain takes longer by the way there. That makes no queue longer.
+// The network distance to a far domain makes requests take longer, but does not lengthen queues.
 func TestDistanceIsNotSlowness(t *testing.T) {
 	tests := map[string]struct {
-		near, far time.Duration // of one request
-		want      bool          // the far domain's own work counts
+		near, far time.Duration // latency of one request
+		want      bool          // whether the far domain's own latency is used
 	}{
 		"far":          {20 * time.Millisecond, 100 * time.Millisecond, false},
 		"slow":         {200 * time.Millisecond, 800 * time.Millisecond, true},
@@ -247,14 +247,15 @@
 			for _, target := range f.services["s"].targets {
 				want := target.Domain == "s1" && tt.want
 				if got := target.workTime(mean) != mean; got != want {
-					t.Errorf("%s: got own work counted %t, want %t", target.Domain, got, want)
+					t.Errorf("%s: got the domain's own latency used: %t, want %t", target.Domain, got, want)
 				}
 			}
 		})
 	}
 }
 
-// The first requests at a domain are done cold. It takes more of them to call it slow.
+// The first requests in a domain run cold. One sample must not mark the domain as slow; more of
+// them do.
 func TestColdRunsDoNotMarkDomainSlow(t *testing.T) {
 	const warm, cold = 200 * time.Millisecond, 600 * time.Millisecond
 	f := newFleet(t, 4, 4)
--- a/internal/steer/notice.go
+++ b/internal/steer/notice.go
@@ -8,22 +8,22 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// News is what a notice changes of what was known.
+// News is a change to the constraints of a target.
 type News string
 
-// The news.
+// Values of News.
 const (
 	Leaves    News = "leaves"
-	Limits    News = "limits"     // it names a limit, or another one than before
-	LimitOver News = "limit-over" // it names none any more
+	Limits    News = "limits"     // the target gave a limit, or a different one than before
+	LimitOver News = "limit-over" // the target has no limit any more
 	Rests     News = "rests"
 )
 
-// noticeTTL is how long what a target said is remembered when its entry is gone: that may
-// come back, of the same run and with an older state, when the store does.
+// noticeTTL is how long the notices of a target are kept after its entry was removed: if the
+// store is restored, the entry may return with the same run and an older state.
 const noticeTTL = 10 * time.Minute
 
-// runKey tells the runs of a target apart.
+// runKey identifies one run of a target.
 type runKey struct {
 	targetID string
 	started  time.Time
@@ -31,21 +31,21 @@
 
 func runKeyOf(t *Target) runKey { return runKey{targetID: t.ID, started: t.Started.UTC()} }
 
-// constraints is what a run of a target has said of the requests that it wants.
+// constraints is what one run of a target announced about the requests that it accepts.
 type constraints struct {
 	run          runKey
-	leaving      bool      // for good: the next run is another one
-	backOffUntil time.Time // it gets nothing before
-	backedOff    bool      // it has asked for rest, and has not answered since other than by a refusal
+	leaving      bool      // final, as a target that starts again has another run
+	backOffUntil time.Time // end of the back-off; the target gets no requests before
+	backedOff    bool      // it asked for a back-off, and since then has only refused requests
 	limit        limit
-	keepUntil    time.Time // remembered so long when the run is not known any more
+	keepUntil    time.Time // kept until then, even if the run is no longer registered
 
-	observedAt time.Time // when an answer to this instance last brought what others should know
-	asOf       time.Time // when it was so
+	observedAt time.Time // when an answer to this instance last changed what peers should receive
+	asOf       time.Time // time for which that holds
 }
 
-// Notice takes in what a target said in an answer to a request that was sent at a time. A success
-// that names no limit says that there is none.
+// Notice applies the notice of an answer to a request that was sent at the given time. A
+// successful answer without a limit means that the target has none.
 func (f *Fleet) Notice(now time.Time, target Target, sentAt time.Time, n notice.Notice, success bool) []News {
 	if !n.Any() && f.constraints[runKeyOf(&target)] == nil {
 		return nil
@@ -53,7 +53,7 @@
 	return f.constraintsOf(now, &target).applyNotice(now, sentAt, n, success)
 }
 
-// constraintsOf returns the constraints of a run of a target, made when they are first needed.
+// constraintsOf returns the constraints of a target's run, and creates them at the first use.
 func (f *Fleet) constraintsOf(now time.Time, target *Target) *constraints {
 	key := runKeyOf(target)
 	c := f.constraints[key]
@@ -69,7 +69,7 @@
 	return c
 }
 
-// targetOfRun returns the target whose run it is; nil if there is another one or none.
+// targetOfRun returns the target with the given run; nil if the ID has another run or no target.
 func (f *Fleet) targetOfRun(r runKey) *target {
 	if t, ok := f.targets[r.targetID]; ok && runKeyOf(&t.Target) == r {
 		return t
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// applyNotice takes in a notice, and returns what it changes.
+// applyNotice applies a notice, and returns the changes.
 func (c *constraints) applyNotice(now, sentAt time.Time, n notice.Notice, success bool) []News {
 	var changes []News
 	if n.Leaving && !c.leaving {
@@ -110,15 +110,16 @@
 	return changes
 }
 
-// Wanted says whether a target still wants the request that it was chosen for, which may have
-// waited for a connection since.
+// Wanted reports whether a target still accepts the request that it was chosen for. The request
+// may have waited for a connection since.
 func (f *Fleet) Wanted(now time.Time, target Target) bool {
 	c := f.constraints[runKeyOf(&target)]
 	return c == nil || !c.leaving && !now.Before(c.backOffUntil)
 }
 
-// backingOff says whether the target gets no request of this instance for now, as it has asked for
-// rest. After that it gets one at a time, until an answer shows that it takes more.
+// backingOff reports whether the target gets no requests from this instance for now because it
+// asked for a back-off. After the back-off it gets one request at a time until an answer shows
+// that it accepts more.
 func (t *target) backingOff(now time.Time) bool {
 	c := t.constraints
 	if c == nil || !c.backedOff {
@@ -127,8 +128,8 @@
 	return now.Before(c.backOffUntil) || len(t.startTimes) > 0 && !t.startTimes[len(t.startTimes)-1].Before(c.backOffUntil)
 }
 
-// refuseBackingOff refuses a request as all targets that it could go to have asked for rest; false if
-// that is not so.
+// refuseBackingOff refuses a request because all targets that it could go to are backing off;
+// false if that is not the case.
 func (f *Fleet) refuseBackingOff(now time.Time, s *service, q Query) (Choice, bool) {
 	var first *target
 	slots := 0
@@ -144,14 +145,14 @@
 	if first == nil {
 		return Choice{}, false
 	}
-	// All instances send to these slots.
+	// These slots serve the requests of all instances.
 	gap := s.latency(q.Objective) * time.Duration(max(1, len(f.peers))) / time.Duration(max(1, slots))
 	c := Choice{Reason: Resting, Again: s.scheduleRetry(now, first.constraints.backOffUntil, gap), First: first.ID}
 	return c.withLoadOf(now, candidate{target: first}), true
 }
 
-// Rest returns how long all targets of a service want nothing from this instance; 0 if any may
-// get a request now.
+// Rest returns the remaining time in which all targets of a service are backing off for this
+// instance; 0 if any may get a request now.
 func (f *Fleet) Rest(now time.Time, q Query) time.Duration {
 	s, ok := f.services[q.Service]
 	if !ok || slices.ContainsFunc(s.targets, func(t *target) bool { return f.eligible(now, t, Query{Regions: q.Regions}) }) {
@@ -161,30 +162,32 @@
 	return c.Again
 }
 
-// isLeaving says whether the target isLeaving, by the store or by its answers. These may come first,
-// and what the store says is older while it is away.
+// isLeaving reports whether the target is leaving, by its registration or by its answers. The
+// answers may show it earlier, and the registration is out of date while the store is
+// unreachable.
 func (t *target) isLeaving() bool {
 	return t.Leaving || t.constraints != nil && t.constraints.leaving
 }
 
-// Constraint is what a target said to some instance of the requests that it wants from all.
-// Instances of a region tell each other: who may send it nothing hears so that a limit is over.
+// Constraint is what a target announced to some instance about the requests that it accepts from
+// all instances. The instances of a region exchange constraints: an instance that may not send
+// the target any requests gets no answer from it that shows the end of a limit.
 type Constraint struct {
-	Target  uint64    // hash of its ID
-	Started time.Time // of the run; zero if not known
+	Target  uint64    // hash of the target's ID
+	Started time.Time // start of the run; zero if unknown
 	Leaving bool
-	Limit   float64 // requests a second; 0 or more
-	Limited bool    // Limit is set
+	Limit   float64 // requests per second; 0 or more
+	Limited bool    // whether Limit is set
 	At      time.Time
 }
 
-// About is the hash of the target's ID.
+// About returns the hash of the target's ID.
 func (c Constraint) About() uint64 { return c.Target }
 
-// Made is when it was so.
+// Made returns the time for which the constraint holds.
 func (c Constraint) Made() time.Time { return c.At }
 
-// Constraints lists what answers have told this instance itself since a time.
+// Constraints returns what answers to this instance itself changed after since.
 func (f *Fleet) Constraints(since time.Time) []Constraint {
 	var list []Constraint
 	for _, c := range f.constraints {
@@ -197,14 +200,15 @@
 	return list
 }
 
-// Heard is what a peer's word changes.
+// Heard is a change to a target's constraints that a peer reported.
 type Heard struct {
 	Target Target
 	News   News
-	Limit  float64 // requests a second; counts if News is Limits
+	Limit  float64 // requests per second; valid if the change is Limits
 }
 
-// HearConstraints takes in what targets have told other instances, and returns what it changes.
+// HearConstraints applies constraints that other instances received from targets, and returns the
+// changes.
 func (f *Fleet) HearConstraints(now time.Time, list []Constraint) []Heard {
 	var updates []Heard
 	for _, r := range list {
@@ -222,8 +226,8 @@
 	return updates
 }
 
-// applyConstraint takes in what the target has told another instance. What was so before a limit was last
-// heard of changes nothing of it.
+// applyConstraint applies a constraint that another instance received from the target. A limit
+// changes only if the constraint is later than the last observation of the limit.
 func (c *constraints) applyConstraint(now time.Time, r Constraint) []News {
 	var changes []News
 	if r.Leaving && !c.leaving {
--- a/internal/steer/notice_test.go
+++ b/internal/steer/notice_test.go
@@ -7,7 +7,8 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// What a target has said holds for its run: when its entry comes back too, and not for the next.
+// The notice of a target holds for its run, also if the run's entry is removed and returns, and
+// not for the next run.
 func TestNoticeOfARun(t *testing.T) {
 	first, second := start.Add(-time.Hour), start.Add(time.Second)
 	target := Target{ID: "t00", Started: first, Sequence: 5, Service: "s", Domain: "n1", Slots: 9}
@@ -19,16 +20,16 @@
 		change func(f *Fleet)
 		want   Reason
 	}{
-		"nothing":             {func(*Fleet) {}, Limited},
-		"a report":            {func(f *Fleet) { f.Put(start, newer) }, Limited},
-		"gone and back":       {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, Limited},
-		"another run":         {func(f *Fleet) { f.Put(start, restarted) }, ""},
-		"gone, another run":   {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
-		"others join":         {func(f *Fleet) { f.Peers(start, []string{"a", "b", "c"}) }, Limited},
-		"an answer without":   {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
-		"a failure without":   {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, Limited},
-		"an answer of before": {func(f *Fleet) { f.Notice(start.Add(2), target, start, notice.Notice{}, true) }, Limited},
-		"another run's word":  {func(f *Fleet) { f.Notice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, Limited},
+		"nothing":                      {func(*Fleet) {}, Limited},
+		"another registration":         {func(f *Fleet) { f.Put(start, newer) }, Limited},
+		"removed and back":             {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, Limited},
+		"another run":                  {func(f *Fleet) { f.Put(start, restarted) }, ""},
+		"removed, another run":         {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
+		"peers join":                   {func(f *Fleet) { f.Peers(start, []string{"a", "b", "c"}) }, Limited},
+		"answer without a limit":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
+		"failure without a limit":      {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, Limited},
+		"answer to an earlier request": {func(f *Fleet) { f.Notice(start.Add(2), target, start, notice.Notice{}, true) }, Limited},
+		"answer of another run":        {func(f *Fleet) { f.Notice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, Limited},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +44,8 @@
 	}
 }
 
-// A run that leaves stays so, whatever older entries or other answers say; the next run is another.
+// A run that announced its leaving stays leaving, whatever older entries or other answers say.
+// The next run is not affected.
 func TestLeavingOfARun(t *testing.T) {
 	target := Target{ID: "t00", Started: start.Add(-time.Hour), Sequence: 5, Service: "s", Domain: "n1", Slots: 9}
 	newer := target
@@ -54,12 +56,12 @@
 		change func(f *Fleet)
 		want   Reason
 	}{
-		"nothing":           {func(*Fleet) {}, NoTarget},
-		"a report":          {func(f *Fleet) { f.Put(start, newer) }, NoTarget},
-		"gone and back":     {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, NoTarget},
-		"another answer":    {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
-		"another run":       {func(f *Fleet) { f.Put(start, restarted) }, ""},
-		"gone, another run": {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
+		"nothing":              {func(*Fleet) {}, NoTarget},
+		"another registration": {func(f *Fleet) { f.Put(start, newer) }, NoTarget},
+		"removed and back":     {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, NoTarget},
+		"another answer":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
+		"another run":          {func(f *Fleet) { f.Put(start, restarted) }, ""},
+		"removed, another run": {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +69,7 @@
 			f.Put(start, target)
 			f.Notice(start, target, start, notice.Notice{Leaving: true}, true)
 			if f.Wanted(start, target) {
-				t.Error("got a request that is wanted, want none")
+				t.Error("got the request accepted, want it refused")
 			}
 			tt.change(f)
 			if got := f.Pick(start.Add(3), query("7")).Reason; got != tt.want {
@@ -77,7 +79,7 @@
 	}
 }
 
-// A target that leaves gets nothing from an instance that has been told so.
+// A target that is leaving gets no requests from an instance that received its notice.
 func TestRequestsAtALeavingTarget(t *testing.T) {
 	tests := map[string]struct {
 		rates   []float64
@@ -87,7 +89,7 @@
 		"even load":           {evenRates(9, 360), 16, false},
 		"all at one instance": {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, false},
 		"the only target":     {evenRates(9, 200), 1, false},
-		"told by peers":       {evenRates(60, 300), 12, true},
+		"notice from peers":   {evenRates(60, 300), 12, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -97,17 +99,18 @@
 			w.exchanges = tt.shares
 			w.run(0, 5)
 			if len(w.arrivals) == 0 {
-				t.Fatal("the target got nothing before it left")
+				t.Fatal("the target got no requests before its notice")
 			}
 			w.run(5, 20)
 			if got := w.maxArrivals(time.Minute, noticeSimTick, start); got != 0 {
-				t.Errorf("got %d requests of instances that had been told, want none", got)
+				t.Errorf("got %d requests of instances that had received the notice, want none", got)
 			}
 		})
 	}
 }
 
-// What a target said outlasts the memory of runs that are gone as long as the target is known.
+// The notices of a registered target are kept beyond noticeTTL, when those of removed runs are
+// dropped.
 func TestNoticeIsKept(t *testing.T) {
 	f := newFleet(t, 2, 9)
 	leaving, rests := f.targets["t00"].Target, f.targets["t01"].Target
@@ -122,17 +125,17 @@
 	f.Put(now, rests)
 	for _, target := range []Target{leaving, rests} {
 		if f.Wanted(now, target) {
-			t.Errorf("%s: got a request that is wanted, want none", target.ID)
+			t.Errorf("%s: got the request accepted, want it refused", target.ID)
 		}
 	}
 	q := query("7")
 	q.Deadline = now.Add(time.Second)
 	if got := f.Pick(now, q).Reason; got != Limited {
-		t.Errorf("got %q, want %q, as the others want nothing", got, Limited)
+		t.Errorf("got %q, want %q, as the other targets accept nothing", got, Limited)
 	}
 }
 
-// What a peer heard before the end of a limit does not bring it back.
+// A limit that a peer observed before the limit ended does not take effect again.
 func TestOldWordOfALimit(t *testing.T) {
 	f := newFleet(t, 1, 9)
 	target := f.targets["t00"]
--- a/internal/steer/notice_world_test.go
+++ b/internal/steer/notice_world_test.go
@@ -11,20 +11,20 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// stubAnswer is what a stand-in answers.
+// stubAnswer is the answer of a simulated target.
 type stubAnswer struct {
 	notice.Notice
 	refused bool
 }
 
-// arrival is a request at the target that is watched.
+// arrival is a request at the watched target.
 type arrival struct {
 	at         time.Time
 	instance   int
-	notifiedAt time.Time // when the instance had first passed on a notice; zero before
+	notifiedAt time.Time // when the instance received its first notice; zero before
 }
 
-// pendingAnswer is an answer on its way.
+// pendingAnswer is an answer in transit.
 type pendingAnswer struct {
 	at       time.Time
 	sentAt   time.Time
@@ -46,12 +46,12 @@
 	return x
 }
 
-// noticeSim is some instances with the same targets, in simulated time.
+// noticeSim simulates several instances with the same targets.
 type noticeSim struct {
 	fleets  []*Fleet
-	rates   []float64 // requests a second that come to each
+	rates   []float64 // requests per second at each instance
 	respond func(target string, now time.Time) stubAnswer
-	watched string // ID of a target
+	watched string // ID of the watched target
 
 	pending    pendingAnswers
 	notifiedAt map[int]time.Time
@@ -60,7 +60,7 @@
 	served     int
 	rng        *rand.Rand
 
-	exchanges   bool // instances of a region tell each other
+	exchanges   bool // whether the instances of a region exchange constraints
 	exchangedAt time.Time
 }
 
@@ -91,7 +91,7 @@
 	return w
 }
 
-// run plays the world from one time to another, in seconds after start.
+// run simulates a period given in seconds after start.
 func (w *noticeSim) run(from, to float64) {
 	end := start.Add(seconds(to))
 	for now := start.Add(seconds(from)); now.Before(end); now = now.Add(noticeSimTick) {
@@ -109,7 +109,7 @@
 	}
 }
 
-// exchange passes on in each region what its instances were told.
+// exchange sends the constraints that each instance received to the others of its region.
 func (w *noticeSim) exchange(now time.Time) {
 	for i, from := range w.fleets {
 		list := from.Constraints(w.exchangedAt)
@@ -158,7 +158,8 @@
 	f.Done(d.at, d.target, o)
 }
 
-// maxArrivals returns the maxArrivals arrivals within a window of instances that had been told some time before.
+// maxArrivals returns the maximum number of arrivals within a window, counting instances that
+// received a notice at least the given time before.
 func (w *noticeSim) maxArrivals(window, delay time.Duration, from time.Time) int {
 	var times []time.Time
 	for _, a := range w.arrivals {
--- a/internal/steer/order.go
+++ b/internal/steer/order.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// rankedCount is how many targets are rankedCount for an object among all, in its region
-	// and in its domain: its homes, and some more for when they are tried or cold.
+	// rankedCount is how many targets are ranked for an object, each among all targets, in its
+	// region and in its failure domain: its homes, and more for when these are cold or have
+	// already been tried.
 	rankedCount = 4
-	// lowestRank is the place of a target that is not ranked.
+	// lowestRank is the rank of a target that is not ranked.
 	lowestRank = 10
-	// ownRegionWeight is how much more often than others a target of the own region is the
-	// home of an object. Callers mostly ask for objects of their region, so that their
-	// answers are carried less: with 4, two fifths less bytes between regions, at the same
-	// credit. With 14, or all homes in the region, small regions are overloaded, and 2%
-	// to 5% of the credit are lost on days of high load.
+	// ownRegionWeight is how much more often a target of the own region is the home of an object
+	// than other targets are. Callers mostly ask for objects of their region, so local homes
+	// reduce traffic: a weight of 4 saves two fifths of the bytes between regions at the same
+	// credit. A weight of 14, or all homes in the own region, overloads small regions and loses
+	// 2% to 5% of the credit on days of high load.
 	ownRegionWeight = 4.0
 )
 
-// candidate is a target that may get the request, with its place in the order of
-// the object's hash among all candidates, those of the region and of the domain.
+// candidate is a target that may get the request, with its ranks by the object's hash among all
+// candidates, among those of its region and among those of its domain.
 type candidate struct {
 	*target
 	weight     float64
@@ -30,10 +31,10 @@
 	domainRank int
 }
 
-// top holds the candidates of the greatest weights, the greatest first.
+// top holds the candidates with the greatest weights in descending order.
 type top struct {
 	list [rankedCount]candidate
-	n    int // of list that is used
+	n    int // used entries of list
 }
 
 func (t *top) insert(c candidate) {
@@ -48,17 +49,16 @@
 	t.n = min(t.n+1, rankedCount)
 }
 
-// order is how the targets of a service rank for an object.
+// order is the ranking of a service's targets for an object.
 type order struct {
-	size           int  // candidates
-	includeEjected bool // ejected ones are among the candidates, as too many are ejected
+	size           int  // number of candidates
+	includeEjected bool // ejected targets are candidates, as too many are ejected
 	global         top
 	region         top
 	domain         top
 }
 
-// order ranks the targets that may get the request, in time that grows with their
-// number.
+// order ranks the targets that may get the request, in time linear in the number of targets.
 func (f *Fleet) order(now time.Time, s *service, q Query) *order {
 	o := &order{}
 	ejected := 0
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	// Where more are ejected than work, the fault is hardly the targets' own.
+	// If more targets are ejected than work, the cause is probably not the targets themselves.
 	o.includeEjected = ejected*ejectOneIn > o.size
 	if !o.includeEjected {
 		o.size -= ejected
@@ -95,11 +95,12 @@
 	return o
 }
 
-// regionPreference is how much more often than others a target of the own region is the home
-// of an object: less than ownRegion where the region has less than its part of the slots.
-// With a tenth of the slots for a third of the callers, targets of the region were homes
-// of 1.35 times as many objects as the mean, and its domains the worst served ones: 0.824
-// of the credit on a day of high load, 0.837 with this.
+// regionPreference returns how much more often a target of the own region is the home of an
+// object than other targets are. It is below ownRegionWeight if the region has less than an equal
+// share of the slots. Otherwise, in a region with a tenth of the slots and a third of the
+// callers, targets were homes of 1.35 times as many objects as the mean, and the region's domains
+// were served worst: 0.824 of the credit on a day of high load, against 0.837 with this
+// reduction.
 func (f *Fleet) regionPreference(slots map[string]int) float64 {
 	total := 0
 	for _, n := range slots {
@@ -112,7 +113,7 @@
 	return 1 + (ownRegionWeight-1)*min(1, share)
 }
 
-// eligible says whether a target eligible get the request, were it sound.
+// eligible reports whether a target may get the request, apart from ejection.
 func (f *Fleet) eligible(now time.Time, t *target, q Query) bool {
 	return f.available(t) && !t.backingOff(now) && q.Regions.Allow(t.region) && !slices.Contains(q.Tried, t.ID)
 }
@@ -121,7 +122,7 @@
 	return f.eligible(now, t, q) && (o.includeEjected || !t.ejected(now))
 }
 
-// key is what the targets are ranked by.
+// key returns what the targets are ranked by.
 func (q *Query) key() string {
 	if q.Object != "" {
 		return q.Object
@@ -129,7 +130,7 @@
 	return q.Spread
 }
 
-// rankedCandidates lists the ranked candidates, the first of all first.
+// rankedCandidates returns the ranked candidates, those ranked among all targets first.
 func (o *order) rankedCandidates() []candidate {
 	list := make([]candidate, 0, 3*rankedCount)
 	find := func(c candidate) *candidate {
@@ -153,8 +154,8 @@
 	return list
 }
 
-// allCandidates lists all candidates without their places. It begins at another one for
-// each key, so that the cheapest of equals is not always the same.
+// allCandidates returns all candidates without ranks. The list begins at a different candidate
+// for each key, which varies the choice among candidates of equal cost.
 func (f *Fleet) allCandidates(now time.Time, s *service, q Query, o *order) []candidate {
 	list := make([]candidate, 0, o.size)
 	for _, t := range s.targets {
@@ -166,10 +167,10 @@
 	return append(list[begin:], list[:begin]...)
 }
 
-// weight is how high a target ranks for an object, by rendezvous hashing in which the
-// targets of the own region count ownRegion times.
+// weight returns the rendezvous weight of a target for an object. The weight of a target of the
+// own region is multiplied by preference.
 func (f *Fleet) weight(t *target, keyHash uint64, preference float64) float64 {
-	uniform := (float64(mix(t.idHash, keyHash)) + 1) / (math.MaxUint64 + 2.0) // within 0 and 1
+	uniform := (float64(mix(t.idHash, keyHash)) + 1) / (math.MaxUint64 + 2.0) // between 0 and 1, both excluded
 	weight := -1 / math.Log(uniform)
 	if t.region == f.region {
 		weight *= preference
--- a/internal/steer/outcome.go
+++ b/internal/steer/outcome.go
@@ -5,33 +5,33 @@
 // Ending is how an attempt at a target ended.
 type Ending int
 
-// The endings.
+// Values of Ending.
 const (
-	Answered Ending = iota // a whole answer
-	Failed                 // an error of the target, a broken answer, or no connection
-	Shed                   // the target refused it unrun for want of room
+	Answered Ending = iota // complete answer
+	Failed                 // error of the target, incomplete answer, or no connection
+	Shed                   // refused by the target for lack of capacity, without running it
 	Replaced               // the address belongs to another target now
-	Late                   // no answer before the time was over
-	Left                   // the caller left; says nothing of the target
-	Withheld               // it was not sent, as the target did not want it any more; says nothing of the target
+	Late                   // no answer before the deadline
+	Left                   // the caller left; not counted for or against the target
+	Withheld               // not sent, as the target no longer accepted it; not counted for or against the target
 )
 
-// String names the ending in log lines.
+// String returns the name of the ending for log lines.
 func (e Ending) String() string {
 	return [...]string{"answered", "failed", "shed", "replaced", "late", "left", "withheld"}[e]
 }
 
-// Outcome is what came of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
 	Ending Ending
-	Took   time.Duration // from sending to the end of the answer
-	Load   *Load         // what the target said of itself; nil if nothing
-	WarmIn time.Duration // how long it stays cold; 0 if it didn't say
+	Took   time.Duration // from sending the request to the end of the answer
+	Load   *Load         // load that the target reported; nil if none
+	WarmIn time.Duration // how much longer the target stays cold; 0 if not reported
 }
 
-// Done gives back the place that Pick took at a target, and takes in what came of it.
-// It reports whether the target is ejected for it. What came of a run that has ended
-// tells nothing of the next.
+// Done releases the slot that Pick reserved at a target, and records the outcome of the attempt.
+// It reports whether the target is ejected because of it. The outcome of an attempt at a previous
+// run of the target is ignored.
 func (f *Fleet) Done(now time.Time, target Target, o Outcome) bool {
 	t, ok := f.targets[target.ID]
 	if !ok || !t.Started.Equal(target.Started) {
@@ -49,9 +49,9 @@
 		t.recordSuccess()
 		f.measure(now, t, o.Took)
 	case Shed:
-		// A target that refuses with free slots by its own word is not full. With half of
-		// the requests refused so at all targets for 8.5 of 50 s, those that ended refused
-		// fell from 4.0% to 3.2% of a day's.
+		// A target that refuses although it reports free slots is not full. With half of the
+		// requests refused this way at all targets for 8.5 of 50 s, this reduced the requests of
+		// a day that ended refused from 4.0% to 3.2%.
 		if o.Load == nil || o.Load.Running+o.Load.Waiting >= t.Slots {
 			t.markFull(now)
 		}
@@ -67,8 +67,8 @@
 	return false
 }
 
-// measure takes in the time that one request's work took: what the target had to
-// do at once besides shares the time.
+// measure records the latency of one request. The latency is scaled down if the target had more
+// requests than slots, as they shared its time.
 func (f *Fleet) measure(now time.Time, t *target, took time.Duration) {
 	if n := t.currentLoad(now) + 1; n > t.Slots {
 		took = took * time.Duration(t.Slots) / time.Duration(n)
@@ -78,7 +78,7 @@
 	s.meanLatency = smooth(s.meanLatency, took)
 	domainMean, known := s.domainLatency[t.Domain]
 	if !known {
-		domainMean = s.meanLatency // the first runs in a domain are cold, and tell little of it
+		domainMean = s.meanLatency // the first requests in a domain run cold, and say little about its latency
 	}
 	s.domainLatency[t.Domain] = smooth(domainMean, took)
 }
--- a/internal/steer/peers.go
+++ b/internal/steer/peers.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// expiredPeerTTL is how long an instance whose record is gone counts on: the store may have
-// ended its lease though it serves, and callers that were told of it ask it for three
-// lives of a look-up, 5 s each. With 3 of 10 instances gone so, a cold target got 9
-// requests in a second where 8.9 are allowed.
+// expiredPeerTTL is how long an instance counts after its record was removed. The store may have
+// ended the lease of an instance that still serves, and callers keep using its address for three
+// lifetimes of a lookup, 5 s each. Without this, with the records of 3 of 10 instances removed, a
+// cold target got 9 requests in a second where 8.9 are allowed.
 const expiredPeerTTL = 15 * time.Second
 
-// Peers takes the names of all instances that run, as far as their records tell. Bounds
-// that all of them have to keep together are divided among them, and among those whose
-// records went not long ago.
+// Peers sets the names of all instances whose records exist. Bounds over all instances are
+// divided among them and the instances whose records were removed less than expiredPeerTTL ago.
 func (f *Fleet) Peers(now time.Time, names []string) {
 	for _, name := range f.peers {
 		if _, ok := f.expiredPeers[name]; !ok {
@@ -26,7 +25,7 @@
 	f.updatePeers(now, names)
 }
 
-// expirePeers leaves out the instances that have been gone for lapsedLife.
+// expirePeers drops the instances whose records were removed expiredPeerTTL ago.
 func (f *Fleet) expirePeers(now time.Time) {
 	for _, until := range f.expiredPeers {
 		if !now.Before(until) {
@@ -36,7 +35,7 @@
 	}
 }
 
-// activePeers lists the peers whose records are there.
+// activePeers returns the peers whose records exist.
 func (f *Fleet) activePeers() []string {
 	return slices.DeleteFunc(slices.Clone(f.peers), func(name string) bool {
 		_, gone := f.expiredPeers[name]
@@ -44,8 +43,8 @@
 	})
 }
 
-// updatePeers sets among whom the bounds are divided: those that run, and those that lapsed
-// not long ago.
+// updatePeers sets the instances that bounds are divided among: the given ones, and those whose
+// records were removed less than expiredPeerTTL ago.
 func (f *Fleet) updatePeers(now time.Time, active []string) {
 	peers := slices.Clone(active)
 	for name, until := range f.expiredPeers {
--- a/internal/steer/peers_test.go
+++ b/internal/steer/peers_test.go
@@ -8,9 +8,9 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// The store ends the leases of 3 of 10 instances, which go on serving and still know of
-// all. A target has just come, cold, and everyone has as many requests for it as it may
-// send: the bound over all of them holds.
+// The store ends the leases of 3 of 10 instances, which continue to serve and still have all 10
+// as peers. A cold target has just been added, and every instance sends it as many requests as it
+// may: the bound over all instances must hold.
 func TestColdBoundWithLapsedPeers(t *testing.T) {
 	const instances, expired = 10, 3
 	var names []string
@@ -45,7 +45,7 @@
 				t.Errorf("got %d requests in a second, want %.1f at most", sent, bound)
 			}
 			if dividedAmongFewer == want {
-				t.Errorf("got the bound divided among fewer: %t, want %t", dividedAmongFewer, !want)
+				t.Errorf("got the bound divided among fewer instances: %t, want %t", dividedAmongFewer, !want)
 			}
 		})
 	}
--- a/internal/steer/pick.go
+++ b/internal/steer/pick.go
@@ -6,64 +6,65 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// Query asks for a target.
+// Query describes a request that needs a target.
 type Query struct {
 	Service   string
-	Object    string         // the object that the request is about; "" if none
-	Spread    string         // chooses among equals if there is no Object; the request's ID
-	Regions   routes.Regions // where the target may be
+	Object    string         // object that the request is about; "" if none
+	Spread    string         // selects among equal targets if there is no Object; ID of the request
+	Regions   routes.Regions // where the target may be located
 	Objective time.Duration  // latency within which an answer is worth most
-	Deadline  time.Time      // an answer is of no use later
-	Size      float64        // bytes of the answer, as far as is known
-	Retry     bool           // the request was sent to another target before
-	Tried     []string       // IDs of the targets that it was sent to
+	Deadline  time.Time      // an answer after it is useless
+	Size      float64        // estimated bytes of the answer; 0 if unknown
+	Retry     bool           // whether the request was sent to another target before
+	Tried     []string       // IDs of the targets that it was sent to before
 }
 
-// Reason says why a request is refused.
+// Reason is why a request is refused.
 type Reason string
 
-// The reasons.
+// Values of Reason.
 const (
-	NoTarget Reason = "no-target" // the service has none that may get requests
+	NoTarget Reason = "no-target" // the service has no target that may get requests
 	NoRoom   Reason = "no-room"   // every target would answer too late
 	NoBudget Reason = "no-budget" // the retry budget is used up
-	Cold     Reason = "cold"      // the targets with room are cold and have had their share
-	Resting  Reason = "resting"   // every target has asked for rest
-	Limited  Reason = "limited"   // every target has named a limit, and has had this instance's part of it
+	Cold     Reason = "cold"      // the targets with capacity are cold and have had their share of requests
+	Resting  Reason = "resting"   // every target is backing off
+	Limited  Reason = "limited"   // every target has a limit, and this instance's share of it is used up
 )
 
-// Choice is the target that gets the request, or why there is none.
+// Choice is the target that was selected for a request, or the reason for refusing it.
 type Choice struct {
 	Target Target        // ID is empty if the request is refused
-	Wait   time.Duration // expected until it gets a slot
-	Cost   time.Duration // by which the target was chosen
-	Home   bool          // the object's home among all targets
-	Cold   bool          // the target was cold
-	Busy   int           // requests that the target had to do, as far as was known
-	Usual  float64       // usual load of the service's targets, for each slot; counts where Age is long
-	Age    time.Duration // since the target last told its load; -1 if it never did
-	Part   *Part         // of the target's limit; nil if it has named none
-	SlowAt time.Time     // without an answer by then, there hardly will be one; another target may be tried beside
+	Wait   time.Duration // expected wait for a slot
+	Cost   time.Duration // estimated cost by which the target was selected
+	Home   bool          // whether the target is the object's home among all targets
+	Cold   bool          // whether the target was cold
+	Busy   int           // estimated requests at the target, running and waiting
+	Usual  float64       // typical load of the service's targets per slot; replaces the target's own as Age grows
+	Age    time.Duration // time since the target last reported its load; -1 if it never did
+	Part   *Part         // limit of the target and this instance's share; nil if there is none
+	SlowAt time.Time     // time after which an answer is unlikely; another target may then be tried in parallel
 	Reason Reason        // set if the request is refused
-	Again  time.Duration // when it is worth coming back; set if the request is refused
-	First  string        // ID of the target that would have got it first; set if the request is refused
+	Again  time.Duration // time after which a retry is worthwhile; set if the request is refused
+	First  string        // ID of the first candidate; set if the request is refused
 }
 
-// Times that refused callers are told to come back after.
+// Times after which refused callers are asked to retry.
 const (
-	minRetryAfter      = 50 * time.Millisecond // a slot is free again by then at most targets
+	minRetryAfter      = 50 * time.Millisecond // most targets have a free slot again by then
 	coldRetryAfter     = 300 * time.Millisecond
-	noTargetRetryAfter = time.Second // until a target has registered
+	noTargetRetryAfter = time.Second // for a target to register
 )
 
-// defaultObjective is for routes that have none: what an interactive caller bears.
+// defaultObjective is used for routes without an objective: a latency that is acceptable to an
+// interactive caller.
 const defaultObjective = time.Second
 
-// initialLatencyShare is the share of the objective that one request's work is taken to
-// need before any was measured.
+// initialLatencyShare is the share of the objective that is assumed as a service's latency before
+// the first measurement.
 const initialLatencyShare = 0.5
 
-// Pick chooses a target and takes a place at it; Done gives it back.
+// Pick selects a target and reserves a slot at it, which Done releases.
 func (f *Fleet) Pick(now time.Time, q Query) Choice {
 	s, ok := f.services[q.Service]
 	if !ok {
@@ -89,9 +90,9 @@
 	return c
 }
 
-// refuseRetry refuses a retry for which there was a target: the caller comes back when
-// that has room, as its next attempt is no retry of ours. With half of the requests
-// refused at all targets, 0.899 instead of 0.886 of the credit of a day was earned.
+// refuseRetry refuses a retry for which there was a target. The caller is asked to return when
+// that target has capacity, as its next request does not count as a retry here. With half of the
+// requests refused at all targets, this earned 0.899 of the credit of a day instead of 0.886.
 func (c Choice) refuseRetry() Choice {
 	return Choice{
 		Reason: NoBudget, Again: max(minRetryAfter, c.Wait), First: c.Target.ID,
@@ -99,8 +100,8 @@
 	}
 }
 
-// best returns the cheapest target that can answer in time: first among those that
-// rank high for the object, then among all.
+// best returns the cheapest target that can answer in time: first among those ranked for the
+// object, then among all.
 func (f *Fleet) best(now time.Time, s *service, q Query) Choice {
 	o := f.order(now, s, q)
 	if o.size == 0 {
@@ -127,8 +128,8 @@
 	return refused
 }
 
-// cheapest returns the cheapest of some targets that can answer in time, and the
-// refusal if there is none.
+// cheapest returns the cheapest target of a list that can answer in time. If there is none,
+// refused says why.
 func (f *Fleet) cheapest(now time.Time, list []candidate, q Query, mean time.Duration) (found, refused Choice) {
 	first := list[0]
 	limitedCount, limitRetry := 0, maxLimitWait
@@ -169,14 +170,14 @@
 	return found, refused
 }
 
-// withLoadOf notes what is known of the load of the target that decided.
+// withLoadOf adds the load data of the target that the choice is based on.
 func (c Choice) withLoadOf(now time.Time, t candidate) Choice {
 	c.Busy, c.Usual, c.Age = t.currentLoad(now), t.service.typicalLoad, t.loadAge(now)
 	c.Part = t.limitShare()
 	return c
 }
 
-// isHome says whether the target is one of those that keep the object warm.
+// isHome reports whether the target is one of those that keep the object warm.
 func (f *Fleet) isHome(c candidate, q Query) bool {
 	if c.globalRank < homeCount {
 		return true
@@ -184,14 +185,14 @@
 	return f.hasLocalHomes(q) && (c.target.region == f.region && c.regionRank < homeCount || c.Domain == f.cfg.Domain && c.domainRank < homeCount)
 }
 
-// hasLocalHomes says whether the object has homes in each failure domain and region too, as
-// its answers are too large to be carried from one home.
+// hasLocalHomes reports whether the object also has homes in each failure domain and region
+// because its answers are too large to transfer from a single home.
 func (f *Fleet) hasLocalHomes(q Query) bool { return f.transferCost(q) > domainHomeCost }
 
-// transferCost is what it costs to transferCost the answer between failure domains.
+// transferCost returns the cost of transferring the answer between failure domains.
 func (f *Fleet) transferCost(q Query) time.Duration { return time.Duration(f.cfg.ByteCost * q.Size) }
 
-// latency is the time of one request's work, measured or guessed.
+// latency returns the mean latency of one request, or an estimate before the first measurement.
 func (s *service) latency(objective time.Duration) time.Duration {
 	if s.meanLatency > 0 {
 		return s.meanLatency
@@ -199,7 +200,7 @@
 	return time.Duration(initialLatencyShare * float64(objective))
 }
 
-// penalty is what a target costs by where it is and by not being the object's home.
+// penalty returns the cost of a target for its location and for not being the object's home.
 func (f *Fleet) penalty(c candidate, q Query, mean time.Duration) time.Duration {
 	cost := time.Duration(0)
 	if c.Domain != f.cfg.Domain {
@@ -221,8 +222,9 @@
 	return cost + missed
 }
 
-// missCost is the expected loss at the target in a place of the order: nothing at
-// the home, half of it at the second, as that gets what the home has no room for.
+// missCost returns the expected cost of a cache miss at the target with the given rank: none at
+// the home, and half at the second, as that serves the requests that exceed the capacity of the
+// home.
 func missCost(miss float64, rank int) time.Duration {
 	return time.Duration(miss * (1 - 1/float64(uint64(1)<<min(rank, lowestRank))))
 }
--- a/internal/steer/report_test.go
+++ b/internal/steer/report_test.go
@@ -14,24 +14,24 @@
 	const slots = 4
 	at := start.Add(time.Second)
 	tests := map[string]struct {
-		prepare func(f *Fleet, t *target) // at times before at
+		prepare func(f *Fleet, t *target) // called with times before at
 		report  Report
-		want    int // others that are known at at
+		want    int // expected requests of other instances at the time at
 	}{
-		"first":             {nil, Report{Load: 3, At: at}, 3},
-		"of other target":   {nil, Report{Target: 1, Load: 3, At: at}, 0},
-		"from the future":   {nil, Report{Load: 3, At: at.Add(1)}, 0},
-		"of the run before": {nil, Report{Load: 3, At: start.Add(-1)}, 0},
+		"first":               {nil, Report{Load: 3, At: at}, 3},
+		"of other target":     {nil, Report{Target: 1, Load: 3, At: at}, 0},
+		"from the future":     {nil, Report{Load: 3, At: at.Add(1)}, 0},
+		"of the previous run": {nil, Report{Load: 3, At: start.Add(-1)}, 0},
 		"own requests before": {
 			func(_ *Fleet, t *target) { t.startRequest(start) }, Report{Load: 3, At: at}, 2,
 		},
 		"own requests since": {
 			func(_ *Fleet, t *target) { t.startRequest(at) }, Report{Load: 3, At: at.Add(-1)}, 3,
 		},
-		"older than the own": {
+		"older than own report": {
 			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, Report{Load: 3, At: start.Add(1)}, 1,
 		},
-		"newer than the own": {
+		"newer than own report": {
 			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, Report{Load: 3, At: start.Add(3)}, 3,
 		},
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// A report is told if others foresee another wait without it, by what they were told
-// before or by the usual load.
+// A report is sent if peers would estimate a different wait without it, from the reports sent
+// before or from the typical load.
 func TestReports(t *testing.T) {
 	const slots = 4
 	at := start.Add(time.Second)
@@ -63,22 +63,22 @@
 		load    Load
 		sent    bool
 	}{
-		"waits":                 {load: Load{Running: 4, Waiting: 1}, sent: true},
-		"room":                  {load: Load{Running: 2}},
-		"waits as others know":  {prepare: sharedReport(6, at), load: Load{Running: 4, Waiting: 2}},
-		"waits longer":          {prepare: sharedReport(4, at), load: Load{Running: 4, Waiting: 2}, sent: true},
-		"has room again":        {prepare: sharedReport(6, at), load: Load{Running: 1}, sent: true},
-		"known long ago":        {prepare: sharedReport(6, at.Add(-loadReportTTL)), load: Load{Running: 4, Waiting: 2}, sent: true},
-		"room as usual":         {prepare: func(t *target) { t.service.typicalLoad = 0.5 }, load: Load{}},
-		"room, unlike usual":    {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{}, sent: true},
-		"waits as usual":        {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{Running: 4, Waiting: 4}},
-		"waits longer as usual": {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{Running: 4, Waiting: 9}, sent: true},
+		"wait":                         {load: Load{Running: 4, Waiting: 1}, sent: true},
+		"free slots":                   {load: Load{Running: 2}},
+		"wait as peers estimate":       {prepare: sharedReport(6, at), load: Load{Running: 4, Waiting: 2}},
+		"longer wait":                  {prepare: sharedReport(4, at), load: Load{Running: 4, Waiting: 2}, sent: true},
+		"free slots again":             {prepare: sharedReport(6, at), load: Load{Running: 1}, sent: true},
+		"exchanged long ago":           {prepare: sharedReport(6, at.Add(-loadReportTTL)), load: Load{Running: 4, Waiting: 2}, sent: true},
+		"free slots, typical":          {prepare: func(t *target) { t.service.typicalLoad = 0.5 }, load: Load{}},
+		"free slots, not typical":      {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{}, sent: true},
+		"typical wait":                 {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{Running: 4, Waiting: 4}},
+		"longer than the typical wait": {prepare: func(t *target) { t.service.typicalLoad = 2 }, load: Load{Running: 4, Waiting: 9}, sent: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 2, slots)
 			target, other := f.targets["t00"], f.targets["t01"]
-			other.recordOwnLoad(start, Load{Running: 9}) // told before that time
+			other.recordOwnLoad(start, Load{Running: 9}) // before the start of the interval
 			target.recordOwnLoad(at, tt.load)
 			if tt.prepare != nil {
 				tt.prepare(target)
@@ -86,7 +86,7 @@
 			got := f.Reports(at, start)
 			if !tt.sent {
 				if len(got) != 0 {
-					t.Errorf("got %v told, want none", got)
+					t.Errorf("got reports %v, want none", got)
 				}
 				return
 			}
@@ -95,45 +95,45 @@
 				t.Fatalf("got %v, want %v", got, want)
 			}
 			if again := f.Reports(at, start); len(again) != 0 {
-				t.Errorf("got %v told again", again)
+				t.Errorf("got reports %v again", again)
 			}
 		})
 	}
 }
 
-// sharedReport has a load of the target told among instances at a time.
+// sharedReport makes peers have received a report of the target's load.
 func sharedReport(load int, at time.Time) func(t *target) {
 	return func(t *target) { t.recordShared(Report{Load: load, At: at}) }
 }
 
-// What another instance was told is not told on, and tells nothing of the usual load.
+// Reports received from peers are not sent on, and do not change the typical load.
 func TestPeerReportsAreNotSentOn(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	target := f.targets["t00"]
 	f.Hear(start.Add(9), []Report{{Target: target.idHash, Load: 9, At: start.Add(5)}})
 	if got := f.Reports(start.Add(9), start); len(got) != 0 || target.service.typicalLoad != 0 {
-		t.Errorf("got %v told and a usual load of %g, want none", got, target.service.typicalLoad)
+		t.Errorf("got reports %v and a typical load of %g, want none", got, target.service.typicalLoad)
 	}
 }
 
-// Many instances send to targets that are half busy, each to a given one every few
-// seconds. Told what the others hear, far fewer of their answers are late.
+// Many instances send to half-busy targets, and each gets an answer of a given target only every
+// few seconds. If they exchange load reports, far fewer answers are late.
 func TestLoadExchangeReducesLateAnswers(t *testing.T) {
 	isolated, exchanging := newFleetSim(t, false), newFleetSim(t, true)
 	for _, c := range []*fleetSim{isolated, exchanging} {
 		c.run(8000)
 	}
-	t.Logf("late: %d of %d alone, %d of %d told", isolated.late, isolated.ended, exchanging.late, exchanging.ended)
-	t.Logf("%d reports told", exchanging.reports)
+	t.Logf("late: %d of %d without exchange, %d of %d with it", isolated.late, isolated.ended, exchanging.late, exchanging.ended)
+	t.Logf("%d reports exchanged", exchanging.reports)
 	if maxReports := exchanging.ended * 6 / 10; exchanging.reports > maxReports {
-		t.Errorf("got %d reports told, want %d or fewer", exchanging.reports, maxReports)
+		t.Errorf("got %d reports exchanged, want %d or fewer", exchanging.reports, maxReports)
 	}
 	if exchanging.late > isolated.late/2 {
-		t.Errorf("got %d late answers where loads are told, want half of %d or less", exchanging.late, isolated.late)
+		t.Errorf("got %d late answers with the exchange, want half of %d or less", exchanging.late, isolated.late)
 	}
 }
 
-// fleetSim is many instances that share targets, in virtual time.
+// fleetSim simulates many instances that share targets.
 type fleetSim struct {
 	rng         *rand.Rand
 	fleets      []*Fleet
@@ -141,14 +141,14 @@
 	finishing   finishQueue
 	now         time.Time
 	exchanges   bool
-	exchangedAt time.Time // when loads were told last
+	exchangedAt time.Time // time of the last exchange
 
-	late    int // answers beyond the objective
+	late    int // answers later than the objective
 	ended   int
-	reports int // that were told
+	reports int // reports exchanged
 }
 
-// simTarget is a target: so many requests at a time, and a queue.
+// simTarget is a target with a fixed number of slots and a queue.
 type simTarget struct {
 	running int
 	queue   []*simRequest
@@ -159,7 +159,7 @@
 	fleet  *Fleet
 	choice Choice
 	sentAt time.Time // when it was sent
-	end    time.Time // when its run ends
+	end    time.Time // when it finishes
 }
 
 type finishQueue []*simRequest
@@ -179,7 +179,7 @@
 	fleetSimTargets   = 60
 	fleetSimSlots     = 4
 	fleetSimWork      = time.Second
-	fleetSimGap       = fleetSimWork / (fleetSimTargets * fleetSimSlots) * 10 / 7 // 0.7 of what the targets can do
+	fleetSimGap       = fleetSimWork / (fleetSimTargets * fleetSimSlots) * 10 / 7 // 0.7 of the targets' capacity
 	fleetSimExchange  = fleetSimWork / 2
 	fleetSimObjective = 2 * fleetSimWork
 )
@@ -203,7 +203,7 @@
 	return c
 }
 
-// run lets so many requests come, one after each gap.
+// run sends the given number of requests at fixed intervals.
 func (c *fleetSim) run(requests int) {
 	for i := range requests {
 		c.now = start.Add(time.Duration(i) * fleetSimGap)
@@ -234,7 +234,7 @@
 	heap.Push(&c.finishing, w)
 }
 
-// finish ends what has ended by now.
+// finish completes the requests that have ended by now.
 func (c *fleetSim) finish() {
 	now := c.now
 	for len(c.finishing) > 0 && !c.finishing[0].end.After(now) {
@@ -258,7 +258,7 @@
 	c.now = now
 }
 
-// exchange passes on what each has been told since the last time.
+// exchange sends the reports received since the last exchange to all instances.
 func (c *fleetSim) exchange() {
 	var all []Report
 	for _, f := range c.fleets {
--- a/internal/steer/rest_test.go
+++ b/internal/steer/rest_test.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// backOffBetween says that some targets refuse requests in a span, and ask for rest.
+// backOffBetween makes some targets refuse requests in a time span and ask for a back-off.
 func backOffBetween(which func(target string) bool, from, to float64, rest time.Duration) func(target string, now time.Time) stubAnswer {
 	return func(target string, now time.Time) stubAnswer {
 		at := now.Sub(start)
@@ -20,7 +20,7 @@
 	}
 }
 
-// A target that has asked for rest gets it from the instance that it asked.
+// A target that asks an instance for a back-off gets no requests from it until the back-off ends.
 func TestRequestsInATimeOfRest(t *testing.T) {
 	one := func(target string) bool { return target == "t00" }
 	third := func(target string) bool { return target <= "t04" }
@@ -42,15 +42,15 @@
 			w.run(0, 14)
 			for i := range w.rates {
 				if got := w.maxDuringBackOff(i); got > 2 {
-					t.Errorf("instance %d: got %d requests within 3 s of rest, want 2 at most", i, got)
+					t.Errorf("instance %d: got %d requests within a back-off of 3 s, want 2 at most", i, got)
 				}
 			}
 		})
 	}
 }
 
-// maxDuringBackOff is the most requests of an instance between half a second after the watched target
-// refused one of its, and the end of the rest that it asked for.
+// maxDuringBackOff returns the maximum number of requests that an instance sent during a
+// back-off, counted from half a second after the watched target refused one of its requests.
 func (w *noticeSim) maxDuringBackOff(instance int) int {
 	var times []time.Time
 	for _, a := range w.arrivals {
@@ -71,8 +71,8 @@
 	return most
 }
 
-// Who comes while all targets rest is refused at once and told when they take requests again,
-// each another time.
+// Requests that arrive while all targets are backing off are refused at once. Each caller is
+// asked to retry at a different time after the end of the first back-off.
 func TestRefusedInATimeOfRest(t *testing.T) {
 	f := newFleet(t, 3, 9)
 	for i, rest := range []time.Duration{4 * time.Second, 3 * time.Second, 5 * time.Second} {
@@ -83,7 +83,7 @@
 	for i := range 5 {
 		c := f.Pick(now, query(fmt.Sprint(i)))
 		if c.Reason != Resting || c.Target.ID != "" {
-			t.Fatalf("got %+v, want a refusal as resting", c)
+			t.Fatalf("got %+v, want a refusal as all targets are backing off", c)
 		}
 		if c.Again < 2*time.Second || c.Again > 2*time.Second+retrySpread || c.Again <= before {
 			t.Errorf("got %s, want another time than %s between 2 s and 3 s", c.Again, before)
@@ -91,16 +91,16 @@
 		before = c.Again
 	}
 	if got := f.Pick(start.Add(3100*time.Millisecond), query("7")); got.Target.ID != "t01" {
-		t.Errorf("got %+v, want t01, which has rested", got)
+		t.Errorf("got %+v, want t01, whose back-off is over", got)
 	}
 }
 
-// After its rest a target gets one request of an instance at a time until it has answered one,
-// and then as many as before.
+// After a back-off a target gets one request at a time from each instance until it has answered
+// one, and then as many as before.
 func TestRestEnds(t *testing.T) {
 	tests := map[string]struct {
 		targets int
-		want    int // requests in 12 s, at least
+		want    int // minimum requests in 12 s
 	}{
 		"one of many":     {16, 120},
 		"the only target": {1, 2000},
--- a/internal/steer/share.go
+++ b/internal/steer/share.go
@@ -7,17 +7,17 @@
 	"github.com/firlever/firlever/internal/retry"
 )
 
-// newBudget makes this instance's part of a service's retry budget: the ratio for
-// its own requests, and its part of the slack. The sums over all instances stay
-// within the bound by construction.
+// newBudget returns this instance's share of a service's retry budget: the ratio applied to its
+// own requests, and its share of the slack. The sum over all instances therefore stays within the
+// bound.
 func (f *Fleet) newBudget(now time.Time) *retry.Window {
 	w := retry.NewWindow(now, f.cfg.RetryWindow, dividedShare*f.cfg.RetryRatio)
 	w.SetSlack(f.slack())
 	return w
 }
 
-// slack is this instance's part of the retries besides the ratio: nothing before
-// it knows how many share them.
+// slack returns this instance's share of the retries allowed on top of the ratio; 0 until the
+// number of peers is known.
 func (f *Fleet) slack() float64 {
 	if len(f.peers) == 0 {
 		return 0
@@ -25,10 +25,10 @@
 	return dividedShare * float64(f.cfg.RetrySlack) / float64(len(f.peers))
 }
 
-// coldShare is how many requests this instance may send to a cold target within
-// coldWindow. The bound of the target is divided evenly; what is left over goes to
-// the instances that rank first for this target, so that a bound below the number
-// of instances is used too. The shares sum up to the bound at most.
+// coldShare returns how many requests this instance may send to a cold target within coldWindow.
+// The target's bound is divided evenly. The remainder goes to the instances that rank first for
+// this target, which uses up a bound below the number of instances too. The shares add up to the
+// bound at most.
 func (f *Fleet) coldShare(t *target) int {
 	if len(f.peers) == 0 {
 		return 0
@@ -41,7 +41,8 @@
 	return share
 }
 
-// rank is the place of this instance among all in the order that t's ID gives.
+// rank returns the position of this instance among all instances in the rendezvous order for t's
+// ID.
 func (f *Fleet) rank(t *target) int {
 	if !slices.Contains(f.peers, f.cfg.Instance) {
 		return len(f.peers)
@@ -56,7 +57,8 @@
 	return n
 }
 
-// coldAllowed says whether a target may get a request as far as it is cold.
+// coldAllowed reports whether the bound on requests to cold targets allows another request to the
+// target.
 func (f *Fleet) coldAllowed(now time.Time, t *target) bool {
 	return !t.cold(now) || t.recentColdRequests(now) < f.coldShare(t)
 }
--- a/internal/steer/share_test.go
+++ b/internal/steer/share_test.go
@@ -9,8 +9,8 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// Whatever instances there are, and whatever part of them a few do not yet know
-// of, a cold target's bound holds over all of them in any window.
+// The bound on requests to a cold target holds over all instances in any window, for any number
+// of instances.
 func TestColdBound(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 50 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// An instance that does not know the others yet sends nothing to a cold target.
+// An instance that has no peers yet sends nothing to a cold target.
 func TestColdBeforePeers(t *testing.T) {
 	f, err := New(config("a", "n1"))
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Additional attempts of all instances together keep the bound of the service.
+// The retries of all instances together stay within the bound of the service.
 func TestRetryBound(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 20 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// What fails at one moment may be tried again at that moment: the retries that the
-// requests of the last seconds allow don't expire one by one.
+// Requests that fail at the same moment may be retried at that moment: the retries earned by the
+// requests of the last seconds don't expire one by one.
 func TestRetryBurst(t *testing.T) {
 	f, err := New(config("a", "n1"))
 	if err != nil {
--- a/internal/steer/target.go
+++ b/internal/steer/target.go
@@ -8,20 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Target is a target as it registered itself.
+// Target is the registration of a target.
 type Target struct {
 	ID       string
-	Started  time.Time // of this run; a target that starts again under its ID knows nothing of before
-	Sequence uint64    // of its report; grows within a run
+	Started  time.Time // start of this run; a target that restarts under the same ID keeps no state
+	Sequence uint64    // number of the registration; increases within a run
 	Service  string
 	Address  string
 	Domain   string
 	Slots    int
 	Leaving  bool
-	WarmAt   time.Time // it is cold before
+	WarmAt   time.Time // until then the target is cold
 }
 
-// olderThan says whether t was reported olderThan o, which has the same ID.
+// olderThan reports whether t was registered before o, which has the same ID.
 func (t *Target) olderThan(o *Target) bool {
 	if !t.Started.Equal(o.Started) {
 		return t.Started.Before(o.Started)
@@ -29,51 +29,51 @@
 	return t.Sequence < o.Sequence
 }
 
-// Load is what a target says that it has to do, from all instances.
+// Load is the load that a target reports, from all instances.
 type Load struct {
 	Running int
 	Waiting int
 }
 
-// target is a Target with what this instance knows of it.
+// target is a Target with the state that this instance keeps about it.
 type target struct {
 	Target
 
 	service     *service
-	constraints *constraints // nil if the target has said none
+	constraints *constraints // nil if the target announced none
 	idHash      uint64
 	region      string
-	addedAt     time.Time   // when this run of it was first known
-	startTimes  []time.Time // when each request of this instance that has not ended went to it, the first first
+	addedAt     time.Time   // when this instance first received the registration of this run
+	startTimes  []time.Time // start of each request in flight from this instance, in ascending order
 
 	otherLoad       int       // requests of other instances by the last report
-	otherLoadUntil  time.Time // the report counts until then, less and less
-	reportedAt      time.Time // when the target made it; zero before the first
-	ownLoad         int       // its load by the last report that it made to this instance
-	ownLoadAt       time.Time // when that came; zero before the first
-	sharedLoad      int       // its load by the last report that instances have told each other
-	sharedLoadUntil time.Time // that counts until then, less and less; zero before the first
-	shedUntil       time.Time // it counts as full until then
-
-	meanLatency time.Duration // smoothed time of one request's work
-	measuredAt  time.Time     // when mean had its last sample
-
-	failureShare        float64 // smoothed share of failures, 0 to 1
+	otherLoadUntil  time.Time // the weight of that report falls to 0 until then
+	reportedAt      time.Time // when the target made that report; zero before the first
+	ownLoad         int       // load that the target last reported to this instance itself
+	ownLoadAt       time.Time // when it did; zero before the first
+	sharedLoad      int       // load in the last report that instances exchanged
+	sharedLoadUntil time.Time // the weight of that report falls to 0 until then; zero before the first
+	shedUntil       time.Time // counted as full until then
+
+	meanLatency time.Duration // running mean of the latency of one request
+	measuredAt  time.Time     // time of the last sample of meanLatency
+
+	failureShare        float64 // running mean of failures, 0 to 1
 	consecutiveFailures int     // failures since the last success
-	ejections           int     // in a row, without a success
+	ejections           int     // consecutive ejections without a recovery
 	ejectedUntil        time.Time
 
-	coldRequests []time.Time // when requests went to it while cold; within coldWindow
+	coldRequests []time.Time // start times of requests within coldWindow that were sent while it was cold
 }
 
 func newTarget(now time.Time, t Target, s *service, region string) *target {
 	return &target{Target: t, service: s, idHash: xxhash.Sum64String(t.ID), region: region, addedAt: now}
 }
 
-// inFlight is how many requests of this instance are at the target.
+// inFlight returns the number of this instance's requests in flight at the target.
 func (t *target) inFlight() int { return len(t.startTimes) }
 
-// startRequest notes that a request goes to the target.
+// startRequest records that a request is sent to the target.
 func (t *target) startRequest(now time.Time) {
 	t.startTimes = append(t.startTimes, now)
 	if t.cold(now) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// finishRequest notes that a request ended that took so long: of those under way, the one that
-// began next to that.
+// finishRequest records the end of a request that took the given time, and removes the in-flight
+// request whose start fits best.
 func (t *target) finishRequest(now time.Time, took time.Duration) {
 	if len(t.startTimes) == 0 {
 		return
@@ -94,18 +94,18 @@
 	t.startTimes = slices.Delete(t.startTimes, i, i+1)
 }
 
-// idle says whether the target has hardly anything to do.
+// idle reports whether the target has almost no load.
 func (t *target) idle(now time.Time) bool {
 	return float64(t.currentLoad(now)) < idleShare*float64(t.Slots)
 }
 
-// workTime is how long one request's workTime takes at the target, if mean is what it takes at
-// the service's targets in general: more where its failure domain was measured to be
-// clearly slower. Targets that have more objects than they keep warm do all workTime cold,
-// and a domain has them alone where workspaces are bound to a small region. By the
-// service's mean their wait was told as 0.6 s when it was 2 s; by their own, a fifth to
-// two fifths of the requests that failed late on four days of such load are refused at
-// once, and 0.1% to 0.4% more of the credit is earned.
+// workTime returns how long one request runs at the target. It is mean, the average over the
+// service's targets, unless the target's failure domain was measured to be clearly slower.
+// Targets that have more objects than they can keep warm do all work cold, and where workspaces
+// are bound to a small region, only the domains of that region have such targets. With the
+// service's mean, their wait was estimated at 0.6 s when it was 2 s. With their own, a fifth to
+// two fifths of the requests that failed late on four days of such load are refused at once, and
+// 0.1% to 0.4% more of the credit is earned.
 func (t *target) workTime(mean time.Duration) time.Duration {
 	domainMean := t.service.domainLatency[t.Domain]
 	if domainMean-mean < maxDistanceLatency || float64(domainMean) < slowDomainFactor*float64(mean) {
@@ -114,7 +114,7 @@
 	return domainMean
 }
 
-// queueWait is how long a request waits for a slot if the work of one takes so long.
+// queueWait returns how long a request waits for a slot if each request runs for the given time.
 func (t *target) queueWait(now time.Time, work time.Duration) time.Duration {
 	ahead := t.currentLoad(now) + 1 - t.Slots
 	if ahead <= 0 {
@@ -123,21 +123,21 @@
 	return work * time.Duration(ahead) / time.Duration(t.Slots)
 }
 
-// markFull notes that the target has no room at all.
+// markFull records that the target has no capacity at all.
 func (t *target) markFull(now time.Time) {
 	t.otherLoad = max(t.otherLoad, 2*t.Slots)
 	t.otherLoadUntil = now.Add(loadReportTTL)
 	t.shedUntil = now.Add(shedPeriod)
 }
 
-// recordLatency takes in how long one request's work took.
+// recordLatency records how long one request ran.
 func (t *target) recordLatency(now time.Time, took time.Duration) {
 	t.meanLatency = smooth(t.meanLatency, took)
 	t.measuredAt = now
 }
 
-// excessLatency is by how much the target is slower than others of its service. It
-// fades while nothing is measured, so that the target is tried again.
+// excessLatency returns by how much the target is slower than its service's average allows. It
+// decays while nothing is measured, after which the target is tried again.
 func (t *target) excessLatency(now time.Time, mean time.Duration) time.Duration {
 	over := float64(t.meanLatency) - slowFactor*float64(mean)
 	if over <= 0 {
@@ -149,7 +149,7 @@
 
 func (t *target) cold(now time.Time) bool { return now.Before(t.WarmAt) }
 
-// recentColdRequests is how many requests went to the cold target within coldWindow.
+// recentColdRequests returns how many requests were sent to the cold target within coldWindow.
 func (t *target) recentColdRequests(now time.Time) int {
 	begin := now.Add(-coldWindow)
 	n := 0
@@ -160,7 +160,7 @@
 	return len(t.coldRequests)
 }
 
-// smooth moves a mean towards a sample; the first sample is the mean.
+// smooth moves a running mean towards a sample; the first sample becomes the mean.
 func smooth(mean, sample time.Duration) time.Duration {
 	if mean == 0 {
 		return sample
