--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -142,10 +142,10 @@
 			}
 			holders[key] = w.Name
 		}
-		faults = append(faults, unknown("workspace "+w.Name, w.Regions, known)...)
+		faults = append(faults, unknownRegions("workspace "+w.Name, w.Regions, known)...)
 	}
 	for _, r := range c.Routes {
-		faults = append(faults, unknown("route "+r.Name, r.Regions, known)...)
+		faults = append(faults, unknownRegions("route "+r.Name, r.Regions, known)...)
 	}
 	if faults == nil {
 		return nil
@@ -153,12 +153,12 @@
 	return errors.Trace(&WorkspaceError{Faults: faults})
 }
 
-// unknown lists the regions of a route or workspace that the deployment doesn't have.
-func unknown(of string, regions, known Regions) []string {
+// unknownRegions lists the regions of a route or workspace that the deployment doesn't have.
+func unknownRegions(owner string, regions, known Regions) []string {
 	var faults []string
 	for _, region := range regions {
 		if !known.Allow(region) {
-			faults = append(faults, of+": region "+region+" is not known")
+			faults = append(faults, owner+": region "+region+" is not known")
 		}
 	}
 	return faults
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -19,8 +19,8 @@
 type Entry struct {
 	Route
 
-	total float64       // sum of the weights; above 0
-	sent  atomic.Uint64 // requests so far
+	totalWeight float64       // sum of the weights; above 0
+	requests    atomic.Uint64 // requests so far
 }
 
 // NewTable makes a table of a configuration.
@@ -29,7 +29,7 @@
 	for _, r := range cfg.Routes {
 		e := &Entry{Route: r}
 		for _, p := range r.Split {
-			e.total += p.Weight
+			e.totalWeight += p.Weight
 		}
 		host := strings.ToLower(r.Host)
 		t.hosts[host] = append(t.hosts[host], e)
@@ -62,13 +62,13 @@
 	// The multiples of the golden ratio's fraction, modulo 1, are spread evenly
 	// at every length of the sequence.
 	const step = 0.6180339887498949
-	n := float64(e.sent.Add(1)) * step
-	at := (n - float64(uint64(n))) * e.total
+	n := float64(e.requests.Add(1)) * step
+	position := (n - float64(uint64(n))) * e.totalWeight
 	for _, p := range e.Split {
-		if at < p.Weight {
+		if position < p.Weight {
 			return p.Service
 		}
-		at -= p.Weight
+		position -= p.Weight
 	}
 	return e.Split[len(e.Split)-1].Service
 }
