--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -12,17 +12,17 @@
 const MostReports = 512
 
 const (
-	// shown is how many targets have to end under a request until that shows that it ends
+	// minCrashes is how many targets have to end under a request until that shows that it ends
 	// them. The requests that were at the same target by chance are innocent, and hardly
 	// one of them is there three times without an answer between.
-	shown = 3
-	// sure is how many are enough where another request was at all of the same targets, so
+	minCrashes = 3
+	// minTiedCrashes is how many are enough where another request was at all of the same targets, so
 	// that nothing tells the two apart: each further trial ends another target.
-	sure = 5
-	// mostPrints, mostAnswered and mostFormer bound what else is kept.
-	mostPrints   = 64
-	mostAnswered = 512
-	mostFormer   = 512
+	minTiedCrashes = 5
+	// maxFingerprints, mostAnswered and mostFormer bound what else is kept.
+	maxFingerprints = 64
+	maxAnswered     = 512
+	maxPrevious     = 512
 )
 
 // Unwritten is the revision of a report or an answer that the store does not have, or not yet.
@@ -36,9 +36,9 @@
 
 // entry is a report under its key.
 type entry struct {
-	revision platform.Revision // orders reports and answers of all instances; Unwritten comes after all
-	target   string
-	prints   map[Print]bool // without those that were answered since
+	revision     platform.Revision // orders reports and answers of all instances; Unwritten comes after all
+	target       string
+	fingerprints map[Print]bool // without those that were answered since
 }
 
 // before says whether the entry was written before a revision: what has none yet is the latest.
@@ -59,20 +59,20 @@
 type Book struct {
 	reports  map[string]*entry           // by key; MostReports at most
 	answered map[Print]platform.Revision // when a request was answered with success; mostAnswered at most
-	former   []Print                     // that ended targets, by reports that are forgotten; the oldest first, mostFormer at most
-	dropped  []Print                     // of guilty, that were in reports forgotten since
+	previous []Print                     // that ended targets, by reports that are forgotten; the oldest first, mostFormer at most
+	removed  []Print                     // of guilty, that were in reports forgotten since
 
-	ended  map[string]map[Print]int // by target that ended: in how many reports on it a request is; 1 or more
-	counts map[Print]int            // targets that ended under a request; 1 or more
-	stale  bool                     // guilty has to be worked out anew
-	guilty map[Print]int            // those of counts that end targets
+	crashes     map[string]map[Print]int // by target that ended: in how many reports on it a request is; 1 or more
+	crashCounts map[Print]int            // targets that ended under a request; 1 or more
+	stale       bool                     // guilty has to be worked out anew
+	poison      map[Print]int            // those of counts that end targets
 }
 
 // NewBook makes an empty book.
 func NewBook() *Book {
 	return &Book{
 		reports: make(map[string]*entry), answered: make(map[Print]platform.Revision),
-		ended: make(map[string]map[Print]int), counts: make(map[Print]int),
+		crashes: make(map[string]map[Print]int), crashCounts: make(map[Print]int),
 	}
 }
 
@@ -82,48 +82,48 @@
 		old.revision = platform.Later(old.revision, revision)
 		return
 	}
-	e := &entry{revision: revision, target: r.Target, prints: make(map[Print]bool)}
-	for _, p := range r.Prints[:min(len(r.Prints), mostPrints)] {
-		if e.after(b.answered[p]) && !e.prints[p] {
-			e.prints[p] = true
-			b.blame(e.target, p)
+	e := &entry{revision: revision, target: r.Target, fingerprints: make(map[Print]bool)}
+	for _, p := range r.Prints[:min(len(r.Prints), maxFingerprints)] {
+		if e.after(b.answered[p]) && !e.fingerprints[p] {
+			e.fingerprints[p] = true
+			b.addCrash(e.target, p)
 		}
 	}
 	b.reports[key] = e
 	if len(b.reports) > MostReports {
-		b.Remove(b.oldest())
+		b.Remove(b.oldestReport())
 	}
 }
 
-// blame notes that one more report has a request at a target that ended.
-func (b *Book) blame(target string, p Print) {
-	if b.ended[target] == nil {
-		b.ended[target] = make(map[Print]int)
+// addCrash notes that one more report has a request at a target that ended.
+func (b *Book) addCrash(target string, p Print) {
+	if b.crashes[target] == nil {
+		b.crashes[target] = make(map[Print]int)
 	}
-	b.ended[target][p]++
-	if b.ended[target][p] == 1 {
-		b.counts[p]++
+	b.crashes[target][p]++
+	if b.crashes[target][p] == 1 {
+		b.crashCounts[p]++
 	}
 	b.stale = true
 }
 
-// clear takes a request out of a report.
-func (b *Book) clear(e *entry, p Print) {
-	if !e.prints[p] {
+// removeCrash takes a request out of a report.
+func (b *Book) removeCrash(e *entry, p Print) {
+	if !e.fingerprints[p] {
 		return
 	}
-	delete(e.prints, p)
+	delete(e.fingerprints, p)
 	b.stale = true
-	there := b.ended[e.target]
-	if there[p]--; there[p] > 0 {
+	requests := b.crashes[e.target]
+	if requests[p]--; requests[p] > 0 {
 		return
 	}
-	delete(there, p)
-	if len(there) == 0 {
-		delete(b.ended, e.target)
+	delete(requests, p)
+	if len(requests) == 0 {
+		delete(b.crashes, e.target)
 	}
-	if b.counts[p]--; b.counts[p] == 0 {
-		delete(b.counts, p)
+	if b.crashCounts[p]--; b.crashCounts[p] == 0 {
+		delete(b.crashCounts, p)
 	}
 }
 
@@ -134,11 +134,11 @@
 	if !ok {
 		return Report{}
 	}
-	return Report{Target: e.target, Prints: slices.Sorted(maps.Keys(e.prints))}
+	return Report{Target: e.target, Prints: slices.Sorted(maps.Keys(e.fingerprints))}
 }
 
-// oldest returns the key of the oldest report.
-func (b *Book) oldest() string {
+// oldestReport returns the key of the oldestReport report.
+func (b *Book) oldestReport() string {
 	first := ""
 	for key, e := range b.reports {
 		old := b.reports[first]
@@ -157,11 +157,11 @@
 		return
 	}
 	guilty := b.Guilty()
-	for p := range maps.Clone(e.prints) {
+	for p := range maps.Clone(e.fingerprints) {
 		if guilty[p] > 0 {
-			b.dropped = append(b.dropped, p)
+			b.removed = append(b.removed, p)
 		}
-		b.clear(e, p)
+		b.removeCrash(e, p)
 	}
 	delete(b.reports, key)
 }
@@ -173,92 +173,92 @@
 	if !revision.IsZero() {
 		b.answered[p] = platform.Later(b.answered[p], revision)
 	}
-	if len(b.answered) > mostAnswered {
-		b.forgetAnswer()
+	if len(b.answered) > maxAnswered {
+		b.evictOldestAnswer()
 	}
 	for _, e := range b.reports {
 		if revision.IsZero() || e.before(revision) {
-			b.clear(e, p)
+			b.removeCrash(e, p)
 		}
 	}
-	isIt := func(f Print) bool { return f == p }
-	b.former = slices.DeleteFunc(b.former, isIt)
-	b.dropped = slices.DeleteFunc(b.dropped, isIt)
+	same := func(f Print) bool { return f == p }
+	b.previous = slices.DeleteFunc(b.previous, same)
+	b.removed = slices.DeleteFunc(b.removed, same)
 }
 
-// forgetAnswer drops the oldest answer.
-func (b *Book) forgetAnswer() {
+// evictOldestAnswer drops the oldest answer.
+func (b *Book) evictOldestAnswer() {
 	prints := slices.Sorted(maps.Keys(b.answered))
 	delete(b.answered, slices.MinFunc(prints, func(x, y Print) int { return b.answered[x].Compare(b.answered[y]) }))
 }
 
 // Count returns how many targets ended under a request.
-func (b *Book) Count(p Print) int { return b.counts[p] }
+func (b *Book) Count(p Print) int { return b.crashCounts[p] }
 
 // Guilty returns the requests that end targets, and under how many each did. The map is not
 // changed any more.
 func (b *Book) Guilty() map[Print]int {
-	b.judge()
-	return b.guilty
+	b.refresh()
+	return b.poison
 }
 
-// judge judges anew if that is due, and notes what is told no more since it was forgotten.
-func (b *Book) judge() {
+// refresh judges anew if that is due, and notes what is told no more since it was forgotten.
+func (b *Book) refresh() {
 	if !b.stale {
 		return
 	}
 	b.stale = false
-	b.explain()
-	for _, p := range b.dropped {
-		if b.guilty[p] == 0 && !slices.Contains(b.former, p) {
-			b.former = append(b.former, p)
+	b.findPoison()
+	for _, p := range b.removed {
+		if b.poison[p] == 0 && !slices.Contains(b.previous, p) {
+			b.previous = append(b.previous, p)
 		}
 	}
-	b.former = b.former[max(0, len(b.former)-mostFormer):]
-	b.dropped = nil
+	b.previous = b.previous[max(0, len(b.previous)-maxPrevious):]
+	b.removed = nil
 }
 
-// explain finds the requests that explain why targets ended: the one that was at most of
+// findPoison finds the requests that findPoison why targets ended: the one that was at most of
 // them first, then the same of those that are left, so that who was there by chance counts
 // for nothing.
-func (b *Book) explain() {
-	b.guilty = make(map[Print]int)
-	var ended map[string]map[Print]int // that are not explained yet; nil for all
-	for counts := b.counts; ; counts = count(ended) {
-		worst, ok := b.worst(counts)
+func (b *Book) findPoison() {
+	b.poison = make(map[Print]int)
+	var unexplained map[string]map[Print]int // that are not explained yet; nil for all
+	for counts := b.crashCounts; ; counts = countTargets(unexplained) {
+		most, ok := b.mostCrashes(counts)
 		if !ok {
 			return // mostly at once: few requests are at several targets that end
 		}
-		if ended == nil {
-			ended = maps.Clone(b.ended)
+		if unexplained == nil {
+			unexplained = maps.Clone(b.crashes)
 		}
-		alike, rivals := compare(ended, counts, worst)
-		if rivals == 0 || counts[worst] >= sure {
-			for _, p := range alike {
-				b.guilty[p] = counts[p]
+		tied, rivals := findTied(unexplained, counts, most)
+		if rivals == 0 || counts[most] >= minTiedCrashes {
+			for _, p := range tied {
+				b.poison[p] = counts[p]
 			}
 		}
-		maps.DeleteFunc(ended, func(_ string, prints map[Print]int) bool { return prints[worst] > 0 })
+		maps.DeleteFunc(unexplained, func(_ string, prints map[Print]int) bool { return prints[most] > 0 })
 	}
 }
 
-// worst returns the request under which most targets ended, of those that were enough.
-func (b *Book) worst(counts map[Print]int) (worst Print, found bool) {
+// mostCrashes returns the request under which most targets ended, of those that were enough.
+func (b *Book) mostCrashes(counts map[Print]int) (most Print, found bool) {
 	for p, n := range counts {
-		if n < shown && !slices.Contains(b.former, p) {
+		if n < minCrashes && !slices.Contains(b.previous, p) {
 			continue
 		}
-		if !found || n > counts[worst] || n == counts[worst] && p < worst {
-			worst, found = p, true
+		if !found || n > counts[most] || n == counts[most] && p < most {
+			most, found = p, true
 		}
 	}
-	return worst, found
+	return most, found
 }
 
-// count returns at how many of the targets each request was.
-func count(ended map[string]map[Print]int) map[Print]int {
+// countTargets returns at how many of the targets each request was.
+func countTargets(crashes map[string]map[Print]int) map[Print]int {
 	counts := make(map[Print]int)
-	for _, prints := range ended {
+	for _, prints := range crashes {
 		for p := range prints {
 			counts[p]++
 		}
@@ -266,12 +266,12 @@
 	return counts
 }
 
-// compare returns the requests that were at just the targets that one was at, that one
+// findTied returns the requests that were at just the targets that one was at, that one
 // among them, and how many others were at as many, some of them the same.
-func compare(ended map[string]map[Print]int, counts map[Print]int, one Print) (alike []Print, rivals int) {
+func findTied(crashes map[string]map[Print]int, counts map[Print]int, request Print) (tied []Print, rivals int) {
 	shared := make(map[Print]int)
-	for _, prints := range ended {
-		if prints[one] == 0 {
+	for _, prints := range crashes {
+		if prints[request] == 0 {
 			continue
 		}
 		for p := range prints {
@@ -279,15 +279,15 @@
 		}
 	}
 	for p, n := range shared {
-		if counts[p] != counts[one] {
+		if counts[p] != counts[request] {
 			continue
 		}
-		if n == counts[one] {
-			alike = append(alike, p)
+		if n == counts[request] {
+			tied = append(tied, p)
 		}
-		if p != one {
+		if p != request {
 			rivals++
 		}
 	}
-	return alike, rivals
+	return tied, rivals
 }
--- a/internal/crash/book_test.go
+++ b/internal/crash/book_test.go
@@ -10,36 +10,36 @@
 )
 
 const (
-	bad Print = iota + 1
-	popular
+	poison Print = iota + 1
+	frequent
 	other
-	worse
+	otherPoison
 )
 
 // Which requests are told to end targets, by what was at each target that ended.
-func TestGuilty(t *testing.T) {
+func TestPoisonRequests(t *testing.T) {
 	tests := map[string]struct {
-		ended [][]Print // the requests at each target that ended
-		want  []Print
+		crashed [][]Print // the requests at each target that ended
+		want    []Print
 	}{
 		"nothing":                            {nil, nil},
-		"two targets show nothing":           {[][]Print{{bad}, {bad}}, nil},
-		"three do":                           {[][]Print{{bad}, {bad}, {bad}}, []Print{bad}},
-		"others were there by chance":        {[][]Print{{bad, popular, 10}, {bad, popular, 11}, {bad, 12}}, []Print{bad}},
-		"chance at three of four":            {[][]Print{{bad, popular}, {bad, popular}, {bad, popular}, {bad}}, []Print{bad}},
-		"two that can't be told apart":       {[][]Print{{bad, popular}, {bad, popular}, {bad, popular}}, nil},
-		"not for ever":                       {slices.Repeat([][]Print{{bad, popular}}, sure), []Print{bad, popular}},
-		"two of as many, some the same":      {[][]Print{{bad, popular}, {bad, popular}, {bad}, {popular}}, nil},
-		"two, each with its own":             {[][]Print{{bad}, {bad}, {bad}, {worse}, {worse}, {worse}}, []Print{bad, worse}},
-		"a second one beside the first":      {[][]Print{{bad, other}, {bad, other}, {bad}, {bad}, {bad}, {other}, {other}}, []Print{bad}},
+		"two targets show nothing":           {[][]Print{{poison}, {poison}}, nil},
+		"three do":                           {[][]Print{{poison}, {poison}, {poison}}, []Print{poison}},
+		"others were there by chance":        {[][]Print{{poison, frequent, 10}, {poison, frequent, 11}, {poison, 12}}, []Print{poison}},
+		"chance at three of four":            {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}, {poison}}, []Print{poison}},
+		"two that can't be told apart":       {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}}, nil},
+		"not for ever":                       {slices.Repeat([][]Print{{poison, frequent}}, minTiedCrashes), []Print{poison, frequent}},
+		"two of as many, some the same":      {[][]Print{{poison, frequent}, {poison, frequent}, {poison}, {frequent}}, nil},
+		"two, each with its own":             {[][]Print{{poison}, {poison}, {poison}, {otherPoison}, {otherPoison}, {otherPoison}}, []Print{poison, otherPoison}},
+		"a second one beside the first":      {[][]Print{{poison, other}, {poison, other}, {poison}, {poison}, {poison}, {other}, {other}}, []Print{poison}},
 		"targets that ended by themselves":   {[][]Print{{1, 2}, {3, 4}, {5, 6}, {7, 8}, {1, 9}, {3, 9}}, nil},
 		"a target that nobody's request ran": {[][]Print{{}, {}, {}}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
-			for i, prints := range tt.ended {
-				b.Put(fmt.Sprint(i), at(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
+			for i, prints := range tt.crashed {
+				b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
 			}
 			if got := slices.Sorted(maps.Keys(b.Guilty())); !slices.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
@@ -52,20 +52,20 @@
 func TestReportsOfOneTarget(t *testing.T) {
 	b := NewBook()
 	for i := range 5 {
-		b.Put(fmt.Sprint(i), at(uint64(i+1)), Report{Target: "t", Prints: []Print{bad}})
+		b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: "t", Prints: []Print{poison}})
 	}
-	if got := b.Count(bad); got != 1 {
+	if got := b.Count(poison); got != 1 {
 		t.Errorf("got %d targets, want 1", got)
 	}
 }
 
-// at is a revision.
-func at(count uint64) platform.Revision { return platform.NewRevision(1, count) }
+// revisionAt is a revision.
+func revisionAt(count uint64) platform.Revision { return platform.NewRevision(1, count) }
 
-// end puts ends of targets under a request into the book.
-func end(b *Book, p Print, from, until uint64) {
+// crashTargets puts ends of targets under a request into the book.
+func crashTargets(b *Book, p Print, from, until uint64) {
 	for r := from; r <= until; r++ {
-		b.Put(fmt.Sprint(r), at(r), Report{Target: fmt.Sprint("t", r), Prints: []Print{p}})
+		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: []Print{p}})
 	}
 }
 
@@ -75,24 +75,32 @@
 		play func(b *Book)
 		want bool
 	}{
-		"answered after":         {func(b *Book) { end(b, bad, 1, 3); b.Answered(bad, at(4)) }, false},
-		"answered between":       {func(b *Book) { end(b, bad, 1, 2); b.Answered(bad, at(3)); end(b, bad, 4, 5) }, false},
-		"ends after the answer":  {func(b *Book) { end(b, bad, 1, 2); b.Answered(bad, at(3)); end(b, bad, 4, 6) }, true},
-		"heard in another order": {func(b *Book) { b.Answered(bad, at(4)); end(b, bad, 1, 3) }, false},
-		"answer not yet written": {func(b *Book) { end(b, bad, 1, 3); b.Answered(bad, Unwritten) }, false},
-		"another's answer":       {func(b *Book) { end(b, bad, 1, 3); b.Answered(other, at(4)) }, true},
+		"answered after": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, revisionAt(4)) }, false},
+		"answered between": {func(b *Book) {
+			crashTargets(b, poison, 1, 2)
+			b.Answered(poison, revisionAt(3))
+			crashTargets(b, poison, 4, 5)
+		}, false},
+		"ends after the answer": {func(b *Book) {
+			crashTargets(b, poison, 1, 2)
+			b.Answered(poison, revisionAt(3))
+			crashTargets(b, poison, 4, 6)
+		}, true},
+		"heard in another order": {func(b *Book) { b.Answered(poison, revisionAt(4)); crashTargets(b, poison, 1, 3) }, false},
+		"answer not yet written": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, Unwritten) }, false},
+		"another's answer":       {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(other, revisionAt(4)) }, true},
 		"heard again with its revision": {func(b *Book) {
-			b.Put("a", Unwritten, Report{Target: "t", Prints: []Print{bad}})
-			end(b, bad, 1, 2)
-			b.Answered(bad, Unwritten)
-			b.Put("a", at(9), Report{Target: "t", Prints: []Print{bad}})
+			b.Put("a", Unwritten, Report{Target: "t", Prints: []Print{poison}})
+			crashTargets(b, poison, 1, 2)
+			b.Answered(poison, Unwritten)
+			b.Put("a", revisionAt(9), Report{Target: "t", Prints: []Print{poison}})
 		}, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
 			tt.play(b)
-			if _, got := b.Guilty()[bad]; got != tt.want {
+			if _, got := b.Guilty()[poison]; got != tt.want {
 				t.Errorf("got guilty: %t, want %t", got, tt.want)
 			}
 		})
@@ -100,22 +108,22 @@
 }
 
 // What is forgotten holds no more, but one more end is enough then; an answer ends that too.
-func TestForgotten(t *testing.T) {
+func TestRemovedReports(t *testing.T) {
 	b := NewBook()
-	end(b, bad, 1, 3)
+	crashTargets(b, poison, 1, 3)
 	for r := range 3 {
 		b.Remove(fmt.Sprint(r + 1))
 	}
 	if got := len(b.Guilty()); got != 0 {
 		t.Errorf("got %d guilty after all was forgotten, want none", got)
 	}
-	end(b, bad, 4, 4)
-	if _, got := b.Guilty()[bad]; !got {
+	crashTargets(b, poison, 4, 4)
+	if _, got := b.Guilty()[poison]; !got {
 		t.Error("got it not told again after one more end")
 	}
-	b.Answered(bad, at(5))
-	end(b, bad, 6, 6)
-	if _, got := b.Guilty()[bad]; got {
+	b.Answered(poison, revisionAt(5))
+	crashTargets(b, poison, 6, 6)
+	if _, got := b.Guilty()[poison]; got {
 		t.Error("got it told after an answer and one end")
 	}
 }
@@ -123,24 +131,24 @@
 // What is kept is bounded, and the oldest goes first.
 func TestBounds(t *testing.T) {
 	b := NewBook()
-	end(b, bad, 1, 3)
-	prints := make([]Print, 3*mostPrints)
+	crashTargets(b, poison, 1, 3)
+	prints := make([]Print, 3*maxFingerprints)
 	for i := range prints {
 		prints[i] = Print(1000 + i)
 	}
 	for r := uint64(10); r < 10+2*MostReports; r++ {
-		b.Put(fmt.Sprint(r), at(r), Report{Target: fmt.Sprint("t", r), Prints: prints[:2]})
-		b.Answered(Print(r+5000), at(r))
+		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: prints[:2]})
+		b.Answered(Print(r+5000), revisionAt(r))
 	}
-	b.Put("wide", at(5000), Report{Target: "wide", Prints: prints})
+	b.Put("wide", revisionAt(5000), Report{Target: "wide", Prints: prints})
 	if got := len(b.reports); got != MostReports {
 		t.Errorf("got %d reports, want %d", got, MostReports)
 	}
-	if got := len(b.answered); got != mostAnswered {
-		t.Errorf("got %d answers, want %d", got, mostAnswered)
+	if got := len(b.answered); got != maxAnswered {
+		t.Errorf("got %d answers, want %d", got, maxAnswered)
 	}
-	if got := len(b.reports["wide"].prints); got != mostPrints {
-		t.Errorf("got %d requests of a report, want %d", got, mostPrints)
+	if got := len(b.reports["wide"].fingerprints); got != maxFingerprints {
+		t.Errorf("got %d requests of a report, want %d", got, maxFingerprints)
 	}
 	if b.reports["1"] != nil {
 		t.Error("got the oldest report kept")
--- a/internal/crash/capacity_test.go
+++ b/internal/crash/capacity_test.go
@@ -16,15 +16,15 @@
 // BenchmarkCapacityJudge is what a batch of reports costs an instance: the more targets have
 // ended, the more.
 func BenchmarkCapacityJudge(b *testing.B) {
-	for _, ends := range []int{8, 64, MostReports} {
-		b.Run(fmt.Sprint(ends, "ends"), func(b *testing.B) {
+	for _, crashes := range []int{8, 64, MostReports} {
+		b.Run(fmt.Sprint(crashes, "ends"), func(b *testing.B) {
 			book := NewBook()
-			for i := range ends {
+			for i := range crashes {
 				prints := []Print{Print(i % 4)}
 				for k := range 9 { // as many as a target works on at once
 					prints = append(prints, Print(1000+10*i+k))
 				}
-				book.Put(fmt.Sprint(i), at(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
+				book.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
 			}
 			for b.Loop() {
 				book.stale = true
--- a/internal/crash/print_test.go
+++ b/internal/crash/print_test.go
@@ -4,7 +4,7 @@
 
 // A request that is sent again has the same print, and one that differs in anything that
 // a target sees has another.
-func TestPrint(t *testing.T) {
+func TestFingerprint(t *testing.T) {
 	first := Request{Method: "GET", Host: "h", URI: "/a?b", Caller: "k", Object: "7", Body: []byte("hi")}
 	tests := map[string]struct {
 		change func(*Request)
