--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -29,8 +29,8 @@
 	Rest    string // seconds, a decimal number; with 503 alone
 }
 
-// maxRest bounds the time of rest that a target may ask for: longer than one runs.
-const maxRest = 24 * time.Hour
+// maxBackOff bounds the time of rest that a target may ask for: longer than one runs.
+const maxBackOff = 24 * time.Hour
 
 // Read reads the notice of an answer. A header that can't be read counts for nothing, and is
 // returned as "name: value".
@@ -40,15 +40,15 @@
 	notice.Limit, notice.Limited = r.number(n.Limit)
 	if status == http.StatusServiceUnavailable {
 		seconds, _ := r.number(n.Rest)
-		notice.Rest = time.Duration(min(seconds, maxRest.Seconds()) * float64(time.Second))
+		notice.Rest = time.Duration(min(seconds, maxBackOff.Seconds()) * float64(time.Second))
 	}
-	return notice, r.unread
+	return notice, r.invalid
 }
 
 // reader reads headers, and keeps those that can't be read.
 type reader struct {
-	header http.Header
-	unread []string
+	header  http.Header
+	invalid []string
 }
 
 // flag reads a header that is "1" or not there.
@@ -60,7 +60,7 @@
 	if slices.Contains(values, "1") {
 		return true
 	}
-	r.fault(name, values)
+	r.reject(name, values)
 	return false
 }
 
@@ -72,12 +72,12 @@
 	}
 	v, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
 	if len(values) > 1 || err != nil || !(v >= 0) || math.IsInf(v, 0) {
-		r.fault(name, values)
+		r.reject(name, values)
 		return 0, false
 	}
 	return v, true
 }
 
-func (r *reader) fault(name string, values []string) {
-	r.unread = append(r.unread, name+": "+strings.Join(values, ", "))
+func (r *reader) reject(name string, values []string) {
+	r.invalid = append(r.invalid, name+": "+strings.Join(values, ", "))
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -23,7 +23,7 @@
 		"limit":            {500, http.Header{"Server-Limit": {"9.25"}}, Notice{Limit: 9.25, Limited: true}, nil},
 		"no requests":      {200, http.Header{"Server-Limit": {"0"}}, Notice{Limited: true}, nil},
 		"rest":             {503, http.Header{"Retry-After": {"2.5"}}, Notice{Rest: 2500 * time.Millisecond}, nil},
-		"very long rest":   {503, http.Header{"Retry-After": {"1e300"}}, Notice{Rest: maxRest}, nil},
+		"very long rest":   {503, http.Header{"Retry-After": {"1e300"}}, Notice{Rest: maxBackOff}, nil},
 		"rest with 200":    {200, http.Header{"Retry-After": {"3"}}, Notice{}, nil},
 		"unreadable": {
 			503,
@@ -52,7 +52,7 @@
 	f.Fuzz(func(t *testing.T, status int, leaving, limit, rest string) {
 		h := http.Header{"Server-Leaving": {leaving}, "Server-Limit": {limit}, "Retry-After": {rest}}
 		got, _ := names.Read(status, h)
-		if !(got.Limit >= 0) || got.Rest < 0 || got.Rest > maxRest {
+		if !(got.Limit >= 0) || got.Rest < 0 || got.Rest > maxBackOff {
 			t.Errorf("got %+v", got)
 		}
 	})
