--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -50,30 +50,30 @@
 }
 
 type item struct {
-	came  time.Time
-	left  int  // steps
-	probe bool // a measurement
+	arrivedAt time.Time
+	stepsLeft int  // steps
+	probe     bool // a measurement
 }
 
 const (
-	steps      = 10
-	stepTime   = 10 * time.Microsecond
-	refuseTime = 25 * time.Microsecond
-	patience   = 500 * time.Millisecond
-	capacity   = float64(time.Second / (steps * stepTime))
+	steps         = 10
+	stepTime      = 10 * time.Microsecond
+	refuseTime    = 25 * time.Microsecond
+	callerTimeout = 500 * time.Millisecond
+	capacity      = float64(time.Second / (steps * stepTime))
 )
 
-// play sends requests at a rate for a time, and returns the answers a second in its second half.
-func (p *processor) play(g *Gate, rate float64, length time.Duration) float64 {
+// run sends requests at a rate for a time, and returns the answers a second in its second half.
+func (p *processor) run(g *Gate, rate float64, length time.Duration) float64 {
 	gap := time.Duration(float64(time.Second) / rate)
 	begin, due, measured, half := p.now, p.now, p.now, 0
 	for p.now.Sub(begin) < length {
 		for ; !due.After(p.now); due = due.Add(gap) {
-			p.queue = append(p.queue, &item{came: due, left: steps})
+			p.queue = append(p.queue, &item{arrivedAt: due, stepsLeft: steps})
 		}
-		if p.now.Sub(measured) >= measureEvery {
+		if p.now.Sub(measured) >= idleInterval {
 			measured = p.now
-			p.queue = append(p.queue, &item{came: p.now, probe: true})
+			p.queue = append(p.queue, &item{arrivedAt: p.now, probe: true})
 		}
 		if p.now.Sub(begin) < length/2 {
 			half = p.answered
@@ -94,17 +94,17 @@
 	switch {
 	case i.probe:
 		if g != nil {
-			g.Note(p.now, p.now.Sub(i.came))
+			g.Note(p.now, p.now.Sub(i.arrivedAt))
 		}
 		return
-	case i.left == steps && g != nil && g.Refuse():
+	case i.stepsLeft == steps && g != nil && g.Refuse():
 		p.now = p.now.Add(refuseTime)
 		return
 	}
 	p.now = p.now.Add(stepTime)
-	if i.left--; i.left > 0 {
+	if i.stepsLeft--; i.stepsLeft > 0 {
 		p.queue = append(p.queue, i)
-	} else if p.now.Sub(i.came) <= patience {
+	} else if p.now.Sub(i.arrivedAt) <= callerTimeout {
 		p.answered++
 	}
 }
@@ -126,16 +126,16 @@
 		t.Run(name, func(t *testing.T) {
 			// Of each second, refusals take a part: a*cost + (load-a)*refusal = 1.
 			refusal := float64(refuseTime) / float64(steps*stepTime)
-			most := min(tt.load, (1-tt.load*refusal)/(1-refusal)) * capacity
+			maxAnswers := min(tt.load, (1-tt.load*refusal)/(1-refusal)) * capacity
 			p, g := &processor{now: start}, &Gate{}
-			if got := p.play(g, tt.load*capacity, 4*time.Second); got < tt.least*most {
-				t.Errorf("got %.0f answers a second, want %.0f of %.0f", got, tt.least*most, most)
+			if got := p.run(g, tt.load*capacity, 4*time.Second); got < tt.least*maxAnswers {
+				t.Errorf("got %.0f answers a second, want %.0f of %.0f", got, tt.least*maxAnswers, maxAnswers)
 			}
-			if got := p.play(g, 0.5*capacity, 2*time.Second); got < 0.49*capacity {
+			if got := p.run(g, 0.5*capacity, 2*time.Second); got < 0.49*capacity {
 				t.Errorf("got %.0f answers a second afterwards, want %.0f", got, 0.5*capacity)
 			}
-			bare := &processor{now: start}
-			if got := bare.play(nil, tt.load*capacity, 4*time.Second); tt.load > 1 && got > 0.05*capacity {
+			ungated := &processor{now: start}
+			if got := ungated.run(nil, tt.load*capacity, 4*time.Second); tt.load > 1 && got > 0.05*capacity {
 				t.Errorf("got %.0f answers a second without a gate: the load shows nothing", got)
 			}
 		})
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// measureEvery is the least time between two measurements that requests set off: a
+	// idleInterval is the least time between two measurements that requests set off: a
 	// process without any has nothing to refuse, and need not be woken.
-	measureEvery = 10 * time.Millisecond
-	// watchEvery is the pause between measurements while they are long: who is asked by
+	idleInterval = 10 * time.Millisecond
+	// busyInterval is the pause between measurements while they are long: who is asked by
 	// requests alone, which come in bursts, takes those for a queue that stands.
-	watchEvery = 5 * time.Millisecond
+	busyInterval = 5 * time.Millisecond
 )
 
 // Meter is a Gate that measures the delay itself, of one process. It is safe for concurrent
 // use; nil refuses nothing.
 type Meter struct {
 	Gate
-	start time.Time
-	cores float64      // that this process may use
-	next  atomic.Int64 // when to measure next, in nanoseconds since start
-	busy  atomic.Bool  // a measurement is under way
+	start     time.Time
+	cores     float64      // that this process may use
+	nextAt    atomic.Int64 // when to measure next, in nanoseconds since start
+	measuring atomic.Bool  // a measurement is under way
 }
 
 // NewMeter makes a meter of a process that may use a number of processors, which may be a
 // fraction; 0 if that is not known.
 func NewMeter(cores float64) *Meter {
-	if most := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > most {
-		cores = most
+	if maxCores := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > maxCores {
+		cores = maxCores
 	}
 	return &Meter{start: time.Now(), cores: cores}
 }
@@ -43,7 +43,7 @@
 	if m == nil {
 		return false
 	}
-	if int64(time.Since(m.start)) >= m.next.Load() && m.busy.CompareAndSwap(false, true) {
+	if int64(time.Since(m.start)) >= m.nextAt.Load() && m.measuring.CompareAndSwap(false, true) {
 		go m.measure(time.Now(), processorTime())
 	}
 	return m.Gate.Refuse()
@@ -59,18 +59,18 @@
 
 // measure notes how long the queue is, until it is short.
 func (m *Meter) measure(begin time.Time, used time.Duration) {
-	for m.Note(m.queue(begin, used)) {
-		time.Sleep(watchEvery)
+	for m.Note(m.queueDelay(begin, used)) {
+		time.Sleep(busyInterval)
 		begin, used = time.Now(), processorTime()
 	}
-	m.next.Store(int64(time.Since(m.start) + measureEvery))
-	m.busy.Store(false)
+	m.nextAt.Store(int64(time.Since(m.start) + idleInterval))
+	m.measuring.Store(false)
 }
 
-// queue goes to the end of the queue of what is ready to run, and returns how long that took:
+// queueDelay goes to the end of the queueDelay of what is ready to run, and returns how long that took:
 // no longer than the processors needed for the work before it. What others on the machine
-// take from this process makes its work slow, and is not its own queue.
-func (m *Meter) queue(begin time.Time, used time.Duration) (now time.Time, delay time.Duration) {
+// take from this process makes its work slow, and is not its own queueDelay.
+func (m *Meter) queueDelay(begin time.Time, used time.Duration) (now time.Time, delay time.Duration) {
 	runtime.Gosched()
 	now = time.Now()
 	work := time.Duration(float64(processorTime()-used) / m.cores)
