--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -14,13 +14,13 @@
 // Keyring holds the keys of one version of the configuration. It doesn't change, and
 // is safe for concurrent use.
 type Keyring struct {
-	owners map[digest]*routes.Workspace
-	needed bool
+	owners      map[digest]*routes.Workspace
+	keyRequired bool
 }
 
 // NewKeyring makes the keyring of a configuration, in which no key has two owners.
 func NewKeyring(cfg *routes.Config) *Keyring {
-	k := &Keyring{owners: make(map[digest]*routes.Workspace), needed: len(cfg.Workspaces) > 0}
+	k := &Keyring{owners: make(map[digest]*routes.Workspace), keyRequired: len(cfg.Workspaces) > 0}
 	for i := range cfg.Workspaces {
 		w := &cfg.Workspaces[i]
 		for _, key := range w.Keys {
@@ -31,7 +31,7 @@
 }
 
 // Needed says whether requests need a key, but for those of open routes.
-func (k *Keyring) Needed() bool { return k.needed }
+func (k *Keyring) Needed() bool { return k.keyRequired }
 
 // Owner returns the workspace that holds a key; nil if none does. It takes as long for
 // any number of keys.
