--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -1,5 +1,5 @@
-// Package routes holds the operators' configuration of requests: which service a
-// request goes to by its host and path, and what may be done with it.
+// Package routes holds the operators' configuration of requests: the service that a request goes
+// to by its host and path, and how the request may be handled.
 package routes
 
 import (
@@ -10,20 +10,20 @@
 	"github.com/juju/errors"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind is how the requests of a route may be handled.
 type Kind int
 
-// The kinds. A bulk request is idempotent and has a large answer.
+// Values of Kind. A bulk request is idempotent and has a large answer.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Bulk
 )
 
-// Repeatable says whether a request may run more than once.
+// Repeatable reports whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k != NonIdempotent }
 
-// String names the kind in log lines.
+// String returns the name of the kind for log lines.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -35,56 +35,56 @@
 	}
 }
 
-// Config is one version of the configuration, whole.
+// Config is one complete version of the configuration.
 type Config struct {
 	Version    uint64
 	Routes     []Route
 	Services   map[string]Service
-	Workspaces []Workspace // none: requests need no key
+	Workspaces []Workspace // if empty, requests need no key
 	Limits     Limits
 }
 
-// Route says what happens to the requests of a host below a prefix.
+// Route is the configuration of the requests of a host whose paths begin with a prefix.
 type Route struct {
 	Name      string
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Kind      Kind
-	Timeout   time.Duration // longest that a caller is kept waiting; 0: until its deadline
+	Timeout   time.Duration // maximum time that a caller waits; 0: until its deadline
 	Objective time.Duration // latency within which an answer is worth most
-	Attempts  int           // most targets that one request may be sent to
-	Priority  int           // 0 goes first
-	Split     []Part        // services by weight; one at least
-	Affinity  bool          // a target that lately served the same object is faster
+	Attempts  int           // maximum number of targets that one request may be sent to
+	Priority  int           // 0 is served first
+	Split     []Part        // services by weight; at least one
+	Affinity  bool          // whether a target that recently served the same object is faster
 	Regions   Regions       // where requests may be served
-	Open      bool          // requests need no key
+	Open      bool          // whether requests need no key
 }
 
 // Part is one service of a route.
 type Part struct {
 	Service string
-	Weight  float64 // share of the requests, over the sum of the weights
+	Weight  float64 // share of the requests, relative to the sum of the weights
 }
 
-// Workspace is who the callers with some API keys work for.
+// Workspace is the configuration of the callers that hold certain API keys.
 type Workspace struct {
 	Name     string
-	Keys     []string // of its callers; each belongs to one workspace
-	Priority *int     // goes before that of the route; nil: the route's holds
-	Rate     float64  // requests a second over all instances; 0: no limit
-	Burst    float64  // requests besides
+	Keys     []string // API keys of its callers; each belongs to one workspace
+	Priority *int     // overrides the priority of the route; nil: the route's applies
+	Rate     float64  // requests per second over all instances; 0: no limit
+	Burst    float64  // requests allowed on top of the rate
 	Regions  Regions  // where its requests may be served
 }
 
-// Service is what all targets of a service have in common.
+// Service is the configuration that all targets of a service share.
 type Service struct {
 	Name     string
-	MaxConns int           // connections that a target takes from all instances; 0 if not said
+	MaxConns int           // connections that a target accepts from all instances; 0: not set
 	Warmup   time.Duration // how long a target stays cold after a start
-	ColdRate float64       // requests a second that a cold target bears
+	ColdRate float64       // requests per second that a cold target can serve
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits of what a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -92,8 +92,8 @@
 	IdleTimeout   time.Duration // of a connection without requests
 }
 
-// Defaults of Limits, for the time before a configuration is known: what
-// net/http's server takes by default or what its documentation recommends.
+// Defaults of Limits, used until a configuration is loaded. They are the defaults of net/http's
+// server or what its documentation recommends.
 const (
 	defaultHeaderBytes   = 64 << 10
 	defaultBodyBytes     = 64 << 20
@@ -101,7 +101,7 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// Defaults fills what is not set.
+// Defaults sets every field that is zero to its default.
 func (l *Limits) Defaults() {
 	orDefault(&l.HeaderBytes, defaultHeaderBytes)
 	orDefault(&l.BodyBytes, defaultBodyBytes)
@@ -116,21 +116,22 @@
 	}
 }
 
-// WorkspaceError says why the workspaces or regions of a configuration can't be used.
-// It never holds a key.
+// WorkspaceError lists the faults of the workspaces and regions of a configuration. It never
+// contains a key.
 type WorkspaceError struct{ Faults []string }
 
 func (e *WorkspaceError) Error() string { return "routes: " + strings.Join(e.Faults, "; ") }
 
-// Validate returns a *WorkspaceError that names every fault: a key of two workspaces, a
-// negative rate, or a region that is not among those of the deployment.
+// Validate returns a *WorkspaceError that lists every fault, or nil. Faults are a workspace that
+// is defined twice, a key of two workspaces, a negative rate or burst, and a region that the
+// deployment does not have.
 func (c *Config) Validate(known Regions) error {
 	var faults []string
 	holders := make(map[string]string)
 	names := make(map[string]bool)
 	for _, w := range c.Workspaces {
 		if names[w.Name] {
-			faults = append(faults, "workspace "+w.Name+" stands twice")
+			faults = append(faults, "workspace "+w.Name+" is defined twice")
 		}
 		names[w.Name] = true
 		if w.Rate < 0 || w.Burst < 0 {
@@ -153,7 +154,7 @@
 	return errors.Trace(&WorkspaceError{Faults: faults})
 }
 
-// unknownRegions lists the regions of a route or workspace that the deployment doesn't have.
+// unknownRegions returns a fault for each region that the deployment does not have.
 func unknownRegions(owner string, regions, known Regions) []string {
 	var faults []string
 	for _, region := range regions {
--- a/internal/routes/regions.go
+++ b/internal/routes/regions.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Regions is where requests may be served. Nil means everywhere, and no region at all
-// nowhere.
+// Regions lists the regions in which requests may be served. Nil means everywhere; an empty list
+// that is not nil means nowhere.
 type Regions []string
 
-// RegionsOf returns the regions of a list, in which none stands for everywhere.
+// RegionsOf returns the regions of a list. An empty list means everywhere.
 func RegionsOf(names []string) Regions {
 	if len(names) == 0 {
 		return nil
@@ -14,10 +14,10 @@
 	return names
 }
 
-// Allow says whether requests may be served in a region.
+// Allow reports whether requests may be served in a region.
 func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both allow.
+// And returns the regions that both r and o allow.
 func (r Regions) And(o Regions) Regions {
 	switch {
 	case r == nil:
--- a/internal/routes/regions_test.go
+++ b/internal/routes/regions_test.go
@@ -9,7 +9,7 @@
 func TestRegions(t *testing.T) {
 	tests := map[string]struct {
 		a, b        Regions
-		allow, deny string // "" checks nothing
+		allow, deny string // "": not checked
 	}{
 		"everywhere":   {allow: "north"},
 		"first binds":  {a: Regions{"north"}, allow: "north", deny: "south"},
@@ -31,7 +31,7 @@
 	}
 }
 
-// Every fault of the workspaces is named, and no key.
+// The error lists every fault of the workspaces, and contains no key.
 func TestValidate(t *testing.T) {
 	cfg := Config{
 		Routes: []Route{{Name: "r", Regions: Regions{"west"}}},
@@ -48,7 +48,7 @@
 	}
 	want := []string{
 		"workspace a: rate -1 or burst 0 is negative", "workspaces a and b hold the same key", "workspace b: region east is not known",
-		"workspace b stands twice", "route r: region west is not known",
+		"workspace b is defined twice", "route r: region west is not known",
 	}
 	if !slices.Equal(got.Faults, want) {
 		t.Errorf("got %q, want %q", got.Faults, want)
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -8,22 +8,22 @@
 	"sync/atomic"
 )
 
-// Table finds the route of a request. It is made for one Config and doesn't
-// change; it is safe for concurrent use.
+// Table finds the route of a request. It is built from one Config, immutable, and safe for
+// concurrent use.
 type Table struct {
 	config Config
-	hosts  map[string][]*Entry // longest prefix first
+	hosts  map[string][]*Entry // in descending order of prefix length
 }
 
-// Entry is a route in a Table, with what has been sent to each of its services.
+// Entry is a route in a Table, with a counter that divides its requests among its services.
 type Entry struct {
 	Route
 
 	totalWeight float64       // sum of the weights; above 0
-	requests    atomic.Uint64 // requests so far
+	requests    atomic.Uint64 // number of requests
 }
 
-// NewTable makes a table of a configuration.
+// NewTable returns the table of a configuration.
 func NewTable(cfg Config) *Table {
 	t := &Table{config: cfg, hosts: make(map[string][]*Entry)}
 	for _, r := range cfg.Routes {
@@ -40,10 +40,10 @@
 	return t
 }
 
-// Config returns what the table was made of. It must not be changed.
+// Config returns the configuration that the table was built from. It must not be modified.
 func (t *Table) Config() *Config { return &t.config }
 
-// Match returns the route of a host and path, or nil.
+// Match returns the route for a host and path; nil if there is none.
 func (t *Table) Match(host, path string) *Entry {
 	for _, e := range t.hosts[hostname(host)] {
 		if strings.HasPrefix(path, e.Prefix) {
@@ -53,14 +53,14 @@
 	return nil
 }
 
-// Service chooses the service of the next request. Over any run of requests,
-// each service gets its weight's share, evenly spread.
+// Service returns the service for the next request. In any sequence of requests, each service
+// gets the share of its weight, evenly spread.
 func (e *Entry) Service() string {
 	if len(e.Split) == 1 {
 		return e.Split[0].Service
 	}
-	// The multiples of the golden ratio's fraction, modulo 1, are spread evenly
-	// at every length of the sequence.
+	// The multiples of the golden ratio's fractional part, modulo 1, are evenly spread for every
+	// length of the sequence.
 	const step = 0.6180339887498949
 	n := float64(e.requests.Add(1)) * step
 	position := (n - float64(uint64(n))) * e.totalWeight
@@ -73,7 +73,7 @@
 	return e.Split[len(e.Split)-1].Service
 }
 
-// hostname is a Host header in lower case without its port.
+// hostname returns a Host header in lower case without its port.
 func hostname(host string) string {
 	if strings.Contains(host, ":") {
 		if name, _, err := net.SplitHostPort(host); err == nil {
--- a/internal/routes/table_test.go
+++ b/internal/routes/table_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Each part of a split gets its share in every run of 100 requests, not only in
-// the long term.
+// Each service of a split must get its share in every sequence of 100 requests, not only on
+// average.
 func TestServiceShares(t *testing.T) {
 	route := Route{Host: "a", Prefix: "/", Split: []Part{{"s1", 90}, {"s2", 10}, {"none", 0}}}
 	e := NewTable(Config{Routes: []Route{route}}).Match("a", "/")
