--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -8,67 +8,69 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// MostReports bounds the reports that are kept; the oldest go first.
+// MostReports is the maximum number of reports; the oldest are evicted first.
 const MostReports = 512
 
 const (
-	// minCrashes is how many targets have to end under a request until that shows that it ends
-	// them. The requests that were at the same target by chance are innocent, and hardly
-	// one of them is there three times without an answer between.
+	// minCrashes is the number of targets that have to crash with a request in flight before the
+	// request counts as the cause. Other requests are at the same target by chance, and hardly
+	// one of them is there three times without a successful answer in between.
 	minCrashes = 3
-	// minTiedCrashes is how many are enough where another request was at all of the same targets, so
-	// that nothing tells the two apart: each further trial ends another target.
+	// minTiedCrashes is the number of crashes that suffices if another request was at all of the
+	// same targets and the two can't be told apart: each further probe crashes another target.
 	minTiedCrashes = 5
-	// maxFingerprints, mostAnswered and mostFormer bound what else is kept.
+	// maxFingerprints is per report; maxAnswered and maxPrevious limit the fields of Book.
 	maxFingerprints = 64
 	maxAnswered     = 512
 	maxPrevious     = 512
 )
 
-// Unwritten is the revision of a report or an answer that the store does not have, or not yet.
+// Unwritten is the revision of a report or answer that the store does not have (yet).
 var Unwritten platform.Revision
 
-// Report says which requests one instance had at a target when that ended.
+// Report lists the requests that one instance had in flight at a target when it crashed.
 type Report struct {
-	Target string  `json:"target"` // its run
+	Target string  `json:"target"` // run of the target
 	Prints []Print `json:"prints"`
 }
 
-// entry is a report under its key.
+// entry is a report in the table.
 type entry struct {
-	revision     platform.Revision // orders reports and answers of all instances; Unwritten comes after all
+	revision     platform.Revision // orders reports and answers of all instances; Unwritten sorts last
 	target       string
-	fingerprints map[Print]bool // without those that were answered since
+	fingerprints map[Print]bool // without requests that were answered successfully later
 }
 
-// before says whether the entry was written before a revision: what has none yet is the latest.
+// before reports whether the entry was written before r. An entry without a revision is the
+// latest.
 func (e *entry) before(r platform.Revision) bool { return !e.revision.IsZero() && r.After(e.revision) }
 
-// after says whether the entry was written after a revision.
+// after reports whether the entry was written after r.
 func (e *entry) after(r platform.Revision) bool { return e.revision.IsZero() || e.revision.After(r) }
 
-// compare orders entries in time.
+// compare orders entries by time.
 func (e *entry) compare(o *entry) int {
 	if e.revision.IsZero() || o.revision.IsZero() {
-		return o.revision.Compare(e.revision) // the zero one is the latest
+		return o.revision.Compare(e.revision) // the zero revision is the latest
 	}
 	return e.revision.Compare(o.revision)
 }
 
-// Book holds the reports of all instances. It is not safe for concurrent use.
+// Book holds the crash reports of all instances, and finds the poison requests among them. It is
+// not safe for concurrent use.
 type Book struct {
 	reports  map[string]*entry           // by key; MostReports at most
-	answered map[Print]platform.Revision // when a request was answered with success; mostAnswered at most
-	previous []Print                     // that ended targets, by reports that are forgotten; the oldest first, mostFormer at most
-	removed  []Print                     // of guilty, that were in reports forgotten since
+	answered map[Print]platform.Revision // revision of the last successful answer; maxAnswered at most
+	previous []Print                     // poison requests by reports since removed, oldest first; maxPrevious at most
+	removed  []Print                     // poison requests that were in reports removed since the last refresh
 
-	crashes     map[string]map[Print]int // by target that ended: in how many reports on it a request is; 1 or more
-	crashCounts map[Print]int            // targets that ended under a request; 1 or more
-	stale       bool                     // guilty has to be worked out anew
-	poison      map[Print]int            // those of counts that end targets
+	crashes     map[string]map[Print]int // by crashed target: number of reports on it that list a request; 1 or more
+	crashCounts map[Print]int            // targets that crashed with a request in flight; 1 or more
+	stale       bool                     // whether poison has to be recomputed
+	poison      map[Print]int            // requests that crash targets, with the number of those targets
 }
 
-// NewBook makes an empty book.
+// NewBook returns an empty table.
 func NewBook() *Book {
 	return &Book{
 		reports: make(map[string]*entry), answered: make(map[Print]platform.Revision),
@@ -76,7 +78,7 @@
 	}
 }
 
-// Put takes in a report under its key. One that is known only gets its revision.
+// Put adds a report under its key. If the key exists, only the revision of its report is updated.
 func (b *Book) Put(key string, revision platform.Revision, r Report) {
 	if old, ok := b.reports[key]; ok {
 		old.revision = platform.Later(old.revision, revision)
@@ -95,7 +97,7 @@
 	}
 }
 
-// addCrash notes that one more report has a request at a target that ended.
+// addCrash records that one more report lists the request at a crashed target.
 func (b *Book) addCrash(target string, p Print) {
 	if b.crashes[target] == nil {
 		b.crashes[target] = make(map[Print]int)
@@ -107,7 +109,7 @@
 	b.stale = true
 }
 
-// removeCrash takes a request out of a report.
+// removeCrash removes a request from a report.
 func (b *Book) removeCrash(e *entry, p Print) {
 	if !e.fingerprints[p] {
 		return
@@ -127,8 +129,8 @@
 	}
 }
 
-// Report returns a report, without the requests that were answered since. It has none of
-// them if it is not known.
+// Report returns the report with the given key, without the requests that were answered
+// successfully later. It is empty if the key is unknown.
 func (b *Book) Report(key string) Report {
 	e, ok := b.reports[key]
 	if !ok {
@@ -137,7 +139,7 @@
 	return Report{Target: e.target, Prints: slices.Sorted(maps.Keys(e.fingerprints))}
 }
 
-// oldestReport returns the key of the oldestReport report.
+// oldestReport returns the key of the oldest report.
 func (b *Book) oldestReport() string {
 	first := ""
 	for key, e := range b.reports {
@@ -149,8 +151,8 @@
 	return first
 }
 
-// Remove forgets a report. A request that ends targets by what is forgotten needs to end
-// only one more to be told again.
+// Remove removes a report. A request that was poison by a removed report counts as poison again
+// after one more crash.
 func (b *Book) Remove(key string) {
 	e, ok := b.reports[key]
 	if !ok {
@@ -166,9 +168,8 @@
 	delete(b.reports, key)
 }
 
-// Answered notes that a target has answered a request with success at a revision, which
-// shows that the targets that ended before ended of something else. Without a revision,
-// all reports that are known are from before.
+// Answered records that a target answered a request successfully at a revision, which shows that
+// earlier crashes had another cause. Without a revision, all existing reports count as earlier.
 func (b *Book) Answered(p Print, revision platform.Revision) {
 	if !revision.IsZero() {
 		b.answered[p] = platform.Later(b.answered[p], revision)
@@ -186,23 +187,24 @@
 	b.removed = slices.DeleteFunc(b.removed, same)
 }
 
-// evictOldestAnswer drops the oldest answer.
+// evictOldestAnswer removes the oldest entry of answered.
 func (b *Book) evictOldestAnswer() {
 	prints := slices.Sorted(maps.Keys(b.answered))
 	delete(b.answered, slices.MinFunc(prints, func(x, y Print) int { return b.answered[x].Compare(b.answered[y]) }))
 }
 
-// Count returns how many targets ended under a request.
+// Count returns how many targets crashed with the request in flight.
 func (b *Book) Count(p Print) int { return b.crashCounts[p] }
 
-// Guilty returns the requests that end targets, and under how many each did. The map is not
-// changed any more.
+// Guilty returns the requests that crash targets, each with the number of targets that it
+// crashed. The returned map is not modified later.
 func (b *Book) Guilty() map[Print]int {
 	b.refresh()
 	return b.poison
 }
 
-// refresh judges anew if that is due, and notes what is told no more since it was forgotten.
+// refresh recomputes poison if it is stale, and moves requests that are no longer poison, because
+// their reports were removed, to previous.
 func (b *Book) refresh() {
 	if !b.stale {
 		return
@@ -218,16 +220,16 @@
 	b.removed = nil
 }
 
-// findPoison finds the requests that findPoison why targets ended: the one that was at most of
-// them first, then the same of those that are left, so that who was there by chance counts
-// for nothing.
+// findPoison finds the requests that explain the crashes. It takes the request that was at most
+// of the crashed targets, leaves out these targets, and repeats. Requests that were there by
+// chance therefore don't count.
 func (b *Book) findPoison() {
 	b.poison = make(map[Print]int)
-	var unexplained map[string]map[Print]int // that are not explained yet; nil for all
+	var unexplained map[string]map[Print]int // targets whose crash is not explained yet; nil for all
 	for counts := b.crashCounts; ; counts = countTargets(unexplained) {
 		most, ok := b.mostCrashes(counts)
 		if !ok {
-			return // mostly at once: few requests are at several targets that end
+			return // usually at once, as few requests are at several crashing targets
 		}
 		if unexplained == nil {
 			unexplained = maps.Clone(b.crashes)
@@ -242,7 +244,8 @@
 	}
 }
 
-// mostCrashes returns the request under which most targets ended, of those that were enough.
+// mostCrashes returns the request with the most crashed targets, among those with enough crashes
+// to count as a cause.
 func (b *Book) mostCrashes(counts map[Print]int) (most Print, found bool) {
 	for p, n := range counts {
 		if n < minCrashes && !slices.Contains(b.previous, p) {
@@ -255,7 +258,7 @@
 	return most, found
 }
 
-// countTargets returns at how many of the targets each request was.
+// countTargets returns for each request the number of targets that it was at.
 func countTargets(crashes map[string]map[Print]int) map[Print]int {
 	counts := make(map[Print]int)
 	for _, prints := range crashes {
@@ -266,8 +269,9 @@
 	return counts
 }
 
-// findTied returns the requests that were at just the targets that one was at, that one
-// among them, and how many others were at as many, some of them the same.
+// findTied returns the requests that were at exactly the same targets as the given one, including
+// it. It also returns the number of other requests that were at as many targets and share at
+// least one with it.
 func findTied(crashes map[string]map[Print]int, counts map[Print]int, request Print) (tied []Print, rivals int) {
 	shared := make(map[Print]int)
 	for _, prints := range crashes {
--- a/internal/crash/book_test.go
+++ b/internal/crash/book_test.go
@@ -16,24 +16,24 @@
 	otherPoison
 )
 
-// Which requests are told to end targets, by what was at each target that ended.
+// Finds poison requests from the requests that were at each crashed target.
 func TestPoisonRequests(t *testing.T) {
 	tests := map[string]struct {
-		crashed [][]Print // the requests at each target that ended
+		crashed [][]Print // requests at each crashed target
 		want    []Print
 	}{
-		"nothing":                            {nil, nil},
-		"two targets show nothing":           {[][]Print{{poison}, {poison}}, nil},
-		"three do":                           {[][]Print{{poison}, {poison}, {poison}}, []Print{poison}},
-		"others were there by chance":        {[][]Print{{poison, frequent, 10}, {poison, frequent, 11}, {poison, 12}}, []Print{poison}},
-		"chance at three of four":            {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}, {poison}}, []Print{poison}},
-		"two that can't be told apart":       {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}}, nil},
-		"not for ever":                       {slices.Repeat([][]Print{{poison, frequent}}, minTiedCrashes), []Print{poison, frequent}},
-		"two of as many, some the same":      {[][]Print{{poison, frequent}, {poison, frequent}, {poison}, {frequent}}, nil},
-		"two, each with its own":             {[][]Print{{poison}, {poison}, {poison}, {otherPoison}, {otherPoison}, {otherPoison}}, []Print{poison, otherPoison}},
-		"a second one beside the first":      {[][]Print{{poison, other}, {poison, other}, {poison}, {poison}, {poison}, {other}, {other}}, []Print{poison}},
-		"targets that ended by themselves":   {[][]Print{{1, 2}, {3, 4}, {5, 6}, {7, 8}, {1, 9}, {3, 9}}, nil},
-		"a target that nobody's request ran": {[][]Print{{}, {}, {}}, nil},
+		"nothing":                                   {nil, nil},
+		"two crashes are not enough":                {[][]Print{{poison}, {poison}}, nil},
+		"three are":                                 {[][]Print{{poison}, {poison}, {poison}}, []Print{poison}},
+		"others were there by chance":               {[][]Print{{poison, frequent, 10}, {poison, frequent, 11}, {poison, 12}}, []Print{poison}},
+		"chance at three of four":                   {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}, {poison}}, []Print{poison}},
+		"two with the same targets":                 {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}}, nil},
+		"tied, but more crashes":                    {slices.Repeat([][]Print{{poison, frequent}}, minTiedCrashes), []Print{poison, frequent}},
+		"equal counts, some targets shared":         {[][]Print{{poison, frequent}, {poison, frequent}, {poison}, {frequent}}, nil},
+		"two with different targets":                {[][]Print{{poison}, {poison}, {poison}, {otherPoison}, {otherPoison}, {otherPoison}}, []Print{poison, otherPoison}},
+		"second one partly at targets of the first": {[][]Print{{poison, other}, {poison, other}, {poison}, {poison}, {poison}, {other}, {other}}, []Print{poison}},
+		"targets that crashed by themselves":        {[][]Print{{1, 2}, {3, 4}, {5, 6}, {7, 8}, {1, 9}, {3, 9}}, nil},
+		"targets without requests":                  {[][]Print{{}, {}, {}}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Reports of several instances on one target are one end of it.
+// Reports of several instances on the same target count as one crash.
 func TestReportsOfOneTarget(t *testing.T) {
 	b := NewBook()
 	for i := range 5 {
@@ -59,17 +59,18 @@
 	}
 }
 
-// revisionAt is a revision.
+// revisionAt returns the revision with the given count.
 func revisionAt(count uint64) platform.Revision { return platform.NewRevision(1, count) }
 
-// crashTargets puts ends of targets under a request into the book.
+// crashTargets adds reports of a request at crashed targets, one for each revision.
 func crashTargets(b *Book, p Print, from, until uint64) {
 	for r := from; r <= until; r++ {
 		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: []Print{p}})
 	}
 }
 
-// An answer shows that what ended before ended of something else, and nothing of later ends.
+// A successful answer shows that earlier crashes had another cause, and says nothing about later
+// ones.
 func TestAnswered(t *testing.T) {
 	tests := map[string]struct {
 		play func(b *Book)
@@ -81,15 +82,15 @@
 			b.Answered(poison, revisionAt(3))
 			crashTargets(b, poison, 4, 5)
 		}, false},
-		"ends after the answer": {func(b *Book) {
+		"crashes after the answer": {func(b *Book) {
 			crashTargets(b, poison, 1, 2)
 			b.Answered(poison, revisionAt(3))
 			crashTargets(b, poison, 4, 6)
 		}, true},
-		"heard in another order": {func(b *Book) { b.Answered(poison, revisionAt(4)); crashTargets(b, poison, 1, 3) }, false},
-		"answer not yet written": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, Unwritten) }, false},
-		"another's answer":       {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(other, revisionAt(4)) }, true},
-		"heard again with its revision": {func(b *Book) {
+		"received in another order": {func(b *Book) { b.Answered(poison, revisionAt(4)); crashTargets(b, poison, 1, 3) }, false},
+		"answer not yet written":    {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, Unwritten) }, false},
+		"answer to another request": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(other, revisionAt(4)) }, true},
+		"received again with its revision": {func(b *Book) {
 			b.Put("a", Unwritten, Report{Target: "t", Prints: []Print{poison}})
 			crashTargets(b, poison, 1, 2)
 			b.Answered(poison, Unwritten)
@@ -101,13 +102,14 @@
 			b := NewBook()
 			tt.play(b)
 			if _, got := b.Guilty()[poison]; got != tt.want {
-				t.Errorf("got guilty: %t, want %t", got, tt.want)
+				t.Errorf("got poison: %t, want %t", got, tt.want)
 			}
 		})
 	}
 }
 
-// What is forgotten holds no more, but one more end is enough then; an answer ends that too.
+// A request whose reports were removed is not poison any more, but one further crash makes it so
+// again, unless it was answered successfully in between.
 func TestRemovedReports(t *testing.T) {
 	b := NewBook()
 	crashTargets(b, poison, 1, 3)
@@ -115,20 +117,20 @@
 		b.Remove(fmt.Sprint(r + 1))
 	}
 	if got := len(b.Guilty()); got != 0 {
-		t.Errorf("got %d guilty after all was forgotten, want none", got)
+		t.Errorf("got %d poison requests after all reports were removed, want none", got)
 	}
 	crashTargets(b, poison, 4, 4)
 	if _, got := b.Guilty()[poison]; !got {
-		t.Error("got it not told again after one more end")
+		t.Error("got no poison request after one more crash")
 	}
 	b.Answered(poison, revisionAt(5))
 	crashTargets(b, poison, 6, 6)
 	if _, got := b.Guilty()[poison]; got {
-		t.Error("got it told after an answer and one end")
+		t.Error("got a poison request after an answer and one crash")
 	}
 }
 
-// What is kept is bounded, and the oldest goes first.
+// The table is bounded, and evicts the oldest entries first.
 func TestBounds(t *testing.T) {
 	b := NewBook()
 	crashTargets(b, poison, 1, 3)
--- a/internal/crash/capacity_test.go
+++ b/internal/crash/capacity_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkCapacityPrint is what each request costs.
+// BenchmarkCapacityPrint measures the cost per request.
 func BenchmarkCapacityPrint(b *testing.B) {
 	r := Request{Method: "POST", Host: "svc.example", URI: "/prefix/0123456789abcdef?size=7", Caller: "0123456789abcdefghij", Object: "17", Body: make([]byte, 512)}
 	for b.Loop() {
@@ -13,15 +13,15 @@
 	}
 }
 
-// BenchmarkCapacityJudge is what a batch of reports costs an instance: the more targets have
-// ended, the more.
+// BenchmarkCapacityJudge measures the cost of a batch of reports for an instance, which grows
+// with the number of crashed targets.
 func BenchmarkCapacityJudge(b *testing.B) {
 	for _, crashes := range []int{8, 64, MostReports} {
 		b.Run(fmt.Sprint(crashes, "ends"), func(b *testing.B) {
 			book := NewBook()
 			for i := range crashes {
 				prints := []Print{Print(i % 4)}
-				for k := range 9 { // as many as a target works on at once
+				for k := range 9 { // as many as a target runs at once
 					prints = append(prints, Print(1000+10*i+k))
 				}
 				book.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
--- a/internal/crash/print.go
+++ b/internal/crash/print.go
@@ -7,25 +7,26 @@
 	"github.com/juju/errors"
 )
 
-// Print is the fingerprint of a request: callers that send the same request again, with
-// another ID and at any instance, send the same print.
+// Print is the fingerprint of a request. It stays the same when a caller sends the request again
+// with another ID or to another instance.
 type Print uint64
 
-// Request is what a target sees of a request, but for what differs each time it is sent.
+// Request holds the parts of a request that a target receives and that don't differ between
+// repeats.
 type Request struct {
 	Method string
 	Host   string
 	URI    string
-	Caller string // who sends it, as far as it says so
+	Caller string // identifies the sender; "" if unknown
 	Object string
 	Body   []byte
 }
 
-// Print returns the fingerprint.
+// Print returns the fingerprint of the request.
 func (r Request) Print() Print {
 	d := xxhash.New()
 	for _, field := range []string{r.Method, r.Host, r.URI, r.Caller, r.Object} {
-		d.WriteString(strconv.Itoa(len(field))) // so that no two requests run together
+		d.WriteString(strconv.Itoa(len(field))) // the length keeps different requests from having the same concatenation
 		d.WriteString(":")
 		d.WriteString(field)
 	}
@@ -33,15 +34,15 @@
 	return Print(d.Sum64())
 }
 
-// String is the print in hexadecimal, as in log lines.
+// String returns the fingerprint in hexadecimal, as in log lines.
 func (p Print) String() string { return strconv.FormatUint(uint64(p), 16) }
 
-// MarshalText writes the print as String does.
+// MarshalText returns the fingerprint in the format of String.
 func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads what MarshalText has written.
+// UnmarshalText parses the format of MarshalText.
 func (p *Print) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	*p = Print(n)
-	return errors.Annotate(err, "print of a request")
+	return errors.Annotate(err, "request fingerprint")
 }
--- a/internal/crash/print_test.go
+++ b/internal/crash/print_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A request that is sent again has the same print, and one that differs in anything that
-// a target sees has another.
+// Repeats of a request have the same fingerprint, and a request that differs in anything that a
+// target receives has another.
 func TestFingerprint(t *testing.T) {
 	first := Request{Method: "GET", Host: "h", URI: "/a?b", Caller: "k", Object: "7", Body: []byte("hi")}
 	tests := map[string]struct {
@@ -26,7 +26,7 @@
 			r := first
 			tt.change(&r)
 			if got := r.Print() == first.Print(); got != tt.same {
-				t.Errorf("got the same print: %t, want %t", got, tt.same)
+				t.Errorf("got the same fingerprint: %t, want %t", got, tt.same)
 			}
 			text, err := r.Print().MarshalText()
 			var read Print
@@ -40,6 +40,6 @@
 	}
 	var p Print
 	if err := p.UnmarshalText([]byte("no number")); err == nil {
-		t.Error("got no error for what is no print")
+		t.Error("got no error for an invalid fingerprint")
 	}
 }
--- a/internal/crash/recent_test.go
+++ b/internal/crash/recent_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// A success is known for a while, whatever comes meanwhile up to a bound, and then forgotten.
+// A success is kept for one to two spans, unless more other requests succeed than the bound
+// allows.
 func TestRecent(t *testing.T) {
 	begin := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
-		others int // successes of others after it
+		others int // successes of other requests after it
 		later  time.Duration
 		want   bool
 	}{
