--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -1,5 +1,5 @@
-// Package notice reads what a target says, in the headers of its answers, of the requests that
-// it wants.
+// Package notice parses the notices of targets: headers of their answers that announce which
+// requests they accept.
 package notice
 
 import (
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// Notice is what a target says in one answer.
+// Notice is what a target announces in one answer.
 type Notice struct {
-	Leaving bool          // it leaves, and wants no new requests
-	Limit   float64       // requests a second that it takes from all instances together; 0 or more
-	Limited bool          // Limit is set
-	Rest    time.Duration // it wants nothing from this instance for so long; 0 if not said
+	Leaving bool          // the target is leaving and accepts no new requests
+	Limit   float64       // requests per second that it accepts from all instances together; 0 or more
+	Limited bool          // whether Limit is set
+	Rest    time.Duration // time in which it accepts no requests from this instance; 0 if not set
 }
 
-// Any says whether there is anything in the notice.
+// Any reports whether the notice contains anything.
 func (n Notice) Any() bool { return n.Leaving || n.Limited || n.Rest > 0 }
 
-// Names are the headers of notices.
+// Names are the names of the notice headers.
 type Names struct {
 	Leaving string // "1"
-	Limit   string // a decimal number
-	Rest    string // seconds, a decimal number; with 503 alone
+	Limit   string // decimal number
+	Rest    string // decimal number of seconds; read only with status 503
 }
 
-// maxBackOff bounds the time of rest that a target may ask for: longer than one runs.
+// maxBackOff is the longest back-off that is accepted, longer than any target runs.
 const maxBackOff = 24 * time.Hour
 
-// Read reads the notice of an answer. A header that can't be read counts for nothing, and is
-// returned as "name: value".
+// Read parses the notice of an answer. Headers that can't be parsed are ignored, and returned as
+// "name: value".
 func (n Names) Read(status int, h http.Header) (Notice, []string) {
 	r := reader{header: h}
 	notice := Notice{Leaving: r.flag(n.Leaving)}
@@ -45,13 +45,13 @@
 	return notice, r.invalid
 }
 
-// reader reads headers, and keeps those that can't be read.
+// reader parses headers, and collects those that can't be parsed.
 type reader struct {
 	header  http.Header
 	invalid []string
 }
 
-// flag reads a header that is "1" or not there.
+// flag parses a header that is "1" or absent.
 func (r *reader) flag(name string) bool {
 	values := r.header[name]
 	if len(values) == 0 {
@@ -64,7 +64,7 @@
 	return false
 }
 
-// number reads a header that holds one number, 0 or more.
+// number parses a header with a single number, 0 or more.
 func (r *reader) number(name string) (float64, bool) {
 	values := r.header[name]
 	if len(values) == 0 {
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -9,7 +9,7 @@
 
 var names = Names{Leaving: "Server-Leaving", Limit: "Server-Limit", Rest: "Retry-After"}
 
-// What a target asks for counts only where it can be read whole.
+// A notice only takes effect if the whole header can be parsed.
 func TestRead(t *testing.T) {
 	tests := map[string]struct {
 		status int
@@ -17,14 +17,14 @@
 		want   Notice
 		unread []string
 	}{
-		"nothing":          {200, http.Header{}, Notice{}, nil},
-		"leaving":          {200, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
-		"leaving, refused": {503, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
-		"limit":            {500, http.Header{"Server-Limit": {"9.25"}}, Notice{Limit: 9.25, Limited: true}, nil},
-		"no requests":      {200, http.Header{"Server-Limit": {"0"}}, Notice{Limited: true}, nil},
-		"rest":             {503, http.Header{"Retry-After": {"2.5"}}, Notice{Rest: 2500 * time.Millisecond}, nil},
-		"very long rest":   {503, http.Header{"Retry-After": {"1e300"}}, Notice{Rest: maxBackOff}, nil},
-		"rest with 200":    {200, http.Header{"Retry-After": {"3"}}, Notice{}, nil},
+		"nothing":                  {200, http.Header{}, Notice{}, nil},
+		"leaving":                  {200, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
+		"leaving, refused":         {503, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
+		"limit":                    {500, http.Header{"Server-Limit": {"9.25"}}, Notice{Limit: 9.25, Limited: true}, nil},
+		"no requests":              {200, http.Header{"Server-Limit": {"0"}}, Notice{Limited: true}, nil},
+		"back-off":                 {503, http.Header{"Retry-After": {"2.5"}}, Notice{Rest: 2500 * time.Millisecond}, nil},
+		"very long back-off":       {503, http.Header{"Retry-After": {"1e300"}}, Notice{Rest: maxBackOff}, nil},
+		"back-off with status 200": {200, http.Header{"Retry-After": {"3"}}, Notice{}, nil},
 		"unreadable": {
 			503,
 			http.Header{"Server-Leaving": {"yes"}, "Server-Limit": {"-1"}, "Retry-After": {"soon"}},
@@ -32,7 +32,7 @@
 			[]string{"Server-Leaving: yes", "Server-Limit: -1", "Retry-After: soon"},
 		},
 		"no number":   {200, http.Header{"Server-Limit": {"NaN"}}, Notice{}, []string{"Server-Limit: NaN"}},
-		"no end":      {200, http.Header{"Server-Limit": {"+Inf"}}, Notice{}, []string{"Server-Limit: +Inf"}},
+		"infinite":    {200, http.Header{"Server-Limit": {"+Inf"}}, Notice{}, []string{"Server-Limit: +Inf"}},
 		"two limits":  {200, http.Header{"Server-Limit": {"9", "10"}}, Notice{}, []string{"Server-Limit: 9, 10"}},
 		"empty limit": {200, http.Header{"Server-Limit": {""}}, Notice{}, []string{"Server-Limit: "}},
 	}
