--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -8,33 +8,34 @@
 )
 
 const (
-	// minDelay is the delay up to which all requests are taken, and full the one from which none
-	// is: a request waits for the processor about ten times on its way.
+	// minDelay is the delay up to which all requests are accepted, and maxDelay the delay from
+	// which none is. A request waits for the processor about ten times while it is handled.
 	minDelay = 5 * time.Millisecond
 	maxDelay = 25 * time.Millisecond
-	// riseTime and fall are how long the share that is refused takes to follow the delay. It
-	// falls slowly, as what was taken shows as delay later: otherwise all requests are taken
-	// and refused by turns.
+	// riseTime and fallTime are the time constants with which the refused share follows the
+	// delay. It falls slowly, as accepted requests show in the delay only later: otherwise the
+	// gate would oscillate between accepting and refusing everything.
 	riseTime = 15 * time.Millisecond
 	fallTime = 300 * time.Millisecond
-	// minQueueTime is how long delays have to be long without a short one between: a burst, a
-	// collection of garbage or a stop of the process makes them so for a moment.
+	// minQueueTime is how long delays have to be long, without a short one in between, to count
+	// as a queue. A burst, a garbage collection or a pause of the process causes long delays for
+	// a moment.
 	minQueueTime = 30 * time.Millisecond
-	// minShare is a share that is not worth refusing.
+	// minShare is the share below which nothing is refused.
 	minShare = 0.01
 )
 
-// Gate decides which share of new requests is refused, by how long what becomes ready to run
-// waits for a processor. It is safe for concurrent use; the zero one refuses none.
+// Gate determines the share of new requests to refuse, from how long runnable work waits for a
+// processor. It is safe for concurrent use; the zero value refuses nothing.
 type Gate struct {
 	mu         sync.Mutex
-	last       time.Duration // the delay that was measured last; guarded by mu
-	measuredAt time.Time     // when that was; guarded by mu
-	shortAt    time.Time     // when a delay was short, or before the first long one, last; guarded by mu
-	share      float64       // of new requests to refuse, 0 to 1; guarded by mu
+	last       time.Duration // last measured delay; guarded by mu
+	measuredAt time.Time     // time of that measurement; guarded by mu
+	shortAt    time.Time     // last measurement with a short delay, or the first long one after it; guarded by mu
+	share      float64       // share of new requests to refuse, 0 to 1; guarded by mu
 }
 
-// Note takes in a delay that was measured, and says whether it is long.
+// Note records a measured delay, and reports whether it is long.
 func (g *Gate) Note(now time.Time, delay time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -58,20 +59,20 @@
 	return long
 }
 
-// targetShare is the share to refuse at a delay that lasts.
+// targetShare returns the share of requests to refuse at a sustained delay.
 func targetShare(delay time.Duration) float64 {
 	over := float64(delay-minDelay) / float64(maxDelay-minDelay)
 	return min(max(over, 0), 1)
 }
 
-// Share is the share of new requests to refuse, 0 to 1.
+// Share returns the share of new requests to refuse, 0 to 1.
 func (g *Gate) Share() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.share
 }
 
-// Refuse says whether to refuse a new request.
+// Refuse reports whether to refuse a new request.
 func (g *Gate) Refuse() bool {
 	share := g.Share()
 	return share > 0 && rand.Float64() < share
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -11,8 +11,8 @@
 func TestGate(t *testing.T) {
 	const ms = time.Millisecond
 	tests := map[string]struct {
-		delays    []time.Duration // one after the other, 10 ms apart
-		low, high float64         // bounds of the share that is refused then
+		delays    []time.Duration // in order, 10 ms apart
+		low, high float64         // bounds of the share refused afterwards
 	}{
 		"nothing measured":          {nil, 0, 0},
 		"short ones":                {[]time.Duration{ms, 4 * ms, 2 * ms}, 0, 0},
@@ -41,8 +41,8 @@
 	}
 }
 
-// processor is one that runs what is ready in turn. A request takes steps of work, and waits in
-// the queue before each; one that is refused takes less than one.
+// processor simulates a processor that runs a queue in order. A request takes several steps of
+// work and queues before each of them; refusing a request takes less than running it.
 type processor struct {
 	now      time.Time
 	queue    []*item
@@ -51,8 +51,8 @@
 
 type item struct {
 	arrivedAt time.Time
-	stepsLeft int  // steps
-	probe     bool // a measurement
+	stepsLeft int  // remaining steps
+	probe     bool // whether it is a measurement
 }
 
 const (
@@ -63,7 +63,8 @@
 	capacity      = float64(time.Second / (steps * stepTime))
 )
 
-// run sends requests at a rate for a time, and returns the answers a second in its second half.
+// run sends requests at a rate for a time, and returns the answers per second in the second half
+// of it.
 func (p *processor) run(g *Gate, rate float64, length time.Duration) float64 {
 	gap := time.Duration(float64(time.Second) / rate)
 	begin, due, measured, half := p.now, p.now, p.now, 0
@@ -83,7 +84,7 @@
 	return float64(p.answered-half) / (length / 2).Seconds()
 }
 
-// step runs what is at the head of the queue.
+// step runs the first item of the queue.
 func (p *processor) step(g *Gate) {
 	if len(p.queue) == 0 {
 		p.now = p.now.Add(stepTime)
@@ -109,12 +110,12 @@
 	}
 }
 
-// A process that gets more than it can do answers as much as it can, as it refuses the rest at
-// once; without that every answer comes when its caller has left.
+// An overloaded process must answer nearly as many requests as it can, by refusing the others at
+// once. Without that, every answer comes after its caller has left.
 func TestOverloadIsNoCollapse(t *testing.T) {
 	tests := map[string]struct {
-		load  float64 // of the capacity
-		least float64 // of what can be answered beside the refusals
+		load  float64 // relative to the capacity
+		least float64 // minimum answers, relative to what can be answered besides the refusals
 	}{
 		"half":   {0.5, 1},
 		"nearly": {0.95, 0.98},
@@ -124,7 +125,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			// Of each second, refusals take a part: a*cost + (load-a)*refusal = 1.
+			// Each second is divided between answers and refusals: a*cost + (load-a)*refusal = 1.
 			refusal := float64(refuseTime) / float64(steps*stepTime)
 			maxAnswers := min(tt.load, (1-tt.load*refusal)/(1-refusal)) * capacity
 			p, g := &processor{now: start}, &Gate{}
@@ -136,7 +137,7 @@
 			}
 			ungated := &processor{now: start}
 			if got := ungated.run(nil, tt.load*capacity, 4*time.Second); tt.load > 1 && got > 0.05*capacity {
-				t.Errorf("got %.0f answers a second without a gate: the load shows nothing", got)
+				t.Errorf("got %.0f answers a second without a gate: the load is too low for this test", got)
 			}
 		})
 	}
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -1,5 +1,5 @@
-// Package overload measures whether this process gets more work than its processors can do,
-// and decides which requests it refuses then.
+// Package overload measures whether this process gets more work than its processors can handle,
+// and determines which requests it refuses in that case.
 package overload
 
 import (
@@ -11,26 +11,27 @@
 )
 
 const (
-	// idleInterval is the least time between two measurements that requests set off: a
-	// process without any has nothing to refuse, and need not be woken.
+	// idleInterval is the minimum time between two measurements triggered by requests. A process
+	// without requests has nothing to refuse and does not have to be woken.
 	idleInterval = 10 * time.Millisecond
-	// busyInterval is the pause between measurements while they are long: who is asked by
-	// requests alone, which come in bursts, takes those for a queue that stands.
+	// busyInterval is the pause between measurements while delays are long. Requests come in
+	// bursts, so measurements triggered by requests alone would take a burst for a sustained
+	// queue.
 	busyInterval = 5 * time.Millisecond
 )
 
-// Meter is a Gate that measures the delay itself, of one process. It is safe for concurrent
-// use; nil refuses nothing.
+// Meter is a Gate that measures the delay of this process itself. It is safe for concurrent use;
+// a nil Meter refuses nothing.
 type Meter struct {
 	Gate
 	start     time.Time
-	cores     float64      // that this process may use
-	nextAt    atomic.Int64 // when to measure next, in nanoseconds since start
-	measuring atomic.Bool  // a measurement is under way
+	cores     float64      // processors that this process may use
+	nextAt    atomic.Int64 // time of the next measurement, in nanoseconds since start
+	measuring atomic.Bool  // whether a measurement is running
 }
 
-// NewMeter makes a meter of a process that may use a number of processors, which may be a
-// fraction; 0 if that is not known.
+// NewMeter returns a meter for a process that may use the given number of processors, which may
+// be a fraction; 0 if unknown.
 func NewMeter(cores float64) *Meter {
 	if maxCores := float64(runtime.GOMAXPROCS(0)); cores <= 0 || cores > maxCores {
 		cores = maxCores
@@ -38,7 +39,7 @@
 	return &Meter{start: time.Now(), cores: cores}
 }
 
-// Refuse says whether to refuse a request that has come.
+// Refuse reports whether to refuse a request that has just arrived.
 func (m *Meter) Refuse() bool {
 	if m == nil {
 		return false
@@ -49,7 +50,7 @@
 	return m.Gate.Refuse()
 }
 
-// Share is the share of new requests to refuse, 0 to 1.
+// Share returns the share of new requests to refuse, 0 to 1.
 func (m *Meter) Share() float64 {
 	if m == nil {
 		return 0
@@ -57,7 +58,7 @@
 	return m.Gate.Share()
 }
 
-// measure notes how long the queue is, until it is short.
+// measure repeats the measurement until the delay is short.
 func (m *Meter) measure(begin time.Time, used time.Duration) {
 	for m.Note(m.queueDelay(begin, used)) {
 		time.Sleep(busyInterval)
@@ -67,9 +68,9 @@
 	m.measuring.Store(false)
 }
 
-// queueDelay goes to the end of the queueDelay of what is ready to run, and returns how long that took:
-// no longer than the processors needed for the work before it. What others on the machine
-// take from this process makes its work slow, and is not its own queueDelay.
+// queueDelay goes to the end of the scheduler's run queue, and returns how long that took, but no
+// longer than the processors needed for the work before it. If other processes on the machine
+// take processor time, this process runs slower, but has no longer queue.
 func (m *Meter) queueDelay(begin time.Time, used time.Duration) (now time.Time, delay time.Duration) {
 	runtime.Gosched()
 	now = time.Now()
@@ -77,11 +78,12 @@
 	return now, min(now.Sub(begin), work)
 }
 
-// processorTime is what this process has used so far, or 0 if the system doesn't tell.
+// processorTime returns the processor time that this process has used, or 0 if the system does
+// not report it.
 func processorTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &t); err != nil {
-		return 0 // then nothing is refused
+		return 0 // in that case nothing is refused
 	}
 	return time.Duration(t.Nano())
 }
