--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -1,4 +1,4 @@
-// Package auth answers whose API key a request bears.
+// Package auth finds the workspace that the API key of a request belongs to.
 package auth
 
 import (
@@ -7,18 +7,18 @@
 	"github.com/firlever/firlever/internal/routes"
 )
 
-// digest stands for a key: neither the place of a key in memory nor the time of a
-// look-up tells how much of a guess is right.
+// digest is the hash of a key. Lookups by hash don't leak, by memory location or timing, how much
+// of a guessed key is correct.
 type digest [sha256.Size]byte
 
-// Keyring holds the keys of one version of the configuration. It doesn't change, and
-// is safe for concurrent use.
+// Keyring holds the keys of one version of the configuration. It is immutable and safe for
+// concurrent use.
 type Keyring struct {
 	owners      map[digest]*routes.Workspace
 	keyRequired bool
 }
 
-// NewKeyring makes the keyring of a configuration, in which no key has two owners.
+// NewKeyring returns the keyring of a configuration, in which every key has one owner.
 func NewKeyring(cfg *routes.Config) *Keyring {
 	k := &Keyring{owners: make(map[digest]*routes.Workspace), keyRequired: len(cfg.Workspaces) > 0}
 	for i := range cfg.Workspaces {
@@ -30,11 +30,11 @@
 	return k
 }
 
-// Needed says whether requests need a key, but for those of open routes.
+// Needed reports whether requests need a key, except those of routes that are open.
 func (k *Keyring) Needed() bool { return k.keyRequired }
 
-// Owner returns the workspace that holds a key; nil if none does. It takes as long for
-// any number of keys.
+// Owner returns the workspace that holds a key; nil if none does. The time that it takes does not
+// depend on the number of keys.
 func (k *Keyring) Owner(key string) *routes.Workspace {
 	if key == "" {
 		return nil
--- a/internal/auth/keyring_test.go
+++ b/internal/auth/keyring_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// A look-up takes as long among 5 keys as among 50,000.
+// A lookup takes as long among 5 keys as among 50,000.
 func BenchmarkOwner(b *testing.B) {
 	for _, n := range []int{5, 50_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
