--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -109,8 +109,8 @@
 	b.stale = true
 }
 
-// removeCrash removes a request from a report.
-func (b *Book) removeCrash(e *entry, p Print) {
+// clear removes a request from a report.
+func (b *Book) clear(e *entry, p Print) {
 	if !e.fingerprints[p] {
 		return
 	}
@@ -163,7 +163,7 @@
 		if guilty[p] > 0 {
 			b.removed = append(b.removed, p)
 		}
-		b.removeCrash(e, p)
+		b.clear(e, p)
 	}
 	delete(b.reports, key)
 }
@@ -179,7 +179,7 @@
 	}
 	for _, e := range b.reports {
 		if revision.IsZero() || e.before(revision) {
-			b.removeCrash(e, p)
+			b.clear(e, p)
 		}
 	}
 	same := func(f Print) bool { return f == p }
--- a/internal/steer/config.go
+++ b/internal/steer/config.go
@@ -38,7 +38,7 @@
 
 // Defaults of Config.
 const (
-	// defaultByteCost: 3 ms per KB. An answer of 90 KB stays in its failure domain unless that
+	// defaultByteCost: 3 ms for 1 KB. An answer of 90 KB stays in its failure domain unless that
 	// costs 270 ms, and one of 5 KB is served nearly anywhere. A value of 1.2 ms per KB earns
 	// 0.5% more credit, net of traffic prices, where traffic between domains is cheap, and 0.9%
 	// less where it costs three times as much. Operators should set it by their own traffic
--- a/internal/steer/notice.go
+++ b/internal/steer/notice.go
@@ -40,7 +40,7 @@
 	limit        limit
 	keepUntil    time.Time // kept until then, even if the run is no longer registered
 
-	observedAt time.Time // when an answer to this instance last changed what peers should receive
+	observedAt time.Time // when an answer to this instance last gave or confirmed what peers should receive
 	asOf       time.Time // time for which that holds
 }
 
@@ -187,7 +187,7 @@
 // Made returns the time for which the constraint holds.
 func (c Constraint) Made() time.Time { return c.At }
 
-// Constraints returns what answers to this instance itself changed after since.
+// Constraints returns the constraints that answers to this instance itself gave after since.
 func (f *Fleet) Constraints(since time.Time) []Constraint {
 	var list []Constraint
 	for _, c := range f.constraints {
