--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -189,8 +189,8 @@
 
 // evictOldestAnswer removes the oldest entry of answered.
 func (b *Book) evictOldestAnswer() {
-	prints := slices.Sorted(maps.Keys(b.answered))
-	delete(b.answered, slices.MinFunc(prints, func(x, y Print) int { return b.answered[x].Compare(b.answered[y]) }))
+	fingerprints := slices.Sorted(maps.Keys(b.answered))
+	delete(b.answered, slices.MinFunc(fingerprints, func(x, y Print) int { return b.answered[x].Compare(b.answered[y]) }))
 }
 
 // Count returns how many targets crashed with the request in flight.
@@ -240,7 +240,7 @@
 				b.poison[p] = counts[p]
 			}
 		}
-		maps.DeleteFunc(unexplained, func(_ string, prints map[Print]int) bool { return prints[most] > 0 })
+		maps.DeleteFunc(unexplained, func(_ string, fingerprints map[Print]int) bool { return fingerprints[most] > 0 })
 	}
 }
 
@@ -261,8 +261,8 @@
 // countTargets returns for each request the number of targets that it was at.
 func countTargets(crashes map[string]map[Print]int) map[Print]int {
 	counts := make(map[Print]int)
-	for _, prints := range crashes {
-		for p := range prints {
+	for _, fingerprints := range crashes {
+		for p := range fingerprints {
 			counts[p]++
 		}
 	}
@@ -274,11 +274,11 @@
 // least one with it.
 func findTied(crashes map[string]map[Print]int, counts map[Print]int, request Print) (tied []Print, rivals int) {
 	shared := make(map[Print]int)
-	for _, prints := range crashes {
-		if prints[request] == 0 {
+	for _, fingerprints := range crashes {
+		if fingerprints[request] == 0 {
 			continue
 		}
-		for p := range prints {
+		for p := range fingerprints {
 			shared[p]++
 		}
 	}
--- a/internal/crash/book_test.go
+++ b/internal/crash/book_test.go
@@ -38,8 +38,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := NewBook()
-			for i, prints := range tt.crashed {
-				b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
+			for i, fingerprints := range tt.crashed {
+				b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: fingerprints})
 			}
 			if got := slices.Sorted(maps.Keys(b.Guilty())); !slices.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
@@ -134,15 +134,15 @@
 func TestBounds(t *testing.T) {
 	b := NewBook()
 	crashTargets(b, poison, 1, 3)
-	prints := make([]Print, 3*maxFingerprints)
-	for i := range prints {
-		prints[i] = Print(1000 + i)
+	fingerprints := make([]Print, 3*maxFingerprints)
+	for i := range fingerprints {
+		fingerprints[i] = Print(1000 + i)
 	}
 	for r := uint64(10); r < 10+2*MostReports; r++ {
-		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: prints[:2]})
+		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: fingerprints[:2]})
 		b.Answered(Print(r+5000), revisionAt(r))
 	}
-	b.Put("wide", revisionAt(5000), Report{Target: "wide", Prints: prints})
+	b.Put("wide", revisionAt(5000), Report{Target: "wide", Prints: fingerprints})
 	if got := len(b.reports); got != MostReports {
 		t.Errorf("got %d reports, want %d", got, MostReports)
 	}
--- a/internal/crash/capacity_test.go
+++ b/internal/crash/capacity_test.go
@@ -20,11 +20,11 @@
 		b.Run(fmt.Sprint(crashes, "ends"), func(b *testing.B) {
 			book := NewBook()
 			for i := range crashes {
-				prints := []Print{Print(i % 4)}
+				fingerprints := []Print{Print(i % 4)}
 				for k := range 9 { // as many as a target runs at once
-					prints = append(prints, Print(1000+10*i+k))
+					fingerprints = append(fingerprints, Print(1000+10*i+k))
 				}
-				book.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: prints})
+				book.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: fingerprints})
 			}
 			for b.Loop() {
 				book.stale = true
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -49,8 +49,8 @@
 func FuzzRead(f *testing.F) {
 	f.Add(503, "1", "9.5", "3")
 	f.Add(200, "x", "1e400", "-0")
-	f.Fuzz(func(t *testing.T, status int, leaving, limit, rest string) {
-		h := http.Header{"Server-Leaving": {leaving}, "Server-Limit": {limit}, "Retry-After": {rest}}
+	f.Fuzz(func(t *testing.T, status int, leaving, limit, retryAfter string) {
+		h := http.Header{"Server-Leaving": {leaving}, "Server-Limit": {limit}, "Retry-After": {retryAfter}}
 		got, _ := names.Read(status, h)
 		if !(got.Limit >= 0) || got.Rest < 0 || got.Rest > maxBackOff {
 			t.Errorf("got %+v", got)
--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -125,7 +125,7 @@
 // Validate returns a *WorkspaceError that lists every fault, or nil. Faults are a workspace that
 // is defined twice, a key of two workspaces, a negative rate or burst, and a region that the
 // deployment does not have.
-func (c *Config) Validate(known Regions) error {
+func (c *Config) Validate(deployed Regions) error {
 	var faults []string
 	holders := make(map[string]string)
 	names := make(map[string]bool)
@@ -143,10 +143,10 @@
 			}
 			holders[key] = w.Name
 		}
-		faults = append(faults, unknownRegions("workspace "+w.Name, w.Regions, known)...)
+		faults = append(faults, unknownRegions("workspace "+w.Name, w.Regions, deployed)...)
 	}
 	for _, r := range c.Routes {
-		faults = append(faults, unknownRegions("route "+r.Name, r.Regions, known)...)
+		faults = append(faults, unknownRegions("route "+r.Name, r.Regions, deployed)...)
 	}
 	if faults == nil {
 		return nil
@@ -155,10 +155,10 @@
 }
 
 // unknownRegions returns a fault for each region that the deployment does not have.
-func unknownRegions(owner string, regions, known Regions) []string {
+func unknownRegions(owner string, regions, deployed Regions) []string {
 	var faults []string
 	for _, region := range regions {
-		if !known.Allow(region) {
+		if !deployed.Allow(region) {
 			faults = append(faults, owner+": region "+region+" is not known")
 		}
 	}
--- a/internal/steer/fleet_test.go
+++ b/internal/steer/fleet_test.go
@@ -287,9 +287,9 @@
 	f := newFleet(t, 1, 4)
 	f.Done(start, Target{ID: "t00"}, Outcome{Ending: Answered, Took: time.Second, Load: &Load{Running: 4, Waiting: 6}})
 	tests := map[string]struct {
-		usual float64 // per slot; there are 4
-		after time.Duration
-		want  int
+		typical float64 // per slot; there are 4
+		after   time.Duration
+		want    int
 	}{
 		"at once":                         {0, 0, 10},
 		"half expired":                    {0, loadReportTTL / 2, 5},
@@ -300,7 +300,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			f.services["s"].typicalLoad = tt.usual
+			f.services["s"].typicalLoad = tt.typical
 			if got := f.targets["t00"].currentLoad(start.Add(tt.after)); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
--- a/internal/steer/notice_test.go
+++ b/internal/steer/notice_test.go
@@ -113,17 +113,17 @@
 // dropped.
 func TestNoticeIsKept(t *testing.T) {
 	f := newFleet(t, 2, 9)
-	leaving, rests := f.targets["t00"].Target, f.targets["t01"].Target
+	leaving, backingOff := f.targets["t00"].Target, f.targets["t01"].Target
 	f.Notice(start, leaving, start, notice.Notice{Leaving: true}, true)
-	f.Notice(start, rests, start, notice.Notice{Rest: time.Hour}, false)
+	f.Notice(start, backingOff, start, notice.Notice{Rest: time.Hour}, false)
 	now := start.Add(2 * noticeTTL)
 	f.Put(now, Target{ID: "t02", Service: "s", Domain: "n1", Slots: 9})
 	f.Notice(now, f.targets["t02"].Target, now, notice.Notice{Limit: 1, Limited: true}, true)
 	f.Notice(now, leaving, now, notice.Notice{}, false)
 	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].idHash, Limit: 5, Limited: true, At: now}})
 	f.Remove("t01")
-	f.Put(now, rests)
-	for _, target := range []Target{leaving, rests} {
+	f.Put(now, backingOff)
+	for _, target := range []Target{leaving, backingOff} {
 		if f.Wanted(now, target) {
 			t.Errorf("%s: got the request accepted, want it refused", target.ID)
 		}
--- a/internal/steer/notice_world_test.go
+++ b/internal/steer/notice_world_test.go
@@ -69,9 +69,9 @@
 	noticeSimWork = 150 * time.Millisecond
 )
 
-func newNoticeSim(t *testing.T, rates []float64, targets int, says func(target string, now time.Time) stubAnswer) *noticeSim {
+func newNoticeSim(t *testing.T, rates []float64, targets int, respond func(target string, now time.Time) stubAnswer) *noticeSim {
 	t.Helper()
-	w := &noticeSim{rates: rates, respond: says, watched: "t00", notifiedAt: make(map[int]time.Time), rng: rand.New(rand.NewPCG(1, 2))}
+	w := &noticeSim{rates: rates, respond: respond, watched: "t00", notifiedAt: make(map[int]time.Time), rng: rand.New(rand.NewPCG(1, 2))}
 	domains := []string{"n1", "n2", "s1", "s2"}
 	var names []string
 	for i := range rates {
--- a/internal/steer/outcome.go
+++ b/internal/steer/outcome.go
@@ -76,8 +76,8 @@
 	t.recordLatency(now, took)
 	s := f.services[t.Service]
 	s.meanLatency = smooth(s.meanLatency, took)
-	domainMean, known := s.domainLatency[t.Domain]
-	if !known {
+	domainMean, found := s.domainLatency[t.Domain]
+	if !found {
 		domainMean = s.meanLatency // the first requests in a domain run cold, and say little about its latency
 	}
 	s.domainLatency[t.Domain] = smooth(domainMean, took)
--- a/internal/steer/peers.go
+++ b/internal/steer/peers.go
@@ -38,8 +38,8 @@
 // activePeers returns the peers whose records exist.
 func (f *Fleet) activePeers() []string {
 	return slices.DeleteFunc(slices.Clone(f.peers), func(name string) bool {
-		_, gone := f.expiredPeers[name]
-		return gone
+		_, expired := f.expiredPeers[name]
+		return expired
 	})
 }
 
--- a/internal/steer/pick.go
+++ b/internal/steer/pick.go
@@ -129,7 +129,7 @@
 }
 
 // cheapest returns the cheapest target of a list that can answer in time. If there is none,
-// refused says why.
+// refused holds the reason.
 func (f *Fleet) cheapest(now time.Time, list []candidate, q Query, mean time.Duration) (found, refused Choice) {
 	first := list[0]
 	limitedCount, limitRetry := 0, maxLimitWait
--- a/internal/steer/report_test.go
+++ b/internal/steer/report_test.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// sharedReport makes peers have received a report of the target's load.
+// sharedReport returns a function that records a report of the target's load as exchanged among
+// the instances.
 func sharedReport(load int, at time.Time) func(t *target) {
 	return func(t *target) { t.recordShared(Report{Load: load, At: at}) }
 }
--- a/internal/steer/rest_test.go
+++ b/internal/steer/rest_test.go
@@ -10,11 +10,11 @@
 )
 
 // backOffBetween makes some targets refuse requests in a time span and ask for a back-off.
-func backOffBetween(which func(target string) bool, from, to float64, rest time.Duration) func(target string, now time.Time) stubAnswer {
+func backOffBetween(affected func(target string) bool, from, to float64, backOff time.Duration) func(target string, now time.Time) stubAnswer {
 	return func(target string, now time.Time) stubAnswer {
 		at := now.Sub(start)
-		if which(target) && at >= seconds(from) && at < seconds(to) {
-			return stubAnswer{Notice: notice.Notice{Rest: rest}, refused: true}
+		if affected(target) && at >= seconds(from) && at < seconds(to) {
+			return stubAnswer{Notice: notice.Notice{Rest: backOff}, refused: true}
 		}
 		return stubAnswer{}
 	}
@@ -26,9 +26,9 @@
 	third := func(target string) bool { return target <= "t04" }
 	all := func(string) bool { return true }
 	tests := map[string]struct {
-		rates   []float64
-		targets int
-		which   func(target string) bool
+		rates    []float64
+		targets  int
+		affected func(target string) bool
 	}{
 		"one target":          {evenRates(9, 360), 16, one},
 		"a third of them":     {evenRates(9, 360), 16, third},
@@ -38,7 +38,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeSim(t, tt.rates, tt.targets, backOffBetween(tt.which, 5, 14, 3*time.Second))
+			w := newNoticeSim(t, tt.rates, tt.targets, backOffBetween(tt.affected, 5, 14, 3*time.Second))
 			w.run(0, 14)
 			for i := range w.rates {
 				if got := w.maxDuringBackOff(i); got > 2 {
@@ -75,8 +75,8 @@
 // asked to retry at a different time after the end of the first back-off.
 func TestRefusedInATimeOfRest(t *testing.T) {
 	f := newFleet(t, 3, 9)
-	for i, rest := range []time.Duration{4 * time.Second, 3 * time.Second, 5 * time.Second} {
-		f.Notice(start, f.targets[fmt.Sprintf("t%02d", i)].Target, start, notice.Notice{Rest: rest}, true)
+	for i, backOff := range []time.Duration{4 * time.Second, 3 * time.Second, 5 * time.Second} {
+		f.Notice(start, f.targets[fmt.Sprintf("t%02d", i)].Target, start, notice.Notice{Rest: backOff}, true)
 	}
 	now := start.Add(time.Second)
 	before := time.Duration(0)
