--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -19,7 +19,7 @@
 	// minTiedCrashes is the number of crashes that suffices if another request was at all of the
 	// same targets and the two can't be told apart: each further probe crashes another target.
 	minTiedCrashes = 5
-	// maxFingerprints is per report; maxAnswered and maxPrevious limit the fields of Book.
+	// maxFingerprints is per report; maxAnswered and maxPrevious limit the fields of the table.
 	maxFingerprints = 64
 	maxAnswered     = 512
 	maxPrevious     = 512
@@ -59,7 +59,7 @@
 // Book holds the crash reports of all instances, and finds the poison requests among them. It is
 // not safe for concurrent use.
 type Book struct {
-	reports  map[string]*entry           // by key; MostReports at most
+	reports  map[string]*entry           // by key; limited in number, the oldest are evicted first
 	answered map[Print]platform.Revision // revision of the last successful answer; maxAnswered at most
 	previous []Print                     // poison requests by reports since removed, oldest first; maxPrevious at most
 	removed  []Print                     // poison requests that were in reports removed since the last refresh
--- a/internal/steer/fleet.go
+++ b/internal/steer/fleet.go
@@ -59,7 +59,7 @@
 // Change is the effect of Put.
 type Change string
 
-// Values of Change.
+// Effects of Put.
 const (
 	Added     Change = "added"
 	Updated   Change = "updated"
--- a/internal/steer/notice.go
+++ b/internal/steer/notice.go
@@ -11,7 +11,7 @@
 // News is a change to the constraints of a target.
 type News string
 
-// Values of News.
+// Changes to a target's constraints.
 const (
 	Leaves    News = "leaves"
 	Limits    News = "limits"     // the target gave a limit, or a different one than before
@@ -204,7 +204,7 @@
 type Heard struct {
 	Target Target
 	News   News
-	Limit  float64 // requests per second; valid if the change is Limits
+	Limit  float64 // requests per second; valid if the change sets a limit
 }
 
 // HearConstraints applies constraints that other instances received from targets, and returns the
