--- a/internal/crash/recent.go
+++ b/internal/crash/recent.go
@@ -3,48 +3,48 @@
 import "time"
 
 const (
-	// recentTime is how long a success keeps a request from being blamed, at least, and
-	// twice that at most: what many callers send succeeds within it.
-	recentTime = 30 * time.Second
-	// mostRecent bounds the requests of a span of recentTime.
-	mostRecent = 4096
+	// recentSpan is the minimum time for which a success keeps a request from being reported, and
+	// half of the maximum. Requests that many callers send succeed within it.
+	recentSpan = 30 * time.Second
+	// maxRecent is the maximum number of requests per span.
+	maxRecent = 4096
 )
 
-// Recent holds the requests that were answered with success lately. When many targets end at
-// once, by something else, what many callers send is at several of them: without what it
-// succeeded at before, it would be held back and could show nothing any more. It is not safe
-// for concurrent use.
+// Recent holds the requests that recently succeeded. If many targets crash at once for another
+// reason, a request that many callers send is at several of them. Without its earlier successes
+// it would count as poison and be held back, and could not succeed again. Recent is not safe for
+// concurrent use.
 type Recent struct {
-	now, before map[Print]bool // of this span of time and the one before it; mostRecent at most
-	until       time.Time      // the end of this span
+	current, previous map[Print]bool // requests of the current and the previous span; maxRecent at most
+	currentEnd        time.Time      // end of the current span
 }
 
-// Add notes a success.
+// Add records a success.
 func (r *Recent) Add(now time.Time, p Print) {
-	r.turn(now)
-	if len(r.now) >= mostRecent {
-		r.before, r.now = r.now, nil
+	r.rotate(now)
+	if len(r.current) >= maxRecent {
+		r.previous, r.current = r.current, nil
 	}
-	if r.now == nil {
-		r.now = make(map[Print]bool)
+	if r.current == nil {
+		r.current = make(map[Print]bool)
 	}
-	r.now[p] = true
+	r.current[p] = true
 }
 
-// Has says whether a request was answered with success lately.
+// Has reports whether a request recently succeeded.
 func (r *Recent) Has(now time.Time, p Print) bool {
-	r.turn(now)
-	return r.now[p] || r.before[p]
+	r.rotate(now)
+	return r.current[p] || r.previous[p]
 }
 
-// turn begins a new span if this one is over.
-func (r *Recent) turn(now time.Time) {
-	if now.Before(r.until) {
+// rotate begins a new span if the current one is over.
+func (r *Recent) rotate(now time.Time) {
+	if now.Before(r.currentEnd) {
 		return
 	}
-	if !now.Before(r.until.Add(recentTime)) {
-		r.now = nil // nothing came for a whole span
+	if !now.Before(r.currentEnd.Add(recentSpan)) {
+		r.current = nil // no calls for a whole span
 	}
-	r.before, r.now = r.now, nil
-	r.until = now.Add(recentTime)
+	r.previous, r.current = r.current, nil
+	r.currentEnd = now.Add(recentSpan)
 }
--- a/internal/steer/notice.go
+++ b/internal/steer/notice.go
@@ -8,239 +8,243 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// News is what a notice changes of what was known.
+// News is a change to the constraints of a target.
 type News string
 
-// The news.
+// Changes to a target's constraints.
 const (
 	Leaves    News = "leaves"
-	Limits    News = "limits"     // it names a limit, or another one than before
-	LimitOver News = "limit-over" // it names none any more
+	Limits    News = "limits"     // the target gave a limit, or a different one than before
+	LimitOver News = "limit-over" // the target has no limit any more
 	Rests     News = "rests"
 )
 
-// noticeLife is how long what a target said is remembered when its entry is gone: that may
-// come back, of the same run and with an older state, when the store does.
-const noticeLife = 10 * time.Minute
+// noticeTTL is how long the notices of a target are kept after its entry was removed: if the
+// store is restored, the entry may return with the same run and an older state.
+const noticeTTL = 10 * time.Minute
 
-// run tells the runs of a target apart.
-type run struct {
-	id      string
-	started time.Time
+// runKey identifies one run of a target.
+type runKey struct {
+	targetID string
+	started  time.Time
 }
 
-func runOf(t *Target) run { return run{id: t.ID, started: t.Started.UTC()} }
+func runKeyOf(t *Target) runKey { return runKey{targetID: t.ID, started: t.Started.UTC()} }
 
-// constraints is what a run of a target has said of the requests that it wants.
+// constraints is what one run of a target announced about the requests that it accepts.
 type constraints struct {
-	run      run
-	leaving  bool      // for good: the next run is another one
-	restEnds time.Time // it gets nothing before
-	resumes  bool      // it has asked for rest, and has not answered since other than by a refusal
-	limit    limit
-	until    time.Time // remembered so long when the run is not known any more
+	run          runKey
+	leaving      bool      // final, as a target that starts again has another run
+	backOffUntil time.Time // end of the back-off; the target gets no requests before
+	backedOff    bool      // it asked for a back-off, and since then has only refused requests
+	limit        limit
+	keepUntil    time.Time // kept until then, even if the run is no longer registered
 
-	told time.Time // when an answer to this instance last brought what others should know
-	as   time.Time // when it was so
+	observedAt time.Time // when an answer to this instance last gave or confirmed what peers should receive
+	asOf       time.Time // time for which that holds
 }
 
-// Notice takes in what a target said in an answer to a request that was sent at a time. A success
-// that names no limit says that there is none.
-func (f *Fleet) Notice(now time.Time, of Target, sent time.Time, n notice.Notice, success bool) []News {
-	if !n.Any() && f.constraints[runOf(&of)] == nil {
+// Notice applies the notice of an answer to a request that was sent at the given time. A
+// successful answer without a limit means that the target has none.
+func (f *Fleet) Notice(now time.Time, target Target, sentAt time.Time, n notice.Notice, success bool) []News {
+	if !n.Any() && f.constraints[runKeyOf(&target)] == nil {
 		return nil
 	}
-	return f.constrain(now, &of).take(now, sent, n, success)
+	return f.constraintsOf(now, &target).applyNotice(now, sentAt, n, success)
 }
 
-// constrain returns the constraints of a run of a target, made when they are first needed.
-func (f *Fleet) constrain(now time.Time, of *Target) *constraints {
-	key := runOf(of)
+// constraintsOf returns the constraints of a target's run, and creates them at the first use.
+func (f *Fleet) constraintsOf(now time.Time, target *Target) *constraints {
+	key := runKeyOf(target)
 	c := f.constraints[key]
 	if c == nil {
-		maps.DeleteFunc(f.constraints, func(r run, old *constraints) bool { return !now.Before(old.until) && f.known(r) == nil })
+		maps.DeleteFunc(f.constraints, func(r runKey, old *constraints) bool { return !now.Before(old.keepUntil) && f.targetOfRun(r) == nil })
 		c = &constraints{run: key}
 		f.constraints[key] = c
-		if t := f.known(key); t != nil {
+		if t := f.targetOfRun(key); t != nil {
 			t.constraints = c
 		}
 	}
-	c.until = later(c.until, now.Add(noticeLife))
+	c.keepUntil = later(c.keepUntil, now.Add(noticeTTL))
 	return c
 }
 
-// known returns the target whose run it is; nil if there is another one or none.
-func (f *Fleet) known(r run) *target {
-	if t, ok := f.targets[r.id]; ok && runOf(&t.Target) == r {
+// targetOfRun returns the target with the given run; nil if the ID has another run or no target.
+func (f *Fleet) targetOfRun(r runKey) *target {
+	if t, ok := f.targets[r.targetID]; ok && runKeyOf(&t.Target) == r {
 		return t
 	}
 	return nil
 }
 
-// take takes in a notice, and returns what it changes.
-func (c *constraints) take(now, sent time.Time, n notice.Notice, success bool) []News {
-	var news []News
+// applyNotice applies a notice, and returns the changes.
+func (c *constraints) applyNotice(now, sentAt time.Time, n notice.Notice, success bool) []News {
+	var changes []News
 	if n.Leaving && !c.leaving {
 		c.leaving = true
-		news = append(news, Leaves)
+		changes = append(changes, Leaves)
 	}
 	if n.Rest > 0 {
-		if !now.Before(c.restEnds) {
-			news = append(news, Rests)
+		if !now.Before(c.backOffUntil) {
+			changes = append(changes, Rests)
 		}
-		c.restEnds, c.resumes = later(c.restEnds, now.Add(n.Rest)), true
-		c.until = later(c.until, c.restEnds)
-	} else if sent.After(c.restEnds) {
-		c.resumes = false
+		c.backOffUntil, c.backedOff = later(c.backOffUntil, now.Add(n.Rest)), true
+		c.keepUntil = later(c.keepUntil, c.backOffUntil)
+	} else if sentAt.After(c.backOffUntil) {
+		c.backedOff = false
 	}
 	switch {
 	case n.Limited:
-		if !c.limit.named || c.limit.rate != n.Limit {
-			news = append(news, Limits)
+		if !c.limit.active || c.limit.rate != n.Limit {
+			changes = append(changes, Limits)
 		}
-		c.limit.name(now, n.Limit)
-		c.told, c.as = now, now
-	case success && c.limit.named && sent.After(c.limit.heard):
-		c.limit = limit{heard: sent}
-		c.told, c.as = now, sent
-		news = append(news, LimitOver)
+		c.limit.observe(now, n.Limit)
+		c.observedAt, c.asOf = now, now
+	case success && c.limit.active && sentAt.After(c.limit.observedAt):
+		c.limit = limit{observedAt: sentAt}
+		c.observedAt, c.asOf = now, sentAt
+		changes = append(changes, LimitOver)
 	case success && n.Leaving:
-		c.told, c.as = now, sent
+		c.observedAt, c.asOf = now, sentAt
 	}
-	return news
+	return changes
 }
 
-// Wanted says whether a target still wants the request that it was chosen for, which may have
-// waited for a connection since.
-func (f *Fleet) Wanted(now time.Time, of Target) bool {
-	c := f.constraints[runOf(&of)]
-	return c == nil || !c.leaving && !now.Before(c.restEnds)
+// Wanted reports whether a target still accepts the request that it was chosen for. The request
+// may have waited for a connection since.
+func (f *Fleet) Wanted(now time.Time, target Target) bool {
+	c := f.constraints[runKeyOf(&target)]
+	return c == nil || !c.leaving && !now.Before(c.backOffUntil)
 }
 
-// rests says whether the target gets no request of this instance for now, as it has asked for
-// rest. After that it gets one at a time, until an answer shows that it takes more.
-func (t *target) rests(now time.Time) bool {
+// backingOff reports whether the target gets no requests from this instance for now because it
+// asked for a back-off. After the back-off it gets one request at a time until an answer shows
+// that it accepts more.
+func (t *target) backingOff(now time.Time) bool {
 	c := t.constraints
-	if c == nil || !c.resumes {
+	if c == nil || !c.backedOff {
 		return false
 	}
-	return now.Before(c.restEnds) || len(t.starts) > 0 && !t.starts[len(t.starts)-1].Before(c.restEnds)
+	return now.Before(c.backOffUntil) || len(t.startTimes) > 0 && !t.startTimes[len(t.startTimes)-1].Before(c.backOffUntil)
 }
 
-// rested refuses a request as all targets that it could go to have asked for rest; false if
-// that is not so.
-func (f *Fleet) rested(now time.Time, s *service, q Query) (Choice, bool) {
+// refuseBackingOff refuses a request because all targets that it could go to are backing off;
+// false if that is not the case.
+func (f *Fleet) refuseBackingOff(now time.Time, s *service, q Query) (Choice, bool) {
 	var first *target
 	slots := 0
 	for _, t := range s.targets {
-		if !f.open(t) || !q.Regions.Allow(t.region) || !t.rests(now) {
+		if !f.available(t) || !q.Regions.Allow(t.region) || !t.backingOff(now) {
 			continue
 		}
 		slots += t.Slots
-		if first == nil || t.constraints.restEnds.Before(first.constraints.restEnds) {
+		if first == nil || t.constraints.backOffUntil.Before(first.constraints.backOffUntil) {
 			first = t
 		}
 	}
 	if first == nil {
 		return Choice{}, false
 	}
-	// All instances send to these slots.
-	each := s.latency(q.Objective) * time.Duration(max(1, len(f.peers))) / time.Duration(max(1, slots))
-	c := Choice{Reason: Resting, Again: s.place(now, first.constraints.restEnds, each), First: first.ID}
-	return c.basedOn(now, candidate{target: first}), true
+	// These slots serve the requests of all instances.
+	gap := s.latency(q.Objective) * time.Duration(max(1, len(f.peers))) / time.Duration(max(1, slots))
+	c := Choice{Reason: Resting, Again: s.scheduleRetry(now, first.constraints.backOffUntil, gap), First: first.ID}
+	return c.withLoadOf(now, candidate{target: first}), true
 }
 
-// Rest returns how long all targets of a service want nothing from this instance; 0 if any may
-// get a request now.
+// Rest returns the remaining time in which all targets of a service are backing off for this
+// instance; 0 if any may get a request now.
 func (f *Fleet) Rest(now time.Time, q Query) time.Duration {
 	s, ok := f.services[q.Service]
-	if !ok || slices.ContainsFunc(s.targets, func(t *target) bool { return f.may(now, t, Query{Regions: q.Regions}) }) {
+	if !ok || slices.ContainsFunc(s.targets, func(t *target) bool { return f.eligible(now, t, Query{Regions: q.Regions}) }) {
 		return 0
 	}
-	c, _ := f.rested(now, s, q)
+	c, _ := f.refuseBackingOff(now, s, q)
 	return c.Again
 }
 
-// leaves says whether the target leaves, by the store or by its answers. These may come first,
-// and what the store says is older while it is away.
-func (t *target) leaves() bool {
+// isLeaving reports whether the target is leaving, by its registration or by its answers. The
+// answers may show it earlier, and the registration is out of date while the store is
+// unreachable.
+func (t *target) isLeaving() bool {
 	return t.Leaving || t.constraints != nil && t.constraints.leaving
 }
 
-// Constraint is what a target said to some instance of the requests that it wants from all.
-// Instances of a region tell each other: who may send it nothing hears so that a limit is over.
+// Constraint is what a target announced to some instance about the requests that it accepts from
+// all instances. The instances of a region exchange constraints: an instance that may not send
+// the target any requests gets no answer from it that shows the end of a limit.
 type Constraint struct {
-	Target  uint64    // hash of its ID
-	Started time.Time // of the run; zero if not known
+	Target  uint64    // hash of the target's ID
+	Started time.Time // start of the run; zero if unknown
 	Leaving bool
-	Limit   float64 // requests a second; 0 or more
-	Limited bool    // Limit is set
+	Limit   float64 // requests per second; 0 or more
+	Limited bool    // whether Limit is set
 	At      time.Time
 }
 
-// About is the hash of the target's ID.
+// About returns the hash of the target's ID.
 func (c Constraint) About() uint64 { return c.Target }
 
-// Made is when it was so.
+// Made returns the time for which the constraint holds.
 func (c Constraint) Made() time.Time { return c.At }
 
-// Constraints lists what answers have told this instance itself since a time.
+// Constraints returns the constraints that answers to this instance itself gave after since.
 func (f *Fleet) Constraints(since time.Time) []Constraint {
 	var list []Constraint
 	for _, c := range f.constraints {
-		if c.told.After(since) {
+		if c.observedAt.After(since) {
 			list = append(list, Constraint{
-				Target: hash(c.run.id), Started: c.run.started, Leaving: c.leaving, Limit: c.limit.rate, Limited: c.limit.named, At: c.as,
+				Target: hash(c.run.targetID), Started: c.run.started, Leaving: c.leaving, Limit: c.limit.rate, Limited: c.limit.active, At: c.asOf,
 			})
 		}
 	}
 	return list
 }
 
-// Heard is what a peer's word changes.
+// Heard is a change to a target's constraints that a peer reported.
 type Heard struct {
 	Target Target
 	News   News
-	Limit  float64 // requests a second; counts if News is Limits
+	Limit  float64 // requests per second; valid if the change sets a limit
 }
 
-// HearConstraints takes in what targets have told other instances, and returns what it changes.
+// HearConstraints applies constraints that other instances received from targets, and returns the
+// changes.
 func (f *Fleet) HearConstraints(now time.Time, list []Constraint) []Heard {
-	var heard []Heard
+	var updates []Heard
 	for _, r := range list {
-		t := f.bySeed[r.Target]
+		t := f.byHash[r.Target]
 		if t == nil || !t.Started.Equal(r.Started) || r.At.After(now) {
 			continue
 		}
 		if t.constraints == nil && !r.Leaving && !r.Limited {
 			continue
 		}
-		for _, news := range f.constrain(now, &t.Target).hear(now, r) {
-			heard = append(heard, Heard{Target: t.Target, News: news, Limit: r.Limit})
+		for _, change := range f.constraintsOf(now, &t.Target).applyConstraint(now, r) {
+			updates = append(updates, Heard{Target: t.Target, News: change, Limit: r.Limit})
 		}
 	}
-	return heard
+	return updates
 }
 
-// hear takes in what the target has told another instance. What was so before a limit was last
-// heard of changes nothing of it.
-func (c *constraints) hear(now time.Time, r Constraint) []News {
-	var news []News
+// applyConstraint applies a constraint that another instance received from the target. A limit
+// changes only if the constraint is later than the last observation of the limit.
+func (c *constraints) applyConstraint(now time.Time, r Constraint) []News {
+	var changes []News
 	if r.Leaving && !c.leaving {
 		c.leaving = true
-		news = append(news, Leaves)
+		changes = append(changes, Leaves)
 	}
 	switch {
-	case !r.At.After(c.limit.heard):
+	case !r.At.After(c.limit.observedAt):
 	case r.Limited:
-		if !c.limit.named || c.limit.rate != r.Limit {
-			news = append(news, Limits)
+		if !c.limit.active || c.limit.rate != r.Limit {
+			changes = append(changes, Limits)
 		}
-		c.limit.name(now, r.Limit)
-		c.limit.heard = r.At
-	case c.limit.named:
-		c.limit = limit{heard: r.At}
-		news = append(news, LimitOver)
+		c.limit.observe(now, r.Limit)
+		c.limit.observedAt = r.At
+	case c.limit.active:
+		c.limit = limit{observedAt: r.At}
+		changes = append(changes, LimitOver)
 	}
-	return news
+	return changes
 }
--- a/internal/steer/notice_test.go
+++ b/internal/steer/notice_test.go
@@ -7,7 +7,8 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// What a target has said holds for its run: when its entry comes back too, and not for the next.
+// The notice of a target holds for its run, also if the run's entry is removed and returns, and
+// not for the next run.
 func TestNoticeOfARun(t *testing.T) {
 	first, second := start.Add(-time.Hour), start.Add(time.Second)
 	target := Target{ID: "t00", Started: first, Sequence: 5, Service: "s", Domain: "n1", Slots: 9}
@@ -19,16 +20,16 @@
 		change func(f *Fleet)
 		want   Reason
 	}{
-		"nothing":             {func(*Fleet) {}, Limited},
-		"a report":            {func(f *Fleet) { f.Put(start, newer) }, Limited},
-		"gone and back":       {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, Limited},
-		"another run":         {func(f *Fleet) { f.Put(start, restarted) }, ""},
-		"gone, another run":   {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
-		"others join":         {func(f *Fleet) { f.Peers(start, []string{"a", "b", "c"}) }, Limited},
-		"an answer without":   {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
-		"a failure without":   {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, Limited},
-		"an answer of before": {func(f *Fleet) { f.Notice(start.Add(2), target, start, notice.Notice{}, true) }, Limited},
-		"another run's word":  {func(f *Fleet) { f.Notice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, Limited},
+		"nothing":                      {func(*Fleet) {}, Limited},
+		"another registration":         {func(f *Fleet) { f.Put(start, newer) }, Limited},
+		"removed and back":             {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, Limited},
+		"another run":                  {func(f *Fleet) { f.Put(start, restarted) }, ""},
+		"removed, another run":         {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
+		"peers join":                   {func(f *Fleet) { f.Peers(start, []string{"a", "b", "c"}) }, Limited},
+		"answer without a limit":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
+		"failure without a limit":      {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, Limited},
+		"answer to an earlier request": {func(f *Fleet) { f.Notice(start.Add(2), target, start, notice.Notice{}, true) }, Limited},
+		"answer of another run":        {func(f *Fleet) { f.Notice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, Limited},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,7 +44,8 @@
 	}
 }
 
-// A run that leaves stays so, whatever older entries or other answers say; the next run is another.
+// A run that announced its leaving stays leaving, whatever older entries or other answers say.
+// The next run is not affected.
 func TestLeavingOfARun(t *testing.T) {
 	target := Target{ID: "t00", Started: start.Add(-time.Hour), Sequence: 5, Service: "s", Domain: "n1", Slots: 9}
 	newer := target
@@ -54,12 +56,12 @@
 		change func(f *Fleet)
 		want   Reason
 	}{
-		"nothing":           {func(*Fleet) {}, NoTarget},
-		"a report":          {func(f *Fleet) { f.Put(start, newer) }, NoTarget},
-		"gone and back":     {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, NoTarget},
-		"another answer":    {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
-		"another run":       {func(f *Fleet) { f.Put(start, restarted) }, ""},
-		"gone, another run": {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
+		"nothing":              {func(*Fleet) {}, NoTarget},
+		"another registration": {func(f *Fleet) { f.Put(start, newer) }, NoTarget},
+		"removed and back":     {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, NoTarget},
+		"another answer":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
+		"another run":          {func(f *Fleet) { f.Put(start, restarted) }, ""},
+		"removed, another run": {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -67,7 +69,7 @@
 			f.Put(start, target)
 			f.Notice(start, target, start, notice.Notice{Leaving: true}, true)
 			if f.Wanted(start, target) {
-				t.Error("got a request that is wanted, want none")
+				t.Error("got the request accepted, want it refused")
 			}
 			tt.change(f)
 			if got := f.Pick(start.Add(3), query("7")).Reason; got != tt.want {
@@ -77,73 +79,74 @@
 	}
 }
 
-// A target that leaves gets nothing from an instance that has been told so.
+// A target that is leaving gets no requests from an instance that received its notice.
 func TestRequestsAtALeavingTarget(t *testing.T) {
 	tests := map[string]struct {
 		rates   []float64
 		targets int
 		shares  bool
 	}{
-		"even load":           {even(9, 360), 16, false},
+		"even load":           {evenRates(9, 360), 16, false},
 		"all at one instance": {[]float64{360, 0, 0, 0, 0, 0, 0, 0, 0}, 16, false},
-		"the only target":     {even(9, 200), 1, false},
-		"told by peers":       {even(60, 300), 12, true},
+		"the only target":     {evenRates(9, 200), 1, false},
+		"notice from peers":   {evenRates(60, 300), 12, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := newNoticeWorld(t, tt.rates, tt.targets, func(target string, now time.Time) word {
-				return word{Notice: notice.Notice{Leaving: target == "t00" && now.Sub(start) >= seconds(5)}}
+			w := newNoticeSim(t, tt.rates, tt.targets, func(target string, now time.Time) stubAnswer {
+				return stubAnswer{Notice: notice.Notice{Leaving: target == "t00" && now.Sub(start) >= seconds(5)}}
 			})
-			w.shares = tt.shares
+			w.exchanges = tt.shares
 			w.run(0, 5)
 			if len(w.arrivals) == 0 {
-				t.Fatal("the target got nothing before it left")
+				t.Fatal("the target got no requests before its notice")
 			}
 			w.run(5, 20)
-			if got := w.most(time.Minute, worldTick, start); got != 0 {
-				t.Errorf("got %d requests of instances that had been told, want none", got)
+			if got := w.maxArrivals(time.Minute, noticeSimTick, start); got != 0 {
+				t.Errorf("got %d requests of instances that had received the notice, want none", got)
 			}
 		})
 	}
 }
 
-// What a target said outlasts the memory of runs that are gone as long as the target is known.
+// The notices of a registered target are kept beyond noticeTTL, when those of removed runs are
+// dropped.
 func TestNoticeIsKept(t *testing.T) {
 	f := newFleet(t, 2, 9)
-	leaving, rests := f.targets["t00"].Target, f.targets["t01"].Target
+	leaving, backingOff := f.targets["t00"].Target, f.targets["t01"].Target
 	f.Notice(start, leaving, start, notice.Notice{Leaving: true}, true)
-	f.Notice(start, rests, start, notice.Notice{Rest: time.Hour}, false)
-	now := start.Add(2 * noticeLife)
+	f.Notice(start, backingOff, start, notice.Notice{Rest: time.Hour}, false)
+	now := start.Add(2 * noticeTTL)
 	f.Put(now, Target{ID: "t02", Service: "s", Domain: "n1", Slots: 9})
 	f.Notice(now, f.targets["t02"].Target, now, notice.Notice{Limit: 1, Limited: true}, true)
 	f.Notice(now, leaving, now, notice.Notice{}, false)
-	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].seed, Limit: 5, Limited: true, At: now}})
+	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].idHash, Limit: 5, Limited: true, At: now}})
 	f.Remove("t01")
-	f.Put(now, rests)
-	for _, of := range []Target{leaving, rests} {
-		if f.Wanted(now, of) {
-			t.Errorf("%s: got a request that is wanted, want none", of.ID)
+	f.Put(now, backingOff)
+	for _, target := range []Target{leaving, backingOff} {
+		if f.Wanted(now, target) {
+			t.Errorf("%s: got the request accepted, want it refused", target.ID)
 		}
 	}
 	q := query("7")
 	q.Deadline = now.Add(time.Second)
 	if got := f.Pick(now, q).Reason; got != Limited {
-		t.Errorf("got %q, want %q, as the others want nothing", got, Limited)
+		t.Errorf("got %q, want %q, as the other targets accept nothing", got, Limited)
 	}
 }
 
-// What a peer heard before the end of a limit does not bring it back.
+// A limit that a peer observed before the limit ended does not take effect again.
 func TestOldWordOfALimit(t *testing.T) {
 	f := newFleet(t, 1, 9)
-	of := f.targets["t00"]
-	f.Notice(start, of.Target, start, notice.Notice{Limited: true}, true)
-	f.Notice(start.Add(2*time.Second), of.Target, start.Add(time.Second), notice.Notice{}, true)
+	target := f.targets["t00"]
+	f.Notice(start, target.Target, start, notice.Notice{Limited: true}, true)
+	f.Notice(start.Add(2*time.Second), target.Target, start.Add(time.Second), notice.Notice{}, true)
 	now := start.Add(3 * time.Second)
-	f.HearConstraints(now, []Constraint{{Target: of.seed, Limited: true, At: start.Add(time.Second / 2)}})
+	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(time.Second / 2)}})
 	if got := f.Pick(now, query("7")).Reason; got != "" {
 		t.Errorf("got %q, want a target that may get the request", got)
 	}
-	f.HearConstraints(now, []Constraint{{Target: of.seed, Limited: true, At: start.Add(2 * time.Second)}})
+	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(2 * time.Second)}})
 	if got := f.Pick(now, query("7")).Reason; got != Limited {
 		t.Errorf("got %q, want %q", got, Limited)
 	}
--- a/internal/steer/share.go
+++ b/internal/steer/share.go
@@ -7,56 +7,58 @@
 	"github.com/firlever/firlever/internal/retry"
 )
 
-// newBudget makes this instance's part of a service's retry budget: the ratio for
-// its own requests, and its part of the slack. The sums over all instances stay
-// within the bound by construction.
+// newBudget returns this instance's share of a service's retry budget: the ratio applied to its
+// own requests, and its share of the slack. The sum over all instances therefore stays within the
+// bound.
 func (f *Fleet) newBudget(now time.Time) *retry.Window {
-	w := retry.NewWindow(now, f.cfg.RetryWindow, shareOfBound*f.cfg.RetryRatio)
+	w := retry.NewWindow(now, f.cfg.RetryWindow, dividedShare*f.cfg.RetryRatio)
 	w.SetSlack(f.slack())
 	return w
 }
 
-// slack is this instance's part of the retries besides the ratio: nothing before
-// it knows how many share them.
+// slack returns this instance's share of the retries allowed on top of the ratio; 0 until the
+// number of peers is known.
 func (f *Fleet) slack() float64 {
 	if len(f.peers) == 0 {
 		return 0
 	}
-	return shareOfBound * float64(f.cfg.RetrySlack) / float64(len(f.peers))
+	return dividedShare * float64(f.cfg.RetrySlack) / float64(len(f.peers))
 }
 
-// coldShare is how many requests this instance may send to a cold target within
-// coldWindow. The bound of the target is divided evenly; what is left over goes to
-// the instances that rank first for this target, so that a bound below the number
-// of instances is used too. The shares sum up to the bound at most.
+// coldShare returns how many requests this instance may send to a cold target within coldWindow.
+// The target's bound is divided evenly. The remainder goes to the instances that rank first for
+// this target, which uses up a bound below the number of instances too. The shares add up to the
+// bound at most.
 func (f *Fleet) coldShare(t *target) int {
 	if len(f.peers) == 0 {
 		return 0
 	}
-	bound := int(shareOfBound * (f.services[t.Service].limits.ColdRate*f.cfg.ColdFactor + f.cfg.ColdSlack))
-	share, rest := bound/len(f.peers), bound%len(f.peers)
-	if f.rank(t) < rest {
+	bound := int(dividedShare * (f.services[t.Service].limits.ColdRate*f.cfg.ColdFactor + f.cfg.ColdSlack))
+	share, remainder := bound/len(f.peers), bound%len(f.peers)
+	if f.rank(t) < remainder {
 		share++
 	}
 	return share
 }
 
-// rank is the place of this instance among all in the order that t's ID gives.
+// rank returns the position of this instance among all instances in the rendezvous order for t's
+// ID.
 func (f *Fleet) rank(t *target) int {
 	if !slices.Contains(f.peers, f.cfg.Instance) {
 		return len(f.peers)
 	}
-	own := mix(t.seed, hash(f.cfg.Instance))
+	own := mix(t.idHash, hash(f.cfg.Instance))
 	n := 0
-	for _, seed := range f.peerSeeds {
-		if mix(t.seed, seed) > own {
+	for _, seed := range f.peerHashes {
+		if mix(t.idHash, seed) > own {
 			n++
 		}
 	}
 	return n
 }
 
-// coldRoom says whether a target may get a request as far as it is cold.
-func (f *Fleet) coldRoom(now time.Time, t *target) bool {
-	return !t.cold(now) || t.recent(now) < f.coldShare(t)
+// coldAllowed reports whether the bound on requests to cold targets allows another request to the
+// target.
+func (f *Fleet) coldAllowed(now time.Time, t *target) bool {
+	return !t.cold(now) || t.recentColdRequests(now) < f.coldShare(t)
 }
