--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -24,7 +24,7 @@
 	benchPlace   = 9 // instances of a place
 	benchSeconds = 5 // of a steady state
 	benchDomains = 3
-	benchWarm    = 8 * time.Second // until the news of the start has spread
+	benchWarmUp  = 8 * time.Second // until the news of the start has spread
 )
 
 // traffic counts what instances send and receive, and loses some of it.
@@ -67,32 +67,32 @@
 	return n, err
 }
 
-// crowd is many instances in one process, without targets.
-type crowd struct {
+// benchCluster is many instances in one process, without targets.
+type benchCluster struct {
 	b     *testing.B
 	store *inproc.Store
 	tr    *traffic
 	list  []*Instance
 }
 
-func newCrowd(b *testing.B, services int) *crowd {
+func newBenchCluster(b *testing.B, services int) *benchCluster {
 	local, err := inproc.New(store.Defaults())
 	if err != nil {
 		b.Fatal(err)
 	}
-	c := &crowd{b: b, store: local, tr: &traffic{}}
+	c := &benchCluster{b: b, store: local, tr: &traffic{}}
 	c.put("/blocks/all", 0, "blocks:\n  - {prefix: 127.0.0.0/8, place: p000}\n")
 	for i := range 12 {
 		c.put("/places/"+benchPlaceName(i), 0, fmt.Sprintf("region: r\ndomain: d%d\nlimit: 4000\n", i%benchDomains))
 	}
 	for i := range services {
-		c.put(fmt.Sprintf("/teams/shop/services/s%d", i), 0, benchSites(i))
+		c.put(fmt.Sprintf("/teams/shop/services/s%d", i), 0, benchService(i))
 	}
 	return c
 }
 
-// benchSites is a service with a target in each place, that nobody probes with success.
-func benchSites(i int) string {
+// benchService is a service with a target in each place, that nobody probes with success.
+func benchService(i int) string {
 	body := "class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n"
 	for p := range 12 {
 		body += fmt.Sprintf("  %s:\n    limit: 4\n    targets:\n      - {name: t%d, address: \"127.0.0.1:%d\", slots: 4, connections: 100}\n",
@@ -103,7 +103,7 @@
 
 func benchPlaceName(i int) string { return fmt.Sprintf("p%03d", i) }
 
-func (c *crowd) put(path string, version uint64, body string) {
+func (c *benchCluster) put(path string, version uint64, body string) {
 	if _, err := docstore.PutDocument(context.Background(), c.store, path, version, []byte(body), "bench"); err != nil {
 		c.b.Fatal(err)
 	}
@@ -111,7 +111,7 @@
 
 // start starts n instances at once; the first nine of a place are of the same
 // domain, and places take turns among domains.
-func (c *crowd) start(n, domains int) {
+func (c *benchCluster) start(n, domains int) {
 	for i := range n {
 		place := i / benchPlace
 		cfg := Config{
@@ -133,12 +133,12 @@
 	}
 }
 
-func (c *crowd) packet(address string) (net.PacketConn, error) {
+func (c *benchCluster) packet(address string) (net.PacketConn, error) {
 	conn, err := net.ListenPacket("udp", address)
 	return countedPacket{PacketConn: conn, tr: c.tr}, err
 }
 
-func (c *crowd) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (c *benchCluster) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if c.tr.lost() {
 		return nil, context.DeadlineExceeded
 	}
@@ -149,14 +149,14 @@
 	return countedConn{Conn: conn, tr: c.tr}, nil
 }
 
-func (c *crowd) stop() {
+func (c *benchCluster) stop() {
 	for _, in := range c.list {
 		in.Kill()
 	}
 }
 
-// until waits for all instances, and returns how long that took.
-func (c *crowd) until(ok func(*Instance) bool) time.Duration {
+// waitFor waits for all instances, and returns how long that took.
+func (c *benchCluster) waitFor(ok func(*Instance) bool) time.Duration {
 	began := time.Now()
 	for _, in := range c.list {
 		for !ok(in) {
@@ -171,8 +171,8 @@
 
 // confirmed waits until each place's roster is whole, and every instance knows
 // its place's others.
-func (c *crowd) confirmed() time.Duration {
-	return c.until(func(in *Instance) bool {
+func (c *benchCluster) confirmed() time.Duration {
+	return c.waitFor(func(in *Instance) bool {
 		if len(in.members.Members()) < c.ofPlace(in.cfg.Place)-1 {
 			return false
 		}
@@ -185,7 +185,7 @@
 	})
 }
 
-func (c *crowd) ofPlace(place string) int {
+func (c *benchCluster) ofPlace(place string) int {
 	n := 0
 	for _, in := range c.list {
 		if in.cfg.Place == place {
@@ -195,11 +195,11 @@
 	return n
 }
 
-// spread writes a document and returns how long it takes to be in force everywhere.
-func (c *crowd) spread(version uint64) time.Duration {
+// propagate writes a document and returns how long it takes to be in force everywhere.
+func (c *benchCluster) propagate(version uint64) time.Duration {
 	const path = "/teams/shop/services/s0"
-	c.put(path, version, benchSites(0)+"# changed\n")
-	return c.until(func(in *Instance) bool {
+	c.put(path, version, benchService(0)+"# changed\n")
+	return c.waitFor(func(in *Instance) bool {
 		var got uint64
 		in.docs.Read(func(s *replica.Set, _ platform.Revision) {
 			doc, _ := s.Get(path)
@@ -209,7 +209,7 @@
 	})
 }
 
-func (c *crowd) calls() (writes, reads float64) {
+func (c *benchCluster) calls() (writes, reads float64) {
 	writes = float64(c.store.Calls("/kv-txn") + c.store.Calls("/kv-lease"))
 	reads = float64(c.store.Calls("/kv-key") + c.store.Calls("/kv-range") + c.store.Calls("/kv-watch"))
 	return writes, reads
@@ -224,7 +224,7 @@
 }
 
 // steady measures a steady state, by instance and second.
-func (c *crowd) steady() {
+func (c *benchCluster) steady() {
 	each := float64(len(c.list) * benchSeconds)
 	udp, tcp, packets, cpu := c.tr.udp.Load(), c.tr.tcp.Load(), c.tr.packets.Load(), processTime(c.b)
 	time.Sleep(benchSeconds * time.Second)
@@ -241,17 +241,17 @@
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 3)
+				c := newBenchCluster(b, 3)
 				c.start(n, benchDomains)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				_, before := c.calls()
-				b.ReportMetric(c.spread(1).Seconds(), "spread-s")
+				b.ReportMetric(c.propagate(1).Seconds(), "spread-s")
 				_, after := c.calls()
 				b.ReportMetric(after-before, "spread-reads")
 				c.tr.lossy.Store(true)
-				b.ReportMetric(c.spread(2).Seconds(), "lossy-s")
+				b.ReportMetric(c.propagate(2).Seconds(), "lossy-s")
 				c.stop()
 				b.ReportMetric(0, "ns/op")
 			}
@@ -265,10 +265,10 @@
 	for _, services := range []int{1, 10, 30} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, services)
+				c := newBenchCluster(b, services)
 				c.start(benchPlace, 1)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				c.stop()
 				b.ReportMetric(0, "ns/op")
@@ -283,7 +283,7 @@
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 3)
+				c := newBenchCluster(b, 3)
 				writes, reads := c.calls()
 				c.start(n, 1)
 				b.ReportMetric(c.confirmed().Seconds(), "whole-s")
@@ -303,7 +303,7 @@
 	for _, targets := range []int{2, 8, 32} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 0)
+				c := newBenchCluster(b, 0)
 				body := fmt.Sprintf("class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n  p000:\n    limit: %d\n    targets:\n", 4*targets)
 				for i := range targets {
 					body += fmt.Sprintf("      - {name: t%d, address: %q, slots: 4, connections: 100}\n", i, c.target(i))
@@ -311,7 +311,7 @@
 				c.put("/teams/shop/services/probed", 0, body)
 				c.start(1, 1)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				c.stop()
 				b.ReportMetric(0, "ns/op")
@@ -320,7 +320,7 @@
 	}
 }
 
-func (c *crowd) target(i int) string {
+func (c *benchCluster) target(i int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.b.Fatal(err)
--- a/internal/instance/config.go
+++ b/internal/instance/config.go
@@ -90,13 +90,13 @@
 	f.advertised("advertise callers", c.AdvertiseCallers)
 	f.advertised("advertise peers", c.AdvertisePeers)
 	if _, err := netip.ParseAddr(c.Source); c.Source != "" {
-		f.need(err == nil, "source "+quote(c.Source)+" is not an IP")
+		f.require(err == nil, "source "+quote(c.Source)+" is not an IP")
 	}
 	for _, a := range c.Join {
 		f.address("join", a)
 	}
-	f.need(c.Linger >= 0, "linger is negative")
-	f.need(c.Store != nil, "platform is not set")
+	f.require(c.Linger >= 0, "linger is negative")
+	f.require(c.Store != nil, "platform is not set")
 	if len(f.list) > 0 {
 		return &ConfigError{Faults: f.list}
 	}
@@ -105,19 +105,19 @@
 
 type faults struct{ list []string }
 
-func (f *faults) need(ok bool, fault string) {
+func (f *faults) require(ok bool, fault string) {
 	if !ok {
 		f.list = append(f.list, fault)
 	}
 }
 
 func (f *faults) name(field, v string) {
-	f.need(settings.ValidName(v), field+" "+quote(v)+" is not a name (lower-case letters, digits, '-')")
+	f.require(settings.ValidName(v), field+" "+quote(v)+" is not a name (lower-case letters, digits, '-')")
 }
 
 func (f *faults) address(field, v string) {
 	a, err := netip.ParseAddrPort(v)
-	f.need(err == nil && a.Addr().IsValid(), field+" "+quote(v)+" is not IP:port")
+	f.require(err == nil && a.Addr().IsValid(), field+" "+quote(v)+" is not IP:port")
 }
 
 // advertised checks an address that others dial; empty is allowed.
@@ -126,7 +126,7 @@
 		return
 	}
 	a, err := netip.ParseAddrPort(v)
-	f.need(err == nil && a.Port() != 0 && !a.Addr().IsUnspecified(), field+" "+quote(v)+" is not IP:port to dial")
+	f.require(err == nil && a.Port() != 0 && !a.Addr().IsUnspecified(), field+" "+quote(v)+" is not IP:port to dial")
 }
 
 func quote(s string) string { return `"` + s + `"` }
--- a/internal/instance/documents.go
+++ b/internal/instance/documents.go
@@ -15,10 +15,10 @@
 // documents is this instance's copy of the operators' documents, and the
 // snapshot that it puts in force. It is safe for concurrent use.
 type documents struct {
-	force func(*settings.Snapshot) // puts a snapshot in force; called with mu held, so in order
+	apply func(*settings.Snapshot) // puts a snapshot in force; called with mu held, so in order
 	log   *log.Logger
 
-	marked atomic.Pointer[mark] // of set; read for each packet, also while documents are read
+	current atomic.Pointer[progress] // of set; read for each packet, also while documents are read
 
 	mu       sync.Mutex
 	set      *replica.Set
@@ -26,15 +26,15 @@
 	faults   []settings.Fault   // of the newest documents
 }
 
-// mark says how far a copy of the documents has come.
-type mark struct {
+// progress says how far a copy of the documents has come.
+type progress struct {
 	root     uint64            // hash of all paths and versions held
 	complete platform.Revision // of the store, up to which nothing is missing; zero until that is known; never goes back
 }
 
-func newDocuments(checks *invariant.Counter, logger *log.Logger, force func(*settings.Snapshot)) *documents {
-	d := &documents{force: force, log: logger, set: replica.New(checks)}
-	d.marked.Store(&mark{})
+func newDocuments(checks *invariant.Counter, logger *log.Logger, apply func(*settings.Snapshot)) *documents {
+	d := &documents{apply: apply, log: logger, set: replica.New(checks)}
+	d.current.Store(&progress{})
 	return d
 }
 
@@ -55,19 +55,19 @@
 	if len(newer) == 0 {
 		return nil
 	}
-	m := mark{root: d.set.Root(), complete: d.marked.Load().complete}
-	d.marked.Store(&m)
+	m := progress{root: d.set.Root(), complete: d.current.Load().complete}
+	d.current.Store(&m)
 	if !m.complete.IsZero() {
-		d.advance(newer)
+		d.applyNewer(newer)
 	}
 	return changed
 }
 
-// advance puts newer documents in force. It needs mu.
-func (d *documents) advance(newer []settings.Document) {
+// applyNewer puts newer documents in force. It needs mu.
+func (d *documents) applyNewer(newer []settings.Document) {
 	d.snapshot, d.faults = settings.Advance(d.snapshot, newer)
 	d.logChange(newer)
-	d.force(d.snapshot)
+	d.apply(d.snapshot)
 }
 
 // Complete notes that the documents held now lack nothing up to a revision of
@@ -75,36 +75,36 @@
 func (d *documents) Complete(revision platform.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.completed(revision)
+	d.setComplete(revision)
 }
 
-// Matched notes the same of documents whose hash is root, if those are held and
+// CompleteIfEqual notes the same of documents whose hash is root, if those are held and
 // it can be done at once: packets don't wait while documents are read.
-func (d *documents) Matched(root uint64, revision platform.Revision) {
+func (d *documents) CompleteIfEqual(root uint64, revision platform.Revision) {
 	if !d.mu.TryLock() {
 		return // a later packet tells again
 	}
 	defer d.mu.Unlock()
 	if d.set.Root() == root {
-		d.completed(revision)
+		d.setComplete(revision)
 	}
 }
 
-// completed needs mu.
-func (d *documents) completed(revision platform.Revision) {
-	m := *d.marked.Load()
+// setComplete needs mu.
+func (d *documents) setComplete(revision platform.Revision) {
+	m := *d.current.Load()
 	first := m.complete.IsZero() && !revision.IsZero()
 	m.complete = platform.Later(m.complete, revision)
-	d.marked.Store(&m)
+	d.current.Store(&m)
 	if first && d.set.Len() > 0 {
-		d.advance(d.set.Documents())
+		d.applyNewer(d.set.Documents())
 	}
 }
 
-// Mark is the hash of all paths and versions held, and the platform's revision
+// Progress is the hash of all paths and versions held, and the platform's revision
 // up to which they lack nothing; zero if that is not known.
-func (d *documents) Mark() (root uint64, complete platform.Revision) {
-	m := d.marked.Load()
+func (d *documents) Progress() (root uint64, complete platform.Revision) {
+	m := d.current.Load()
 	return m.root, m.complete
 }
 
@@ -142,11 +142,11 @@
 }
 
 // Root is the hash of all paths and versions held.
-func (d *documents) Root() uint64 { return d.marked.Load().root }
+func (d *documents) Root() uint64 { return d.current.Load().root }
 
 // Read runs f with the set locked. f must not keep the set.
 func (d *documents) Read(f func(s *replica.Set, complete platform.Revision)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f(d.set, d.marked.Load().complete)
+	f(d.set, d.current.Load().complete)
 }
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -17,22 +17,22 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// roomEvery is how often peers of the place are told of this instance's room.
-const roomEvery = 250 * time.Millisecond
+// capacityInterval is how often peers of the place are told of this instance's room.
+const capacityInterval = 250 * time.Millisecond
 
 // gossip runs the membership at the peers' address, and what rides on its
 // packets: tenure, releases, rooms, the documents' hash.
 type gossip struct {
-	in   *Instance
-	udp  *peer.UDP
-	stop context.CancelFunc
-	done sync.WaitGroup
-	told toldRooms // used by the goroutine of tellRooms alone
+	in           *Instance
+	udp          *peer.UDP
+	stop         context.CancelFunc
+	done         sync.WaitGroup
+	sentCapacity capacityRotation // used by the goroutine of tellRooms alone
 
-	mu     sync.Mutex
-	near   map[string]bool      // instances of this place; guarded by mu
-	named  map[string]time.Time // while leaving: until when callers keep look-ups of each peer that name this instance; guarded by mu
-	roster uint64               // version that the list was told of; guarded by mu
+	mu            sync.Mutex
+	placePeers    map[string]bool      // instances of this place; guarded by mu
+	lookupExpiry  map[string]time.Time // while leaving: until when callers keep look-ups of each peer that name this instance; guarded by mu
+	rosterVersion uint64               // version that the list was told of; guarded by mu
 }
 
 func newGossip(in *Instance) (*gossip, error) {
@@ -48,9 +48,9 @@
 	if err != nil {
 		return nil, &ListenError{Address: in.cfg.Peers, Err: err}
 	}
-	g := &gossip{in: in, near: make(map[string]bool), named: make(map[string]time.Time)}
+	g := &gossip{in: in, placePeers: make(map[string]bool), lookupExpiry: make(map[string]time.Time)}
 	g.udp = peer.NewUDP(conn, list, peer.Hooks{
-		Heard: g.heard, Rooms: g.rooms, Prepare: g.prepare, Changed: g.changed,
+		Heard: g.receive, Rooms: g.receiveCapacity, Prepare: g.prepare, Changed: g.membersChanged,
 	})
 	return g, nil
 }
@@ -63,7 +63,7 @@
 			g.in.logError("membership", err)
 		}
 	})
-	g.done.Go(func() { g.tellRooms(ctx) })
+	g.done.Go(func() { g.sendCapacities(ctx) })
 }
 
 func (g *gossip) close() {
@@ -71,8 +71,8 @@
 	g.done.Wait()
 }
 
-// heard passes on what a packet tells beyond membership.
-func (g *gossip) heard(now time.Time, p *wire.Packet) {
+// receive passes on what a packet tells beyond membership.
+func (g *gossip) receive(now time.Time, p *wire.Packet) {
 	var m member.Member
 	var ack member.Ack
 	var ok bool
@@ -84,31 +84,31 @@
 	if !ok || m.Incarnation != p.Incarnation {
 		return
 	}
-	g.in.heardEpoch(p)
-	g.heardMark(p, m.Instance)
-	g.heardNamed(now, p)
+	g.in.receiveEpoch(p)
+	g.compareDocuments(p, m.Instance)
+	g.recordLookupExpiry(now, p)
 	if m.Place == g.in.cfg.Place {
-		g.in.heardRoster(p.Roster, m.Instance)
-		g.heardNear(p, ack)
+		g.in.noteNewerRoster(p.Roster, m.Instance)
+		g.receiveFromPlace(p, ack)
 	}
 }
 
-// heardMark compares a peer's documents with ours. Equal ones are known here to
+// compareDocuments compares a peer's documents with ours. Equal ones are known here to
 // be complete as far as they are there.
-func (g *gossip) heardMark(p *wire.Packet, from docstore.Instance) {
-	root, complete := g.in.docs.Mark()
-	there := platform.NewRevision(p.Epoch, p.Complete)
+func (g *gossip) compareDocuments(p *wire.Packet, from docstore.Instance) {
+	root, complete := g.in.docs.Progress()
+	remote := platform.NewRevision(p.Epoch, p.Complete)
 	switch {
 	case p.Root == root:
-		if there.After(complete) {
-			g.in.docs.Matched(root, there)
+		if remote.After(complete) {
+			g.in.docs.CompleteIfEqual(root, remote)
 		}
-	case !complete.IsZero() || !there.IsZero():
-		g.in.differs(from)
+	case !complete.IsZero() || !remote.IsZero():
+		g.in.markDiverged(from)
 	}
 }
 
-func (g *gossip) heardNear(p *wire.Packet, ack member.Ack) {
+func (g *gossip) receiveFromPlace(p *wire.Packet, ack member.Ack) {
 	if p.Kind == wire.Kind_KIND_ACK && p.Promise {
 		g.in.dispatcher.Step(core.PeerAcked{Peer: p.From, Incarnation: p.Incarnation, Sent: ack.Promised, Roster: ack.Roster})
 	}
@@ -120,44 +120,44 @@
 	}
 }
 
-// rooms takes in a packet that only tells of room. A wrong one misleads a
+// receiveCapacity takes in a packet that only tells of room. A wrong one misleads a
 // choice at most: the peer's own count decides.
-func (g *gossip) rooms(p *wire.Packet) {
-	if !g.isNear(p.From) {
+func (g *gossip) receiveCapacity(p *wire.Packet) {
+	if !g.inPlace(p.From) {
 		return
 	}
 	g.in.dispatcher.Step(core.RoomHeard{Peer: p.From, Rooms: peer.RoomsOf(p)})
 }
 
-func (g *gossip) isNear(id string) bool {
+func (g *gossip) inPlace(id string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.near[id]
+	return g.placePeers[id]
 }
 
 // prepare completes a packet with what the node knows now. An ack promises
 // something about the roster, which the node has to allow.
 func (g *gossip) prepare(p, cause *wire.Packet) {
 	g.in.setRestored(p)
-	root, complete := g.in.docs.Mark()
+	root, complete := g.in.docs.Progress()
 	p.Root, p.Complete, p.Epoch = root, complete.Count(), complete.Epoch()
-	near := g.isNear(p.To)
+	inPlace := g.inPlace(p.To)
 	g.in.dispatcher.Read(func(now time.Time, n *core.Node) {
 		p.Roster = n.Roster().Version
 		if p.Promise {
 			p.Promise = cause != nil && n.MayAck(now, cause.From, cause.Incarnation, cause.Roster)
 		}
-		if near {
+		if inPlace {
 			peer.SetRelease(p, n.Release())
 		}
 		if cause != nil && cause.Leaving && p.Kind == wire.Kind_KIND_ACK {
-			p.Named = named(now, n, cause.From)
+			p.Named = lookupMillis(now, n, cause.From)
 		}
 	})
 }
 
-// named is what an ack tells a leaving instance of look-ups that name it.
-func named(now time.Time, n *core.Node, id string) uint32 {
+// lookupMillis is what an ack tells a leaving instance of look-ups that name it.
+func lookupMillis(now time.Time, n *core.Node, id string) uint32 {
 	until, ok := n.Named(id)
 	if !ok {
 		return 0
@@ -165,25 +165,25 @@
 	return uint32(max(until.Sub(now), 0)/time.Millisecond) + 2 // rounded up, and one more
 }
 
-// heardNamed keeps what a peer tells this leaving instance of its look-ups.
-func (g *gossip) heardNamed(now time.Time, p *wire.Packet) {
+// recordLookupExpiry keeps what a peer tells this leaving instance of its look-ups.
+func (g *gossip) recordLookupExpiry(now time.Time, p *wire.Packet) {
 	if p.Named == 0 || p.Kind != wire.Kind_KIND_ACK || p.Target != "" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.named[p.From] = now.Add(time.Duration(p.Named) * time.Millisecond)
+	g.lookupExpiry[p.From] = now.Add(time.Duration(p.Named) * time.Millisecond)
 }
 
-// lastNamed is until when callers may keep a look-up of a peer that names this
+// lastLookupExpiry is until when callers may keep a look-up of a peer that names this
 // leaving instance; false if a living peer has not told yet.
-func (g *gossip) lastNamed() (time.Time, bool) {
+func (g *gossip) lastLookupExpiry() (time.Time, bool) {
 	var last time.Time
 	members := g.Members()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, m := range members {
-		until, ok := g.named[m.ID]
+		until, ok := g.lookupExpiry[m.ID]
 		if !ok && (m.State == member.Alive || m.State == member.Suspect) {
 			return time.Time{}, false
 		}
@@ -194,22 +194,22 @@
 	return last, true
 }
 
-// changed tells the node who is there.
-func (g *gossip) changed(changes []member.Change) {
+// membersChanged tells the node who is there.
+func (g *gossip) membersChanged(changes []member.Change) {
 	for _, c := range changes {
 		if c.Kind == member.Replaced {
 			g.in.replace()
 		}
 	}
 	members := g.Members()
-	near := make(map[string]bool)
+	placePeers := make(map[string]bool)
 	for _, m := range members {
 		if m.Place == g.in.cfg.Place {
-			near[m.ID] = true
+			placePeers[m.ID] = true
 		}
 	}
 	g.mu.Lock()
-	g.near = near
+	g.placePeers = placePeers
 	g.mu.Unlock()
 	g.in.dispatcher.Step(core.PeersChanged{Peers: peersOf(members)})
 }
@@ -217,8 +217,8 @@
 // setRoster tells the list whom the roster names: acks promise only to those.
 func (g *gossip) setRoster(r owner.Roster) {
 	g.mu.Lock()
-	known := g.roster == r.Version
-	g.roster = r.Version
+	known := g.rosterVersion == r.Version
+	g.rosterVersion = r.Version
 	g.mu.Unlock()
 	if known {
 		return
@@ -233,8 +233,8 @@
 	})
 }
 
-// Learn takes in the platform's list of instances.
-func (g *gossip) Learn(list []docstore.Instance) {
+// AddListed takes in the platform's list of instances.
+func (g *gossip) AddListed(list []docstore.Instance) {
 	g.udp.Do(func(now time.Time, l *member.List) []member.Send {
 		l.Learn(now, list)
 		return nil
@@ -251,8 +251,8 @@
 	return members
 }
 
-// answered says whether another instance knows this one: it acked a ping.
-func (g *gossip) answered() bool {
+// pingAcked says whether another instance knows this one: it acked a ping.
+func (g *gossip) pingAcked() bool {
 	answered := false
 	g.udp.Do(func(_ time.Time, l *member.List) []member.Send {
 		answered = slices.ContainsFunc(l.Members(), func(m member.Member) bool { return !l.Acked(m.ID).Sent.IsZero() })
--- a/internal/instance/grant.go
+++ b/internal/instance/grant.go
@@ -5,36 +5,36 @@
 	"sync"
 )
 
-// askers is how many peers may be asked for grants at one time.
-const askers = 4
+// grantWorkers is how many peers may be asked for grants at one time.
+const grantWorkers = 4
 
-// askGrants carries out the node's calls for grants.
-func (in *Instance) askGrants(ctx context.Context) {
+// runGrantRequests carries out the node's calls for grants.
+func (in *Instance) runGrantRequests(ctx context.Context) {
 	var g sync.WaitGroup
-	for range askers {
-		g.Go(func() { in.asker(ctx) })
+	for range grantWorkers {
+		g.Go(func() { in.grantWorker(ctx) })
 	}
 	g.Wait()
 }
 
-// tellCrashes carries out what the node tells peers of targets that ended.
-func (in *Instance) tellCrashes(ctx context.Context) {
+// sendCrashReports carries out what the node tells peers of targets that ended.
+func (in *Instance) sendCrashReports(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-in.news:
+		case d := <-in.crashReports:
 			in.server.TellCrashes(ctx, d)
 		}
 	}
 }
 
-func (in *Instance) asker(ctx context.Context) {
+func (in *Instance) grantWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-in.asks:
+		case d := <-in.grantRequests:
 			in.server.AskGrant(ctx, d)
 		}
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -25,36 +25,36 @@
 
 // Timers of an instance.
 const (
-	tickEvery     = 10 * time.Millisecond // while something waits for time to pass
-	tickIdle      = 50 * time.Millisecond // while nothing does
-	headerTimeout = 5 * time.Second       // for a caller to send a request's headers, from their first byte on
-	idleTimeout   = 2 * time.Minute
-	readHeader    = 256 << 10 // from callers and peers; over 32 KB gets a typed refusal
-	maxHeader     = 32 << 10  // from operators
-	queueLength   = 64        // of decisions that wait to be carried out
+	tickBusy          = 10 * time.Millisecond // while something waits for time to pass
+	tickIdle          = 50 * time.Millisecond // while nothing does
+	headerTimeout     = 5 * time.Second       // for a caller to send a request's headers, from their first byte on
+	idleTimeout       = 2 * time.Minute
+	maxRequestHeader  = 256 << 10 // from callers and peers; over 32 KB gets a typed refusal
+	maxOperatorHeader = 32 << 10  // from operators
+	queueLength       = 64        // of decisions that wait to be carried out
 )
 
 // Instance is one running entry instance.
 type Instance struct {
-	cfg         Config
-	incarnation uint64
-	dispatcher  *dispatch.Dispatcher
-	docs        *documents
-	client      *targets.Client
-	server      *callers.Server
-	operators   http.Handler
-	members     *gossip
-	metrics     *metrics.Set // made here, and closed here; nil if cfg has one
-	swaps       chan core.SwapRoster
-	probes      chan core.Probe
-	replaced    chan struct{} // closed when a newer incarnation of this instance runs
-	replaceOnce sync.Once
-	asks        chan core.AskGrant
-	news        chan core.TellCrashes
-	unequal     chan docstore.Instance // peers whose documents differ
-	ahead       chan docstore.Instance // peers of the place that have a newer roster
-	restoration *restoration
-	rpc         *http.Client // of control calls to peers
+	cfg              Config
+	incarnation      uint64
+	dispatcher       *dispatch.Dispatcher
+	docs             *documents
+	client           *targets.Client
+	server           *callers.Server
+	operators        http.Handler
+	members          *gossip
+	metrics          *metrics.Set // made here, and closed here; nil if cfg has one
+	rosterSwaps      chan core.SwapRoster
+	probes           chan core.Probe
+	replaced         chan struct{} // closed when a newer incarnation of this instance runs
+	replaceOnce      sync.Once
+	grantRequests    chan core.AskGrant
+	crashReports     chan core.TellCrashes
+	divergedPeers    chan docstore.Instance // peers whose documents differ
+	newerRosterPeers chan docstore.Instance // peers of the place that have a newer roster
+	restoration      *restoration
+	rpc              *http.Client // of control calls to peers
 
 	listeners []net.Listener // callers', peers' and operators', in this order
 	servers   []*http.Server // of listeners
@@ -73,20 +73,20 @@
 		cfg.Dial = targets.DialFrom(cfg.Source)
 	}
 	in := &Instance{
-		cfg:         cfg,
-		incarnation: uint64(time.Now().UnixNano()),
-		client:      targets.New(cfg.Dial),
-		swaps:       make(chan core.SwapRoster, 1),
-		probes:      make(chan core.Probe, queueLength),
-		asks:        make(chan core.AskGrant, queueLength),
-		news:        make(chan core.TellCrashes, queueLength),
-		unequal:     make(chan docstore.Instance, 1),
-		ahead:       make(chan docstore.Instance, 1),
-		restoration: newRestoration(),
-		replaced:    make(chan struct{}),
-		rpc:         &http.Client{Transport: &http.Transport{DialContext: cfg.Dial}, Timeout: syncTimeout},
+		cfg:              cfg,
+		incarnation:      uint64(time.Now().UnixNano()),
+		client:           targets.New(cfg.Dial),
+		rosterSwaps:      make(chan core.SwapRoster, 1),
+		probes:           make(chan core.Probe, queueLength),
+		grantRequests:    make(chan core.AskGrant, queueLength),
+		crashReports:     make(chan core.TellCrashes, queueLength),
+		divergedPeers:    make(chan docstore.Instance, 1),
+		newerRosterPeers: make(chan docstore.Instance, 1),
+		restoration:      newRestoration(),
+		replaced:         make(chan struct{}),
+		rpc:              &http.Client{Transport: &http.Transport{DialContext: cfg.Dial}, Timeout: syncTimeout},
 	}
-	in.cfg.Store = &epochStore{Store: cfg.Store, reached: in.reached}
+	in.cfg.Store = &epochStore{Store: cfg.Store, observe: in.observeRevision}
 	if err := in.listen(); err != nil {
 		return nil, errors.Annotate(err, "instance.New")
 	}
@@ -143,7 +143,7 @@
 		return err
 	}
 	in.dispatcher = dispatch.New(node, boottime.Now, in.control)
-	in.docs = newDocuments(in.cfg.Checks, in.cfg.Log, in.force)
+	in.docs = newDocuments(in.cfg.Checks, in.cfg.Log, in.applySnapshot)
 	in.server = callers.New(callers.Config{
 		Instance: in.cfg.ID, Callers: in.cfg.AdvertiseCallers, Checks: in.cfg.Checks, Log: in.cfg.Log,
 		Metrics: in.cfg.Metrics, Load: in.cfg.Load,
@@ -170,7 +170,7 @@
 	switch d := d.(type) {
 	case core.SwapRoster:
 		select {
-		case in.swaps <- d:
+		case in.rosterSwaps <- d:
 		default: // one is under way; the node asks again
 		}
 	case core.Probe:
@@ -180,14 +180,14 @@
 		}
 	case core.AskGrant:
 		select {
-		case in.asks <- d:
+		case in.grantRequests <- d:
 		default: // the node asks again
 		}
 	case core.TargetNews:
-		in.logNews(d)
+		in.logNotice(d)
 	case core.TellCrashes:
 		select {
-		case in.news <- d:
+		case in.crashReports <- d:
 		default:
 			in.logError("peers not told of a target that ended", errQueueFull)
 		}
@@ -201,7 +201,9 @@
 
 var errQueueFull = &QueueError{}
 
-func (in *Instance) force(s *settings.Snapshot) { in.dispatcher.Step(core.Applied{Snapshot: s}) }
+func (in *Instance) applySnapshot(s *settings.Snapshot) {
+	in.dispatcher.Step(core.Applied{Snapshot: s})
+}
 
 func (in *Instance) now() time.Time { return in.dispatcher.Now() }
 
@@ -234,16 +236,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	in.cancel = cancel
 	handlers := []http.Handler{in.server.Callers(), in.peerHandler(), in.operators}
-	heads := []int{readHeader, readHeader, maxHeader}
+	headerLimits := []int{maxRequestHeader, maxRequestHeader, maxOperatorHeader}
 	for i, ln := range in.listeners {
 		srv := &http.Server{
 			Handler: handlers[i], ReadHeaderTimeout: headerTimeout,
-			IdleTimeout: idleTimeout, MaxHeaderBytes: heads[i],
+			IdleTimeout: idleTimeout, MaxHeaderBytes: headerLimits[i],
 		}
 		in.servers = append(in.servers, srv)
 		go srv.Serve(tcp.NewListener(ln, headerTimeout, idleTimeout))
 	}
-	for _, loop := range []func(context.Context){in.tick, in.watch, in.register, in.learn, in.tendRoster, in.probe, in.askGrants, in.tellCrashes, in.sync, in.show, in.restoreLost} {
+	for _, loop := range []func(context.Context){in.tick, in.watch, in.register, in.refreshInstances, in.maintainRoster, in.probe, in.runGrantRequests, in.sendCrashReports, in.sync, in.publishGauges, in.restoreLost} {
 		in.loops.Go(func() { loop(ctx) })
 	}
 	in.members.start()
@@ -260,7 +262,7 @@
 		case <-ctx.Done():
 			return
 		case <-in.dispatcher.Waiting():
-			due = earlier(due, boottime.Now().Add(tickEvery))
+			due = earlier(due, boottime.Now().Add(tickBusy))
 		case <-t.C:
 			due = boottime.Now().Add(tickIdle)
 			in.dispatcher.Step(core.Tick{})
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -19,7 +19,7 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-const patience = 20 * time.Second // the longest that a test waits for what has to come
+const waitTimeout = 20 * time.Second // the longest that a test waits for what has to come
 
 // fleet is a platform, one place's target and instances, all over loopback.
 type fleet struct {
@@ -111,7 +111,7 @@
 // ask repeats a request until it is answered: at the start nothing may be in force yet.
 func (f *fleet) ask(c *caller.Client, r *caller.Request) string {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for {
 		resp, err := c.Do(ctx, "shop/orders", r)
@@ -182,26 +182,26 @@
 			}
 			in.Start()
 			defer in.Kill()
-			if got, want := in.self().Address, or(tt.want, in.Peers()); got != want {
+			if got, want := in.self().Address, firstNonEmpty(tt.want, in.Peers()); got != want {
 				t.Errorf("got %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-func or(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-func TestStopCutsNothing(t *testing.T) {
+func TestStopCompletesRequests(t *testing.T) {
 	f := newFleet(t, 2)
 	defer f.list[0].Kill()
 	c := f.client()
 	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := f.list[1].Stop(ctx); err != nil {
 		t.Fatalf("got %v, want a clean stop", err)
@@ -211,7 +211,7 @@
 
 // An instance whose rights the others' acks confirm has no need to read the
 // roster; it has to follow it all the same.
-func TestRosterFollows(t *testing.T) {
+func TestConfirmedInstancesFollowRoster(t *testing.T) {
 	f := newFleet(t, 5)
 	defer func() {
 		for _, in := range f.list {
@@ -221,7 +221,7 @@
 	began := time.Now()
 	for _, in := range f.list {
 		for members := 0; members < len(f.list); {
-			if time.Since(began) > patience {
+			if time.Since(began) > waitTimeout {
 				t.Fatalf("got %d members in the roster of %s, want %d", members, in.cfg.ID, len(f.list))
 			}
 			time.Sleep(20 * time.Millisecond)
--- a/internal/instance/list.go
+++ b/internal/instance/list.go
@@ -11,17 +11,17 @@
 // Times of registrations. A line of the list stays for half a minute, so the
 // waits are long and differ little; what spreads instances is the first of them.
 const (
-	registerEvery  = 29 * time.Second       // the longest between two, through outages too: all come back as they were spread
-	registerSpread = 5 * time.Second        // the share of it that is drawn anew each time
-	firstRegister  = 500 * time.Millisecond // from the start to the first one, with peers to ask
-	firstKnown     = 10 * time.Second       // the same if a peer has answered; sooner than others read the list for an unknown place
+	registerInterval      = 29 * time.Second       // the longest between two, through outages too: all come back as they were spread
+	registerJitter        = 5 * time.Second        // the share of it that is drawn anew each time
+	firstRegisterDelay    = 500 * time.Millisecond // from the start to the first one, with peers to ask
+	firstRegisterWithPeer = 10 * time.Second       // the same if a peer has answered; sooner than others read the list for an unknown place
 )
 
 // register keeps this instance in the platform's list. A failed try is not
 // repeated sooner, lest all come at once when an outage ends; only the first
 // registration is, since until then nobody finds this instance in the list.
 func (in *Instance) register(ctx context.Context) {
-	in.awaitRegister(ctx)
+	in.delayFirstRegistration(ctx)
 	var b backoff
 	registered := false
 	for ctx.Err() == nil {
@@ -29,34 +29,34 @@
 		if err != nil {
 			in.platformFailed("register", err)
 		}
-		wait := registerEvery - rand.N(registerSpread)
+		wait := registerInterval - rand.N(registerJitter)
 		switch {
 		case !registered && err != nil:
 			wait = b.step()
 		case !registered:
-			wait = rand.N(registerEvery) // those that started together part here
+			wait = rand.N(registerInterval) // those that started together part here
 		}
 		registered = registered || err == nil
 		select {
 		case <-ctx.Done():
 		case <-in.restoration.register:
-			sleep(ctx, rand.N(registerSoon))
+			sleep(ctx, rand.N(reregisterJitter))
 		case <-time.After(wait):
 		}
 	}
 }
 
-// awaitRegister puts the first registration off: a little to hear of peers, and
+// delayFirstRegistration puts the first registration off: a little to hear of peers, and
 // then, if one has answered, longer: many may start together. A list that
 // proves ends must not lack who holds targets.
-func (in *Instance) awaitRegister(ctx context.Context) {
+func (in *Instance) delayFirstRegistration(ctx context.Context) {
 	if len(in.cfg.Join) == 0 {
 		return
 	}
-	wait := rand.N(firstRegister)
+	wait := rand.N(firstRegisterDelay)
 	sleep(ctx, wait)
-	if !in.cfg.ListProves && in.members.answered() {
-		sleep(ctx, rand.N(firstKnown)-wait)
+	if !in.cfg.ListProves && in.members.pingAcked() {
+		sleep(ctx, rand.N(firstRegisterWithPeer)-wait)
 	}
 }
 
@@ -66,7 +66,7 @@
 	return in.cfg.Store.Register(ctx, in.self())
 }
 
-func (in *Instance) learnOnce(ctx context.Context) error {
+func (in *Instance) readInstances(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := in.now()
@@ -75,6 +75,6 @@
 		return err
 	}
 	in.dispatcher.Step(core.Listed{Instances: list, Sent: sent, Epoch: at.Epoch()})
-	in.members.Learn(list)
+	in.members.AddListed(list)
 	return nil
 }
--- a/internal/instance/list_test.go
+++ b/internal/instance/list_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestListAtRest counts who reads the platform's whole list while nothing happens.
-func TestListAtRest(t *testing.T) {
-	inWorld(t, 2, 1, 3, func(w *world) {
-		w.up()
+// TestListSteadyState counts who reads the platform's whole list while nothing happens.
+func TestListSteadyState(t *testing.T) {
+	runSimulation(t, 2, 1, 3, func(w *simulation) {
+		w.startAll()
 		const rest = 20 * time.Minute
 		time.Sleep(rest)
 		readers, most := 0, 0
 		for _, s := range w.all() {
-			n := w.doors[s.id].take()["instances"]
+			n := w.stores[s.id].takeCalls()["instances"]
 			if n > 1 {
 				readers++
 			}
@@ -30,18 +30,18 @@
 // TestListOfUnknownPlace reads the list less and less often while a place has
 // no instance. Its first are found even though they were given nobody to join.
 func TestListOfUnknownPlace(t *testing.T) {
-	inWorld(t, 2, 1, 2, func(w *world) {
-		for i := range w.seats {
-			w.seats[i].join = nil
+	runSimulation(t, 2, 1, 2, func(w *simulation) {
+		for i := range w.nodes {
+			w.nodes[i].join = nil
 		}
 		w.start(w.domain(0))
-		w.within(30*time.Second, "documents", w.ready(w.domain(0)))
+		w.waitFor(30*time.Second, "documents", w.ready(w.domain(0)))
 		time.Sleep(20 * time.Minute)
-		calls := w.taken(w.domain(0))
+		calls := w.takeCalls(w.domain(0))
 		w.report("place without instances", w.domain(0), 20*time.Minute, calls)
 		w.atMost(map[string]int{"instances": calls["instances"]}, map[string]float64{"instances": 12 * 2})
 		w.start(w.domain(1))
-		took := w.within(time.Minute, "all know each other", func() bool {
+		took := w.waitFor(time.Minute, "all know each other", func() bool {
 			for _, in := range w.running {
 				if len(in.members.Members()) != len(w.all())-1 {
 					return false
@@ -54,30 +54,30 @@
 }
 
 func TestListPlan(t *testing.T) {
-	missing, former := doubt{"member a", listMissing, false}, doubt{"former b", listFormer, false}
-	proved := doubt{"former b", listFormer, true}
+	missing, former := listReason{"member a", listUnknownMember, false}, listReason{"former b", listPreviousMember, false}
+	proved := listReason{"former b", listPreviousMember, true}
 	tests := map[string]struct {
-		reads  int
-		doubts []doubt
-		now    []doubt
-		want   time.Duration
+		reads   int
+		reasons []listReason
+		now     []listReason
+		want    time.Duration
 	}{
 		"start":                    {0, nil, nil, listFirst},
-		"start in doubt":           {0, nil, []doubt{missing}, listMissing},
-		"rest":                     {1, nil, nil, listRare},
-		"doubt":                    {1, nil, []doubt{former}, listFormer},
-		"doubt that stays":         {3, []doubt{former}, []doubt{former}, 8 * listFormer},
-		"doubt that never ends":    {30, []doubt{missing}, []doubt{missing}, listRare},
-		"new doubt beside an old":  {9, []doubt{former}, []doubt{former, missing}, listMissing},
-		"doubt that the list ends": {9, []doubt{proved}, []doubt{proved}, listFormer},
+		"start in doubt":           {0, nil, []listReason{missing}, listUnknownMember},
+		"rest":                     {1, nil, nil, listMax},
+		"doubt":                    {1, nil, []listReason{former}, listPreviousMember},
+		"doubt that stays":         {3, []listReason{former}, []listReason{former}, 8 * listPreviousMember},
+		"doubt that never ends":    {30, []listReason{missing}, []listReason{missing}, listMax},
+		"new doubt beside an old":  {9, []listReason{former}, []listReason{former, missing}, listUnknownMember},
+		"doubt that the list ends": {9, []listReason{proved}, []listReason{proved}, listPreviousMember},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			p := listPlan{first: listFirst, tries: make(map[string]int)}
+			p := listSchedule{first: listFirst, tries: make(map[string]int)}
 			for range tt.reads {
-				p.read(tt.doubts)
+				p.recordRead(tt.reasons)
 			}
-			if got := p.wait(tt.now, listRare); got != tt.want {
+			if got := p.wait(tt.now, listMax); got != tt.want {
 				t.Errorf("got %s, want %s", got, tt.want)
 			}
 		})
@@ -87,17 +87,17 @@
 // TestRegistrations counts the first registrations of a domain that returns,
 // and those at rest; a line stays in the list for half a minute.
 func TestRegistrations(t *testing.T) {
-	inWorld(t, 2, 1, 9, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 1, 9, func(w *simulation) {
+		w.startAll()
 		const returns, early = 5, 1500 * time.Millisecond
 		calls := make(map[string]int)
 		for range returns {
 			w.kill(w.domain(0))
 			time.Sleep(time.Minute)
-			w.taken(w.all())
+			w.takeCalls(w.all())
 			w.start(w.domain(0))
 			time.Sleep(early)
-			for call, n := range w.taken(w.domain(0)) {
+			for call, n := range w.takeCalls(w.domain(0)) {
 				calls[call] += n
 			}
 		}
@@ -106,7 +106,7 @@
 			t.Errorf("got %d registrations within %s of %d starts, want at most %d", got, early, returns*len(w.domain(0)), most)
 		}
 		time.Sleep(time.Minute)
-		w.taken(w.all())
+		w.takeCalls(w.all())
 		const rest = 2 * time.Minute
 		for range rest / time.Second {
 			time.Sleep(time.Second)
@@ -114,7 +114,7 @@
 				t.Fatalf("got %d in the list, %v, want all %d", len(list), err, len(w.all()))
 			}
 		}
-		calls = w.taken(w.all())
+		calls = w.takeCalls(w.all())
 		w.report("at rest", w.all(), rest, calls)
 		w.atMost(map[string]int{"register": calls["register"]}, map[string]float64{"register": float64(len(w.all())) * (rest.Seconds()/24 + 1)})
 	})
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -26,15 +26,15 @@
 	}
 }
 
-func (in *Instance) logSwap(d core.SwapRoster, err error) {
+func (in *Instance) logRosterSwap(d core.SwapRoster, err error) {
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("roster", "place", in.cfg.Place, "version", d.Next.Version,
 			"reason", d.Reason, "removed", d.Removed, "members", len(d.Next.Members), "err", err)
 	}
 }
 
-// logNews writes the line of what a target said of the requests that it wants.
-func (in *Instance) logNews(d core.TargetNews) {
+// logNotice writes the line of what a target said of the requests that it wants.
+func (in *Instance) logNotice(d core.TargetNews) {
 	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("target notice", "service", d.Target.Service, "target", d.Target.Name, "leaving", d.Notice.Leaving,
--- a/internal/instance/network_test.go
+++ b/internal/instance/network_test.go
@@ -18,26 +18,26 @@
 // run in virtual time. Hosts are told apart by IP.
 type network struct {
 	mu        sync.Mutex
-	packets   map[string]*packets
+	packets   map[string]*udpSocket
 	listeners map[string]*listener
-	cut       func(from, to string) bool // by IP; nil cuts nothing
+	blocked   func(from, to string) bool // by IP; nil cuts nothing
 }
 
 func newNetwork() *network {
-	return &network{packets: make(map[string]*packets), listeners: make(map[string]*listener)}
+	return &network{packets: make(map[string]*udpSocket), listeners: make(map[string]*listener)}
 }
 
-// setCut replaces what is cut; open connections stay.
-func (n *network) setCut(cut func(from, to string) bool) {
+// setBlocked replaces what is cut; open connections stay.
+func (n *network) setBlocked(blocked func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.blocked = blocked
 }
 
-func (n *network) isCut(from, to string) bool {
+func (n *network) isBlocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cut != nil && n.cut(host(from), host(to))
+	return n.blocked != nil && n.blocked(host(from), host(to))
 }
 
 func host(address string) string {
@@ -45,8 +45,8 @@
 	return h
 }
 
-// packets is a UDP socket.
-type packets struct {
+// udpSocket is a UDP socket.
+type udpSocket struct {
 	net     *network
 	address string
 	queue   chan []byte
@@ -57,12 +57,12 @@
 func (n *network) packet(address string) (net.PacketConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p := &packets{net: n, address: address, queue: make(chan []byte, 1024), closed: make(chan struct{})}
+	p := &udpSocket{net: n, address: address, queue: make(chan []byte, 1024), closed: make(chan struct{})}
 	n.packets[address] = p
 	return p, nil
 }
 
-func (p *packets) ReadFrom(b []byte) (int, net.Addr, error) {
+func (p *udpSocket) ReadFrom(b []byte) (int, net.Addr, error) {
 	select {
 	case data := <-p.queue:
 		return copy(b, data), p.LocalAddr(), nil
@@ -71,8 +71,8 @@
 	}
 }
 
-func (p *packets) WriteTo(b []byte, to net.Addr) (int, error) {
-	if p.net.isCut(p.address, to.String()) {
+func (p *udpSocket) WriteTo(b []byte, to net.Addr) (int, error) {
+	if p.net.isBlocked(p.address, to.String()) {
 		return len(b), nil
 	}
 	p.net.mu.Lock()
@@ -87,7 +87,7 @@
 	return len(b), nil
 }
 
-func (p *packets) Close() error {
+func (p *udpSocket) Close() error {
 	p.once.Do(func() {
 		close(p.closed)
 		p.net.mu.Lock()
@@ -99,12 +99,12 @@
 	return nil
 }
 
-func (p *packets) LocalAddr() net.Addr {
+func (p *udpSocket) LocalAddr() net.Addr {
 	return net.UDPAddrFromAddrPort(netip.MustParseAddrPort(p.address))
 }
-func (p *packets) SetDeadline(time.Time) error      { return os.ErrNoDeadline }
-func (p *packets) SetReadDeadline(time.Time) error  { return os.ErrNoDeadline }
-func (p *packets) SetWriteDeadline(time.Time) error { return os.ErrNoDeadline }
+func (p *udpSocket) SetDeadline(time.Time) error      { return os.ErrNoDeadline }
+func (p *udpSocket) SetReadDeadline(time.Time) error  { return os.ErrNoDeadline }
+func (p *udpSocket) SetWriteDeadline(time.Time) error { return os.ErrNoDeadline }
 
 // listener is a TCP socket that listens.
 type listener struct {
@@ -151,7 +151,7 @@
 // dialer dials as the host with this IP.
 func (n *network) dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
-		if n.isCut(net.JoinHostPort(from, "0"), to) {
+		if n.isBlocked(net.JoinHostPort(from, "0"), to) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
@@ -161,10 +161,10 @@
 		if l == nil {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 		}
-		ours, theirs := net.Pipe()
+		near, far := net.Pipe()
 		select {
-		case l.queue <- theirs:
-			return ours, nil
+		case l.queue <- far:
+			return near, nil
 		case <-l.closed:
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 		case <-ctx.Done():
@@ -173,32 +173,32 @@
 	}
 }
 
-// door is one instance's way to the platform. It can be shut, and counts calls.
-type door struct {
+// countingStore is one instance's way to the platform. It can be shut, and counts calls.
+type countingStore struct {
 	docstore.Store
-	mu    sync.Mutex
-	shut  bool
-	calls map[string]int
+	mu          sync.Mutex
+	unreachable bool
+	calls       map[string]int
 }
 
-func (d *door) pass(call string) error {
+func (d *countingStore) count(call string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls[call]++
-	if d.shut {
+	if d.unreachable {
 		return &docstore.UnavailableError{Call: call, Err: syscall.ECONNREFUSED}
 	}
 	return nil
 }
 
-func (d *door) set(shut bool) {
+func (d *countingStore) setUnreachable(unreachable bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.shut = shut
+	d.unreachable = unreachable
 }
 
-// take returns the counts so far and begins anew.
-func (d *door) take() map[string]int {
+// takeCalls returns the counts so far and begins anew.
+func (d *countingStore) takeCalls() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	calls := d.calls
@@ -206,50 +206,50 @@
 	return calls
 }
 
-func (d *door) Get(ctx context.Context, path string) (docstore.Entry, error) {
-	if err := d.pass("get"); err != nil {
+func (d *countingStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
+	if err := d.count("get"); err != nil {
 		return docstore.Entry{}, err
 	}
 	return d.Store.Get(ctx, path)
 }
 
-func (d *door) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
-	if err := d.pass("list"); err != nil {
+func (d *countingStore) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
+	if err := d.count("list"); err != nil {
 		return nil, platform.Revision{}, err
 	}
 	return d.Store.List(ctx, prefix)
 }
 
-func (d *door) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
-	if err := d.pass("swap"); err != nil {
+func (d *countingStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
+	if err := d.count("swap"); err != nil {
 		return docstore.Entry{}, err
 	}
 	return d.Store.Swap(ctx, path, version, value)
 }
 
-func (d *door) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]docstore.Entry, platform.Revision, error) {
-	if err := d.pass("watch"); err != nil {
+func (d *countingStore) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]docstore.Entry, platform.Revision, error) {
+	if err := d.count("watch"); err != nil {
 		return nil, platform.Revision{}, err
 	}
 	return d.Store.Watch(ctx, prefix, after, wait)
 }
 
-func (d *door) Restore(ctx context.Context, e docstore.Entry) error {
-	if err := d.pass("restore"); err != nil {
+func (d *countingStore) Restore(ctx context.Context, e docstore.Entry) error {
+	if err := d.count("restore"); err != nil {
 		return err
 	}
 	return d.Store.Restore(ctx, e)
 }
 
-func (d *door) Register(ctx context.Context, in docstore.Instance) error {
-	if err := d.pass("register"); err != nil {
+func (d *countingStore) Register(ctx context.Context, in docstore.Instance) error {
+	if err := d.count("register"); err != nil {
 		return err
 	}
 	return d.Store.Register(ctx, in)
 }
 
-func (d *door) Instances(ctx context.Context) ([]docstore.Instance, platform.Revision, error) {
-	if err := d.pass("instances"); err != nil {
+func (d *countingStore) Instances(ctx context.Context) ([]docstore.Instance, platform.Revision, error) {
+	if err := d.count("instances"); err != nil {
 		return nil, platform.Revision{}, err
 	}
 	return d.Store.Instances(ctx)
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -26,10 +26,10 @@
 
 func (e *NoSettingsError) Error() string { return "instance: no configuration has arrived yet" }
 
-// NoTenureError says that this instance's rights to its targets are not confirmed.
-type NoTenureError struct{}
+// NoLeaseError says that this instance's rights to its targets are not confirmed.
+type NoLeaseError struct{}
 
-func (e *NoTenureError) Error() string {
+func (e *NoLeaseError) Error() string {
 	return "instance: the rights to targets are not confirmed; half of each is used"
 }
 
@@ -48,12 +48,12 @@
 		Store:     in.operatorStore(),
 		Snapshot:  in.snapshot,
 		Documents: in.docs.Documents,
-		Apply:     in.takeDocuments,
+		Apply:     in.applyDocuments,
 		Status:    in.report,
 		Fleet:     operator.Gather(in.fleet),
 		Metrics:   set.Handler(),
 		Ready:     in.ready,
-		Complete:  in.whole,
+		Complete:  in.checkComplete,
 		Log:       logger,
 		Bootstrap: in.cfg.Bootstrap,
 	})
@@ -72,8 +72,8 @@
 	return s
 }
 
-// whole says why changes can't be checked here yet, or nil.
-func (in *Instance) whole() error {
+// checkComplete says why changes can't be checked here yet, or nil.
+func (in *Instance) checkComplete() error {
 	if !in.complete() {
 		return &NoSettingsError{}
 	}
@@ -113,7 +113,7 @@
 	if err := in.ready(); err != nil {
 		r.Ready, r.Reason = false, err.Error()
 	} else if !st.Confirmed {
-		r.Reason = (&NoTenureError{}).Error()
+		r.Reason = (&NoLeaseError{}).Error()
 	}
 	for _, m := range in.members.Members() {
 		r.Peers = append(r.Peers, operator.Peer{ID: m.ID, Address: m.Address, Place: m.Place, State: m.State.String()})
@@ -160,13 +160,13 @@
 		}
 		var wait time.Duration
 		for _, t := range st.Targets {
-			if drains(drain, in.cfg.Place, t) {
+			if drainApplies(drain, in.cfg.Place, t) {
 				drain.Left += t.InFlight
 				wait = max(wait, t.Usual*finishFactor)
 			}
 		}
 		if drain.Instance == in.cfg.ID {
-			drain.Left, wait = st.Open, in.longestWait(st)
+			drain.Left, wait = st.Open, in.predictedWait(st)
 		}
 		if drain.Left > 0 && wait > 0 {
 			drain.Finish = in.now().Add(wait)
@@ -175,8 +175,8 @@
 	}
 }
 
-// longestWait predicts how long the requests in flight at this instance go on.
-func (in *Instance) longestWait(st core.Status) time.Duration {
+// predictedWait predicts how long the requests in flight at this instance go on.
+func (in *Instance) predictedWait(st core.Status) time.Duration {
 	var wait time.Duration
 	for _, t := range st.Targets {
 		if t.InFlight > 0 {
@@ -186,8 +186,8 @@
 	return wait
 }
 
-// drains says whether a drain concerns a target of this place.
-func drains(d operator.Drain, place string, t core.TargetStatus) bool {
+// drainApplies says whether a drain concerns a target of this place.
+func drainApplies(d operator.Drain, place string, t core.TargetStatus) bool {
 	if d.Service != "" && d.Service != t.Key.Service.String() {
 		return false
 	}
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -15,12 +15,12 @@
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probers      = 4       // probes under way at one time
+	probeWorkers = 4       // probes under way at one time
 	maxLoad      = 4 << 10 // bytes of a load report
 )
 
-// load is what a target reports of itself.
-type load struct {
+// loadReport is what a target reports of itself.
+type loadReport struct {
 	Slots int `json:"slots"`
 	Busy  int `json:"busy"`
 }
@@ -28,18 +28,18 @@
 // probe carries out the node's probes, a few at a time.
 func (in *Instance) probe(ctx context.Context) {
 	done := make(chan struct{})
-	for range probers {
+	for range probeWorkers {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			in.prober(ctx)
+			in.probeWorker(ctx)
 		}()
 	}
-	for range probers {
+	for range probeWorkers {
 		<-done
 	}
 }
 
-func (in *Instance) prober(ctx context.Context) {
+func (in *Instance) probeWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 		return got
 	}
 	defer resp.Body.Close()
-	var l load
+	var l loadReport
 	if json.NewDecoder(io.LimitReader(resp.Body, maxLoad)).Decode(&l) == nil {
 		got.Slots, got.Busy = l.Slots, l.Busy
 	}
--- a/internal/instance/recovery_test.go
+++ b/internal/instance/recovery_test.go
@@ -15,11 +15,11 @@
 // TestStartOfAll wants only the domains' watchers to read everything from the
 // platform when no instance has the documents yet.
 func TestStartOfAll(t *testing.T) {
-	inWorld(t, 2, 2, 4, func(w *world) {
+	runSimulation(t, 2, 2, 4, func(w *simulation) {
 		w.start(w.all())
-		t.Logf("documents everywhere after %s", w.within(30*time.Second, "documents", w.ready(w.all())))
-		t.Logf("targets usable after %s more", w.within(30*time.Second, "targets", w.whole(w.all())))
-		calls := w.taken(w.all())
+		t.Logf("documents everywhere after %s", w.waitFor(30*time.Second, "documents", w.ready(w.all())))
+		t.Logf("targets usable after %s more", w.waitFor(30*time.Second, "targets", w.fullyUsable(w.all())))
+		calls := w.takeCalls(w.all())
 		w.report("start of all", w.all(), 10*time.Second, calls)
 		w.atMost(map[string]int{"list": calls["list"]}, map[string]float64{"list": 2 * watchers})
 	})
@@ -27,18 +27,18 @@
 
 // TestStartOfDomain restarts all of a domain at once.
 func TestStartOfDomain(t *testing.T) {
-	inWorld(t, 2, 2, 4, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 2, 4, func(w *simulation) {
+		w.startAll()
 		w.kill(w.domain(0))
 		start := time.Now()
 		w.start(w.domain(0))
-		t.Logf("documents after %s", w.within(10*time.Second, "documents", w.ready(w.domain(0))))
-		t.Logf("at once, usable %d of %d", w.usable(w.domain(0)), w.limit(w.domain(0)))
-		w.within(time.Minute, "targets", w.whole(w.domain(0)))
+		t.Logf("documents after %s", w.waitFor(10*time.Second, "documents", w.ready(w.domain(0))))
+		t.Logf("at once, usable %d of %d", w.usableSlots(w.domain(0)), w.limit(w.domain(0)))
+		w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0)))
 		t.Logf("all targets usable after %s", time.Since(start))
-		w.within(time.Minute, "rosters without former lines", w.clean(w.domain(0)))
+		w.waitFor(time.Minute, "rosters without former lines", w.rostersCurrent(w.domain(0)))
 		t.Logf("rosters clean after %s", time.Since(start))
-		calls := w.taken(w.domain(0))
+		calls := w.takeCalls(w.domain(0))
 		w.report("start of a domain", w.domain(0), time.Since(start), calls)
 		if calls["list"] > 0 {
 			t.Errorf("got %d lists, want none: peers beyond the domain have all", calls["list"])
@@ -48,73 +48,73 @@
 
 // TestStartInOutage starts a domain while the platform is away.
 func TestStartInOutage(t *testing.T) {
-	inWorld(t, 2, 1, 3, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 1, 3, func(w *simulation) {
+		w.startAll()
 		w.kill(w.domain(0))
 		w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(time.Hour)})
 		w.start(w.domain(0))
-		t.Logf("documents after %s", w.within(5*time.Second, "documents", w.ready(w.domain(0))))
+		t.Logf("documents after %s", w.waitFor(5*time.Second, "documents", w.ready(w.domain(0))))
 	})
 }
 
-// TestStartAmongBeginners starts everyone while the platform is away: those
+// TestStartWithoutCompletePeers starts everyone while the platform is away: those
 // that have just started must not take each other for complete.
-func TestStartAmongBeginners(t *testing.T) {
-	inWorld(t, 1, 1, 3, func(w *world) {
+func TestStartWithoutCompletePeers(t *testing.T) {
+	runSimulation(t, 1, 1, 3, func(w *simulation) {
 		w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(time.Minute)})
 		w.start(w.all())
-		one := w.running[w.seats[0].id]
-		one.takeDocuments([]settings.Document{{Path: "/places/d0-p0", Version: 1, Body: []byte("region: r0\ndomain: d0\nlimit: 60\n")}})
+		one := w.running[w.nodes[0].id]
+		one.applyDocuments([]settings.Document{{Path: "/places/d0-p0", Version: 1, Body: []byte("region: r0\ndomain: d0\nlimit: 60\n")}})
 		time.Sleep(30 * time.Second)
 		for id, in := range w.running {
 			if in.ready() == nil {
 				t.Errorf("%s serves without all documents", id)
 			}
 		}
-		w.within(90*time.Second, "documents", w.ready(w.all()))
+		w.waitFor(90*time.Second, "documents", w.ready(w.all()))
 	})
 }
 
 // TestOutage counts the calls of everyone while the platform is away for a
 // minute and in the first 10 s after.
 func TestOutage(t *testing.T) {
-	inWorld(t, 2, 1, 4, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 1, 4, func(w *simulation) {
+		w.startAll()
 		const steady = 2 * time.Minute
 		time.Sleep(steady)
-		w.checkRate("steady state", w.all(), steady, w.taken(w.all()))
+		w.checkRate("steady state", w.all(), steady, w.takeCalls(w.all()))
 		w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(time.Minute)})
 		time.Sleep(time.Minute)
-		w.checkRate("in an outage", w.all(), time.Minute, w.taken(w.all()))
-		if got, want := w.usable(w.all()), w.limit(w.all()); got != want {
+		w.checkRate("in an outage", w.all(), time.Minute, w.takeCalls(w.all()))
+		if got, want := w.usableSlots(w.all()), w.limit(w.all()); got != want {
 			t.Errorf("got %d slots usable in an outage, want all %d", got, want)
 		}
 		w.put("/drains/x", 0, "place: d0-p0\nreason: works\n")
-		took := w.within(20*time.Second, "change in force", func() bool {
-			return !slices.ContainsFunc(w.all(), func(s seat) bool { return w.running[s.id].snapshot().Version("/drains/x") != 1 })
+		took := w.waitFor(20*time.Second, "change in force", func() bool {
+			return !slices.ContainsFunc(w.all(), func(s nodeConfig) bool { return w.running[s.id].snapshot().Version("/drains/x") != 1 })
 		})
 		t.Logf("change after the outage in force everywhere after %s", took)
 		time.Sleep(10*time.Second - took)
-		calls := w.taken(w.all())
+		calls := w.takeCalls(w.all())
 		w.report("first 10 s after", w.all(), 10*time.Second, calls)
 		n, watching := float64(len(w.all())), 2.0*watchers
 		w.atMost(calls, map[string]float64{"register": n, "get": 2 * n, "instances": n, "watch": 4 * watching})
-		w.within(time.Minute, "rosters", w.clean(w.all()))
+		w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.all()))
 	})
 }
 
 // TestReplaceInTurn replaces every instance of a domain, one after the other.
 func TestReplaceInTurn(t *testing.T) {
-	inWorld(t, 2, 1, 4, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 1, 4, func(w *simulation) {
+		w.startAll()
 		least := w.limit(w.domain(0))
 		for _, s := range w.domain(0) {
-			others := w.limit(w.domain(0)) - w.usable([]seat{s})
-			w.kill([]seat{s})
-			w.start([]seat{s})
+			others := w.limit(w.domain(0)) - w.usableSlots([]nodeConfig{s})
+			w.kill([]nodeConfig{s})
+			w.start([]nodeConfig{s})
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
-				got := w.usable(w.domain(0))
+				got := w.usableSlots(w.domain(0))
 				least = min(least, got)
 				if got < others/2 {
 					t.Errorf("got %d slots usable while %s is replaced, want at least half of the others' %d", got, s.id, others)
@@ -122,9 +122,9 @@
 			}
 		}
 		t.Logf("least usable: %d of %d", least, w.limit(w.domain(0)))
-		t.Logf("all targets usable after %s more", w.within(time.Minute, "targets", w.whole(w.domain(0))))
-		t.Logf("rosters clean after %s more", w.within(time.Minute, "rosters", w.clean(w.domain(0))))
-		if calls := w.taken(w.domain(0)); calls["list"] > 0 {
+		t.Logf("all targets usable after %s more", w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0))))
+		t.Logf("rosters clean after %s more", w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.domain(0))))
+		if calls := w.takeCalls(w.domain(0)); calls["list"] > 0 {
 			t.Errorf("got %d lists, want none", calls["list"])
 		}
 	})
@@ -132,41 +132,41 @@
 
 // TestRegionBack cuts a region off from everything for a minute.
 func TestRegionBack(t *testing.T) {
-	inWorld(t, 2, 1, 3, func(w *world) {
-		w.up()
-		w.net.setCut(func(from, to string) bool { return domainOf(from) != domainOf(to) })
+	runSimulation(t, 2, 1, 3, func(w *simulation) {
+		w.startAll()
+		w.net.setBlocked(func(from, to string) bool { return domainOf(from) != domainOf(to) })
 		for _, s := range w.domain(0) {
-			w.doors[s.id].set(true)
+			w.stores[s.id].setUnreachable(true)
 		}
 		time.Sleep(30 * time.Second)
 		w.put("/drains/x", 0, "place: d1-p0\nreason: works\n")
 		time.Sleep(30 * time.Second)
-		t.Logf("usable while cut off: %d of %d", w.usable(w.domain(0)), w.limit(w.domain(0)))
-		w.net.setCut(nil)
+		t.Logf("usable while cut off: %d of %d", w.usableSlots(w.domain(0)), w.limit(w.domain(0)))
+		w.net.setBlocked(nil)
 		for _, s := range w.domain(0) {
-			w.doors[s.id].set(false)
+			w.stores[s.id].setUnreachable(false)
 		}
-		w.taken(w.all())
-		took := w.within(30*time.Second, "change in force", func() bool {
-			return !slices.ContainsFunc(w.all(), func(s seat) bool { return w.running[s.id].snapshot().Version("/drains/x") != 1 })
+		w.takeCalls(w.all())
+		took := w.waitFor(30*time.Second, "change in force", func() bool {
+			return !slices.ContainsFunc(w.all(), func(s nodeConfig) bool { return w.running[s.id].snapshot().Version("/drains/x") != 1 })
 		})
 		t.Logf("documents after %s", took)
-		t.Logf("targets usable after %s more", w.within(time.Minute, "targets", w.whole(w.domain(0))))
-		w.within(time.Minute, "rosters", w.clean(w.all()))
-		w.report("region back", w.domain(0), took, w.taken(w.domain(0)))
+		t.Logf("targets usable after %s more", w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0))))
+		w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.all()))
+		w.report("region back", w.domain(0), took, w.takeCalls(w.domain(0)))
 	})
 }
 
 // TestDrainInstance drains an instance by a document, and takes that back.
 func TestDrainInstance(t *testing.T) {
-	inWorld(t, 1, 1, 3, func(w *world) {
-		w.up()
-		s := w.seats[0]
+	runSimulation(t, 1, 1, 3, func(w *simulation) {
+		w.startAll()
+		s := w.nodes[0]
 		w.put("/drains/x", 0, "instance: "+s.id+"\nreason: works\n")
-		t.Logf("targets handed over after %s", w.within(3*time.Second, "targets with the others", func() bool {
-			return w.usable([]seat{s}) == 0 && w.whole(w.all())()
+		t.Logf("targets handed over after %s", w.waitFor(3*time.Second, "targets with the others", func() bool {
+			return w.usableSlots([]nodeConfig{s}) == 0 && w.fullyUsable(w.all())()
 		}))
-		w.within(3*time.Second, "out of look-ups", func() bool { return !w.named(s) })
+		w.waitFor(3*time.Second, "out of look-ups", func() bool { return !w.inLookups(s) })
 		drains := w.running[s.id].report().Drains
 		if len(drains) != 1 || drains[0].Left != 0 || drains[0].Instance != s.id {
 			t.Errorf("got drains %+v, want nothing left at %s", drains, s.id)
@@ -174,10 +174,10 @@
 		if _, err := docstore.DeleteDocument(context.Background(), w.kv, "/drains/x", 1, "undo"); err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("back after %s", w.within(10*time.Second, "targets back", func() bool {
-			return w.usable([]seat{s}) > 0 && w.whole(w.all())() && w.named(s)
+		t.Logf("back after %s", w.waitFor(10*time.Second, "targets back", func() bool {
+			return w.usableSlots([]nodeConfig{s}) > 0 && w.fullyUsable(w.all())() && w.inLookups(s)
 		}))
-		w.within(10*time.Second, "roster", w.clean(w.all()))
+		w.waitFor(10*time.Second, "roster", w.rostersCurrent(w.all()))
 	})
 }
 
@@ -198,16 +198,16 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 2, 1, 3, func(w *world) {
-				w.up()
-				s := w.seats[0]
+			runSimulation(t, 2, 1, 3, func(w *simulation) {
+				w.startAll()
+				s := w.nodes[0]
 				for range 50 {
 					if tt.ask >= 0 {
-						w.running[w.seats[tt.ask].id].dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.MustParseAddr("10.0.0.1"), 1)
+						w.running[w.nodes[tt.ask].id].dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.MustParseAddr("10.0.0.1"), 1)
 					}
 				}
 				if tt.stale < 0 {
-					w.net.setCut(func(from, to string) bool { return (from == s.ip) != (to == s.ip) })
+					w.net.setBlocked(func(from, to string) bool { return (from == s.ip) != (to == s.ip) })
 				}
 				time.Sleep(max(tt.stale, 0))
 				began := time.Now()
@@ -225,8 +225,8 @@
 	}
 }
 
-// named says whether a look-up at any instance may name the seat's.
-func (w *world) named(s seat) bool {
+// inLookups says whether a look-up at any instance may name the seat's.
+func (w *simulation) inLookups(s nodeConfig) bool {
 	for _, in := range w.running {
 		l, err := in.dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.Addr{}, 0)
 		if err != nil {
--- a/internal/instance/restore.go
+++ b/internal/instance/restore.go
@@ -15,22 +15,22 @@
 
 // Times after the platform's store has come back from a copy of itself.
 const (
-	// restoreTime is how long what the store holds confirms nothing, and operators' changes
+	// restoreWindow is how long what the store holds confirms nothing, and operators' changes
 	// are refused: all have noticed the return by then, and have written again what it has lost.
-	restoreTime = 5 * time.Second
-	// restoreSpread is over how long those that have the same to write again begin; the first
+	restoreWindow = 5 * time.Second
+	// restoreJitter is over how long those that have the same to write again begin; the first
 	// saves the others their writes.
-	restoreSpread = time.Second
-	// registerSoon is over how long instances register again.
-	registerSoon = 20 * time.Second
-	// restorePause is between two writes of one instance.
-	restorePause = 20 * time.Millisecond
-	// ownWrites is how long, and mostOwnWrites how many, changes by operators through this
+	restoreJitter = time.Second
+	// reregisterJitter is over how long instances register again.
+	reregisterJitter = 20 * time.Second
+	// restoreInterval is between two writes of one instance.
+	restoreInterval = 20 * time.Millisecond
+	// writeRetention is how long, and mostOwnWrites how many, changes by operators through this
 	// instance are kept in mind: a copy of the store is some seconds old.
-	ownWrites     = time.Minute
-	mostOwnWrites = 256
-	// mostSuspects bounds the documents that are waiting to be compared with the store.
-	mostSuspects = 1024
+	writeRetention = time.Minute
+	maxOwnWrites   = 256
+	// maxSuspects bounds the documents that are waiting to be compared with the store.
+	maxSuspects = 1024
 )
 
 // restoration is what this instance knows of returns of the platform's store from copies. It is
@@ -43,20 +43,20 @@
 
 	roster   chan struct{} // tells that the roster is to be read
 	register chan struct{} // tells that this instance is to be registered
-	lost     chan string   // paths of documents that the store may have lost
+	suspects chan string   // paths of documents that the store may have lost
 }
 
 func newRestoration() *restoration {
 	return &restoration{
 		written: make(map[string]time.Time),
-		roster:  make(chan struct{}, 1), register: make(chan struct{}, 1), lost: make(chan string, mostSuspects),
+		roster:  make(chan struct{}, 1), register: make(chan struct{}, 1), suspects: make(chan string, maxSuspects),
 	}
 }
 
-// note notes that the store is in an epoch. ago is how long ago a peer noticed that, below 0 if
+// observe notes that the store is in an epoch. ago is how long ago a peer noticed that, below 0 if
 // nobody says so. It returns the changes through this instance that the store may have lost, if
 // this instance has seen it come back.
-func (r *restoration) note(now time.Time, epoch uint64, ago time.Duration) (restored bool, suspects []string) {
+func (r *restoration) observe(now time.Time, epoch uint64, ago time.Duration) (restored bool, suspects []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	restored = r.epoch != 0 && epoch > r.epoch
@@ -64,7 +64,7 @@
 		return false, nil
 	}
 	if restored || ago >= 0 && epoch > 0 {
-		r.until = later(r.until, now.Add(restoreTime-max(ago, 0)))
+		r.until = later(r.until, now.Add(restoreWindow-max(ago, 0)))
 	}
 	r.epoch = epoch
 	if !restored {
@@ -85,38 +85,38 @@
 	return now.Before(r.until)
 }
 
-// noticed is how long ago the return of the store was noticed; false if that was long ago, or
+// sinceRestore is how long ago the return of the store was sinceRestore; false if that was long ago, or
 // never.
-func (r *restoration) noticed(now time.Time) (time.Duration, bool) {
+func (r *restoration) sinceRestore(now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ago := restoreTime - r.until.Sub(now)
+	ago := restoreWindow - r.until.Sub(now)
 	return max(ago, 0), now.Before(r.until)
 }
 
-// wrote notes a change through this instance.
-func (r *restoration) wrote(now time.Time, path string) {
+// recordWrite notes a change through this instance.
+func (r *restoration) recordWrite(now time.Time, path string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for old, until := range r.written {
-		if !now.Before(until) || len(r.written) >= mostOwnWrites {
+		if !now.Before(until) || len(r.written) >= maxOwnWrites {
 			delete(r.written, old)
 		}
 	}
-	r.written[path] = now.Add(ownWrites)
+	r.written[path] = now.Add(writeRetention)
 }
 
-// suspect has documents compared with the store.
-func (r *restoration) suspect(paths ...string) {
+// queueCheck has documents compared with the store.
+func (r *restoration) queueCheck(paths ...string) {
 	for _, path := range paths {
 		select {
-		case r.lost <- path:
+		case r.suspects <- path:
 		default: // what is too much is left to others that hold it
 		}
 	}
 }
 
-func tell(c chan struct{}) {
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -130,32 +130,32 @@
 	return b
 }
 
-// reached notes that the platform's store is in the epoch of an answer.
-func (in *Instance) reached(at platform.Revision) { in.noteEpoch(at.Epoch(), -1) }
+// observeRevision notes that the platform's store is in the epoch of an answer.
+func (in *Instance) observeRevision(at platform.Revision) { in.observeEpoch(at.Epoch(), -1) }
 
-// noteEpoch notes that the platform's store is in an epoch, as a peer noticed so long ago; below
+// observeEpoch notes that the platform's store is in an epoch, as a peer noticed so long ago; below
 // 0 if nobody says so.
-func (in *Instance) noteEpoch(epoch uint64, ago time.Duration) {
-	restored, suspects := in.restoration.note(in.now(), epoch, ago)
+func (in *Instance) observeEpoch(epoch uint64, ago time.Duration) {
+	restored, suspects := in.restoration.observe(in.now(), epoch, ago)
 	if !restored {
 		return
 	}
 	in.logRestored(epoch)
-	in.restoration.suspect(suspects...)
-	tell(in.restoration.roster)
-	tell(in.restoration.register)
+	in.restoration.queueCheck(suspects...)
+	signal(in.restoration.roster)
+	signal(in.restoration.register)
 }
 
-// compare has the documents written again that a store which came back from a copy doesn't have,
+// queueMissing has the documents written again that a store which came back from a copy doesn't have,
 // by all that it has.
-func (in *Instance) compare(entries []docstore.Entry) {
+func (in *Instance) queueMissing(entries []docstore.Entry) {
 	stored := make(map[string]uint64, len(entries))
 	for _, e := range entries {
 		stored[e.Path] = e.Version
 	}
 	for _, doc := range in.docs.Documents() {
 		if doc.Version > stored[doc.Path] {
-			in.restoration.suspect(doc.Path)
+			in.restoration.queueCheck(doc.Path)
 		}
 	}
 }
@@ -166,8 +166,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case path := <-in.restoration.lost:
-			sleep(ctx, rand.N(restoreSpread))
+		case path := <-in.restoration.suspects:
+			sleep(ctx, rand.N(restoreJitter))
 			in.restoreAll(ctx, path)
 		}
 	}
@@ -179,12 +179,12 @@
 	for more := true; more && ctx.Err() == nil; {
 		if err := in.restoreDocument(ctx, path); err != nil {
 			in.platformFailed("restore", err)
-			in.restoration.suspect(path)
+			in.restoration.queueCheck(path)
 			b.wait(ctx)
 		}
-		sleep(ctx, restorePause)
+		sleep(ctx, restoreInterval)
 		select {
-		case path = <-in.restoration.lost:
+		case path = <-in.restoration.suspects:
 		default:
 			more = false
 		}
@@ -227,23 +227,23 @@
 	return r
 }
 
-// suspectNews has documents that came from peers compared with the store while it is written
+// checkReceived has documents that came from peers compared with the store while it is written
 // again: whoever wrote them may have ended.
-func (in *Instance) suspectNews(paths []string) {
+func (in *Instance) checkReceived(paths []string) {
 	if in.restoration.restoring(in.now()) && in.isWatcher() {
-		in.restoration.suspect(paths...)
+		in.restoration.queueCheck(paths...)
 	}
 }
 
 // setRestored tells peers how long ago the return of the store was noticed here.
 func (in *Instance) setRestored(p *wire.Packet) {
-	if ago, ok := in.restoration.noticed(in.now()); ok {
+	if ago, ok := in.restoration.sinceRestore(in.now()); ok {
 		p.Restored = uint32(ago/time.Millisecond) + 1
 	}
 }
 
-// heardEpoch takes in what a peer knows of the platform's store.
-func (in *Instance) heardEpoch(p *wire.Packet) {
+// receiveEpoch takes in what a peer knows of the platform's store.
+func (in *Instance) receiveEpoch(p *wire.Packet) {
 	if p.Epoch == 0 {
 		return // an instance of an earlier version, or one that knows nothing yet
 	}
@@ -251,7 +251,7 @@
 	if p.Restored > 0 {
 		ago = time.Duration(p.Restored-1) * time.Millisecond
 	}
-	in.noteEpoch(p.Epoch, ago)
+	in.observeEpoch(p.Epoch, ago)
 }
 
 // RestoringError says that the platform's store has come back from a copy, and that what it has
--- a/internal/instance/restore_test.go
+++ b/internal/instance/restore_test.go
@@ -12,18 +12,18 @@
 )
 
 // restore lets the platform's store be away for some seconds and come back from a copy.
-func (w *world) restore(c *store.Copy) {
+func (w *simulation) restore(snapshot *store.Copy) {
 	const outage = 3 * time.Second
 	w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(outage)})
 	time.Sleep(outage - time.Millisecond)
-	w.kv.GoBack(c)
+	w.kv.GoBack(snapshot)
 	time.Sleep(time.Millisecond)
 }
 
 // inForce says whether a version of a document is in force at all instances.
-func (w *world) inForce(path string, version uint64) func() bool {
+func (w *simulation) inForce(path string, version uint64) func() bool {
 	return func() bool {
-		return !slices.ContainsFunc(w.all(), func(s seat) bool {
+		return !slices.ContainsFunc(w.all(), func(s nodeConfig) bool {
 			in := w.running[s.id]
 			return in != nil && in.snapshot().Version(path) != version
 		})
@@ -33,18 +33,18 @@
 // Documents that the store has lost are written again, at their versions; what was in force
 // stays so, and changes go on from there.
 func TestDocumentsLostByRestore(t *testing.T) {
-	inWorld(t, 2, 1, 4, func(w *world) {
-		w.up()
+	runSimulation(t, 2, 1, 4, func(w *simulation) {
+		w.startAll()
 		const place, drain = "/places/d0-p0", "/drains/x"
-		c := w.kv.Copy()
+		snapshot := w.kv.Copy()
 		w.put(place, 1, "region: r0\ndomain: d0\nlimit: 50\n")
 		w.put(place, 2, "region: r0\ndomain: d0\nlimit: 60\n")
 		w.put(drain, 0, "place: d1-p0\nreason: works\n")
-		w.within(5*time.Second, "changes in force", func() bool { return w.inForce(place, 3)() && w.inForce(drain, 1)() })
-		w.taken(w.all())
+		w.waitFor(5*time.Second, "changes in force", func() bool { return w.inForce(place, 3)() && w.inForce(drain, 1)() })
+		w.takeCalls(w.all())
 		w.checked[0], w.checked[1] = w.storeCalls()
-		w.restore(c)
-		took := w.within(10*time.Second, "documents written again", func() bool {
+		w.restore(snapshot)
+		took := w.waitFor(10*time.Second, "documents written again", func() bool {
 			one, err := w.kv.Get(context.Background(), place)
 			two, fault := w.kv.Get(context.Background(), drain)
 			return err == nil && fault == nil && one.Version == 3 && two.Version == 1
@@ -54,10 +54,10 @@
 			t.Error("got an older version in force after the restore")
 		}
 		w.put(place, 3, "region: r0\ndomain: d0\nlimit: 55\n")
-		w.within(10*time.Second, "the next change in force", w.inForce(place, 4))
-		time.Sleep(registerSoon)
-		calls := w.taken(w.all())
-		w.report("after a restore", w.all(), registerSoon, calls)
+		w.waitFor(10*time.Second, "the next change in force", w.inForce(place, 4))
+		time.Sleep(reregisterJitter)
+		calls := w.takeCalls(w.all())
+		w.report("after a restore", w.all(), reregisterJitter, calls)
 		n, watching := float64(len(w.all())), 2.0*watchers
 		delete(calls, "watch") // those of the outage, too
 		w.atMost(calls, map[string]float64{"restore": 3 * watching, "register": 2 * n, "get": 3 * n, "instances": n, "list": 0})
@@ -71,13 +71,13 @@
 // A change by an operator while documents are written again is made over what was confirmed, or
 // refused.
 func TestChangeAfterRestore(t *testing.T) {
-	inWorld(t, 1, 1, 3, func(w *world) {
-		w.up()
+	runSimulation(t, 1, 1, 3, func(w *simulation) {
+		w.startAll()
 		const place = "/places/d0-p0"
-		c := w.kv.Copy()
+		snapshot := w.kv.Copy()
 		w.put(place, 1, "region: r0\ndomain: d0\nlimit: 50\n")
-		w.within(5*time.Second, "the change in force", w.inForce(place, 2))
-		w.kv.GoBack(c)
+		w.waitFor(5*time.Second, "the change in force", w.inForce(place, 2))
+		w.kv.GoBack(snapshot)
 		for _, s := range w.all() {
 			in := w.running[s.id]
 			e, err := in.operatorStore().Get(context.Background(), place)
@@ -93,82 +93,82 @@
 				t.Errorf("%s: got a change over version 1 accepted, which 2 had replaced", s.id)
 			}
 		}
-		w.within(20*time.Second, "a change over version 2", func() bool {
-			_, err := docstore.PutDocument(context.Background(), w.running[w.seats[0].id].operatorStore(), place, 2, []byte("region: r0\ndomain: d0\nlimit: 45\n"), "next")
+		w.waitFor(20*time.Second, "a change over version 2", func() bool {
+			_, err := docstore.PutDocument(context.Background(), w.running[w.nodes[0].id].operatorStore(), place, 2, []byte("region: r0\ndomain: d0\nlimit: 45\n"), "next")
 			return err == nil
 		})
-		w.within(10*time.Second, "it in force", w.inForce(place, 3))
+		w.waitFor(10*time.Second, "it in force", w.inForce(place, 3))
 	})
 }
 
 // A roster that the store has lost is written again, so that instances join and leave as before.
 func TestRosterLostByRestore(t *testing.T) {
-	inWorld(t, 1, 1, 4, func(w *world) {
-		w.up()
-		c := w.kv.Copy()
-		first, last := w.seats[:1], w.seats[3:]
+	runSimulation(t, 1, 1, 4, func(w *simulation) {
+		w.startAll()
+		snapshot := w.kv.Copy()
+		first, last := w.nodes[:1], w.nodes[3:]
 		w.kill(first)
 		w.start(first)
-		w.within(time.Minute, "a restart in the roster", w.clean(w.all()))
+		w.waitFor(time.Minute, "a restart in the roster", w.rostersCurrent(w.all()))
 		w.kill(last)
 		time.Sleep(20 * time.Second)
-		version := w.running[w.seats[1].id].roster().Version
-		w.taken(w.all())
-		w.restore(c)
-		took := w.within(15*time.Second, "the roster written again", func() bool {
+		version := w.running[w.nodes[1].id].roster().Version
+		w.takeCalls(w.all())
+		w.restore(snapshot)
+		took := w.waitFor(15*time.Second, "the roster written again", func() bool {
 			e, err := w.kv.Get(context.Background(), rosterRoot+"d0-p0")
 			return err == nil && e.Version >= version
 		})
 		t.Logf("written again after %s", took)
-		w.atMost(map[string]int{"restore": w.taken(w.all())["restore"]}, map[string]float64{"restore": 3})
+		w.atMost(map[string]int{"restore": w.takeCalls(w.all())["restore"]}, map[string]float64{"restore": 3})
 		w.start(last)
-		w.within(2*time.Minute, "rosters clean", w.clean(w.all()))
-		w.within(time.Minute, "targets", w.whole(w.all()))
+		w.waitFor(2*time.Minute, "rosters clean", w.rostersCurrent(w.all()))
+		w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
 	})
 }
 
 // An instance that starts while the roster is written again takes no target that is another's.
 func TestStartAfterRestore(t *testing.T) {
-	inWorld(t, 1, 1, 4, func(w *world) {
-		w.up()
-		last := w.seats[3:]
+	runSimulation(t, 1, 1, 4, func(w *simulation) {
+		w.startAll()
+		last := w.nodes[3:]
 		w.kill(last)
 		time.Sleep(20 * time.Second)
-		c := w.kv.Copy()
+		snapshot := w.kv.Copy()
 		w.start(last)
-		w.within(time.Minute, "all in the roster", w.clean(w.all()))
-		w.kill(w.seats[2:3])
-		w.kv.GoBack(c)
-		w.start(w.seats[2:3])
+		w.waitFor(time.Minute, "all in the roster", w.rostersCurrent(w.all()))
+		w.kill(w.nodes[2:3])
+		w.kv.GoBack(snapshot)
+		w.start(w.nodes[2:3])
 		for range 300 {
 			time.Sleep(100 * time.Millisecond)
-			if got, most := w.usable(w.all()), w.limit(w.all()); got > most {
+			if got, most := w.usableSlots(w.all()), w.limit(w.all()); got > most {
 				t.Fatalf("got %d slots usable, want %d at most", got, most)
 			}
 		}
-		w.within(2*time.Minute, "rosters clean", w.clean(w.all()))
-		w.within(time.Minute, "targets", w.whole(w.all()))
+		w.waitFor(2*time.Minute, "rosters clean", w.rostersCurrent(w.all()))
+		w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
 	})
 }
 
 // The list of instances proves no end while lines that the store has lost are not back.
 func TestListAfterRestore(t *testing.T) {
-	inWorld(t, 1, 1, 3, func(w *world) {
-		w.up()
-		c := w.kv.Copy()
-		late := w.seats[2:]
+	runSimulation(t, 1, 1, 3, func(w *simulation) {
+		w.startAll()
+		snapshot := w.kv.Copy()
+		late := w.nodes[2:]
 		w.kill(late)
 		w.start(late)
-		w.within(time.Minute, "all in the roster", w.clean(w.all()))
-		w.within(time.Minute, "the list names the restart", func() bool { return w.listed(late[0].id) == w.running[late[0].id].incarnation })
-		w.restore(c)
-		took := w.within(30*time.Second, "the list names it again", func() bool { return w.listed(late[0].id) == w.running[late[0].id].incarnation })
+		w.waitFor(time.Minute, "all in the roster", w.rostersCurrent(w.all()))
+		w.waitFor(time.Minute, "the list names the restart", func() bool { return w.listed(late[0].id) == w.running[late[0].id].incarnation })
+		w.restore(snapshot)
+		took := w.waitFor(30*time.Second, "the list names it again", func() bool { return w.listed(late[0].id) == w.running[late[0].id].incarnation })
 		t.Logf("listed again after %s", took)
 	})
 }
 
 // listed is the incarnation of an instance in the platform's list; 0 if it is not there.
-func (w *world) listed(id string) uint64 {
+func (w *simulation) listed(id string) uint64 {
 	list, _, err := w.kv.Instances(context.Background())
 	var busy *docstore.BusyError
 	if err != nil && !errors.As(err, &busy) {
--- a/internal/instance/rooms_test.go
+++ b/internal/instance/rooms_test.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-func TestRoomsTold(t *testing.T) {
+func TestCapacityRotation(t *testing.T) {
 	tests := map[string]struct {
 		services int
 		changing bool
@@ -16,30 +16,30 @@
 	}{
 		"few":            {services: 2, changing: true, rounds: 1},
 		"many, changing": {services: 30, changing: true, rounds: 15},
-		"many, at rest":  {services: 30, rounds: 15 + 30*roomTurn},
+		"many, at rest":  {services: 30, rounds: 15 + 30*unchangedEvery},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			var told toldRooms
+			var rotation capacityRotation
 			last := map[settings.ServiceID]int{}
-			rooms := make([]core.Room, tt.services)
+			capacities := make([]core.Room, tt.services)
 			for round := range 200 {
-				for i := range rooms {
-					rooms[i] = core.Room{Service: settings.ServiceID{Team: "t", Name: fmt.Sprintf("s%02d", i)}}
+				for i := range capacities {
+					capacities[i] = core.Room{Service: settings.ServiceID{Team: "t", Name: fmt.Sprintf("s%02d", i)}}
 					if tt.changing {
-						rooms[i].Free = round
+						capacities[i].Free = round
 					}
 				}
-				picked := told.pick(rooms)
-				if len(picked) > roomChanged+1 {
-					t.Fatalf("got %d rooms in one packet, want at most %d", len(picked), roomChanged+1)
+				picked := rotation.pick(capacities)
+				if len(picked) > maxChanged+1 {
+					t.Fatalf("got %d rooms in one packet, want at most %d", len(picked), maxChanged+1)
 				}
 				for _, r := range picked {
 					last[r.Service] = round
 				}
-				for i := range rooms {
-					if at, ok := last[rooms[i].Service]; round >= tt.rounds && (!ok || round-at > tt.rounds) {
-						t.Fatalf("got %v last told in round %d by round %d, want within %d", rooms[i].Service, at, round, tt.rounds)
+				for i := range capacities {
+					if at, ok := last[capacities[i].Service]; round >= tt.rounds && (!ok || round-at > tt.rounds) {
+						t.Fatalf("got %v last told in round %d by round %d, want within %d", capacities[i].Service, at, round, tt.rounds)
 					}
 				}
 			}
--- a/internal/instance/roster.go
+++ b/internal/instance/roster.go
@@ -15,41 +15,41 @@
 // How often the platform's copy of the roster is read; half of each wait is
 // drawn anew each time.
 const (
-	rosterSoon   = 900 * time.Millisecond // while peers' acks do not confirm this instance's rights
-	rosterSlow   = 30 * time.Second       // while they do
-	rosterRetry  = 5 * time.Second        // after failures, while they do not
-	confirmAhead = time.Second            // so much before the rights lapse, the platform is asked
-	rosterTick   = 100 * time.Millisecond
-	rosterFirst  = 2 * time.Second // from the start to the first reading, with peers to ask: those that start together would write over each other
+	rosterUnconfirmed = 900 * time.Millisecond // while peers' acks do not confirm this instance's rights
+	rosterConfirmed   = 30 * time.Second       // while they do
+	rosterRetry       = 5 * time.Second        // after failures, while they do not
+	confirmMargin     = time.Second            // so much before the rights lapse, the platform is asked
+	rosterTick        = 100 * time.Millisecond
+	rosterFirst       = 2 * time.Second // from the start to the first reading, with peers to ask: those that start together would write over each other
 )
 
-// tendRoster reads the place's roster when the rights that it gives need it, and
+// maintainRoster reads the place's roster when the rights that it gives need it, and
 // carries out the changes that the node asks for.
-func (in *Instance) tendRoster(ctx context.Context) {
+func (in *Instance) maintainRoster(ctx context.Context) {
 	if len(in.cfg.Join) > 0 {
 		sleep(ctx, rand.N(rosterFirst))
 	}
 	var read time.Time // when the roster was last read; zero asks for it at once
-	failed, share := false, 1.0
+	failed, factor := false, 1.0
 	tick := time.NewTicker(rosterTick)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-in.swaps:
+		case d := <-in.rosterSwaps:
 			in.swapRoster(ctx, d)
 			read = time.Time{}
-		case p := <-in.ahead:
+		case p := <-in.newerRosterPeers:
 			if !in.pullRoster(ctx, p) {
 				read = time.Time{}
 			}
 		case <-in.restoration.roster:
-			sleep(ctx, rand.N(restoreTime))
+			sleep(ctx, rand.N(restoreWindow))
 			read = time.Time{}
 		case <-tick.C:
 		}
-		wait := time.Duration(share * float64(in.rosterWait(failed)))
+		wait := time.Duration(factor * float64(in.rosterWait(failed)))
 		if in.now().Before(read.Add(wait)) {
 			continue
 		}
@@ -57,7 +57,7 @@
 		if failed = err != nil; failed {
 			in.platformFailed("roster", err)
 		}
-		read, share = in.now(), 0.5+rand.Float64()/2
+		read, factor = in.now(), 0.5+rand.Float64()/2
 	}
 }
 
@@ -66,22 +66,22 @@
 func (in *Instance) rosterWait(failed bool) time.Duration {
 	switch {
 	case in.confirmed():
-		return rosterSlow
+		return rosterConfirmed
 	case failed:
 		return rosterRetry
 	}
-	return rosterSoon
+	return rosterUnconfirmed
 }
 
-// heardRoster notes that a peer of the place has a newer roster.
-func (in *Instance) heardRoster(version uint64, peer docstore.Instance) {
+// noteNewerRoster notes that a peer of the place has a newer roster.
+func (in *Instance) noteNewerRoster(version uint64, peer docstore.Instance) {
 	var held uint64
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { held = n.Roster().Version })
 	if version <= held {
 		return
 	}
 	select {
-	case in.ahead <- peer:
+	case in.newerRosterPeers <- peer:
 	default: // one is being asked already
 	}
 }
@@ -118,7 +118,7 @@
 // confirmed says whether the rights are confirmed, and will be for a while.
 func (in *Instance) confirmed() bool {
 	var ok bool
-	in.dispatcher.Read(func(now time.Time, n *core.Node) { ok = n.Confirmed(now.Add(confirmAhead)) })
+	in.dispatcher.Read(func(now time.Time, n *core.Node) { ok = n.Confirmed(now.Add(confirmMargin)) })
 	return ok
 }
 
@@ -163,7 +163,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	_, err = in.cfg.Store.Swap(ctx, rosterRoot+in.cfg.Place, d.Next.Version-1, value)
-	in.logSwap(d, err)
+	in.logRosterSwap(d, err)
 	var uncertain *docstore.UncertainError
 	if err == nil || errors.As(err, &uncertain) || d.Removed == "" {
 		return
--- a/internal/instance/silent_test.go
+++ b/internal/instance/silent_test.go
@@ -19,7 +19,7 @@
 	}
 	for name, address := range listeners {
 		t.Run(name, func(t *testing.T) {
-			inWorld(t, 1, 1, 1, func(w *world) {
+			runSimulation(t, 1, 1, 1, func(w *simulation) {
 				w.start(w.all())
 				in := w.running[w.all()[0].id]
 				dial := func() net.Conn {
--- a/internal/instance/start.go
+++ b/internal/instance/start.go
@@ -13,27 +13,27 @@
 
 // How an instance gets all documents at its start.
 const (
-	aloneWait   = time.Second            // the longest that an instance waits for peers if it was given none
-	watcherWait = 4 * time.Second        // the longest that a watcher of the domain waits for a peer's answer
-	othersWait  = 20 * time.Second       // the longest that the others wait
-	askEvery    = 250 * time.Millisecond // the longest between two rounds of questions to peers
-	askPeers    = 3                      // peers asked in one round
-	listTimeout = 15 * time.Second       // of one reading of all documents
+	noPeersWait    = time.Second            // the longest that an instance waits for peers if it was given none
+	watcherWait    = 4 * time.Second        // the longest that a watcher of the domain waits for a peer's answer
+	nonWatcherWait = 20 * time.Second       // the longest that the others wait
+	pullInterval   = 250 * time.Millisecond // the longest between two rounds of questions to peers
+	pullPeers      = 3                      // peers asked in one round
+	listTimeout    = 15 * time.Second       // of one reading of all documents
 )
 
-// begin gets all documents from peers, or from the platform if no peer has
+// loadDocuments gets all documents from peers, or from the platform if no peer has
 // given them by a deadline: an early one for the domain's watchers, a late one
 // for the others. The deadlines differ between instances that start together.
-func (in *Instance) begin(ctx context.Context) {
+func (in *Instance) loadDocuments(ctx context.Context) {
 	var b backoff
 	start := in.now()
-	watcherDue := start.Add(jittered(in.firstWait()))
-	othersDue := start.Add(jittered(othersWait))
+	watcherDue := start.Add(jittered(in.discoveryWait()))
+	othersDue := start.Add(jittered(nonWatcherWait))
 	for ctx.Err() == nil && !in.complete() {
-		in.ask(ctx)
+		in.pullFromPeers(ctx)
 		now := in.now()
 		if in.complete() || now.Before(watcherDue) || now.Before(othersDue) && !in.isWatcher() {
-			sleep(ctx, jittered(askEvery))
+			sleep(ctx, jittered(pullInterval))
 			continue
 		}
 		if err := in.readAll(ctx); err != nil {
@@ -44,30 +44,30 @@
 	}
 }
 
-// firstWait is how long it may take at most to hear of peers: before that every
+// discoveryWait is how long it may take at most to hear of peers: before that every
 // instance takes itself for a watcher.
-func (in *Instance) firstWait() time.Duration {
+func (in *Instance) discoveryWait() time.Duration {
 	if len(in.cfg.Join) == 0 {
-		return aloneWait
+		return noPeersWait
 	}
 	return watcherWait
 }
 
 func (in *Instance) complete() bool {
-	_, complete := in.docs.Mark()
+	_, complete := in.docs.Progress()
 	return !complete.IsZero()
 }
 
-// ask asks a few peers in random order for all documents, until one has them.
-func (in *Instance) ask(ctx context.Context) {
-	addresses := in.candidates()
-	for _, a := range addresses[:min(len(addresses), askPeers)] {
+// pullFromPeers asks a few peers in random order for all documents, until one has them.
+func (in *Instance) pullFromPeers(ctx context.Context) {
+	addresses := in.candidateAddresses()
+	for _, a := range addresses[:min(len(addresses), pullPeers)] {
 		if in.complete() || ctx.Err() != nil {
 			return
 		}
 		err := in.pull(ctx, a)
 		if err == nil {
-			err = in.meet(ctx, a)
+			err = in.fetchMembers(ctx, a)
 		}
 		if err != nil && in.cfg.Log != nil {
 			in.cfg.Log.Debug("peer gave no documents", "address", a, "err", err)
@@ -75,9 +75,9 @@
 	}
 }
 
-// meet learns of the instances that a peer knows. The platform's list lags, and
+// fetchMembers learns of the instances that a peer knows. The platform's list lags, and
 // chance pings between places take their time.
-func (in *Instance) meet(ctx context.Context, address string) error {
+func (in *Instance) fetchMembers(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	resp, err := in.peerClient(address).Status(ctx, &wire.StatusRequest{})
@@ -91,12 +91,12 @@
 			Place: m.Place, Domain: m.Domain, Region: m.Region, Leaving: m.Leaving,
 		})
 	}
-	in.members.Learn(list)
+	in.members.AddListed(list)
 	return nil
 }
 
-// acquaintances are this instance and those that it knows to live.
-func (in *Instance) acquaintances() []*wire.News {
+// liveInstances are this instance and those that it knows to live.
+func (in *Instance) liveInstances() []*wire.News {
 	var news []*wire.News
 	for _, p := range in.fleet(context.Background()) {
 		news = append(news, &wire.News{
@@ -107,9 +107,9 @@
 	return news
 }
 
-// candidates are the addresses of peers that may have the documents, in random
+// candidateAddresses are the addresses of peers that may have the documents, in random
 // order: those given at the start, and those heard of since.
-func (in *Instance) candidates() []string {
+func (in *Instance) candidateAddresses() []string {
 	known := make(map[string]bool)
 	var list []string
 	add := func(address string) {
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	in.takeEntries(entries)
+	in.applyEntries(entries)
 	in.docs.Complete(platform.Later(revision, platform.NewRevision(0, 1))) // also of a store that is empty
 	return nil
 }
--- a/internal/instance/status.go
+++ b/internal/instance/status.go
@@ -8,14 +8,14 @@
 	"github.com/firlever/firlever/internal/metrics"
 )
 
-// showEvery is how often the gauges are set.
-const showEvery = time.Second
+// gaugeInterval is how often the gauges are set.
+const gaugeInterval = time.Second
 
-// show keeps the gauges up to date.
-func (in *Instance) show(ctx context.Context) {
+// publishGauges keeps the gauges up to date.
+func (in *Instance) publishGauges(ctx context.Context) {
 	for ctx.Err() == nil {
 		in.cfg.Metrics.Show(in.gauges())
-		sleep(ctx, showEvery)
+		sleep(ctx, gaugeInterval)
 	}
 }
 
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -8,8 +8,8 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// stopTick is how often a planned stop looks whether it is done.
-const stopTick = 20 * time.Millisecond
+// stopPollInterval is how often a planned stop looks whether it is done.
+const stopPollInterval = 20 * time.Millisecond
 
 // Stop is a planned stop. Peers and look-ups stop naming this instance, it goes
 // on serving callers until their cached look-ups have run out, finishes what is
@@ -36,11 +36,11 @@
 	ctx, cancel := context.WithTimeout(ctx, in.cfg.Linger)
 	defer cancel()
 	for ctx.Err() == nil {
-		sleep(ctx, stopTick)
-		until, known := in.members.lastNamed()
-		var own time.Time
-		in.dispatcher.Read(func(_ time.Time, n *core.Node) { own, _ = n.Named(in.cfg.ID) })
-		if now := in.now(); known && !now.Before(until) && !now.Before(own) {
+		sleep(ctx, stopPollInterval)
+		until, known := in.members.lastLookupExpiry()
+		var ownExpiry time.Time
+		in.dispatcher.Read(func(_ time.Time, n *core.Node) { ownExpiry, _ = n.Named(in.cfg.ID) })
+		if now := in.now(); known && !now.Before(until) && !now.Before(ownExpiry) {
 			return
 		}
 	}
@@ -49,7 +49,7 @@
 // waitIdle waits until no request is left inside. It returns how many were
 // left when ctx ended.
 func (in *Instance) waitIdle(ctx context.Context) int {
-	t := time.NewTicker(stopTick)
+	t := time.NewTicker(stopPollInterval)
 	defer t.Stop()
 	for {
 		open, idle := in.open()
--- a/internal/instance/stores.go
+++ b/internal/instance/stores.go
@@ -13,27 +13,27 @@
 // epochStore notes the epochs that a store's answers are of.
 type epochStore struct {
 	docstore.Store
-	reached func(at platform.Revision)
+	observe func(at platform.Revision)
 }
 
 // Get reads one path.
 func (s *epochStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
 	e, err := s.Store.Get(ctx, path)
-	s.reached(e.Revision)
+	s.observe(e.Revision)
 	return e, err
 }
 
 // List reads every entry under a prefix.
 func (s *epochStore) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.List(ctx, prefix)
-	s.reached(at)
+	s.observe(at)
 	return entries, at, err
 }
 
 // Swap writes value if the path still has the given version.
 func (s *epochStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	e, err := s.Store.Swap(ctx, path, version, value)
-	s.reached(e.Revision)
+	s.observe(e.Revision)
 	return e, err
 }
 
@@ -41,7 +41,7 @@
 func (s *epochStore) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.Watch(ctx, prefix, after, wait)
 	if err == nil {
-		s.reached(at)
+		s.observe(at)
 	}
 	return entries, at, err
 }
@@ -49,7 +49,7 @@
 // Instances reads the list of instances.
 func (s *epochStore) Instances(ctx context.Context) ([]docstore.Instance, platform.Revision, error) {
 	list, at, err := s.Store.Instances(ctx)
-	s.reached(at)
+	s.observe(at)
 	return list, at, err
 }
 
@@ -123,7 +123,7 @@
 	}
 	e, err := s.Store.Swap(ctx, path, version, value)
 	if err == nil {
-		s.in.restoration.wrote(s.in.now(), path)
+		s.in.restoration.recordWrite(s.in.now(), path)
 	}
 	return e, err
 }
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -26,10 +26,10 @@
 	maxPaths    = 1024             // paths in one question
 )
 
-// differs notes that a peer's documents differ from ours.
-func (in *Instance) differs(peer docstore.Instance) {
+// markDiverged notes that a peer's documents differ from ours.
+func (in *Instance) markDiverged(peer docstore.Instance) {
 	select {
-	case in.unequal <- peer:
+	case in.divergedPeers <- peer:
 	default: // one is being asked already; a later packet tells again
 	}
 }
@@ -40,7 +40,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-in.unequal:
+		case p := <-in.divergedPeers:
 			if err := in.pull(ctx, p.Address); err != nil && in.cfg.Log != nil {
 				in.cfg.Log.Debug("sync failed", "instance", p.ID, "err", err)
 			}
@@ -62,14 +62,14 @@
 	if err != nil {
 		return err
 	}
-	there := platform.NewRevision(digest.Epoch, digest.Complete)
-	if complete.IsZero() && there.IsZero() {
+	remote := platform.NewRevision(digest.Epoch, digest.Complete)
+	if complete.IsZero() && remote.IsZero() {
 		return nil
 	}
 	if err := in.fetch(ctx, client, in.missing(digest.Versions)); err != nil {
 		return err
 	}
-	in.docs.Complete(there)
+	in.docs.Complete(remote)
 	return nil
 }
 
@@ -82,18 +82,18 @@
 			return err
 		}
 		if len(resp.Documents) == 0 {
-			return &ShortError{Missing: len(missing)}
+			return &IncompleteFetchError{Missing: len(missing)}
 		}
-		in.takeDocuments(fromWire(resp.Documents))
+		in.applyDocuments(fromWire(resp.Documents))
 		missing = missing[min(len(resp.Documents), len(missing)):]
 	}
 	return nil
 }
 
-// ShortError says that a peer did not hand over documents that it had named.
-type ShortError struct{ Missing int }
+// IncompleteFetchError says that a peer did not hand over documents that it had named.
+type IncompleteFetchError struct{ Missing int }
 
-func (e *ShortError) Error() string {
+func (e *IncompleteFetchError) Error() string {
 	return fmt.Sprintf("instance: a peer kept back %d documents", e.Missing)
 }
 
@@ -111,11 +111,11 @@
 	return paths
 }
 
-// takeDocuments puts documents in force and tells a few peers of what is new.
-func (in *Instance) takeDocuments(docs []settings.Document) {
-	_, complete := in.docs.Mark()
+// applyDocuments puts documents in force and tells a few peers of what is new.
+func (in *Instance) applyDocuments(docs []settings.Document) {
+	_, complete := in.docs.Progress()
 	changed := in.docs.Apply(docs)
-	in.suspectNews(changed)
+	in.checkReceived(changed)
 	if len(changed) == 0 || complete.IsZero() {
 		return // before this instance is complete, what it learns is news to no one
 	}
@@ -125,7 +125,7 @@
 // push hands new documents to a few random peers. Those that miss it learn
 // from the next packet of the membership.
 func (in *Instance) push(paths []string) {
-	docs := in.named(paths, maxPush)
+	docs := in.documentsByPath(paths, maxPush)
 	if len(docs) == 0 {
 		return
 	}
@@ -140,8 +140,8 @@
 	}
 }
 
-// named gives the documents of these paths, up to about so many bytes.
-func (in *Instance) named(paths []string, most int) []*wire.Document {
+// documentsByPath gives the documents of these paths, up to about so many bytes.
+func (in *Instance) documentsByPath(paths []string, most int) []*wire.Document {
 	var docs []*wire.Document
 	size := 0
 	in.docs.Read(func(s *replica.Set, _ platform.Revision) {
@@ -206,7 +206,7 @@
 
 // Fetch reads documents by path, or the place's roster.
 func (s *peerServer) Fetch(_ context.Context, r *wire.FetchRequest) (*wire.FetchResponse, error) {
-	docs := s.in.named(r.Paths, maxFetch)
+	docs := s.in.documentsByPath(r.Paths, maxFetch)
 	if len(r.Paths) == 1 && r.Paths[0] == rosterRoot+s.in.cfg.Place {
 		if roster := s.in.ownRoster(); roster != nil {
 			docs = append(docs, roster)
@@ -217,13 +217,13 @@
 
 // Push takes documents in.
 func (s *peerServer) Push(_ context.Context, r *wire.PushRequest) (*wire.PushResponse, error) {
-	s.in.takeDocuments(fromWire(r.Documents))
+	s.in.applyDocuments(fromWire(r.Documents))
 	return &wire.PushResponse{Root: s.in.docs.Root()}, nil
 }
 
 // Status tells what is in force here.
 func (s *peerServer) Status(_ context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
-	resp := &wire.StatusResponse{Id: s.in.cfg.ID, Incarnation: s.in.incarnation, Root: s.in.docs.Root(), Members: s.in.acquaintances()}
+	resp := &wire.StatusResponse{Id: s.in.cfg.ID, Incarnation: s.in.incarnation, Root: s.in.docs.Root(), Members: s.in.liveInstances()}
 	for _, d := range s.in.docs.Documents() {
 		resp.Versions = append(resp.Versions, &wire.Version{Path: d.Path, Version: d.Version})
 	}
@@ -232,11 +232,11 @@
 
 // isWatcher says whether this instance watches the platform for its domain.
 func (in *Instance) isWatcher() bool {
-	return replica.Watchers(in.ofDomain(), in.cfg.ID, watchers)
+	return replica.Watchers(in.domainPeers(), in.cfg.ID, watchers)
 }
 
-// ofDomain names the other live instances of the domain.
-func (in *Instance) ofDomain() []string {
+// domainPeers names the other live instances of the domain.
+func (in *Instance) domainPeers() []string {
 	var ids []string
 	for _, m := range in.members.Members() {
 		if m.Domain == in.cfg.Domain && m.State.String() == "alive" {
--- a/internal/instance/watch.go
+++ b/internal/instance/watch.go
@@ -16,8 +16,8 @@
 const (
 	watchWait    = 20 * time.Second // of one waiting watch
 	callTimeout  = 2 * time.Second  // of any other call
-	backoffLow   = 200 * time.Millisecond
-	backoffHigh  = 10 * time.Second
+	backoffMin   = 200 * time.Millisecond
+	backoffMax   = 10 * time.Second
 	watcherCheck = time.Second            // by those that are no watchers
 	watchPause   = 600 * time.Millisecond // after changes, so that a row of them does not cost a call each
 	watchers     = 2                      // instances of a domain that watch the platform; the others ask peers
@@ -34,7 +34,7 @@
 
 // step is the next wait.
 func (b *backoff) step() time.Duration {
-	b.next = min(max(b.next*2, backoffLow), backoffHigh)
+	b.next = min(max(b.next*2, backoffMin), backoffMax)
 	return jittered(b.next)
 }
 
@@ -54,9 +54,9 @@
 // waiting watch if this instance is one of its domain's watchers, else it
 // leaves that to them.
 func (in *Instance) watch(ctx context.Context) {
-	settled := in.now().Add(jittered(in.firstWait()))
-	in.begin(ctx)
-	sleep(ctx, settled.Sub(in.now()))
+	discovered := in.now().Add(jittered(in.discoveryWait()))
+	in.loadDocuments(ctx)
+	sleep(ctx, discovered.Sub(in.now()))
 	var b backoff
 	for ctx.Err() == nil {
 		if !in.isWatcher() {
@@ -80,37 +80,37 @@
 func (in *Instance) watchOnce(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
-	_, after := in.docs.Mark()
+	_, after := in.docs.Progress()
 	entries, next, err := in.cfg.Store.Watch(ctx, "/", after, watchWait)
 	if err != nil {
 		return false, err
 	}
 	if !after.IsZero() && next.Epoch() > after.Epoch() {
-		in.compare(entries)
+		in.queueMissing(entries)
 	}
-	in.takeEntries(entries)
+	in.applyEntries(entries)
 	in.docs.Complete(next)
 	return len(entries) > 0, nil
 }
 
-// takeEntries sorts entries of the platform into documents and rosters.
-func (in *Instance) takeEntries(entries []docstore.Entry) {
+// applyEntries sorts entries of the platform into documents and rosters.
+func (in *Instance) applyEntries(entries []docstore.Entry) {
 	var docs []settings.Document
 	for _, e := range entries {
 		if strings.HasPrefix(e.Path, rosterRoot) {
-			in.takeRoster(e)
+			in.applyRoster(e)
 			continue
 		}
 		if doc, err := docstore.DecodeDocument(e); err == nil {
 			docs = append(docs, doc)
 		}
 	}
-	in.takeDocuments(docs)
+	in.applyDocuments(docs)
 }
 
-// takeRoster takes in this place's roster from a watch. A watch may be late, so
+// applyRoster takes in this place's roster from a watch. A watch may be late, so
 // it confirms nothing.
-func (in *Instance) takeRoster(e docstore.Entry) {
+func (in *Instance) applyRoster(e docstore.Entry) {
 	if e.Path != rosterRoot+in.cfg.Place {
 		return
 	}
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -19,38 +19,38 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// world is a platform and whole instances in virtual time. Domain d has the
+// simulation is a platform and whole instances in virtual time. Domain d has the
 // places d<d>-p<p>, each with its instances and targets.
-type world struct {
+type simulation struct {
 	t       *testing.T
 	net     *network
 	kv      *inproc.Store
 	checks  *invariant.Counter
-	seats   []seat
+	nodes   []nodeConfig
 	running map[string]*Instance
-	doors   map[string]*door
+	stores  map[string]*countingStore
 	checked [2]int // writes and reads of the platform's store at the last check
 	seed    uint64
 }
 
-type seat struct {
+type nodeConfig struct {
 	id, ip, place, domain string
 	join                  []string
 }
 
 const (
-	worldTimeout  = 2 * time.Second // of the service
-	targetsAPlace = 6
+	serviceTimeout  = 2 * time.Second // of the service
+	targetsPerPlace = 6
 )
 
-// inWorld runs f with domains of so many places, and so many instances a place.
-func inWorld(t *testing.T, domains, places, instances int, f func(w *world)) {
+// runSimulation runs f with domains of so many places, and so many instances a place.
+func runSimulation(t *testing.T, domains, places, instances int, f func(w *simulation)) {
 	t.Helper()
 	// The race detector keeps one context for all timers of a bubble (Go 1.26),
 	// and crashes when two threads read expired ones at the same time.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, domains, places, instances)
+		w := newSimulation(t, domains, places, instances)
 		defer func() {
 			w.kill(w.all())
 			time.Sleep(2 * time.Minute) // for what was under way to time out
@@ -59,28 +59,28 @@
 	})
 }
 
-func newWorld(t *testing.T, domains, places, instances int) *world {
+func newSimulation(t *testing.T, domains, places, instances int) *simulation {
 	t.Helper()
 	checks := invariant.New(func(name invariant.Name, detail string) { t.Errorf("invariant %s: %s", name, detail) })
 	local, err := inproc.New(store.Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{
+	w := &simulation{
 		t: t, net: newNetwork(), kv: local, checks: checks,
-		running: make(map[string]*Instance), doors: make(map[string]*door),
+		running: make(map[string]*Instance), stores: make(map[string]*countingStore),
 	}
-	body := "class: interactive\ntimeout: " + worldTimeout.String() + "\nshift: 10\nplaces:\n"
+	body := "class: interactive\ntimeout: " + serviceTimeout.String() + "\nshift: 10\nplaces:\n"
 	for d := range domains {
 		for p := range places {
 			place := fmt.Sprintf("d%d-p%d", d, p)
 			w.put("/places/"+place, 0, fmt.Sprintf("region: r%d\ndomain: d%d\nlimit: 60\n", d, d))
 			body += "  " + place + ":\n    limit: 60\n    targets:\n"
-			for i := range targetsAPlace {
+			for i := range targetsPerPlace {
 				body += fmt.Sprintf("      - {name: t%d-%d-%d, address: \"10.%d.%d.%d:80\", slots: 10, connections: 100}\n", d, p, i, d, p, 200+i)
 			}
 			for i := range instances {
-				w.seats = append(w.seats, seat{
+				w.nodes = append(w.nodes, nodeConfig{
 					id: fmt.Sprintf("%s-%d", place, i), ip: fmt.Sprintf("10.%d.%d.%d", d, p, i+1),
 					place: place, domain: fmt.Sprintf("d%d", d),
 				})
@@ -91,23 +91,23 @@
 		t.Fatal(err)
 	}
 	w.put("/teams/shop/services/orders", 0, body)
-	w.joinSeeds()
+	w.setJoin()
 	return w
 }
 
-// joinSeeds gives every instance three addresses to begin with.
-func (w *world) joinSeeds() {
-	for i := range w.seats {
+// setJoin gives every instance three addresses to begin with.
+func (w *simulation) setJoin() {
+	for i := range w.nodes {
 		for k := range 3 {
-			other := w.seats[(k*len(w.seats)/3)%len(w.seats)]
-			if other.id != w.seats[i].id {
-				w.seats[i].join = append(w.seats[i].join, other.ip+":7200")
+			other := w.nodes[(k*len(w.nodes)/3)%len(w.nodes)]
+			if other.id != w.nodes[i].id {
+				w.nodes[i].join = append(w.nodes[i].join, other.ip+":7200")
 			}
 		}
 	}
 }
 
-func (w *world) put(path string, version uint64, body string) {
+func (w *simulation) put(path string, version uint64, body string) {
 	w.t.Helper()
 	w.seed++
 	if _, err := docstore.PutDocument(context.Background(), w.kv, path, version, []byte(body), fmt.Sprintf("w%d", w.seed)); err != nil {
@@ -115,17 +115,17 @@
 	}
 }
 
-func (w *world) start(seats []seat) {
+func (w *simulation) start(nodes []nodeConfig) {
 	w.t.Helper()
-	for _, s := range seats {
+	for _, s := range nodes {
 		w.seed++
-		if w.doors[s.id] == nil {
-			w.doors[s.id] = &door{Store: w.kv, calls: make(map[string]int)}
+		if w.stores[s.id] == nil {
+			w.stores[s.id] = &countingStore{Store: w.kv, calls: make(map[string]int)}
 		}
 		in, err := New(Config{
 			ID: s.id, Callers: s.ip + ":7100", Peers: s.ip + ":7200", Operators: s.ip + ":7300",
 			Place: s.place, Domain: s.domain, Region: "r" + s.domain[1:], Join: s.join, Seed: w.seed,
-			Store: w.doors[s.id], Checks: w.checks, Dial: w.net.dialer(s.ip), Packet: w.net.packet, Listen: w.net.listen,
+			Store: w.stores[s.id], Checks: w.checks, Dial: w.net.dialer(s.ip), Packet: w.net.packet, Listen: w.net.listen,
 		})
 		if err != nil {
 			w.t.Fatal(err)
@@ -135,8 +135,8 @@
 	}
 }
 
-func (w *world) kill(seats []seat) {
-	for _, s := range seats {
+func (w *simulation) kill(nodes []nodeConfig) {
+	for _, s := range nodes {
 		if in := w.running[s.id]; in != nil {
 			in.Kill()
 			delete(w.running, s.id)
@@ -144,19 +144,19 @@
 	}
 }
 
-func (w *world) all() []seat { return w.seats }
+func (w *simulation) all() []nodeConfig { return w.nodes }
 
-func (w *world) domain(d int) []seat {
-	return slices.DeleteFunc(slices.Clone(w.seats), func(s seat) bool { return s.domain != fmt.Sprintf("d%d", d) })
+func (w *simulation) domain(d int) []nodeConfig {
+	return slices.DeleteFunc(slices.Clone(w.nodes), func(s nodeConfig) bool { return s.domain != fmt.Sprintf("d%d", d) })
 }
 
-// within waits until ok holds, and returns how long it took.
-func (w *world) within(most time.Duration, what string, ok func() bool) time.Duration {
+// waitFor waits until ok holds, and returns how long it took.
+func (w *simulation) waitFor(most time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	start := time.Now()
 	for !ok() {
 		if time.Since(start) > most {
-			for _, s := range w.seats {
+			for _, s := range w.nodes {
 				if in := w.running[s.id]; in != nil {
 					st := in.Status()
 					w.t.Logf("%s: confirmed %v, roster %+v, targets %+v", s.id, st.Confirmed, in.roster(), st.Targets)
@@ -170,9 +170,9 @@
 }
 
 // ready says whether every instance of the seats has all documents in force.
-func (w *world) ready(seats []seat) func() bool {
+func (w *simulation) ready(nodes []nodeConfig) func() bool {
 	return func() bool {
-		for _, s := range seats {
+		for _, s := range nodes {
 			if in := w.running[s.id]; in == nil || in.ready() != nil {
 				return false
 			}
@@ -181,24 +181,24 @@
 	}
 }
 
-// whole says whether the targets of the seats' places can be used fully, each
+// fullyUsable says whether the targets of the seats' places can be used fully, each
 // by its one owner.
-func (w *world) whole(seats []seat) func() bool {
-	return func() bool { return w.usable(seats) == w.limit(seats) }
+func (w *simulation) fullyUsable(nodes []nodeConfig) func() bool {
+	return func() bool { return w.usableSlots(nodes) == w.limit(nodes) }
 }
 
-func (w *world) limit(seats []seat) int {
+func (w *simulation) limit(nodes []nodeConfig) int {
 	places := make(map[string]bool)
-	for _, s := range seats {
+	for _, s := range nodes {
 		places[s.place] = true
 	}
-	return len(places) * targetsAPlace * 10
+	return len(places) * targetsPerPlace * 10
 }
 
-// usable is how many slots the instances of the seats may fill now.
-func (w *world) usable(seats []seat) int {
+// usableSlots is how many slots the instances of the seats may fill now.
+func (w *simulation) usableSlots(nodes []nodeConfig) int {
 	sum := 0
-	for _, s := range seats {
+	for _, s := range nodes {
 		if in := w.running[s.id]; in != nil {
 			in.dispatcher.Read(func(now time.Time, n *core.Node) {
 				for _, t := range n.Status(now).Targets {
@@ -210,10 +210,10 @@
 	return sum
 }
 
-// clean says whether the rosters of the seats' places name exactly what runs.
-func (w *world) clean(seats []seat) func() bool {
+// rostersCurrent says whether the rosters of the seats' places name exactly what runs.
+func (w *simulation) rostersCurrent(nodes []nodeConfig) func() bool {
 	return func() bool {
-		for _, s := range seats {
+		for _, s := range nodes {
 			e, err := w.kv.Get(context.Background(), rosterRoot+s.place)
 			if err != nil {
 				return false
@@ -231,40 +231,40 @@
 	}
 }
 
-// up starts all instances and waits until they have settled.
-func (w *world) up() {
+// startAll starts all instances and waits until they have settled.
+func (w *simulation) startAll() {
 	w.t.Helper()
 	w.start(w.all())
-	w.within(30*time.Second, "documents", w.ready(w.all()))
-	w.within(time.Minute, "targets", w.whole(w.all()))
+	w.waitFor(30*time.Second, "documents", w.ready(w.all()))
+	w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
 	time.Sleep(20 * time.Second)
-	w.taken(w.all())
+	w.takeCalls(w.all())
 	w.checked[0], w.checked[1] = w.storeCalls()
 }
 
-// taken sums the calls of the seats since the last time.
-func (w *world) taken(seats []seat) map[string]int {
+// takeCalls sums the calls of the seats since the last time.
+func (w *simulation) takeCalls(nodes []nodeConfig) map[string]int {
 	sum := make(map[string]int)
-	for _, s := range seats {
-		for call, n := range w.doors[s.id].take() {
+	for _, s := range nodes {
+		for call, n := range w.stores[s.id].takeCalls() {
 			sum[call] += n
 		}
 	}
 	return sum
 }
 
-func (w *world) report(what string, seats []seat, over time.Duration, calls map[string]int) {
+func (w *simulation) report(what string, nodes []nodeConfig, over time.Duration, calls map[string]int) {
 	w.t.Helper()
-	line := fmt.Sprintf("%s: %d instances, %s:", what, len(seats), over)
+	line := fmt.Sprintf("%s: %d instances, %s:", what, len(nodes), over)
 	for _, call := range slices.Sorted(maps.Keys(calls)) {
-		line += fmt.Sprintf(" %s %d (%.2f each)", call, calls[call], float64(calls[call])/float64(len(seats)))
+		line += fmt.Sprintf(" %s %d (%.2f each)", call, calls[call], float64(calls[call])/float64(len(nodes)))
 	}
 	w.t.Log(line)
 }
 
 // storeCalls counts what the platform's store was asked so far: all reads, and the
 // calls that write. The renewal of a lease is neither.
-func (w *world) storeCalls() (writes, reads int) {
+func (w *simulation) storeCalls() (writes, reads int) {
 	writes = w.kv.Calls("/kv-txn") + w.kv.Calls("/kv-lease")
 	reads = w.kv.Calls("/kv-key") + w.kv.Calls("/kv-range") + w.kv.Calls("/kv-watch")
 	return writes, reads
@@ -273,9 +273,9 @@
 // checkRate wants the calls since the last check, made by every instance of a fleet
 // of 2,000, to take no more than a third of the platform's rates. calls are those of
 // the instances over the same time.
-func (w *world) checkRate(what string, seats []seat, over time.Duration, calls map[string]int) {
+func (w *simulation) checkRate(what string, nodes []nodeConfig, over time.Duration, calls map[string]int) {
 	w.t.Helper()
-	w.report(what, seats, over, calls)
+	w.report(what, nodes, over, calls)
 	const fleet, margin = 2000, 3
 	writes, reads := w.storeCalls()
 	since := w.checked
@@ -284,7 +284,7 @@
 		calls int
 		most  float64
 	}{"writes": {writes - since[0], store.Defaults().Writes}, "reads": {reads - since[1], store.Defaults().Reads}} {
-		got := float64(c.calls) / float64(len(seats)) / over.Seconds() * fleet
+		got := float64(c.calls) / float64(len(nodes)) / over.Seconds() * fleet
 		w.t.Logf("%s: %.0f/s by %d instances", name, got, fleet)
 		if got > c.most/margin {
 			w.t.Errorf("%s: got %.0f %s/s by %d instances, want at most %.0f", what, got, name, fleet, c.most/margin)
@@ -293,7 +293,7 @@
 }
 
 // atMost fails if a call was made more often than allowed, in all.
-func (w *world) atMost(calls map[string]int, most map[string]float64) {
+func (w *simulation) atMost(calls map[string]int, most map[string]float64) {
 	w.t.Helper()
 	for call, n := range calls {
 		if float64(n) > most[call] {
