--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -21,17 +21,17 @@
 )
 
 const (
-	benchPlace   = 9 // instances of a place
-	benchSeconds = 5 // of a steady state
+	benchPlace   = 9 // instances per place
+	benchSeconds = 5 // length of a measured steady state
 	benchDomains = 3
-	benchWarmUp  = 8 * time.Second // until the news of the start has spread
+	benchWarmUp  = 8 * time.Second // until all changes of the start have propagated
 )
 
-// traffic counts what instances send and receive, and loses some of it.
+// traffic counts what instances send and receive, and can drop some of it.
 type traffic struct {
-	udp, tcp atomic.Int64 // bytes sent; both ways for tcp
+	udp, tcp atomic.Int64 // bytes sent; for tcp, also received
 	packets  atomic.Int64
-	lossy    atomic.Bool // half of the packets and dials are lost
+	lossy    atomic.Bool // drops half of the packets and dials
 }
 
 func (tr *traffic) lost() bool { return tr.lossy.Load() && mathrand.IntN(2) == 0 }
@@ -67,7 +67,7 @@
 	return n, err
 }
 
-// benchCluster is many instances in one process, without targets.
+// benchCluster is a cluster of many instances in one process, without targets.
 type benchCluster struct {
 	b     *testing.B
 	store *inproc.Store
@@ -91,7 +91,8 @@
 	return c
 }
 
-// benchService is a service with a target in each place, that nobody probes with success.
+// benchService returns a service with a target in each place. Nothing listens at the
+// targets' addresses.
 func benchService(i int) string {
 	body := "class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n"
 	for p := range 12 {
@@ -109,8 +110,8 @@
 	}
 }
 
-// start starts n instances at once; the first nine of a place are of the same
-// domain, and places take turns among domains.
+// start starts n instances at once, benchPlace of them in each place. Places are assigned
+// to the domains in turn.
 func (c *benchCluster) start(n, domains int) {
 	for i := range n {
 		place := i / benchPlace
@@ -155,13 +156,13 @@
 	}
 }
 
-// waitFor waits for all instances, and returns how long that took.
+// waitFor waits until ok holds for all instances, and returns how long that took.
 func (c *benchCluster) waitFor(ok func(*Instance) bool) time.Duration {
 	began := time.Now()
 	for _, in := range c.list {
 		for !ok(in) {
 			if time.Since(began) > 2*time.Minute {
-				c.b.Fatalf("%s has not come so far in %s", in.cfg.ID, time.Since(began))
+				c.b.Fatalf("%s did not reach the state within %s", in.cfg.ID, time.Since(began))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -169,8 +170,8 @@
 	return time.Since(began)
 }
 
-// confirmed waits until each place's roster is whole, and every instance knows
-// its place's others.
+// confirmed waits until each place's roster is complete, and every instance has the other
+// instances of its place in its membership.
 func (c *benchCluster) confirmed() time.Duration {
 	return c.waitFor(func(in *Instance) bool {
 		if len(in.members.Members()) < c.ofPlace(in.cfg.Place)-1 {
@@ -195,7 +196,7 @@
 	return n
 }
 
-// propagate writes a document and returns how long it takes to be in force everywhere.
+// propagate writes a document and returns how long it takes to reach all instances.
 func (c *benchCluster) propagate(version uint64) time.Duration {
 	const path = "/teams/shop/services/s0"
 	c.put(path, version, benchService(0)+"# changed\n")
@@ -223,7 +224,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// steady measures a steady state, by instance and second.
+// steady measures a steady state, per instance and second.
 func (c *benchCluster) steady() {
 	each := float64(len(c.list) * benchSeconds)
 	udp, tcp, packets, cpu := c.tr.udp.Load(), c.tr.tcp.Load(), c.tr.packets.Load(), processTime(c.b)
@@ -234,9 +235,9 @@
 	c.b.ReportMetric(float64((processTime(c.b)-cpu).Microseconds())/each, "cpu-us/s")
 }
 
-// BenchmarkCapacityFleet runs so many instances over loopback, nine a place in
-// three domains, and reports what each sends and takes in a steady state, and
-// how long a document takes to all of them, with half the messages lost too.
+// BenchmarkCapacityFleet runs n instances over loopback, nine per place in three domains.
+// It reports what each sends and its processor time in a steady state, and how long a
+// document takes to reach all of them, also with half of the messages dropped.
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -259,8 +260,8 @@
 	}
 }
 
-// BenchmarkCapacityRooms is the fleet's steady state by the number of services
-// in a place.
+// BenchmarkCapacityRooms measures the steady state of a place by the number of its
+// services, as the packets with free slots depend on it.
 func BenchmarkCapacityRooms(b *testing.B) {
 	for _, services := range []int{1, 10, 30} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
@@ -277,8 +278,8 @@
 	}
 }
 
-// BenchmarkCapacityRestart starts a whole domain at once, and counts the
-// platform's calls until every instance owns its part.
+// BenchmarkCapacityRestart starts a whole domain at once, and counts the calls to the
+// platform until every instance is in its roster with confirmed leases.
 func BenchmarkCapacityRestart(b *testing.B) {
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -297,8 +298,8 @@
 	}
 }
 
-// BenchmarkCapacityProbe is what one instance spends on so many owned targets
-// that live.
+// BenchmarkCapacityProbe measures what one instance spends on probing n live targets that
+// it owns.
 func BenchmarkCapacityProbe(b *testing.B) {
 	for _, targets := range []int{2, 8, 32} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/internal/instance/config.go
+++ b/internal/instance/config.go
@@ -1,5 +1,5 @@
-// Package instance runs one entry instance: it puts sockets, files and timers
-// round the node of package core.
+// Package instance runs one entry instance: it connects the node of package core to
+// sockets, files and timers.
 package instance
 
 import (
@@ -19,8 +19,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Config is what an instance is told at its start, by flags and environment
-// variables.
+// Config is the configuration of an instance, set by flags and environment variables.
 type Config struct {
 	ID        string // unique among instances
 	Callers   string // address for callers, IP:port
@@ -29,31 +28,31 @@
 	Place     string
 	Domain    string
 	Region    string
-	Source    string // IP that connections to targets and peers come from; empty leaves it to the system
+	Source    string // local IP of connections to targets and peers; empty leaves it to the system
 
-	AdvertiseCallers string // where callers find this instance, IP:port; empty for the address that it listens at
-	AdvertisePeers   string // where other instances find it, IP:port, TCP and UDP; empty for the address that it listens at
+	AdvertiseCallers string // address given to callers, IP:port; empty for Callers
+	AdvertisePeers   string // address given to other instances, IP:port, TCP and UDP; empty for Peers
 
-	Join []string // peers' addresses of instances to begin with; may be empty
+	Join []string // seed addresses, those of other instances' peer listeners; may be empty
 
-	Bootstrap string // hex SHA-256 of a token that opens everything until the system team has one
+	Bootstrap string // hex SHA-256 of a token with full access until the system team has a token
 
-	ListProves bool          // the platform's list names an instance until its process has ended for certain
-	Linger     time.Duration // the longest that a planned stop goes on serving cached look-ups
+	ListProves bool          // the platform's list keeps an instance until its process has certainly ended
+	Linger     time.Duration // longest time that a planned stop keeps serving callers with cached look-ups
 	Policy     core.Policy
-	Seed       uint64 // of random choices; 0 takes one from the clock
+	Seed       uint64 // seed of random choices; 0 draws a random one
 
 	Store   docstore.Store                                      // required
-	Dial    targets.Dial                                        // to targets and peers; nil takes the standard dialer
-	Packet  func(address string) (net.PacketConn, error)        // opens the peers' UDP socket; nil takes the standard one
-	Listen  func(network, address string) (net.Listener, error) // opens the TCP sockets; nil takes the standard one
-	Checks  *invariant.Counter                                  // nil makes one
-	Metrics *metrics.Set                                        // nil counts nothing
-	Log     *log.Logger                                         // nil logs nothing
-	Load    *overload.Meter                                     // of this process; nil refuses nothing for it
+	Dial    targets.Dial                                        // dials targets and peers; nil for the standard dialer
+	Packet  func(address string) (net.PacketConn, error)        // opens the peers' UDP socket; nil for net.ListenPacket
+	Listen  func(network, address string) (net.Listener, error) // opens the TCP sockets; nil for net.Listen
+	Checks  *invariant.Counter                                  // nil creates one
+	Metrics *metrics.Set                                        // nil disables metrics
+	Log     *log.Logger                                         // nil disables logging
+	Load    *overload.Meter                                     // load of this process; nil disables load shedding
 }
 
-// Defaults fills in what is zero.
+// Defaults sets the zero fields that have a default.
 func (c *Config) Defaults() {
 	if c.Domain == "" {
 		c.Domain = c.Place
@@ -72,12 +71,12 @@
 	}
 }
 
-// ConfigError lists every fault of a Config at once.
+// ConfigError lists all faults of a Config.
 type ConfigError struct{ Faults []string }
 
 func (e *ConfigError) Error() string { return "instance: " + strings.Join(e.Faults, "; ") }
 
-// Validate returns a *ConfigError that names every fault, or nil.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c *Config) Validate() error {
 	f := faults{}
 	f.name("id", c.ID)
@@ -120,7 +119,7 @@
 	f.require(err == nil && a.Addr().IsValid(), field+" "+quote(v)+" is not IP:port")
 }
 
-// advertised checks an address that others dial; empty is allowed.
+// advertised checks an address that others dial. An empty one is valid.
 func (f *faults) advertised(field, v string) {
 	if v == "" {
 		return
--- a/internal/instance/documents.go
+++ b/internal/instance/documents.go
@@ -12,24 +12,24 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// documents is this instance's copy of the operators' documents, and the
-// snapshot that it puts in force. It is safe for concurrent use.
+// documents holds this instance's copy of the operators' documents and the snapshot
+// compiled from them that is in force. It is safe for concurrent use.
 type documents struct {
 	apply func(*settings.Snapshot) // puts a snapshot in force; called with mu held, so in order
 	log   *log.Logger
 
-	current atomic.Pointer[progress] // of set; read for each packet, also while documents are read
+	current atomic.Pointer[progress] // progress of set; read without mu for each packet, also while set is being read
 
 	mu       sync.Mutex
 	set      *replica.Set
 	snapshot *settings.Snapshot // nil before the first documents
-	faults   []settings.Fault   // of the newest documents
+	faults   []settings.Fault   // faults in the newest documents
 }
 
-// progress says how far a copy of the documents has come.
+// progress describes how complete a copy of the documents is.
 type progress struct {
 	root     uint64            // hash of all paths and versions held
-	complete platform.Revision // of the store, up to which nothing is missing; zero until that is known; never goes back
+	complete platform.Revision // store revision up to which no document is missing; zero until known; never decreases
 }
 
 func newDocuments(checks *invariant.Counter, logger *log.Logger, apply func(*settings.Snapshot)) *documents {
@@ -38,9 +38,9 @@
 	return d
 }
 
-// Apply takes in documents of any age, and puts what is newer in force. It
-// returns the paths that changed. Before the first Complete nothing comes into
-// force: some of the documents would pass for all.
+// Apply adds documents of any age and puts the newer ones in force. It returns the paths
+// that changed. Before the first Complete nothing is put in force, as a partial set would
+// be taken for the whole configuration.
 func (d *documents) Apply(docs []settings.Document) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,26 +63,27 @@
 	return changed
 }
 
-// applyNewer puts newer documents in force. It needs mu.
+// applyNewer puts newer documents in force. mu must be held.
 func (d *documents) applyNewer(newer []settings.Document) {
 	d.snapshot, d.faults = settings.Advance(d.snapshot, newer)
 	d.logChange(newer)
 	d.apply(d.snapshot)
 }
 
-// Complete notes that the documents held now lack nothing up to a revision of
-// the platform. The first time, they come into force.
+// Complete records that the documents held now are complete up to a revision of the
+// platform's store. The first call puts them in force.
 func (d *documents) Complete(revision platform.Revision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.setComplete(revision)
 }
 
-// CompleteIfEqual notes the same of documents whose hash is root, if those are held and
-// it can be done at once: packets don't wait while documents are read.
+// CompleteIfEqual does the same as Complete if the hash of the documents held equals root.
+// It does nothing if mu is held by another goroutine: the handling of packets must not wait
+// while documents are read.
 func (d *documents) CompleteIfEqual(root uint64, revision platform.Revision) {
 	if !d.mu.TryLock() {
-		return // a later packet tells again
+		return // a later packet repeats it
 	}
 	defer d.mu.Unlock()
 	if d.set.Root() == root {
@@ -90,7 +91,7 @@
 	}
 }
 
-// setComplete needs mu.
+// setComplete implements Complete. mu must be held.
 func (d *documents) setComplete(revision platform.Revision) {
 	m := *d.current.Load()
 	first := m.complete.IsZero() && !revision.IsZero()
@@ -101,8 +102,8 @@
 	}
 }
 
-// Progress is the hash of all paths and versions held, and the platform's revision
-// up to which they lack nothing; zero if that is not known.
+// Progress returns the hash of all paths and versions held, and the store revision up to
+// which they are complete, zero if that is not known.
 func (d *documents) Progress() (root uint64, complete platform.Revision) {
 	m := d.current.Load()
 	return m.root, m.complete
@@ -116,35 +117,35 @@
 		d.log.Info("document", "path", doc.Path, "version", doc.Version, "deleted", doc.Deleted)
 	}
 	for _, f := range d.faults {
-		d.log.Warn("document at fault", "path", f.Path, "field", f.Field, "reason", f.Reason)
+		d.log.Warn("document invalid", "path", f.Path, "field", f.Field, "reason", f.Reason)
 	}
 }
 
-// Snapshot is what is in force; nil before the first documents.
+// Snapshot returns the snapshot in force, nil before the first documents.
 func (d *documents) Snapshot() *settings.Snapshot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.snapshot
 }
 
-// Documents are all documents held, sorted by path.
+// Documents returns all documents held, sorted by path.
 func (d *documents) Documents() []settings.Document {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.set.Documents()
 }
 
-// Get is the document held at a path.
+// Get returns the document held at a path.
 func (d *documents) Get(path string) (settings.Document, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.set.Get(path)
 }
 
-// Root is the hash of all paths and versions held.
+// Root returns the hash of all paths and versions held.
 func (d *documents) Root() uint64 { return d.current.Load().root }
 
-// Read runs f with the set locked. f must not keep the set.
+// Read calls f with the set locked. f must not retain the set.
 func (d *documents) Read(f func(s *replica.Set, complete platform.Revision)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -17,22 +17,23 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// capacityInterval is how often peers of the place are told of this instance's room.
+// capacityInterval is the time between two packets that send this instance's free slots to
+// the peers of its place.
 const capacityInterval = 250 * time.Millisecond
 
-// gossip runs the membership at the peers' address, and what rides on its
-// packets: tenure, releases, rooms, the documents' hash.
+// gossip runs the membership protocol on the peers' address, and what its packets carry
+// besides: lease confirmations, releases, free slots, the hash of the documents.
 type gossip struct {
 	in           *Instance
 	udp          *peer.UDP
 	stop         context.CancelFunc
 	done         sync.WaitGroup
-	sentCapacity capacityRotation // used by the goroutine of tellRooms alone
+	sentCapacity capacityRotation // used only by the goroutine of sendCapacities
 
 	mu            sync.Mutex
-	placePeers    map[string]bool      // instances of this place; guarded by mu
-	lookupExpiry  map[string]time.Time // while leaving: until when callers keep look-ups of each peer that name this instance; guarded by mu
-	rosterVersion uint64               // version that the list was told of; guarded by mu
+	placePeers    map[string]bool      // IDs of the instances of this place; guarded by mu
+	lookupExpiry  map[string]time.Time // while leaving: by peer, when the last cached look-up that names this instance expires; guarded by mu
+	rosterVersion uint64               // roster version last passed to the member list; guarded by mu
 }
 
 func newGossip(in *Instance) (*gossip, error) {
@@ -71,7 +72,7 @@
 	g.done.Wait()
 }
 
-// receive passes on what a packet tells beyond membership.
+// receive processes what a packet carries besides membership.
 func (g *gossip) receive(now time.Time, p *wire.Packet) {
 	var m member.Member
 	var ack member.Ack
@@ -93,8 +94,8 @@
 	}
 }
 
-// compareDocuments compares a peer's documents with ours. Equal ones are known here to
-// be complete as far as they are there.
+// compareDocuments compares a peer's documents with the local ones. If they are equal, the
+// local ones are complete up to the same revision as the peer's.
 func (g *gossip) compareDocuments(p *wire.Packet, from docstore.Instance) {
 	root, complete := g.in.docs.Progress()
 	remote := platform.NewRevision(p.Epoch, p.Complete)
@@ -120,8 +121,8 @@
 	}
 }
 
-// receiveCapacity takes in a packet that only tells of room. A wrong one misleads a
-// choice at most: the peer's own count decides.
+// receiveCapacity processes a packet that carries only free slots. A wrong count affects at
+// most a choice of peer: the peer enforces its own count.
 func (g *gossip) receiveCapacity(p *wire.Packet) {
 	if !g.inPlace(p.From) {
 		return
@@ -135,8 +136,8 @@
 	return g.placePeers[id]
 }
 
-// prepare completes a packet with what the node knows now. An ack promises
-// something about the roster, which the node has to allow.
+// prepare fills in a packet with the current state of the node. An ack makes a promise
+// about the roster, so the node must allow it.
 func (g *gossip) prepare(p, cause *wire.Packet) {
 	g.in.setRestored(p)
 	root, complete := g.in.docs.Progress()
@@ -156,7 +157,9 @@
 	})
 }
 
-// lookupMillis is what an ack tells a leaving instance of look-ups that name it.
+// lookupMillis returns what an ack reports to a leaving instance: for how many
+// milliseconds, rounded up and at least 2, callers may still use look-ups of this instance
+// that name it. It is 0 if there are none.
 func lookupMillis(now time.Time, n *core.Node, id string) uint32 {
 	until, ok := n.Named(id)
 	if !ok {
@@ -165,7 +168,7 @@
 	return uint32(max(until.Sub(now), 0)/time.Millisecond) + 2 // rounded up, and one more
 }
 
-// recordLookupExpiry keeps what a peer tells this leaving instance of its look-ups.
+// recordLookupExpiry stores when a peer's look-ups that name this leaving instance expire.
 func (g *gossip) recordLookupExpiry(now time.Time, p *wire.Packet) {
 	if p.Named == 0 || p.Kind != wire.Kind_KIND_ACK || p.Target != "" {
 		return
@@ -175,8 +178,8 @@
 	g.lookupExpiry[p.From] = now.Add(time.Duration(p.Named) * time.Millisecond)
 }
 
-// lastLookupExpiry is until when callers may keep a look-up of a peer that names this
-// leaving instance; false if a living peer has not told yet.
+// lastLookupExpiry returns when the last look-up of a peer that names this leaving instance
+// expires. It returns false if a live peer has not reported that yet.
 func (g *gossip) lastLookupExpiry() (time.Time, bool) {
 	var last time.Time
 	members := g.Members()
@@ -194,7 +197,7 @@
 	return last, true
 }
 
-// membersChanged tells the node who is there.
+// membersChanged passes the current members to the node.
 func (g *gossip) membersChanged(changes []member.Change) {
 	for _, c := range changes {
 		if c.Kind == member.Replaced {
@@ -214,7 +217,8 @@
 	g.in.dispatcher.Step(core.PeersChanged{Peers: peersOf(members)})
 }
 
-// setRoster tells the list whom the roster names: acks promise only to those.
+// setRoster passes the members of the roster to the member list: acks make promises to them
+// alone.
 func (g *gossip) setRoster(r owner.Roster) {
 	g.mu.Lock()
 	known := g.rosterVersion == r.Version
@@ -233,7 +237,7 @@
 	})
 }
 
-// AddListed takes in the platform's list of instances.
+// AddListed adds the platform's list of instances to the membership.
 func (g *gossip) AddListed(list []docstore.Instance) {
 	g.udp.Do(func(now time.Time, l *member.List) []member.Send {
 		l.Learn(now, list)
@@ -241,7 +245,7 @@
 	})
 }
 
-// Members are the instances that are known, without this one.
+// Members returns the known instances without this one.
 func (g *gossip) Members() []member.Member {
 	var members []member.Member
 	g.udp.Do(func(_ time.Time, l *member.List) []member.Send {
@@ -251,7 +255,8 @@
 	return members
 }
 
-// pingAcked says whether another instance knows this one: it acked a ping.
+// pingAcked reports whether another instance has acked a ping of this one, which shows that
+// it has this one in its membership.
 func (g *gossip) pingAcked() bool {
 	answered := false
 	g.udp.Do(func(_ time.Time, l *member.List) []member.Send {
@@ -261,12 +266,12 @@
 	return answered
 }
 
-// leave tells the others of a planned stop.
+// leave announces a planned stop to the other members.
 func (g *gossip) leave() {
 	g.udp.Do(func(now time.Time, l *member.List) []member.Send { return l.Leave(now) })
 }
 
-// peersOf lists the live members for the node.
+// peersOf converts the members that are not dead for the node.
 func peersOf(members []member.Member) []core.Peer {
 	peers := make([]core.Peer, 0, len(members))
 	for _, m := range members {
--- a/internal/instance/grant.go
+++ b/internal/instance/grant.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// grantWorkers is how many peers may be asked for grants at one time.
+// grantWorkers is how many grant requests to peers may be in flight at one time.
 const grantWorkers = 4
 
-// runGrantRequests carries out the node's calls for grants.
+// runGrantRequests sends the grant requests that the node decides on.
 func (in *Instance) runGrantRequests(ctx context.Context) {
 	var g sync.WaitGroup
 	for range grantWorkers {
@@ -17,7 +17,7 @@
 	g.Wait()
 }
 
-// sendCrashReports carries out what the node tells peers of targets that ended.
+// sendCrashReports sends the node's reports about crashed targets to peers.
 func (in *Instance) sendCrashReports(ctx context.Context) {
 	for {
 		select {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -23,15 +23,15 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Timers of an instance.
+// Timers and bounds of an instance.
 const (
-	tickBusy          = 10 * time.Millisecond // while something waits for time to pass
-	tickIdle          = 50 * time.Millisecond // while nothing does
+	tickBusy          = 10 * time.Millisecond // between clock steps while the node waits for a point in time
+	tickIdle          = 50 * time.Millisecond // between clock steps otherwise
 	headerTimeout     = 5 * time.Second       // for a caller to send a request's headers, from their first byte on
 	idleTimeout       = 2 * time.Minute
-	maxRequestHeader  = 256 << 10 // from callers and peers; over 32 KB gets a typed refusal
-	maxOperatorHeader = 32 << 10  // from operators
-	queueLength       = 64        // of decisions that wait to be carried out
+	maxRequestHeader  = 256 << 10 // bytes, from callers and peers; headers over 32 KB get a typed refusal
+	maxOperatorHeader = 32 << 10  // bytes, from operators
+	queueLength       = 64        // decisions of the node that wait to be carried out
 )
 
 // Instance is one running entry instance.
@@ -44,26 +44,26 @@
 	server           *callers.Server
 	operators        http.Handler
 	members          *gossip
-	metrics          *metrics.Set // made here, and closed here; nil if cfg has one
+	metrics          *metrics.Set // created and closed by this instance; nil if cfg supplies one
 	rosterSwaps      chan core.SwapRoster
 	probes           chan core.Probe
-	replaced         chan struct{} // closed when a newer incarnation of this instance runs
+	replaced         chan struct{} // closed when a newer incarnation of this instance is observed
 	replaceOnce      sync.Once
 	grantRequests    chan core.AskGrant
 	crashReports     chan core.TellCrashes
 	divergedPeers    chan docstore.Instance // peers whose documents differ
-	newerRosterPeers chan docstore.Instance // peers of the place that have a newer roster
+	newerRosterPeers chan docstore.Instance // peers of the place with a newer roster version
 	restoration      *restoration
-	rpc              *http.Client // of control calls to peers
+	rpc              *http.Client // client for control calls to peers
 
-	listeners []net.Listener // callers', peers' and operators', in this order
-	servers   []*http.Server // of listeners
+	listeners []net.Listener // for callers, peers and operators, in this order
+	servers   []*http.Server // one per listener
 	cancel    context.CancelFunc
 	loops     sync.WaitGroup
 }
 
-// New makes an instance and opens its sockets. It serves nothing before Start.
-// It returns a *ConfigError if cfg is at fault.
+// New returns an instance with its sockets open. It serves nothing before Start. It returns
+// a *ConfigError if cfg is invalid.
 func New(cfg Config) (*Instance, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -97,7 +97,7 @@
 	return in, nil
 }
 
-// listen opens the three TCP addresses, and notes the ports that were chosen.
+// listen opens the three TCP listeners and stores the ports that the system chose in cfg.
 func (in *Instance) listen() error {
 	for _, address := range []*string{&in.cfg.Callers, &in.cfg.Peers, &in.cfg.Operators} {
 		ln, err := in.cfg.Listen("tcp", *address)
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// ListenError says that an address can't be served.
+// ListenError reports that an address can't be listened on.
 type ListenError struct {
 	Address string
 	Err     error
@@ -164,24 +164,24 @@
 	return mathrand.New(mathrand.NewPCG(seed, seed))
 }
 
-// control takes decisions that are not about one request. It is called with
-// the dispatcher locked, so it only passes them on.
+// control dispatches decisions of the node that are not about a single request. It is
+// called with the dispatcher locked, so it only queues them.
 func (in *Instance) control(d core.Decision) {
 	switch d := d.(type) {
 	case core.SwapRoster:
 		select {
 		case in.rosterSwaps <- d:
-		default: // one is under way; the node asks again
+		default: // a swap is in progress; the node repeats the decision
 		}
 	case core.Probe:
 		select {
 		case in.probes <- d:
-		default: // the next round asks again
+		default: // repeated in the next probe round
 		}
 	case core.AskGrant:
 		select {
 		case in.grantRequests <- d:
-		default: // the node asks again
+		default: // the node repeats the request
 		}
 	case core.TargetNews:
 		in.logNotice(d)
@@ -189,15 +189,16 @@
 		select {
 		case in.crashReports <- d:
 		default:
-			in.logError("peers not told of a target that ended", errQueueFull)
+			in.logError("crash report to peers dropped", errQueueFull)
 		}
 	}
 }
 
-// QueueError says that what the node decided waits for too many others.
+// QueueError reports that a decision of the node was dropped because the queue for it is
+// full.
 type QueueError struct{}
 
-func (*QueueError) Error() string { return "instance: too many decisions wait" }
+func (*QueueError) Error() string { return "instance: decision queue is full" }
 
 var errQueueFull = &QueueError{}
 
@@ -207,7 +208,7 @@
 
 func (in *Instance) now() time.Time { return in.dispatcher.Now() }
 
-// self is this instance's line in lists of instances.
+// self returns this instance's entry for lists of instances.
 func (in *Instance) self() docstore.Instance {
 	return docstore.Instance{
 		ID: in.cfg.ID, Incarnation: in.incarnation,
@@ -216,22 +217,22 @@
 	}
 }
 
-// Callers is the address that is listened at for callers, with the port that was chosen.
+// Callers returns the address for callers, with the port that the system chose.
 func (in *Instance) Callers() string { return in.cfg.Callers }
 
-// Operators is the address that operators use, with the port that was chosen.
+// Operators returns the address for operators, with the port that the system chose.
 func (in *Instance) Operators() string { return in.cfg.Operators }
 
-// Peers is the address that is listened at for other instances, with the port that was chosen.
+// Peers returns the address for other instances, with the port that the system chose.
 func (in *Instance) Peers() string { return in.cfg.Peers }
 
-// Replaced is closed when a newer incarnation of this very instance runs: this
-// one has to end.
+// Replaced returns a channel that is closed when a newer incarnation of this instance is
+// observed. This one must then exit.
 func (in *Instance) Replaced() <-chan struct{} { return in.replaced }
 
 func (in *Instance) replace() { in.replaceOnce.Do(func() { close(in.replaced) }) }
 
-// Start begins to serve.
+// Start begins serving and starts the background loops.
 func (in *Instance) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	in.cancel = cancel
@@ -251,8 +252,8 @@
 	in.members.start()
 }
 
-// tick tells the node that time passes: often while something waits for it,
-// since each waking costs more than what the node does at it.
+// tick steps the node's clock. The interval is short only while something in the node waits
+// for a point in time, since a wake-up costs more than the step itself.
 func (in *Instance) tick(ctx context.Context) {
 	due := boottime.Now().Add(tickIdle)
 	t := time.NewTimer(tickIdle)
@@ -271,7 +272,8 @@
 	}
 }
 
-// Kill ends the instance as a crash would: connections break, nobody is told.
+// Kill stops the instance as a crash would: connections are closed and peers are not
+// notified.
 func (in *Instance) Kill() {
 	in.cancel()
 	in.members.close()
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -19,9 +19,9 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-const waitTimeout = 20 * time.Second // the longest that a test waits for what has to come
+const waitTimeout = 20 * time.Second // longest wait of a test for a state
 
-// fleet is a platform, one place's target and instances, all over loopback.
+// fleet is a platform store, a target of one place, and instances, over loopback.
 type fleet struct {
 	t       *testing.T
 	store   docstore.Store
@@ -46,7 +46,7 @@
 	return f
 }
 
-// target starts a stand-in and returns its address.
+// target starts an emulated target and returns its address.
 func (f *fleet) target(name string) string {
 	f.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -108,7 +108,7 @@
 	return c
 }
 
-// ask repeats a request until it is answered: at the start nothing may be in force yet.
+// ask repeats a request until it is answered: at first no configuration may be in force.
 func (f *fleet) ask(c *caller.Client, r *caller.Request) string {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
@@ -157,7 +157,7 @@
 	tests := map[string]struct {
 		change func(*Config)
 		faults int
-		want   string // peers' address in lists of instances; empty for the one that is listened at
+		want   string // peers' address in lists of instances; empty for the listener's
 	}{
 		"none":            {func(*Config) {}, 0, ""},
 		"peers":           {func(c *Config) { c.AdvertisePeers = "127.0.0.9:7200" }, 0, "127.0.0.9:7200"},
@@ -209,8 +209,8 @@
 	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
 }
 
-// An instance whose rights the others' acks confirm has no need to read the
-// roster; it has to follow it all the same.
+// TestConfirmedInstancesFollowRoster checks that an instance follows the roster though it
+// has no need to read it, because acks of the others confirm its leases.
 func TestConfirmedInstancesFollowRoster(t *testing.T) {
 	f := newFleet(t, 5)
 	defer func() {
--- a/internal/instance/learn.go
+++ b/internal/instance/learn.go
@@ -11,30 +11,30 @@
 	"github.com/firlever/firlever/internal/replica"
 )
 
-// Times between two readings of the platform's list, at most: a share of a half
-// to all of each is drawn anew after each reading. A reading costs more in a
-// larger world, and peers tell of nearly all that is in it.
+// Longest times between two reads of the platform's list of instances. After each read a
+// factor between a half and 1 is drawn, by which they are multiplied. A read costs more in
+// a larger cluster, and peers report nearly everything that is in the list.
 const (
-	listFirst          = 10 * time.Second // from the start to the first one, with peers to ask
-	listNoPeers        = time.Second      // while no other instance is known, doubled by each reading
-	listUnknownMember  = time.Second      // while the roster names an instance of which nothing is known, doubled
-	listEmptyPlace     = 30 * time.Second // while no instance of a place is known, doubled
-	listPreviousMember = 10 * time.Second // while a former member may hold something, doubled unless the list proves its end
-	listAsReader       = 10 * time.Minute // by one watcher of the domain
-	listMax            = time.Hour        // by all others, and what is doubled ends here
+	listFirst          = 10 * time.Second // from the start to the first read, if there are seed addresses
+	listNoPeers        = time.Second      // while no other instance is known; doubles with each read
+	listUnknownMember  = time.Second      // while the roster names an instance that is not in the membership; doubles
+	listEmptyPlace     = 30 * time.Second // while no instance of a place is known; doubles
+	listPreviousMember = 10 * time.Second // while a previous member may still hold targets; doubles unless the list proves its end
+	listAsReader       = 10 * time.Minute // without another reason, for the reader of the domain
+	listMax            = time.Hour        // for all others, and the bound of doubling
 	listTick           = 500 * time.Millisecond
-	listReaders        = 1 // watchers of a domain that read the list
+	listReaders        = 1 // watchers of a domain that read the list regularly
 )
 
-// listReason is something that the membership can't tell and the list may.
+// listReason is a question that the membership leaves open and the list may answer.
 type listReason struct {
 	key       string
-	wait      time.Duration // until the first reading for it
-	noBackoff bool          // each reading counts, so that the wait is not doubled
+	wait      time.Duration // until the first read for this reason
+	noBackoff bool          // the list proves the end of an instance, so each read may answer the question
 }
 
-// refreshInstances reads the platform's list of instances: at the start, while there is a
-// doubt, and else rarely.
+// refreshInstances reads the platform's list of instances after the start, while there is a
+// listReason, and otherwise rarely.
 func (in *Instance) refreshInstances(ctx context.Context) {
 	var b backoff
 	p := listSchedule{first: listFirst, tries: make(map[string]int)}
@@ -60,13 +60,14 @@
 	}
 }
 
-// listSchedule says when the list is due. It belongs to the goroutine of learn.
+// listSchedule computes when the list is read next. It is used only by the goroutine of
+// refreshInstances.
 type listSchedule struct {
-	first time.Duration  // until the first reading; 0 after it
-	tries map[string]int // readings that did not end a doubt
+	first time.Duration  // until the first read; 0 after it
+	tries map[string]int // by key of a reason, reads that did not resolve it
 }
 
-// wait is how long after a reading of the list the next is due at most.
+// wait returns the longest time from the last read of the list to the next.
 func (p *listSchedule) wait(reasons []listReason, most time.Duration) time.Duration {
 	if p.first > 0 {
 		most = p.first
@@ -81,7 +82,7 @@
 	return most
 }
 
-// recordRead notes a reading of the list, made with these doubts.
+// recordRead records a read of the list that was made for these reasons.
 func (p *listSchedule) recordRead(reasons []listReason) {
 	tries := make(map[string]int, len(reasons))
 	for _, r := range reasons {
@@ -90,7 +91,7 @@
 	p.first, p.tries = 0, tries
 }
 
-// listInterval is the wait of this instance for the list while there is no doubt.
+// listInterval returns this instance's interval between reads while there is no listReason.
 func (in *Instance) listInterval() time.Duration {
 	if replica.Watchers(in.domainPeers(), in.cfg.ID, listReaders) {
 		return listAsReader
@@ -98,7 +99,7 @@
 	return listMax
 }
 
-// listReasons lists what the membership leaves open.
+// listReasons returns the questions that the membership leaves open.
 func (in *Instance) listReasons() []listReason {
 	members := in.members.Members()
 	known := make(map[string]member.State, len(members))
@@ -119,8 +120,8 @@
 	return list
 }
 
-// rosterListReasons are about the place's roster: instances that can't be probed
-// before the list tells their addresses, and those that seem dead.
+// rosterListReasons returns those about the place's roster: instances that can't be probed
+// because only the list has their addresses, and those that appear dead.
 func (in *Instance) rosterListReasons(known map[string]member.State) []listReason {
 	var roster owner.Roster
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { roster = n.Roster() })
--- a/internal/instance/list.go
+++ b/internal/instance/list.go
@@ -8,18 +8,19 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// Times of registrations. A line of the list stays for half a minute, so the
-// waits are long and differ little; what spreads instances is the first of them.
+// Times of registrations. An entry of the list lasts for half a minute, so the intervals
+// are long and vary little; the time of the first registration is what spreads the
+// instances.
 const (
-	registerInterval      = 29 * time.Second       // the longest between two, through outages too: all come back as they were spread
-	registerJitter        = 5 * time.Second        // the share of it that is drawn anew each time
-	firstRegisterDelay    = 500 * time.Millisecond // from the start to the first one, with peers to ask
-	firstRegisterWithPeer = 10 * time.Second       // the same if a peer has answered; sooner than others read the list for an unknown place
+	registerInterval      = 29 * time.Second       // longest interval, kept during outages too: after one, instances return as spread out as before
+	registerJitter        = 5 * time.Second        // random part of the interval
+	firstRegisterDelay    = 500 * time.Millisecond // longest delay of the first registration, if there are seed addresses
+	firstRegisterWithPeer = 10 * time.Second       // the same if a peer has answered; shorter than the time after which others read the list for an unknown place
 )
 
-// register keeps this instance in the platform's list. A failed try is not
-// repeated sooner, lest all come at once when an outage ends; only the first
-// registration is, since until then nobody finds this instance in the list.
+// register keeps this instance in the platform's list. A failed registration is not retried
+// early, since all instances would then retry at once when an outage ends. Only the first
+// one is, since until then other instances can't find this one in the list.
 func (in *Instance) register(ctx context.Context) {
 	in.delayFirstRegistration(ctx)
 	var b backoff
@@ -34,7 +35,7 @@
 		case !registered && err != nil:
 			wait = b.step()
 		case !registered:
-			wait = rand.N(registerInterval) // those that started together part here
+			wait = rand.N(registerInterval) // spreads instances that started together
 		}
 		registered = registered || err == nil
 		select {
@@ -46,9 +47,10 @@
 	}
 }
 
-// delayFirstRegistration puts the first registration off: a little to hear of peers, and
-// then, if one has answered, longer: many may start together. A list that
-// proves ends must not lack who holds targets.
+// delayFirstRegistration waits a short time for packets of peers and, if a peer has
+// answered, longer, since many instances may start together. If the list proves the end of
+// instances, there is no longer wait: an instance that holds targets must not be missing
+// from such a list.
 func (in *Instance) delayFirstRegistration(ctx context.Context) {
 	if len(in.cfg.Join) == 0 {
 		return
--- a/internal/instance/list_test.go
+++ b/internal/instance/list_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestListSteadyState counts who reads the platform's whole list while nothing happens.
+// TestListSteadyState checks that in a steady state only one instance per domain reads the
+// platform's whole list regularly.
 func TestListSteadyState(t *testing.T) {
 	runSimulation(t, 2, 1, 3, func(w *simulation) {
 		w.startAll()
@@ -27,8 +28,9 @@
 	})
 }
 
-// TestListOfUnknownPlace reads the list less and less often while a place has
-// no instance. Its first are found even though they were given nobody to join.
+// TestListOfUnknownPlace checks that the list is read less and less often while a place has
+// no instance, and that the place's first instances are found even if they have no seed
+// addresses.
 func TestListOfUnknownPlace(t *testing.T) {
 	runSimulation(t, 2, 1, 2, func(w *simulation) {
 		for i := range w.nodes {
@@ -41,7 +43,7 @@
 		w.report("place without instances", w.domain(0), 20*time.Minute, calls)
 		w.atMost(map[string]int{"instances": calls["instances"]}, map[string]float64{"instances": 12 * 2})
 		w.start(w.domain(1))
-		took := w.waitFor(time.Minute, "all know each other", func() bool {
+		took := w.waitFor(time.Minute, "complete membership", func() bool {
 			for _, in := range w.running {
 				if len(in.members.Members()) != len(w.all())-1 {
 					return false
@@ -49,7 +51,7 @@
 			}
 			return true
 		})
-		t.Logf("all know each other after %s", took)
+		t.Logf("complete membership everywhere after %s", took)
 	})
 }
 
@@ -84,8 +86,9 @@
 	}
 }
 
-// TestRegistrations counts the first registrations of a domain that returns,
-// and those at rest; a line stays in the list for half a minute.
+// TestRegistrations checks that the instances of a domain that restarts don't all register
+// at once, and that none drops out of the list in a steady state. An entry stays in the
+// list for half a minute.
 func TestRegistrations(t *testing.T) {
 	runSimulation(t, 2, 1, 9, func(w *simulation) {
 		w.startAll()
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -8,7 +8,7 @@
 func (in *Instance) platformFailed(call string, err error) {
 	in.cfg.Metrics.PlatformFailed(call)
 	if in.cfg.Log != nil {
-		in.cfg.Log.Warn("platform failed", "call", call, "err", err)
+		in.cfg.Log.Warn("platform call failed", "call", call, "err", err)
 	}
 }
 
@@ -18,14 +18,14 @@
 	}
 }
 
-// logSwap writes the line of a placement decision.
-// logRestored logs that the platform's store has come back from a copy of itself.
+// logRestored logs that the platform's store was restored from a snapshot.
 func (in *Instance) logRestored(epoch uint64) {
 	if in.cfg.Log != nil {
 		in.cfg.Log.Warn("store restored", "epoch", epoch, "root", in.docs.Root())
 	}
 }
 
+// logRosterSwap logs a roster change, made by a placement decision of the node, and its result.
 func (in *Instance) logRosterSwap(d core.SwapRoster, err error) {
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("roster", "place", in.cfg.Place, "version", d.Next.Version,
@@ -33,7 +33,7 @@
 	}
 }
 
-// logNotice writes the line of what a target said of the requests that it wants.
+// logNotice logs a notice of a target about the requests that it accepts.
 func (in *Instance) logNotice(d core.TargetNews) {
 	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
--- a/internal/instance/network_test.go
+++ b/internal/instance/network_test.go
@@ -14,20 +14,20 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// network carries packets and connections in memory, so that whole instances
-// run in virtual time. Hosts are told apart by IP.
+// network carries packets and connections in memory, so that whole instances run in virtual
+// time. Hosts are identified by IP.
 type network struct {
 	mu        sync.Mutex
 	packets   map[string]*udpSocket
 	listeners map[string]*listener
-	blocked   func(from, to string) bool // by IP; nil cuts nothing
+	blocked   func(from, to string) bool // whether traffic between two IPs is dropped; nil drops nothing
 }
 
 func newNetwork() *network {
 	return &network{packets: make(map[string]*udpSocket), listeners: make(map[string]*listener)}
 }
 
-// setBlocked replaces what is cut; open connections stay.
+// setBlocked replaces the filter of dropped traffic. Open connections stay open.
 func (n *network) setBlocked(blocked func(from, to string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,7 +45,7 @@
 	return h
 }
 
-// udpSocket is a UDP socket.
+// udpSocket is a UDP socket of the network.
 type udpSocket struct {
 	net     *network
 	address string
@@ -81,7 +81,7 @@
 	if other != nil {
 		select {
 		case other.queue <- append([]byte(nil), b...):
-		default: // lost
+		default: // the queue is full: dropped
 		}
 	}
 	return len(b), nil
@@ -106,7 +106,7 @@
 func (p *udpSocket) SetReadDeadline(time.Time) error  { return os.ErrNoDeadline }
 func (p *udpSocket) SetWriteDeadline(time.Time) error { return os.ErrNoDeadline }
 
-// listener is a TCP socket that listens.
+// listener is a TCP listener of the network.
 type listener struct {
 	net     *network
 	address string
@@ -148,7 +148,7 @@
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(l.address))
 }
 
-// dialer dials as the host with this IP.
+// dialer returns a dial function for the host with this IP.
 func (n *network) dialer(from string) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, to string) (net.Conn, error) {
 		if n.isBlocked(net.JoinHostPort(from, "0"), to) {
@@ -173,7 +173,8 @@
 	}
 }
 
-// countingStore is one instance's way to the platform. It can be shut, and counts calls.
+// countingStore is one instance's connection to the platform's store. It counts calls and
+// can be made unreachable.
 type countingStore struct {
 	docstore.Store
 	mu          sync.Mutex
@@ -197,7 +198,7 @@
 	d.unreachable = unreachable
 }
 
-// takeCalls returns the counts so far and begins anew.
+// takeCalls returns the counts so far and resets them.
 func (d *countingStore) takeCalls() map[string]int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -255,5 +256,5 @@
 	return d.Store.Instances(ctx)
 }
 
-// domainOf is the failure domain of a host of the tests: 10.D.x.y is in d<D>.
+// domainOf returns the failure domain of a host in the tests: 10.D.x.y is in d<D>.
 func domainOf(ip string) string { return "d" + strings.Split(ip, ".")[1] }
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -18,22 +18,22 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// finishFactor is how many usual service times a drain is predicted to take.
+// finishFactor is how many average service times a drain is predicted to take.
 const finishFactor = 3
 
-// NoSettingsError says that no configuration has arrived yet.
+// NoSettingsError reports that no configuration has arrived yet.
 type NoSettingsError struct{}
 
 func (e *NoSettingsError) Error() string { return "instance: no configuration has arrived yet" }
 
-// NoLeaseError says that this instance's rights to its targets are not confirmed.
+// NoLeaseError reports that this instance's ownership leases are not confirmed.
 type NoLeaseError struct{}
 
 func (e *NoLeaseError) Error() string {
-	return "instance: the rights to targets are not confirmed; half of each is used"
+	return "instance: ownership leases of targets are not confirmed; half of each target's slots are used"
 }
 
-// operatorHandler serves the operators' address.
+// operatorHandler returns the handler of the operators' address.
 func (in *Instance) operatorHandler() (http.Handler, error) {
 	logger := in.cfg.Log
 	if logger == nil {
@@ -63,7 +63,7 @@
 	return s.HTTP().Handler, nil
 }
 
-// snapshot is what is in force, empty before the first documents.
+// snapshot returns the snapshot in force, an empty one before the first documents.
 func (in *Instance) snapshot() *settings.Snapshot {
 	if s := in.docs.Snapshot(); s != nil {
 		return s
@@ -72,7 +72,7 @@
 	return s
 }
 
-// checkComplete says why changes can't be checked here yet, or nil.
+// checkComplete returns the reason that changes can't be validated here yet, or nil.
 func (in *Instance) checkComplete() error {
 	if !in.complete() {
 		return &NoSettingsError{}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// ready says why this instance should get no work, or nil.
+// ready returns the reason that this instance should get no requests, or nil.
 func (in *Instance) ready() error {
 	if in.docs.Snapshot() == nil {
 		return &NoSettingsError{}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// fleet lists the instances that this one knows, itself included.
+// fleet returns the known instances that are not dead, this one included.
 func (in *Instance) fleet(context.Context) []docstore.Instance {
 	list := []docstore.Instance{in.self()}
 	for _, m := range in.members.Members() {
@@ -99,7 +99,7 @@
 	return list
 }
 
-// report is what this instance tells operators of itself.
+// report returns this instance's status for operators.
 func (in *Instance) report() operator.Status {
 	st := in.Status()
 	r := operator.Status{
@@ -123,7 +123,7 @@
 	return r
 }
 
-// reportLoad tells of the place's services and targets.
+// reportLoad adds the load of the place's services and targets.
 func (in *Instance) reportLoad(r *operator.Status, st core.Status) {
 	place := operator.Place{Name: in.cfg.Place}
 	for _, s := range st.Services {
@@ -147,8 +147,8 @@
 	}
 }
 
-// reportDrains tells of the drains that concern this instance, and predicts
-// when they are done.
+// reportDrains adds the drains that are in force, and for those that concern this instance
+// the requests left and a predicted end.
 func (in *Instance) reportDrains(r *operator.Status, st core.Status) {
 	for _, d := range in.snapshot().Drains() {
 		drain := operator.Drain{
@@ -175,7 +175,7 @@
 	}
 }
 
-// predictedWait predicts how long the requests in flight at this instance go on.
+// predictedWait predicts how long the requests in flight at this instance will take.
 func (in *Instance) predictedWait(st core.Status) time.Duration {
 	var wait time.Duration
 	for _, t := range st.Targets {
@@ -186,7 +186,7 @@
 	return wait
 }
 
-// drainApplies says whether a drain concerns a target of this place.
+// drainApplies reports whether a drain concerns a target of this place.
 func drainApplies(d operator.Drain, place string, t core.TargetStatus) bool {
 	if d.Service != "" && d.Service != t.Key.Service.String() {
 		return false
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -15,17 +15,17 @@
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probeWorkers = 4       // probes under way at one time
-	maxLoad      = 4 << 10 // bytes of a load report
+	probeWorkers = 4       // probes in flight at one time
+	maxLoad      = 4 << 10 // most bytes of a load report that are read
 )
 
-// loadReport is what a target reports of itself.
+// loadReport is a target's report about itself.
 type loadReport struct {
 	Slots int `json:"slots"`
 	Busy  int `json:"busy"`
 }
 
-// probe carries out the node's probes, a few at a time.
+// probe sends the node's probes, up to probeWorkers at a time.
 func (in *Instance) probe(ctx context.Context) {
 	done := make(chan struct{})
 	for range probeWorkers {
@@ -50,7 +50,9 @@
 	}
 }
 
-// probeOnce asks a target for its load, which also tells that it is there.
+// probeOnce sends a health check to a target and, if it is answered, requests its load
+// report. If the probe's Look is set, it first opens a new connection: a refused one shows
+// that the target's process has ended, which kept connections may not show.
 func (in *Instance) probeOnce(ctx context.Context, p core.Probe) core.Probed {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -84,6 +86,6 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Header["User-Agent"] = nil // or the transport adds its own
+	r.Header["User-Agent"] = nil // keeps the transport from adding its own
 	return in.client.Send(ctx, r, nil)
 }
--- a/internal/instance/recovery_test.go
+++ b/internal/instance/recovery_test.go
@@ -12,8 +12,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TestStartOfAll wants only the domains' watchers to read everything from the
-// platform when no instance has the documents yet.
+// TestStartOfAll checks that only the domains' watchers read all documents from the
+// platform when no instance has them yet.
 func TestStartOfAll(t *testing.T) {
 	runSimulation(t, 2, 2, 4, func(w *simulation) {
 		w.start(w.all())
@@ -25,7 +25,8 @@
 	})
 }
 
-// TestStartOfDomain restarts all of a domain at once.
+// TestStartOfDomain restarts all instances of a domain at once. They must get the documents
+// from peers in other domains.
 func TestStartOfDomain(t *testing.T) {
 	runSimulation(t, 2, 2, 4, func(w *simulation) {
 		w.startAll()
@@ -36,17 +37,17 @@
 		t.Logf("at once, usable %d of %d", w.usableSlots(w.domain(0)), w.limit(w.domain(0)))
 		w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0)))
 		t.Logf("all targets usable after %s", time.Since(start))
-		w.waitFor(time.Minute, "rosters without former lines", w.rostersCurrent(w.domain(0)))
-		t.Logf("rosters clean after %s", time.Since(start))
+		w.waitFor(time.Minute, "rosters without previous members", w.rostersCurrent(w.domain(0)))
+		t.Logf("rosters current after %s", time.Since(start))
 		calls := w.takeCalls(w.domain(0))
 		w.report("start of a domain", w.domain(0), time.Since(start), calls)
 		if calls["list"] > 0 {
-			t.Errorf("got %d lists, want none: peers beyond the domain have all", calls["list"])
+			t.Errorf("got %d lists, want none: peers in other domains have all documents", calls["list"])
 		}
 	})
 }
 
-// TestStartInOutage starts a domain while the platform is away.
+// TestStartInOutage starts a domain while the platform is unreachable.
 func TestStartInOutage(t *testing.T) {
 	runSimulation(t, 2, 1, 3, func(w *simulation) {
 		w.startAll()
@@ -57,8 +58,8 @@
 	})
 }
 
-// TestStartWithoutCompletePeers starts everyone while the platform is away: those
-// that have just started must not take each other for complete.
+// TestStartWithoutCompletePeers starts all instances while the platform is unreachable:
+// those that have just started must not take each other's documents for complete.
 func TestStartWithoutCompletePeers(t *testing.T) {
 	runSimulation(t, 1, 1, 3, func(w *simulation) {
 		w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(time.Minute)})
@@ -75,8 +76,8 @@
 	})
 }
 
-// TestOutage counts the calls of everyone while the platform is away for a
-// minute and in the first 10 s after.
+// TestOutage bounds the calls of all instances while the platform is unreachable for a
+// minute and in the first 10 s afterwards.
 func TestOutage(t *testing.T) {
 	runSimulation(t, 2, 1, 4, func(w *simulation) {
 		w.startAll()
@@ -103,7 +104,8 @@
 	})
 }
 
-// TestReplaceInTurn replaces every instance of a domain, one after the other.
+// TestReplaceInTurn restarts every instance of a domain, one after the other. At least half
+// of the other instances' slots must stay usable.
 func TestReplaceInTurn(t *testing.T) {
 	runSimulation(t, 2, 1, 4, func(w *simulation) {
 		w.startAll()
@@ -123,14 +125,14 @@
 		}
 		t.Logf("least usable: %d of %d", least, w.limit(w.domain(0)))
 		t.Logf("all targets usable after %s more", w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0))))
-		t.Logf("rosters clean after %s more", w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.domain(0))))
+		t.Logf("rosters current after %s more", w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.domain(0))))
 		if calls := w.takeCalls(w.domain(0)); calls["list"] > 0 {
 			t.Errorf("got %d lists, want none", calls["list"])
 		}
 	})
 }
 
-// TestRegionBack cuts a region off from everything for a minute.
+// TestRegionBack partitions a region from everything else for a minute.
 func TestRegionBack(t *testing.T) {
 	runSimulation(t, 2, 1, 3, func(w *simulation) {
 		w.startAll()
@@ -141,7 +143,7 @@
 		time.Sleep(30 * time.Second)
 		w.put("/drains/x", 0, "place: d1-p0\nreason: works\n")
 		time.Sleep(30 * time.Second)
-		t.Logf("usable while cut off: %d of %d", w.usableSlots(w.domain(0)), w.limit(w.domain(0)))
+		t.Logf("usable while partitioned: %d of %d", w.usableSlots(w.domain(0)), w.limit(w.domain(0)))
 		w.net.setBlocked(nil)
 		for _, s := range w.domain(0) {
 			w.stores[s.id].setUnreachable(false)
@@ -153,17 +155,17 @@
 		t.Logf("documents after %s", took)
 		t.Logf("targets usable after %s more", w.waitFor(time.Minute, "targets", w.fullyUsable(w.domain(0))))
 		w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.all()))
-		w.report("region back", w.domain(0), took, w.takeCalls(w.domain(0)))
+		w.report("region reconnected", w.domain(0), took, w.takeCalls(w.domain(0)))
 	})
 }
 
-// TestDrainInstance drains an instance by a document, and takes that back.
+// TestDrainInstance drains an instance by a document and then deletes the document.
 func TestDrainInstance(t *testing.T) {
 	runSimulation(t, 1, 1, 3, func(w *simulation) {
 		w.startAll()
 		s := w.nodes[0]
 		w.put("/drains/x", 0, "instance: "+s.id+"\nreason: works\n")
-		t.Logf("targets handed over after %s", w.waitFor(3*time.Second, "targets with the others", func() bool {
+		t.Logf("targets handed over after %s", w.waitFor(3*time.Second, "targets with the other instances", func() bool {
 			return w.usableSlots([]nodeConfig{s}) == 0 && w.fullyUsable(w.all())()
 		}))
 		w.waitFor(3*time.Second, "out of look-ups", func() bool { return !w.inLookups(s) })
@@ -181,11 +183,12 @@
 	})
 }
 
-// TestStopLingers stops an instance after a look-up was given out or not.
+// TestStopLingers checks how long a stopping instance lingers: until the look-ups that name
+// it have expired, and no longer if there are none.
 func TestStopLingers(t *testing.T) {
 	tests := map[string]struct {
-		ask   int           // seat that is asked for a look-up, -1 for none
-		stale time.Duration // between the look-up and the stop
+		ask   int           // index of the node that answers a look-up, -1 for none
+		stale time.Duration // time between the look-up and the stop; negative blocks the node's network
 		least time.Duration
 		most  time.Duration
 	}{
@@ -225,7 +228,7 @@
 	}
 }
 
-// inLookups says whether a look-up at any instance may name the seat's.
+// inLookups reports whether a look-up at any instance names the node's instance.
 func (w *simulation) inLookups(s nodeConfig) bool {
 	for _, in := range w.running {
 		l, err := in.dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.Addr{}, 0)
--- a/internal/instance/restore.go
+++ b/internal/instance/restore.go
@@ -13,36 +13,37 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Times after the platform's store has come back from a copy of itself.
+// Times and bounds of the recovery after the platform's store was restored from a snapshot.
 const (
-	// restoreWindow is how long what the store holds confirms nothing, and operators' changes
-	// are refused: all have noticed the return by then, and have written again what it has lost.
+	// restoreWindow is how long after a restore reads of the store confirm nothing and
+	// operators' changes are refused: by its end, all instances have observed the restore
+	// and have written the lost changes again.
 	restoreWindow = 5 * time.Second
-	// restoreJitter is over how long those that have the same to write again begin; the first
-	// saves the others their writes.
+	// restoreJitter is the longest random delay before an instance writes a document again.
+	// The first write saves the other instances theirs.
 	restoreJitter = time.Second
-	// reregisterJitter is over how long instances register again.
+	// reregisterJitter is the longest random delay before an instance registers again.
 	reregisterJitter = 20 * time.Second
-	// restoreInterval is between two writes of one instance.
+	// restoreInterval is the time between two writes of one instance.
 	restoreInterval = 20 * time.Millisecond
-	// writeRetention is how long, and mostOwnWrites how many, changes by operators through this
-	// instance are kept in mind: a copy of the store is some seconds old.
+	// writeRetention is how long changes by operators through this instance are remembered,
+	// and maxOwnWrites how many: a snapshot of the store is some seconds old.
 	writeRetention = time.Minute
 	maxOwnWrites   = 256
-	// maxSuspects bounds the documents that are waiting to be compared with the store.
+	// maxSuspects bounds the queue of documents that are to be compared with the store.
 	maxSuspects = 1024
 )
 
-// restoration is what this instance knows of returns of the platform's store from copies. It is
-// safe for concurrent use.
+// restoration tracks restores of the platform's store from snapshots. It is safe for
+// concurrent use.
 type restoration struct {
 	mu      sync.Mutex
-	epoch   uint64               // of the store, the latest that is known; 0: none; guarded by mu
-	until   time.Time            // the store is being written again before; guarded by mu
-	written map[string]time.Time // paths of changes through this instance, and until when they are kept in mind; guarded by mu
+	epoch   uint64               // latest known epoch of the store; 0 for none; guarded by mu
+	until   time.Time            // end of the recovery of the store; guarded by mu
+	written map[string]time.Time // changes through this instance, path to the end of their retention; guarded by mu
 
-	roster   chan struct{} // tells that the roster is to be read
-	register chan struct{} // tells that this instance is to be registered
+	roster   chan struct{} // signals that the roster must be read
+	register chan struct{} // signals that this instance must register
 	suspects chan string   // paths of documents that the store may have lost
 }
 
@@ -53,9 +54,9 @@
 	}
 }
 
-// observe notes that the store is in an epoch. ago is how long ago a peer noticed that, below 0 if
-// nobody says so. It returns the changes through this instance that the store may have lost, if
-// this instance has seen it come back.
+// observe records that the store is in an epoch. ago is the time since a peer observed
+// that, negative if no peer reported it. It returns whether this instance has now observed
+// a restore and, if so, the changes through this instance that the store may have lost.
 func (r *restoration) observe(now time.Time, epoch uint64, ago time.Duration) (restored bool, suspects []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,15 +79,15 @@
 	return true, suspects
 }
 
-// restoring says whether the store is being written again.
+// restoring reports whether lost changes are still being written again.
 func (r *restoration) restoring(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return now.Before(r.until)
 }
 
-// sinceRestore is how long ago the return of the store was sinceRestore; false if that was long ago, or
-// never.
+// sinceRestore returns how long ago a restore of the store was observed. It returns false
+// if there was none within restoreWindow.
 func (r *restoration) sinceRestore(now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +95,7 @@
 	return max(ago, 0), now.Before(r.until)
 }
 
-// recordWrite notes a change through this instance.
+// recordWrite remembers a change through this instance.
 func (r *restoration) recordWrite(now time.Time, path string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,12 +107,12 @@
 	r.written[path] = now.Add(writeRetention)
 }
 
-// queueCheck has documents compared with the store.
+// queueCheck queues documents to be compared with the store.
 func (r *restoration) queueCheck(paths ...string) {
 	for _, path := range paths {
 		select {
 		case r.suspects <- path:
-		default: // what is too much is left to others that hold it
+		default: // the queue is full; other instances that hold the document write it
 		}
 	}
 }
@@ -130,11 +131,12 @@
 	return b
 }
 
-// observeRevision notes that the platform's store is in the epoch of an answer.
+// observeRevision records the store's epoch in an answer.
 func (in *Instance) observeRevision(at platform.Revision) { in.observeEpoch(at.Epoch(), -1) }
 
-// observeEpoch notes that the platform's store is in an epoch, as a peer noticed so long ago; below
-// 0 if nobody says so.
+// observeEpoch records that the platform's store is in an epoch. ago is the time since a
+// peer observed that, negative if no peer reported it. If it shows a restore, the recovery
+// starts.
 func (in *Instance) observeEpoch(epoch uint64, ago time.Duration) {
 	restored, suspects := in.restoration.observe(in.now(), epoch, ago)
 	if !restored {
@@ -146,8 +148,8 @@
 	signal(in.restoration.register)
 }
 
-// queueMissing has the documents written again that a store which came back from a copy doesn't have,
-// by all that it has.
+// queueMissing queues the documents that a restored store lacks or has at an earlier
+// version. entries are all that it holds.
 func (in *Instance) queueMissing(entries []docstore.Entry) {
 	stored := make(map[string]uint64, len(entries))
 	for _, e := range entries {
@@ -160,7 +162,7 @@
 	}
 }
 
-// restoreLost writes documents again that the platform's store has lost.
+// restoreLost writes documents again that the platform's store may have lost.
 func (in *Instance) restoreLost(ctx context.Context) {
 	for {
 		select {
@@ -173,7 +175,7 @@
 	}
 }
 
-// restoreAll writes a document again, and all that wait.
+// restoreAll writes a document again, and then all that are queued.
 func (in *Instance) restoreAll(ctx context.Context, path string) {
 	var b backoff
 	for more := true; more && ctx.Err() == nil; {
@@ -191,7 +193,7 @@
 	}
 }
 
-// restoreDocument writes a document again if the store has an earlier version.
+// restoreDocument writes a document again if the store has an earlier version or none.
 func (in *Instance) restoreDocument(ctx context.Context, path string) error {
 	doc, ok := in.docs.Get(path)
 	if !ok {
@@ -206,8 +208,8 @@
 	return in.cfg.Store.Restore(ctx, docstore.Entry{Path: path, Version: doc.Version, Value: value})
 }
 
-// restoreRoster writes the roster again if the store has an earlier version. It says whether it
-// had.
+// restoreRoster writes the roster again if the store has an earlier version, and reports
+// whether it had.
 func (in *Instance) restoreRoster(ctx context.Context, stored uint64) (bool, error) {
 	held := in.roster()
 	if stored >= held.Version {
@@ -220,32 +222,32 @@
 	return true, in.cfg.Store.Restore(ctx, docstore.Entry{Path: rosterRoot + in.cfg.Place, Version: held.Version, Value: value})
 }
 
-// roster is the newest roster of the place that this instance knows.
+// roster returns the newest known roster of the place.
 func (in *Instance) roster() owner.Roster {
 	var r owner.Roster
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { r = n.Roster() })
 	return r
 }
 
-// checkReceived has documents that came from peers compared with the store while it is written
-// again: whoever wrote them may have ended.
+// checkReceived queues documents received from peers to be compared with the store during a
+// recovery: the instance that wrote them may have ended.
 func (in *Instance) checkReceived(paths []string) {
 	if in.restoration.restoring(in.now()) && in.isWatcher() {
 		in.restoration.queueCheck(paths...)
 	}
 }
 
-// setRestored tells peers how long ago the return of the store was noticed here.
+// setRestored adds to a packet how long ago this instance observed a restore of the store.
 func (in *Instance) setRestored(p *wire.Packet) {
 	if ago, ok := in.restoration.sinceRestore(in.now()); ok {
 		p.Restored = uint32(ago/time.Millisecond) + 1
 	}
 }
 
-// receiveEpoch takes in what a peer knows of the platform's store.
+// receiveEpoch processes a peer's view of the store's epoch.
 func (in *Instance) receiveEpoch(p *wire.Packet) {
 	if p.Epoch == 0 {
-		return // an instance of an earlier version, or one that knows nothing yet
+		return // the peer runs an earlier version or has not observed an epoch yet
 	}
 	ago := time.Duration(-1)
 	if p.Restored > 0 {
@@ -254,10 +256,10 @@
 	in.observeEpoch(p.Epoch, ago)
 }
 
-// RestoringError says that the platform's store has come back from a copy, and that what it has
-// lost is being written again.
+// RestoringError reports that the platform's store was restored from a snapshot, and that
+// the changes that it lost are still being written again.
 type RestoringError struct{}
 
 func (*RestoringError) Error() string {
-	return "instance: the platform's store lost what it held; it is being written again"
+	return "instance: the platform's store was restored from a snapshot; lost changes are being written again"
 }
--- a/internal/instance/restore_test.go
+++ b/internal/instance/restore_test.go
@@ -11,7 +11,8 @@
 	"github.com/firlever/firlever/internal/emulator/store"
 )
 
-// restore lets the platform's store be away for some seconds and come back from a copy.
+// restore makes the platform's store unreachable for some seconds and then restores it from
+// a snapshot.
 func (w *simulation) restore(snapshot *store.Copy) {
 	const outage = 3 * time.Second
 	w.kv.SetFaults(store.Faults{Refuse: true, Until: time.Now().Add(outage)})
@@ -20,7 +21,8 @@
 	time.Sleep(time.Millisecond)
 }
 
-// inForce says whether a version of a document is in force at all instances.
+// inForce returns a condition that holds if a version of a document is in force at all
+// instances.
 func (w *simulation) inForce(path string, version uint64) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(w.all(), func(s nodeConfig) bool {
@@ -30,8 +32,9 @@
 	}
 }
 
-// Documents that the store has lost are written again, at their versions; what was in force
-// stays so, and changes go on from there.
+// TestDocumentsLostByRestore checks that documents lost in a restore of the store are
+// written again at their versions, that what was in force stays in force, and that later
+// changes continue from there.
 func TestDocumentsLostByRestore(t *testing.T) {
 	runSimulation(t, 2, 1, 4, func(w *simulation) {
 		w.startAll()
@@ -59,17 +62,18 @@
 		calls := w.takeCalls(w.all())
 		w.report("after a restore", w.all(), reregisterJitter, calls)
 		n, watching := float64(len(w.all())), 2.0*watchers
-		delete(calls, "watch") // those of the outage, too
+		delete(calls, "watch") // includes the retries during the outage
 		w.atMost(calls, map[string]float64{"restore": 3 * watching, "register": 2 * n, "get": 3 * n, "instances": n, "list": 0})
-		// Two documents, at the worst by each of its writers at once, and the change of this test.
+		// Two documents, in the worst case written by each of the watchers at once, and the
+		// change made by this test.
 		if writes, _ := w.storeCalls(); writes-w.checked[0] > int(2*watching)+1 {
 			t.Errorf("got %d writes after a restore, want %v at most", writes-w.checked[0], 2*watching+1)
 		}
 	})
 }
 
-// A change by an operator while documents are written again is made over what was confirmed, or
-// refused.
+// TestChangeAfterRestore checks that a change by an operator during the recovery is either
+// based on the version that was confirmed before the restore, or refused.
 func TestChangeAfterRestore(t *testing.T) {
 	runSimulation(t, 1, 1, 3, func(w *simulation) {
 		w.startAll()
@@ -82,7 +86,7 @@
 			in := w.running[s.id]
 			e, err := in.operatorStore().Get(context.Background(), place)
 			if err == nil && e.Version != 2 {
-				t.Errorf("%s: got version %d told to an operator, want 2", s.id, e.Version)
+				t.Errorf("%s: got version %d read by an operator, want 2", s.id, e.Version)
 			}
 			list, _, err := in.operatorStore().List(context.Background(), "/places/")
 			if i := slices.IndexFunc(list, func(e docstore.Entry) bool { return e.Path == place }); err == nil && list[i].Version != 2 {
@@ -101,7 +105,8 @@
 	})
 }
 
-// A roster that the store has lost is written again, so that instances join and leave as before.
+// TestRosterLostByRestore checks that a roster lost in a restore is written again, so that
+// instances join and leave as before.
 func TestRosterLostByRestore(t *testing.T) {
 	runSimulation(t, 1, 1, 4, func(w *simulation) {
 		w.startAll()
@@ -122,12 +127,13 @@
 		t.Logf("written again after %s", took)
 		w.atMost(map[string]int{"restore": w.takeCalls(w.all())["restore"]}, map[string]float64{"restore": 3})
 		w.start(last)
-		w.waitFor(2*time.Minute, "rosters clean", w.rostersCurrent(w.all()))
+		w.waitFor(2*time.Minute, "rosters current", w.rostersCurrent(w.all()))
 		w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
 	})
 }
 
-// An instance that starts while the roster is written again takes no target that is another's.
+// TestStartAfterRestore checks that an instance that starts during the recovery of the
+// roster does not use slots of a target that another instance owns.
 func TestStartAfterRestore(t *testing.T) {
 	runSimulation(t, 1, 1, 4, func(w *simulation) {
 		w.startAll()
@@ -146,12 +152,13 @@
 				t.Fatalf("got %d slots usable, want %d at most", got, most)
 			}
 		}
-		w.waitFor(2*time.Minute, "rosters clean", w.rostersCurrent(w.all()))
+		w.waitFor(2*time.Minute, "rosters current", w.rostersCurrent(w.all()))
 		w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
 	})
 }
 
-// The list of instances proves no end while lines that the store has lost are not back.
+// TestListAfterRestore checks that an instance whose entry in the list was lost in a
+// restore is listed again. Until then the list proves no end of an instance.
 func TestListAfterRestore(t *testing.T) {
 	runSimulation(t, 1, 1, 3, func(w *simulation) {
 		w.startAll()
@@ -167,7 +174,8 @@
 	})
 }
 
-// listed is the incarnation of an instance in the platform's list; 0 if it is not there.
+// listed returns the incarnation of an instance in the platform's list, 0 if it is not
+// listed.
 func (w *simulation) listed(id string) uint64 {
 	list, _, err := w.kv.Instances(context.Background())
 	var busy *docstore.BusyError
--- a/internal/instance/rooms.go
+++ b/internal/instance/rooms.go
@@ -14,27 +14,28 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// What one packet tells the peers of the place is bounded, whatever the number
-// of services: some that have changed, and now and then one that has not, as a
-// packet may have been lost.
+// Bounds of one packet with free slots, whatever the number of services: it holds a few
+// counts that have changed and, in every unchangedEvery-th packet, one that has not, since
+// packets may be lost.
 const (
-	maxChanged     = 2 // services that have changed in one packet
-	unchangedEvery = 4 // packets between two that repeat what has not changed
+	maxChanged     = 2 // most services with a changed count in one packet
+	unchangedEvery = 4 // every so many packets, one repeats a count that has not changed
 )
 
-// capacityRotation is what the peers of the place were last told. It is not safe for
-// concurrent use.
+// capacityRotation chooses the counts for each packet from those last sent to the peers of
+// the place. It is not safe for concurrent use.
 type capacityRotation struct {
 	round uint64
-	sent  map[settings.ServiceID]sentCapacity // of the services of the latest round
+	sent  map[settings.ServiceID]sentCapacity // last sent counts of the services of the latest round
 }
 
 type sentCapacity struct {
 	capacity core.Room
-	round    uint64 // when it was told; 0 for never
+	round    uint64 // round of the last packet with it; 0 for none
 }
 
-// pick chooses the rooms for one packet, longest told first, and takes them as told.
+// pick returns the counts for one packet, those sent longest ago first, and records them as
+// sent.
 func (t *capacityRotation) pick(capacities []core.Room) []core.Room {
 	t.round++
 	sent := make(map[settings.ServiceID]sentCapacity, len(capacities))
@@ -65,8 +66,8 @@
 	return picked
 }
 
-// sendCapacities sends this instance's room to the peers of its place, and keeps
-// the list's idea of the roster up to date.
+// sendCapacities sends this instance's free slots to the peers of its place, and keeps the
+// member list's copy of the roster up to date.
 func (g *gossip) sendCapacities(ctx context.Context) {
 	t := time.NewTicker(capacityInterval)
 	defer t.Stop()
--- a/internal/instance/rooms_test.go
+++ b/internal/instance/rooms_test.go
@@ -12,7 +12,7 @@
 	tests := map[string]struct {
 		services int
 		changing bool
-		rounds   int // within which each service is told at least once
+		rounds   int // within which each service is sent at least once
 	}{
 		"few":            {services: 2, changing: true, rounds: 1},
 		"many, changing": {services: 30, changing: true, rounds: 15},
@@ -32,14 +32,14 @@
 				}
 				picked := rotation.pick(capacities)
 				if len(picked) > maxChanged+1 {
-					t.Fatalf("got %d rooms in one packet, want at most %d", len(picked), maxChanged+1)
+					t.Fatalf("got %d services in one packet, want at most %d", len(picked), maxChanged+1)
 				}
 				for _, r := range picked {
 					last[r.Service] = round
 				}
 				for i := range capacities {
 					if at, ok := last[capacities[i].Service]; round >= tt.rounds && (!ok || round-at > tt.rounds) {
-						t.Fatalf("got %v last told in round %d by round %d, want within %d", capacities[i].Service, at, round, tt.rounds)
+						t.Fatalf("got %v last sent in round %d by round %d, want within %d", capacities[i].Service, at, round, tt.rounds)
 					}
 				}
 			}
--- a/internal/instance/roster.go
+++ b/internal/instance/roster.go
@@ -12,24 +12,24 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// How often the platform's copy of the roster is read; half of each wait is
-// drawn anew each time.
+// Intervals between reads of the platform's copy of the roster. After each read a factor
+// between a half and 1 is drawn, by which they are multiplied.
 const (
-	rosterUnconfirmed = 900 * time.Millisecond // while peers' acks do not confirm this instance's rights
+	rosterUnconfirmed = 900 * time.Millisecond // while peers' acks do not confirm this instance's ownership leases
 	rosterConfirmed   = 30 * time.Second       // while they do
-	rosterRetry       = 5 * time.Second        // after failures, while they do not
-	confirmMargin     = time.Second            // so much before the rights lapse, the platform is asked
+	rosterRetry       = 5 * time.Second        // after a failed read, while they do not
+	confirmMargin     = time.Second            // time before the leases expire at which the platform is read
 	rosterTick        = 100 * time.Millisecond
-	rosterFirst       = 2 * time.Second // from the start to the first reading, with peers to ask: those that start together would write over each other
+	rosterFirst       = 2 * time.Second // longest delay of the first read, if there are seed addresses: instances that start together would conflict in their writes
 )
 
-// maintainRoster reads the place's roster when the rights that it gives need it, and
-// carries out the changes that the node asks for.
+// maintainRoster reads the place's roster when the leases that it confirms need it, and
+// writes the changes that the node decides on.
 func (in *Instance) maintainRoster(ctx context.Context) {
 	if len(in.cfg.Join) > 0 {
 		sleep(ctx, rand.N(rosterFirst))
 	}
-	var read time.Time // when the roster was last read; zero asks for it at once
+	var read time.Time // last read of the roster; zero makes it due at once
 	failed, factor := false, 1.0
 	tick := time.NewTicker(rosterTick)
 	defer tick.Stop()
@@ -61,8 +61,8 @@
 	}
 }
 
-// rosterWait is how long after a reading of the roster the next is due at most.
-// Peers that confirm this instance's rights make the platform's word less urgent.
+// rosterWait returns the longest time from a read of the roster to the next. It is longer
+// while acks of peers confirm this instance's leases.
 func (in *Instance) rosterWait(failed bool) time.Duration {
 	switch {
 	case in.confirmed():
@@ -73,7 +73,7 @@
 	return rosterUnconfirmed
 }
 
-// noteNewerRoster notes that a peer of the place has a newer roster.
+// noteNewerRoster queues a peer of the place as a source if its roster is newer.
 func (in *Instance) noteNewerRoster(version uint64, peer docstore.Instance) {
 	var held uint64
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { held = n.Roster().Version })
@@ -82,12 +82,12 @@
 	}
 	select {
 	case in.newerRosterPeers <- peer:
-	default: // one is being asked already
+	default: // another peer is queued already
 	}
 }
 
-// pullRoster gets the place's roster from a peer, which costs the platform
-// nothing. It confirms no rights.
+// pullRoster fetches the place's roster from a peer, without a call to the platform. It
+// confirms no leases.
 func (in *Instance) pullRoster(ctx context.Context, p docstore.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -104,8 +104,8 @@
 	return true
 }
 
-// ownRoster is the place's roster as a document for peers of the place; nil
-// if it is not known.
+// ownRoster returns the place's roster as a document for peers of the place, nil if it is
+// not known.
 func (in *Instance) ownRoster() *wire.Document {
 	r := in.roster()
 	value, err := r.Encode()
@@ -115,7 +115,7 @@
 	return &wire.Document{Path: rosterRoot + in.cfg.Place, Version: r.Version, Value: value}
 }
 
-// confirmed says whether the rights are confirmed, and will be for a while.
+// confirmed reports whether the leases are confirmed now and for confirmMargin.
 func (in *Instance) confirmed() bool {
 	var ok bool
 	in.dispatcher.Read(func(now time.Time, n *core.Node) { ok = n.Confirmed(now.Add(confirmMargin)) })
@@ -141,15 +141,15 @@
 		}
 	}
 	if in.restoration.restoring(sent) {
-		in.dispatcher.Step(core.RosterHeard{Roster: r}) // others may know a later one
+		in.dispatcher.Step(core.RosterHeard{Roster: r}) // other instances may have a later one
 		return nil
 	}
 	in.dispatcher.Step(core.RosterRead{Roster: r, Sent: sent})
 	return nil
 }
 
-// swapRoster writes a roster by compare-and-swap. Whatever comes of it, the
-// roster is read again afterwards.
+// swapRoster writes a roster by compare-and-swap. Whatever the result, the caller reads the
+// roster again afterwards.
 func (in *Instance) swapRoster(ctx context.Context, d core.SwapRoster) {
 	if in.restoration.restoring(in.now()) {
 		in.dispatcher.Step(core.SwapFailed{Removed: d.Removed})
--- a/internal/instance/silent_test.go
+++ b/internal/instance/silent_test.go
@@ -10,8 +10,10 @@
 	"time"
 )
 
-// Callers open connections that they use later: a request on one that had been silent since was
-// lost with it.
+// TestRequestLostWithSilentConnection guards against closing a connection that has been
+// silent since it was opened: callers open connections ahead of use, and a first request on
+// such a connection was lost with it. A connection that is slow with its headers is still
+// closed.
 func TestRequestLostWithSilentConnection(t *testing.T) {
 	const silent, slack = time.Minute, time.Second
 	listeners := map[string]func(in *Instance) string{
@@ -37,7 +39,7 @@
 					w.t.Fatal(err)
 				}
 				if resp, err := http.ReadResponse(bufio.NewReader(late), nil); err != nil {
-					w.t.Errorf("got %v in place of an answer after %s of silence", err, silent)
+					w.t.Errorf("got %v instead of an answer after %s of silence", err, silent)
 				} else {
 					resp.Body.Close()
 				}
@@ -48,7 +50,7 @@
 				for what, c := range map[string]struct {
 					net.Conn
 					most time.Duration
-				}{"half a head": {half, headerTimeout}, "no request": {never, idleTimeout}} {
+				}{"incomplete headers": {half, headerTimeout}, "no request": {never, idleTimeout}} {
 					begun := time.Now()
 					_, err := io.Copy(io.Discard, c)
 					if got := time.Since(begun); err != nil || got > c.most+slack {
--- a/internal/instance/start.go
+++ b/internal/instance/start.go
@@ -11,19 +11,20 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// How an instance gets all documents at its start.
+// Times and bounds of the initial load of all documents.
 const (
-	noPeersWait    = time.Second            // the longest that an instance waits for peers if it was given none
-	watcherWait    = 4 * time.Second        // the longest that a watcher of the domain waits for a peer's answer
-	nonWatcherWait = 20 * time.Second       // the longest that the others wait
-	pullInterval   = 250 * time.Millisecond // the longest between two rounds of questions to peers
-	pullPeers      = 3                      // peers asked in one round
-	listTimeout    = 15 * time.Second       // of one reading of all documents
+	noPeersWait    = time.Second            // longest wait for peers without seed addresses
+	watcherWait    = 4 * time.Second        // longest wait of a watcher of the domain for a peer's documents
+	nonWatcherWait = 20 * time.Second       // longest wait of the other instances
+	pullInterval   = 250 * time.Millisecond // longest time between two rounds of calls to peers
+	pullPeers      = 3                      // peers called in one round
+	listTimeout    = 15 * time.Second       // timeout of a read of all documents
 )
 
-// loadDocuments gets all documents from peers, or from the platform if no peer has
-// given them by a deadline: an early one for the domain's watchers, a late one
-// for the others. The deadlines differ between instances that start together.
+// loadDocuments gets all documents from peers, or from the platform if no peer has supplied
+// them by a deadline: an early one for the domain's watchers, a late one for the other
+// instances. The deadlines are jittered, so that instances that start together don't read
+// at once.
 func (in *Instance) loadDocuments(ctx context.Context) {
 	var b backoff
 	start := in.now()
@@ -44,7 +45,7 @@
 	}
 }
 
-// discoveryWait is how long it may take at most to hear of peers: before that every
+// discoveryWait returns the longest time for the discovery of peers. Until then every
 // instance takes itself for a watcher.
 func (in *Instance) discoveryWait() time.Duration {
 	if len(in.cfg.Join) == 0 {
@@ -58,7 +59,8 @@
 	return !complete.IsZero()
 }
 
-// pullFromPeers asks a few peers in random order for all documents, until one has them.
+// pullFromPeers pulls all documents from a few peers in random order, until one has
+// supplied them.
 func (in *Instance) pullFromPeers(ctx context.Context) {
 	addresses := in.candidateAddresses()
 	for _, a := range addresses[:min(len(addresses), pullPeers)] {
@@ -70,13 +72,13 @@
 			err = in.fetchMembers(ctx, a)
 		}
 		if err != nil && in.cfg.Log != nil {
-			in.cfg.Log.Debug("peer gave no documents", "address", a, "err", err)
+			in.cfg.Log.Debug("pull of documents from peer failed", "address", a, "err", err)
 		}
 	}
 }
 
-// fetchMembers learns of the instances that a peer knows. The platform's list lags, and
-// chance pings between places take their time.
+// fetchMembers adds the instances that a peer knows to the membership. The platform's list
+// lags, and random pings between places take time.
 func (in *Instance) fetchMembers(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// liveInstances are this instance and those that it knows to live.
+// liveInstances returns this instance and the known ones that are not dead.
 func (in *Instance) liveInstances() []*wire.News {
 	var news []*wire.News
 	for _, p := range in.fleet(context.Background()) {
@@ -107,8 +109,8 @@
 	return news
 }
 
-// candidateAddresses are the addresses of peers that may have the documents, in random
-// order: those given at the start, and those heard of since.
+// candidateAddresses returns the addresses of peers that may have the documents, in random
+// order: the seed addresses and those of known members.
 func (in *Instance) candidateAddresses() []string {
 	known := make(map[string]bool)
 	var list []string
@@ -139,6 +141,6 @@
 		return err
 	}
 	in.applyEntries(entries)
-	in.docs.Complete(platform.Later(revision, platform.NewRevision(0, 1))) // also of a store that is empty
+	in.docs.Complete(platform.Later(revision, platform.NewRevision(0, 1))) // at least revision 1, for a store that is empty
 	return nil
 }
--- a/internal/instance/status.go
+++ b/internal/instance/status.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/metrics"
 )
 
-// gaugeInterval is how often the gauges are set.
+// gaugeInterval is the time between two updates of the gauges.
 const gaugeInterval = time.Second
 
 // publishGauges keeps the gauges up to date.
@@ -32,7 +32,7 @@
 	return state
 }
 
-// Status is what the node tells of itself now.
+// Status returns the node's current status.
 func (in *Instance) Status() core.Status {
 	var st core.Status
 	in.dispatcher.Read(func(now time.Time, n *core.Node) { st = n.Status(now) })
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -8,13 +8,13 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// stopPollInterval is how often a planned stop looks whether it is done.
+// stopPollInterval is the time between two checks whether a planned stop is complete.
 const stopPollInterval = 20 * time.Millisecond
 
-// Stop is a planned stop. Peers and look-ups stop naming this instance, it goes
-// on serving callers until their cached look-ups have run out, finishes what is
-// in flight, and hands its targets over. When ctx ends first, what is left is
-// cut, and Stop returns a *CutError.
+// Stop performs a planned stop: peers and look-ups stop naming this instance, it keeps
+// serving callers until their cached look-ups have expired, completes the requests in
+// flight and hands its targets over. If ctx ends first, the remaining requests are aborted
+// and Stop returns a *CutError.
 func (in *Instance) Stop(ctx context.Context) error {
 	in.members.leave()
 	in.dispatcher.Step(core.Stopping{})
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// linger goes on serving until no caller can have a look-up left that sends it
-// here, or for the longest time if a peer does not tell what it has given out.
+// linger waits until no caller can still have a cached look-up that names this instance, or
+// for Config.Linger if a peer does not report when its look-ups expire.
 func (in *Instance) linger(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, in.cfg.Linger)
 	defer cancel()
@@ -46,8 +46,7 @@
 	}
 }
 
-// waitIdle waits until no request is left inside. It returns how many were
-// left when ctx ended.
+// waitIdle waits until no request is in flight. It returns how many were when ctx ended.
 func (in *Instance) waitIdle(ctx context.Context) int {
 	t := time.NewTicker(stopPollInterval)
 	defer t.Stop()
@@ -72,7 +71,7 @@
 	return open, idle
 }
 
-// CutError says that a planned stop ran out of time with requests in flight.
+// CutError reports that a planned stop timed out with requests in flight.
 type CutError struct{ Requests int }
 
 func (e *CutError) Error() string { return "instance: stop cut requests in flight" }
--- a/internal/instance/stores.go
+++ b/internal/instance/stores.go
@@ -10,7 +10,7 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// epochStore notes the epochs that a store's answers are of.
+// epochStore passes the revision of each answer of a store to observe.
 type epochStore struct {
 	docstore.Store
 	observe func(at platform.Revision)
@@ -53,8 +53,9 @@
 	return list, at, err
 }
 
-// operatorStore is the store as operators see it: what was confirmed to them is not older there
-// while a store that came back from a copy is written again, and nothing is changed before.
+// operatorStore is the store for operators. While a restored store is being written again,
+// it does not return versions that are older than those already confirmed to operators, and
+// it refuses changes.
 type operatorStore struct {
 	docstore.Store
 	in *Instance
@@ -64,7 +65,8 @@
 	return &operatorStore{Store: in.cfg.Store, in: in}
 }
 
-// Get reads one path. A document that is known here at a later version is written again first.
+// Get reads one path. If a later version of the document is held here, it is written to the
+// store first.
 func (s *operatorStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
 	e, err := s.Store.Get(ctx, path)
 	if !s.behind(path, e, err) {
@@ -76,7 +78,7 @@
 	return s.Store.Get(ctx, path)
 }
 
-// behind says whether the store has an earlier version of a document than is known here.
+// behind reports whether the store has an earlier version of a document than is held here.
 func (s *operatorStore) behind(path string, e docstore.Entry, err error) bool {
 	var missing *docstore.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -86,8 +88,8 @@
 	return held && doc.Version > e.Version
 }
 
-// List reads every entry under a prefix, those that are known here at a later version as they
-// are here.
+// List reads every entry under a prefix. Documents that are held here at a later version
+// are returned as held here.
 func (s *operatorStore) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.List(ctx, prefix)
 	if err != nil {
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -16,25 +16,25 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// How documents spread among instances.
+// Times and bounds of the exchange of documents among instances.
 const (
-	syncTimeout = 3 * time.Second  // of one call to a peer
-	pullTimeout = 30 * time.Second // of all calls for what a peer has more
-	pushPeers   = 3                // peers that are told of a new document at once
-	maxPush     = 16 << 10         // bytes of documents that are pushed rather than fetched
-	maxFetch    = 512 << 10        // bytes of documents in one answer
-	maxPaths    = 1024             // paths in one question
+	syncTimeout = 3 * time.Second  // timeout of one call to a peer
+	pullTimeout = 30 * time.Second // timeout of all calls that pull a peer's newer documents
+	pushPeers   = 3                // peers to which a new document is pushed
+	maxPush     = 16 << 10         // most bytes of documents that are pushed; larger ones are fetched
+	maxFetch    = 512 << 10        // bytes of documents after which an answer ends
+	maxPaths    = 1024             // most paths in one request
 )
 
-// markDiverged notes that a peer's documents differ from ours.
+// markDiverged queues a peer whose documents differ from the local ones.
 func (in *Instance) markDiverged(peer docstore.Instance) {
 	select {
 	case in.divergedPeers <- peer:
-	default: // one is being asked already; a later packet tells again
+	default: // a peer is queued already; a later packet repeats this one
 	}
 }
 
-// sync asks peers whose documents differ for what is missing here.
+// sync pulls documents from queued peers whose documents differ.
 func (in *Instance) sync(ctx context.Context) {
 	for {
 		select {
@@ -48,9 +48,9 @@
 	}
 }
 
-// pull fetches from the peer at an address the documents that are newer there.
-// The messages are small when little differs. What a peer that has just started
-// holds is passed over as long as this instance's own documents are incomplete.
+// pull fetches from the peer at an address the documents that are newer there. The messages
+// are small when little differs. If neither the peer's documents nor the local ones are
+// known to be complete, nothing is fetched.
 func (in *Instance) pull(ctx context.Context, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// fetch gets documents by path until all are here. A peer has each path that
-// its digest named, at that version or a newer one.
+// fetch gets documents by path until all are here. A peer has each path that its digest
+// named, at that version or a newer one.
 func (in *Instance) fetch(ctx context.Context, client wire.Peer, missing []string) error {
 	for len(missing) > 0 {
 		resp, err := client.Fetch(ctx, &wire.FetchRequest{Paths: missing[:min(len(missing), maxPaths)]})
@@ -90,11 +90,11 @@
 	return nil
 }
 
-// IncompleteFetchError says that a peer did not hand over documents that it had named.
+// IncompleteFetchError reports that a peer did not return documents that its digest named.
 type IncompleteFetchError struct{ Missing int }
 
 func (e *IncompleteFetchError) Error() string {
-	return fmt.Sprintf("instance: a peer kept back %d documents", e.Missing)
+	return fmt.Sprintf("instance: peer did not return %d documents of its digest", e.Missing)
 }
 
 func (in *Instance) missing(remote []*wire.Version) []string {
@@ -111,19 +111,19 @@
 	return paths
 }
 
-// applyDocuments puts documents in force and tells a few peers of what is new.
+// applyDocuments puts documents in force and pushes the newer ones to a few peers.
 func (in *Instance) applyDocuments(docs []settings.Document) {
 	_, complete := in.docs.Progress()
 	changed := in.docs.Apply(docs)
 	in.checkReceived(changed)
 	if len(changed) == 0 || complete.IsZero() {
-		return // before this instance is complete, what it learns is news to no one
+		return // before this instance is complete, other instances already have what is new here
 	}
 	in.push(changed)
 }
 
-// push hands new documents to a few random peers. Those that miss it learn
-// from the next packet of the membership.
+// push sends new documents to a few random peers. The others pull them after the next
+// membership packet.
 func (in *Instance) push(paths []string) {
 	docs := in.documentsByPath(paths, maxPush)
 	if len(docs) == 0 {
@@ -140,7 +140,8 @@
 	}
 }
 
-// documentsByPath gives the documents of these paths, up to about so many bytes.
+// documentsByPath returns the documents at these paths, up to about so many bytes, but at
+// least one if there is one.
 func (in *Instance) documentsByPath(paths []string, most int) []*wire.Document {
 	var docs []*wire.Document
 	size := 0
@@ -176,7 +177,8 @@
 	return wire.NewPeerProtobufClient("http://"+address, in.rpc)
 }
 
-// peerHandler serves the peers' address: hand-offs and control.
+// peerHandler returns the handler of the peers' address: forwarded requests, hand-offs and
+// control calls.
 func (in *Instance) peerHandler() http.Handler {
 	r := chi.NewRouter()
 	in.server.Peers(r)
@@ -185,10 +187,10 @@
 	return r
 }
 
-// peerServer answers other instances.
+// peerServer serves the control calls of other instances.
 type peerServer struct{ in *Instance }
 
-// Digest names the versions of the documents in buckets that differ.
+// Digest returns the versions of the documents in the buckets that differ.
 func (s *peerServer) Digest(_ context.Context, r *wire.DigestRequest) (*wire.DigestResponse, error) {
 	var remote replica.Buckets
 	copy(remote[:], r.Buckets)
@@ -204,7 +206,7 @@
 	return resp, nil
 }
 
-// Fetch reads documents by path, or the place's roster.
+// Fetch returns documents by path, or the place's roster.
 func (s *peerServer) Fetch(_ context.Context, r *wire.FetchRequest) (*wire.FetchResponse, error) {
 	docs := s.in.documentsByPath(r.Paths, maxFetch)
 	if len(r.Paths) == 1 && r.Paths[0] == rosterRoot+s.in.cfg.Place {
@@ -215,13 +217,13 @@
 	return &wire.FetchResponse{Documents: docs}, nil
 }
 
-// Push takes documents in.
+// Push adds documents.
 func (s *peerServer) Push(_ context.Context, r *wire.PushRequest) (*wire.PushResponse, error) {
 	s.in.applyDocuments(fromWire(r.Documents))
 	return &wire.PushResponse{Root: s.in.docs.Root()}, nil
 }
 
-// Status tells what is in force here.
+// Status returns the versions in force here and the known instances.
 func (s *peerServer) Status(_ context.Context, _ *wire.StatusRequest) (*wire.StatusResponse, error) {
 	resp := &wire.StatusResponse{Id: s.in.cfg.ID, Incarnation: s.in.incarnation, Root: s.in.docs.Root(), Members: s.in.liveInstances()}
 	for _, d := range s.in.docs.Documents() {
@@ -230,12 +232,12 @@
 	return resp, nil
 }
 
-// isWatcher says whether this instance watches the platform for its domain.
+// isWatcher reports whether this instance watches the platform's store for its domain.
 func (in *Instance) isWatcher() bool {
 	return replica.Watchers(in.domainPeers(), in.cfg.ID, watchers)
 }
 
-// domainPeers names the other live instances of the domain.
+// domainPeers returns the IDs of the other live instances of the domain.
 func (in *Instance) domainPeers() []string {
 	var ids []string
 	for _, m := range in.members.Members() {
--- a/internal/instance/watch.go
+++ b/internal/instance/watch.go
@@ -12,27 +12,27 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// How the platform is called.
+// Times and bounds of calls to the platform.
 const (
-	watchWait    = 20 * time.Second // of one waiting watch
-	callTimeout  = 2 * time.Second  // of any other call
+	watchWait    = 20 * time.Second // longest wait of one watch call
+	callTimeout  = 2 * time.Second  // timeout of any other call, added to the wait of a watch
 	backoffMin   = 200 * time.Millisecond
 	backoffMax   = 10 * time.Second
-	watcherCheck = time.Second            // by those that are no watchers
-	watchPause   = 600 * time.Millisecond // after changes, so that a row of them does not cost a call each
-	watchers     = 2                      // instances of a domain that watch the platform; the others ask peers
+	watcherCheck = time.Second            // interval at which instances that do not watch check whether they should
+	watchPause   = 600 * time.Millisecond // pause after changes, so that a series of them does not cost a call each
+	watchers     = 2                      // instances of a domain that watch the platform's store; the others get changes from peers
 	rosterRoot   = "/rosters/"
 )
 
-// backoff spaces tries after failures; each wait is jittered so that instances
-// don't come back to the platform together.
+// backoff computes the waits between retries. Each wait is jittered, so that instances do
+// not retry calls to the platform at the same time.
 type backoff struct{ next time.Duration }
 
 func (b *backoff) reset() { b.next = 0 }
 
 func (b *backoff) wait(ctx context.Context) { sleep(ctx, b.step()) }
 
-// step is the next wait.
+// step returns the next wait.
 func (b *backoff) step() time.Duration {
 	b.next = min(max(b.next*2, backoffMin), backoffMax)
 	return jittered(b.next)
@@ -47,12 +47,13 @@
 	}
 }
 
-// jittered spreads what many instances do over half of a period.
+// jittered returns a random duration between half of d and d, so that many instances don't
+// act at once.
 func jittered(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-// watch gets all documents at the start, and then follows the platform's: by a
-// waiting watch if this instance is one of its domain's watchers, else it
-// leaves that to them.
+// watch loads all documents at the start and then follows the platform's store: by a watch
+// call if this instance is one of its domain's watchers; the other instances get changes
+// from them.
 func (in *Instance) watch(ctx context.Context) {
 	discovered := in.now().Add(jittered(in.discoveryWait()))
 	in.loadDocuments(ctx)
@@ -76,7 +77,8 @@
 	}
 }
 
-// watchOnce waits for what is newer than the documents held, whoever gave them.
+// watchOnce waits for changes after the revision up to which the documents held are
+// complete, whatever their source.
 func (in *Instance) watchOnce(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
@@ -93,7 +95,7 @@
 	return len(entries) > 0, nil
 }
 
-// applyEntries sorts entries of the platform into documents and rosters.
+// applyEntries applies entries of the platform's store, documents and rosters.
 func (in *Instance) applyEntries(entries []docstore.Entry) {
 	var docs []settings.Document
 	for _, e := range entries {
@@ -108,7 +110,7 @@
 	in.applyDocuments(docs)
 }
 
-// applyRoster takes in this place's roster from a watch. A watch may be late, so
+// applyRoster passes this place's roster from a watch to the node. A watch may be late, so
 // it confirms nothing.
 func (in *Instance) applyRoster(e docstore.Entry) {
 	if e.Path != rosterRoot+in.cfg.Place {
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -19,7 +19,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// simulation is a platform and whole instances in virtual time. Domain d has the
+// simulation is a platform store and whole instances in virtual time. Domain d has the
 // places d<d>-p<p>, each with its instances and targets.
 type simulation struct {
 	t       *testing.T
@@ -39,21 +39,22 @@
 }
 
 const (
-	serviceTimeout  = 2 * time.Second // of the service
+	serviceTimeout  = 2 * time.Second // timeout of the service
 	targetsPerPlace = 6
 )
 
-// runSimulation runs f with domains of so many places, and so many instances a place.
+// runSimulation runs f with a simulation of so many domains, places per domain and
+// instances per place.
 func runSimulation(t *testing.T, domains, places, instances int, f func(w *simulation)) {
 	t.Helper()
-	// The race detector keeps one context for all timers of a bubble (Go 1.26),
-	// and crashes when two threads read expired ones at the same time.
+	// The race detector keeps one context for all timers of a synctest bubble (Go 1.26) and
+	// crashes when two threads read expired timers at the same time.
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	synctest.Test(t, func(t *testing.T) {
 		w := newSimulation(t, domains, places, instances)
 		defer func() {
 			w.kill(w.all())
-			time.Sleep(2 * time.Minute) // for what was under way to time out
+			time.Sleep(2 * time.Minute) // lets calls in flight time out
 		}()
 		f(w)
 	})
@@ -95,7 +96,7 @@
 	return w
 }
 
-// setJoin gives every instance three addresses to begin with.
+// setJoin gives every instance up to three seed addresses.
 func (w *simulation) setJoin() {
 	for i := range w.nodes {
 		for k := range 3 {
@@ -150,7 +151,7 @@
 	return slices.DeleteFunc(slices.Clone(w.nodes), func(s nodeConfig) bool { return s.domain != fmt.Sprintf("d%d", d) })
 }
 
-// waitFor waits until ok holds, and returns how long it took.
+// waitFor waits until ok holds, and returns how long that took.
 func (w *simulation) waitFor(most time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	start := time.Now()
@@ -169,7 +170,8 @@
 	return time.Since(start)
 }
 
-// ready says whether every instance of the seats has all documents in force.
+// ready returns a condition that holds if every instance of the nodes has a configuration
+// in force.
 func (w *simulation) ready(nodes []nodeConfig) func() bool {
 	return func() bool {
 		for _, s := range nodes {
@@ -181,8 +183,8 @@
 	}
 }
 
-// fullyUsable says whether the targets of the seats' places can be used fully, each
-// by its one owner.
+// fullyUsable returns a condition that holds if all slots of the targets in the nodes'
+// places are usable, each by one owner.
 func (w *simulation) fullyUsable(nodes []nodeConfig) func() bool {
 	return func() bool { return w.usableSlots(nodes) == w.limit(nodes) }
 }
@@ -195,7 +197,7 @@
 	return len(places) * targetsPerPlace * 10
 }
 
-// usableSlots is how many slots the instances of the seats may fill now.
+// usableSlots returns how many slots the instances of the nodes may use now.
 func (w *simulation) usableSlots(nodes []nodeConfig) int {
 	sum := 0
 	for _, s := range nodes {
@@ -210,7 +212,8 @@
 	return sum
 }
 
-// rostersCurrent says whether the rosters of the seats' places name exactly what runs.
+// rostersCurrent returns a condition that holds if the rosters of the nodes' places have
+// the nodes' running instances and no previous members.
 func (w *simulation) rostersCurrent(nodes []nodeConfig) func() bool {
 	return func() bool {
 		for _, s := range nodes {
@@ -231,7 +234,7 @@
 	}
 }
 
-// startAll starts all instances and waits until they have settled.
+// startAll starts all instances and waits until they are in a steady state.
 func (w *simulation) startAll() {
 	w.t.Helper()
 	w.start(w.all())
@@ -242,7 +245,7 @@
 	w.checked[0], w.checked[1] = w.storeCalls()
 }
 
-// takeCalls sums the calls of the seats since the last time.
+// takeCalls returns the calls of the nodes' instances since the last time, summed.
 func (w *simulation) takeCalls(nodes []nodeConfig) map[string]int {
 	sum := make(map[string]int)
 	for _, s := range nodes {
@@ -262,17 +265,17 @@
 	w.t.Log(line)
 }
 
-// storeCalls counts what the platform's store was asked so far: all reads, and the
-// calls that write. The renewal of a lease is neither.
+// storeCalls returns the calls that write to the platform's store so far, and all reads.
+// The renewal of a lease counts as neither.
 func (w *simulation) storeCalls() (writes, reads int) {
 	writes = w.kv.Calls("/kv-txn") + w.kv.Calls("/kv-lease")
 	reads = w.kv.Calls("/kv-key") + w.kv.Calls("/kv-range") + w.kv.Calls("/kv-watch")
 	return writes, reads
 }
 
-// checkRate wants the calls since the last check, made by every instance of a fleet
-// of 2,000, to take no more than a third of the platform's rates. calls are those of
-// the instances over the same time.
+// checkRate checks the calls to the store since the last check: made at the same rate by
+// every instance of a fleet of 2,000, they must take no more than a third of the platform's
+// limits. calls are those of the instances over the same time, for the log.
 func (w *simulation) checkRate(what string, nodes []nodeConfig, over time.Duration, calls map[string]int) {
 	w.t.Helper()
 	w.report(what, nodes, over, calls)
@@ -292,7 +295,7 @@
 	}
 }
 
-// atMost fails if a call was made more often than allowed, in all.
+// atMost checks that no call was made more often in total than allowed.
 func (w *simulation) atMost(calls map[string]int, most map[string]float64) {
 	w.t.Helper()
 	for call, n := range calls {
