--- a/internal/health/book.go
+++ b/internal/health/book.go
@@ -13,8 +13,8 @@
 	"github.com/juju/errors"
 )
 
-// maxBack is how far the clock may go back without deadlines being moved.
-const maxBack = 2 * time.Second
+// maxClockStep is how far the clock may go back without deadlines being moved.
+const maxClockStep = 2 * time.Second
 
 // Outcome is how a request to a target ended.
 type Outcome int
@@ -62,15 +62,15 @@
 // Add puts a target into the book, if it isn't there yet. A warm one is known
 // to have served lately; others start cold, at one slot.
 func (b *Book[K]) Add(now time.Time, key K, warm bool) {
-	b.advance(now)
+	b.followClock(now)
 	i, ok := b.find(key)
 	if ok {
 		return
 	}
-	t := &target[K]{key: key, idleAt: now.Add(b.cfg.Idle), silentAt: now.Add(b.cfg.Silent)}
-	t.reopen(now, 1, b.cfg.Step)
+	t := &target[K]{key: key, coldAt: now.Add(b.cfg.Idle), agingAt: now.Add(b.cfg.Silent)}
+	t.setOpenSlots(now, 1, b.cfg.Step)
 	if warm {
-		t.open = maxOpen
+		t.openSlots = unlimitedSlots
 	}
 	b.targets = slices.Insert(b.targets, i, t)
 }
@@ -89,16 +89,16 @@
 	if t == nil {
 		return
 	}
-	b.signal(now, t)
+	b.recordSignal(now, t)
 	t.freshUntil = now.Add(b.cfg.Fresh)
-	t.idleAt = now.Add(b.cfg.Idle)
+	t.coldAt = now.Add(b.cfg.Idle)
 	switch o {
 	case OK:
-		b.succeed(now, t, latency)
+		b.recordSuccess(now, t, latency)
 	case Refused:
 		t.shrink(now, b.cfg.Step)
 	default:
-		b.fail(now, t)
+		b.recordFailure(now, t)
 	}
 }
 
@@ -106,7 +106,7 @@
 // whose time has passed, or ejects it again; it changes no other.
 func (b *Book[K]) Probed(now time.Time, key K, healthy bool) {
 	t := b.get(now, key)
-	if t == nil || !t.ejected || now.Before(t.until) {
+	if t == nil || !t.ejected || now.Before(t.ejectedUntil) {
 		return
 	}
 	outcome := Failed
@@ -120,7 +120,7 @@
 // added. The floor of ejections counts those that it uses.
 func (b *Book[K]) Own(key K, own bool) {
 	if i, ok := b.find(key); ok {
-		b.targets[i].foreign = !own
+		b.targets[i].notOwned = !own
 	}
 }
 
@@ -131,8 +131,8 @@
 	if t == nil {
 		return
 	}
-	b.signal(now, t)
-	t.claimed, t.healthy, t.slots, t.busy = true, healthy, slots, busy
+	b.recordSignal(now, t)
+	t.reported, t.reportedHealthy, t.reportedSlots, t.reportedBusy = true, healthy, slots, busy
 }
 
 // Weight returns how many slots of a target may be used now, 0 to allowance.
@@ -169,13 +169,13 @@
 // request or by GET /health, in the order of the keys. Report what comes of it
 // by Observe. A target is returned again if nothing came in time.
 func (b *Book[K]) ProbesDue(now time.Time) []K {
-	b.advance(now)
+	b.followClock(now)
 	var keys []K
 	for _, t := range b.targets {
-		if !t.ejected || now.Before(t.until) || now.Before(t.probeUntil) {
+		if !t.ejected || now.Before(t.ejectedUntil) || now.Before(t.probeDeadline) {
 			continue
 		}
-		t.probeUntil = now.Add(b.cfg.Probe)
+		t.probeDeadline = now.Add(b.cfg.Probe)
 		keys = append(keys, t.key)
 	}
 	return keys
@@ -189,7 +189,7 @@
 
 // get returns the target of key at now, or nil.
 func (b *Book[K]) get(now time.Time, key K) *target[K] {
-	b.advance(now)
+	b.followClock(now)
 	i, ok := b.find(key)
 	if !ok {
 		return nil
@@ -197,12 +197,12 @@
 	return b.targets[i]
 }
 
-// advance moves all deadlines back with a clock that was set back far.
-func (b *Book[K]) advance(now time.Time) {
+// followClock moves all deadlines back with a clock that was set back far.
+func (b *Book[K]) followClock(now time.Time) {
 	back := now.Sub(b.latest)
-	if !b.latest.IsZero() && back < -maxBack {
+	if !b.latest.IsZero() && back < -maxClockStep {
 		for _, t := range b.targets {
-			t.move(back)
+			t.shiftDeadlines(back)
 		}
 		b.latest = now
 	}
--- a/internal/health/book_test.go
+++ b/internal/health/book_test.go
@@ -27,8 +27,8 @@
 	return b
 }
 
-// times observes the outcome n times, every 100 ms from at.
-func times(b *Book[int], n int, at time.Duration, o Outcome) {
+// observeTimes observes the outcome n observeTimes, every 100 ms from at.
+func observeTimes(b *Book[int], n int, at time.Duration, o Outcome) {
 	for i := range n {
 		b.Observe(begin.Add(at+time.Duration(i)*100*time.Millisecond), 0, o, time.Millisecond)
 	}
@@ -54,76 +54,83 @@
 	}{
 		"warm":          {false, func(*Book[int]) {}, 0, 10, Warm},
 		"cold":          {true, func(*Book[int]) {}, 0, 1, Cold},
-		"few successes": {true, func(b *Book[int]) { times(b, 2, time.Second, OK) }, 2 * time.Second, 2, Cold},
-		"too early":     {true, func(b *Book[int]) { times(b, 5, 0, OK) }, time.Second, 1, Cold},
-		"grown":         {true, func(b *Book[int]) { times(b, 40, 0, OK) }, 4 * time.Second, 10, Warm},
-		"refused":       {false, func(b *Book[int]) { times(b, 1, time.Second, Refused) }, time.Second, 5, Cold},
-		"four failures": {false, func(b *Book[int]) { times(b, 4, 0, Failed) }, time.Second, 10, Warm},
-		"five":          {false, func(b *Book[int]) { times(b, 5, 0, Timeout) }, time.Second, 0, Ejected},
-		"no probe":      {false, func(b *Book[int]) { times(b, 5, 0, Failed) }, 20 * time.Second, 0, Ejected},
-		"answer early":  {false, func(b *Book[int]) { times(b, 5, 0, Failed); times(b, 1, 500*time.Millisecond, OK) }, time.Second, 0, Ejected},
-		"probe":         {false, func(b *Book[int]) { times(b, 5, 0, Failed); times(b, 1, 2*time.Second, OK) }, 2 * time.Second, 1, Cold},
+		"few successes": {true, func(b *Book[int]) { observeTimes(b, 2, time.Second, OK) }, 2 * time.Second, 2, Cold},
+		"too early":     {true, func(b *Book[int]) { observeTimes(b, 5, 0, OK) }, time.Second, 1, Cold},
+		"grown":         {true, func(b *Book[int]) { observeTimes(b, 40, 0, OK) }, 4 * time.Second, 10, Warm},
+		"refused":       {false, func(b *Book[int]) { observeTimes(b, 1, time.Second, Refused) }, time.Second, 5, Cold},
+		"four failures": {false, func(b *Book[int]) { observeTimes(b, 4, 0, Failed) }, time.Second, 10, Warm},
+		"five":          {false, func(b *Book[int]) { observeTimes(b, 5, 0, Timeout) }, time.Second, 0, Ejected},
+		"no probe":      {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed) }, 20 * time.Second, 0, Ejected},
+		"answer early":  {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); observeTimes(b, 1, 500*time.Millisecond, OK) }, time.Second, 0, Ejected},
+		"probe":         {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); observeTimes(b, 1, 2*time.Second, OK) }, 2 * time.Second, 1, Cold},
 		"probe, failure": {false, func(b *Book[int]) {
-			times(b, 5, 0, Failed)
-			times(b, 1, 2*time.Second, OK)
-			times(b, 1, 3*time.Second, Failed)
+			observeTimes(b, 5, 0, Failed)
+			observeTimes(b, 1, 2*time.Second, OK)
+			observeTimes(b, 1, 3*time.Second, Failed)
 		}, 3 * time.Second, 0, Ejected},
 		"half fail": {false, func(b *Book[int]) {
 			for i := range 30 {
-				times(b, 2, time.Duration(i)*10*time.Millisecond, Failed)
-				times(b, 1, time.Duration(i)*10*time.Millisecond, OK)
+				observeTimes(b, 2, time.Duration(i)*10*time.Millisecond, Failed)
+				observeTimes(b, 1, time.Duration(i)*10*time.Millisecond, OK)
 			}
 		}, time.Second, 0, Ejected},
 		"late failures": {false, func(b *Book[int]) {
-			times(b, 10, 0, Failed)
-			times(b, 1, 1500*time.Millisecond, OK)
+			observeTimes(b, 10, 0, Failed)
+			observeTimes(b, 1, 1500*time.Millisecond, OK)
 		}, 1500 * time.Millisecond, 1, Cold},
 		"warm again": { // the second ejection is as short as the first
 			false, func(b *Book[int]) {
-				times(b, 5, 0, Failed)
-				times(b, 40, 2*time.Second, OK)
-				times(b, 5, 6100*time.Millisecond, Failed)
-				times(b, 1, 7600*time.Millisecond, OK)
+				observeTimes(b, 5, 0, Failed)
+				observeTimes(b, 40, 2*time.Second, OK)
+				observeTimes(b, 5, 6100*time.Millisecond, Failed)
+				observeTimes(b, 1, 7600*time.Millisecond, OK)
 			}, 7600 * time.Millisecond, 1, Cold,
 		},
 		"slow successes": {true, func(b *Book[int]) {
 			for i := range 5 {
-				times(b, 1, time.Duration(i+1)*time.Second, OK)
+				observeTimes(b, 1, time.Duration(i+1)*time.Second, OK)
 			}
 		}, 5 * time.Second, 4, Cold},
 		"long ejection": {false, func(b *Book[int]) {
 			b.cfg.Eject = time.Minute
-			times(b, 5, 0, Failed)
+			observeTimes(b, 5, 0, Failed)
 		}, 45 * time.Second, 0, Ejected},
 		"heard again": { // what aged stays
 			false, func(b *Book[int]) {
-				times(b, 1, time.Second, Refused)
-				times(b, 1, 2*time.Second, Refused)
-				times(b, 1, 35*time.Second, OK)
+				observeTimes(b, 1, time.Second, Refused)
+				observeTimes(b, 1, 2*time.Second, Refused)
+				observeTimes(b, 1, 35*time.Second, OK)
 			}, 36 * time.Second, 4, Cold,
 		},
 		"claim first":   {false, func(b *Book[int]) { b.Claim(begin, 0, false, 10, 0) }, time.Second, 1, Hinted},
 		"claim busy":    {false, func(b *Book[int]) { b.Claim(begin, 0, true, 6, 6) }, time.Second, 3, Hinted},
-		"claim outdone": {false, func(b *Book[int]) { times(b, 1, 0, OK); b.Claim(begin, 0, false, 10, 0) }, time.Second, 10, Warm},
-		"claim later":   {false, func(b *Book[int]) { times(b, 1, 0, OK); b.Claim(begin, 0, false, 10, 0) }, 6 * time.Second, 1, Hinted},
-		"claim of life": {false, func(b *Book[int]) { times(b, 5, 0, Failed); b.Claim(begin, 0, true, 10, 0) }, 8 * time.Second, 0, Ejected},
+		"claim outdone": {false, func(b *Book[int]) { observeTimes(b, 1, 0, OK); b.Claim(begin, 0, false, 10, 0) }, time.Second, 10, Warm},
+		"claim later":   {false, func(b *Book[int]) { observeTimes(b, 1, 0, OK); b.Claim(begin, 0, false, 10, 0) }, 6 * time.Second, 1, Hinted},
+		"claim of life": {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); b.Claim(begin, 0, true, 10, 0) }, 8 * time.Second, 0, Ejected},
 		"idle": {false, func(b *Book[int]) {
 			for at := time.Duration(0); at < 300*time.Second; at += 10 * time.Second {
 				b.Claim(begin.Add(at), 0, true, 10, 0)
 			}
 		}, 300 * time.Second, 1, Cold},
-		"probe of life": {false, func(b *Book[int]) { times(b, 5, 0, Failed); b.Probed(begin.Add(2*time.Second), 0, true) }, 2 * time.Second, 1, Cold},
-		"probe early":   {false, func(b *Book[int]) { times(b, 5, 0, Failed); b.Probed(begin.Add(time.Second), 0, true) }, 2 * time.Second, 0, Ejected},
+		"probe of life": {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); b.Probed(begin.Add(2*time.Second), 0, true) }, 2 * time.Second, 1, Cold},
+		"probe early":   {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); b.Probed(begin.Add(time.Second), 0, true) }, 2 * time.Second, 0, Ejected},
 		"probe of warm": {false, func(b *Book[int]) { b.Probed(begin, 0, false) }, time.Second, 10, Warm},
 		"all own fail": { // others use the rest: one of two is left, the least bad
 			false, func(b *Book[int]) { b.Own(2, false); b.Own(3, false); failAll(b, 2) }, time.Second, 5, Reduced,
 		},
 		"the only own fails": {false, func(b *Book[int]) { b.Own(1, false); b.Own(2, false); b.Own(3, false); failAll(b, 1) }, time.Second, 0, Ejected},
-		"silent":             {false, func(b *Book[int]) { times(b, 1, time.Second, Refused); times(b, 1, 2*time.Second, Refused) }, 35 * time.Second, 4, Aged},
-		"silent longer":      {false, func(b *Book[int]) { times(b, 1, time.Second, Refused) }, 45 * time.Second, 10, Aged},
-		"silent ejected":     {false, func(b *Book[int]) { times(b, 5, 0, Failed) }, 45 * time.Second, 2, Aged},
-		"clock back":         {false, func(b *Book[int]) { times(b, 5, time.Hour, Failed); times(b, 1, 5*time.Second, OK) }, 5 * time.Second, 0, Ejected},
-		"back, later":        {false, func(b *Book[int]) { times(b, 5, time.Hour, Failed); b.ProbesDue(begin); times(b, 1, 5*time.Second, OK) }, 5 * time.Second, 1, Cold},
+		"silent": {false, func(b *Book[int]) {
+			observeTimes(b, 1, time.Second, Refused)
+			observeTimes(b, 1, 2*time.Second, Refused)
+		}, 35 * time.Second, 4, Aged},
+		"silent longer":  {false, func(b *Book[int]) { observeTimes(b, 1, time.Second, Refused) }, 45 * time.Second, 10, Aged},
+		"silent ejected": {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed) }, 45 * time.Second, 2, Aged},
+		"clock back":     {false, func(b *Book[int]) { observeTimes(b, 5, time.Hour, Failed); observeTimes(b, 1, 5*time.Second, OK) }, 5 * time.Second, 0, Ejected},
+		"back, later": {false, func(b *Book[int]) {
+			observeTimes(b, 5, time.Hour, Failed)
+			b.ProbesDue(begin)
+			observeTimes(b, 1, 5*time.Second, OK)
+		}, 5 * time.Second, 1, Cold},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -139,7 +146,7 @@
 
 func TestProbesDue(t *testing.T) {
 	b := newBook(t, Config{}, 4, true)
-	times(b, 5, 0, Failed)
+	observeTimes(b, 5, 0, Failed)
 	var got []time.Duration
 	for at := time.Duration(0); at < 10*time.Second; at += 100 * time.Millisecond {
 		if !slices.Equal(b.ProbesDue(begin.Add(at)), []int{0}) {
@@ -147,7 +154,7 @@
 		}
 		got = append(got, at.Truncate(time.Second))
 		if len(got) > 1 { // the first gets no answer
-			times(b, 1, at, Failed)
+			observeTimes(b, 1, at, Failed)
 		}
 	}
 	// Ejected at 0.4 s for 1 s, then 2, 4 and 8 s, less up to 20% of jitter.
@@ -156,8 +163,8 @@
 	}
 }
 
-// TestLeastBad ejects three of four: one more than the floor allows.
-func TestLeastBad(t *testing.T) {
+// TestLeastFailedStaysUsable ejects three of four: one more than the floor allows.
+func TestLeastFailedStaysUsable(t *testing.T) {
 	b := newBook(t, Config{}, 4, true)
 	for key := range 3 {
 		for range 5 + key {
--- a/internal/health/config.go
+++ b/internal/health/config.go
@@ -34,19 +34,19 @@
 
 // Defaults fills what is not set.
 func (c *Config) Defaults() {
-	set(&c.Failures, 5)
-	set(&c.Percent, 50)
-	set(&c.Samples, 20)
-	set(&c.Floor, 50)
-	set(&c.Eject, time.Second)
-	set(&c.Most, time.Minute)
-	set(&c.Jitter, 20)
-	set(&c.Probe, time.Second)
-	set(&c.Fresh, 5*time.Second)
-	set(&c.Idle, 5*time.Minute)
-	set(&c.Step, 500*time.Millisecond)
-	set(&c.Silent, 30*time.Second)
-	set(&c.Age, 10*time.Second)
+	setDefault(&c.Failures, 5)
+	setDefault(&c.Percent, 50)
+	setDefault(&c.Samples, 20)
+	setDefault(&c.Floor, 50)
+	setDefault(&c.Eject, time.Second)
+	setDefault(&c.Most, time.Minute)
+	setDefault(&c.Jitter, 20)
+	setDefault(&c.Probe, time.Second)
+	setDefault(&c.Fresh, 5*time.Second)
+	setDefault(&c.Idle, 5*time.Minute)
+	setDefault(&c.Step, 500*time.Millisecond)
+	setDefault(&c.Silent, 30*time.Second)
+	setDefault(&c.Age, 10*time.Second)
 }
 
 // Validate returns a *ConfigError that names every fault.
@@ -71,7 +71,7 @@
 	return errors.Trace(&ConfigError{Faults: faults})
 }
 
-func set[T comparable](field *T, value T) {
+func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
 		*field = value
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// whole is the fixed-point value of a failure rate of 1.
-const whole = 1 << 16
+// fullRate is the fixed-point value of a failure rate of 1.
+const fullRate = 1 << 16
 
 // rateShift weighs each outcome with 1/16 of the rate.
 const rateShift = 4
 
-// maxOpen is more slots than any target has: it marks a warm target.
-const maxOpen = 1 << 20
+// unlimitedSlots is more slots than any target has: it marks a warm target.
+const unlimitedSlots = 1 << 20
 
 // target is what is known of one target.
 type target[K comparable] struct {
 	key       K
 	allowance int  // as last given to Weight; 0 before
-	foreign   bool // another instance uses it: nothing of it is observed here
+	notOwned  bool // another instance uses it: nothing of it is observed here
 
-	open   int       // 1 <= open <= maxOpen; slots that may be used unless ejected
-	grown  int       // successes since open changed
-	growAt time.Time // open doesn't change before
+	openSlots int       // 1 <= open <= maxOpen; slots that may be used unless ejected
+	successes int       // successes since open changed
+	growAt    time.Time // open doesn't change before
 
-	failed  int           // consecutive failures
-	rate    int           // 0 <= rate <= whole; of failures, recent outcomes weigh more
-	seen    int           // outcomes since the last ejection
-	latency time.Duration // measured, of answers, recent ones weigh more; 0 before the first
+	consecutiveFailures int           // consecutive failures
+	failureRate         int           // 0 <= rate <= whole; of failures, recent outcomes weigh more
+	samples             int           // outcomes since the last ejection
+	latency             time.Duration // measured, of answers, recent ones weigh more; 0 before the first
 
-	ejected    bool
-	ejections  int       // since the target was last warm
-	until      time.Time // no probe before; set when ejected
-	probeUntil time.Time // an answer to the last probe may come until then
+	ejected       bool
+	ejections     int       // since the target was last warm
+	ejectedUntil  time.Time // no probe before; set when ejected
+	probeDeadline time.Time // an answer to the last probe may come until then
 
 	freshUntil time.Time // claims don't count before
-	idleAt     time.Time // cold from then on unless observed
-	silentAt   time.Time // ageing from then on unless observed or claimed
+	coldAt     time.Time // cold from then on unless observed
+	agingAt    time.Time // ageing from then on unless observed or claimed
 
-	claimed bool // the next three are set
-	healthy bool
-	slots   int
-	busy    int
+	reported        bool // the next three are set
+	reportedHealthy bool
+	reportedSlots   int
+	reportedBusy    int
 }
 
 // limit is the most slots that open may grow to.
@@ -46,22 +46,22 @@
 	if t.allowance > 0 {
 		return t.allowance
 	}
-	return maxOpen
+	return unlimitedSlots
 }
 
 // warm tells whether all slots may be used.
-func (t *target[K]) warm() bool { return t.open >= t.limit() }
+func (t *target[K]) warm() bool { return t.openSlots >= t.limit() }
 
-// count takes one outcome into the failure rate.
-func (t *target[K]) count(failed bool) {
-	t.seen++
+// recordOutcome takes one outcome into the failure rate.
+func (t *target[K]) recordOutcome(failed bool) {
+	t.samples++
 	if !failed {
-		t.failed = 0
-		t.rate -= t.rate >> rateShift
+		t.consecutiveFailures = 0
+		t.failureRate -= t.failureRate >> rateShift
 		return
 	}
-	t.failed++
-	t.rate += (whole - t.rate) >> rateShift
+	t.consecutiveFailures++
+	t.failureRate += (fullRate - t.failureRate) >> rateShift
 }
 
 // grow doubles the slots of a cold target after as many successes as it has
@@ -71,11 +71,11 @@
 		t.ejections = 0
 		return
 	}
-	t.grown++
-	if t.grown < t.open || now.Before(t.growAt) {
+	t.successes++
+	if t.successes < t.openSlots || now.Before(t.growAt) {
 		return
 	}
-	t.reopen(now, t.open*2, step)
+	t.setOpenSlots(now, t.openSlots*2, step)
 }
 
 // shrink halves the slots after a refusal, once a step.
@@ -83,50 +83,50 @@
 	if now.Before(t.growAt) {
 		return
 	}
-	t.reopen(now, min(t.open, t.limit())/2, step)
+	t.setOpenSlots(now, min(t.openSlots, t.limit())/2, step)
 }
 
-// reopen sets the slots and starts counting anew.
-func (t *target[K]) reopen(now time.Time, open int, step time.Duration) {
-	t.open = min(max(open, 1), maxOpen)
-	t.grown = 0
+// setOpenSlots sets the slots and starts counting anew.
+func (t *target[K]) setOpenSlots(now time.Time, open int, step time.Duration) {
+	t.openSlots = min(max(open, 1), unlimitedSlots)
+	t.successes = 0
 	t.growAt = now.Add(step)
 }
 
-// hint lowers n by the target's claims. They never close it.
-func (t *target[K]) hint(now time.Time, n int) int {
-	if !t.claimed || now.Before(t.freshUntil) {
+// capByReport lowers n by the target's claims. They never close it.
+func (t *target[K]) capByReport(now time.Time, n int) int {
+	if !t.reported || now.Before(t.freshUntil) {
 		return n
 	}
-	if !t.healthy {
+	if !t.reportedHealthy {
 		return min(n, 1)
 	}
-	slots := t.slots
-	if t.busy >= t.slots {
+	slots := t.reportedSlots
+	if t.reportedBusy >= t.reportedSlots {
 		slots /= 2
 	}
 	return min(n, max(slots, 1))
 }
 
-// steps returns how many steps the weight has aged.
-func (t *target[K]) steps(now time.Time, age time.Duration) int {
-	if now.Before(t.silentAt) {
+// agingSteps returns how many agingSteps the weight has aged.
+func (t *target[K]) agingSteps(now time.Time, age time.Duration) int {
+	if now.Before(t.agingAt) {
 		return 0
 	}
-	return 1 + int(now.Sub(t.silentAt)/age)
+	return 1 + int(now.Sub(t.agingAt)/age)
 }
 
-// move shifts all deadlines, when the clock was set back.
-func (t *target[K]) move(d time.Duration) {
+// shiftDeadlines shifts all deadlines, when the clock was set back.
+func (t *target[K]) shiftDeadlines(d time.Duration) {
 	for _, deadline := range []*time.Time{
-		&t.growAt, &t.until, &t.probeUntil, &t.freshUntil, &t.idleAt, &t.silentAt,
+		&t.growAt, &t.ejectedUntil, &t.probeDeadline, &t.freshUntil, &t.coldAt, &t.agingAt,
 	} {
 		*deadline = deadline.Add(d)
 	}
 }
 
-// aged returns n doubled once a step, from 1 at least, up to limit.
-func aged(n, steps, limit int) int {
+// agedSlots returns n doubled once a step, from 1 at least, up to limit.
+func agedSlots(n, steps, limit int) int {
 	for ; steps > 0 && n < limit; steps-- {
 		n = max(1, n*2)
 	}
