--- a/internal/health/book.go
+++ b/internal/health/book.go
@@ -1,7 +1,7 @@
-// Package health keeps what an owner knows of the targets of one service in
-// one place, and says how many slots of each may be used now.
+// Package health tracks the health of the targets of one service in one place, and computes
+// how many slots of each may be used now. The owner's own observations take precedence over
+// a target's reports about itself.
 //
-// The owner's own observations go before what a target claims of itself.
 // The package does no input or output and is not safe for concurrent use.
 package health
 
@@ -13,44 +13,45 @@
 	"github.com/juju/errors"
 )
 
-// maxClockStep is how far the clock may go back without deadlines being moved.
+// maxClockStep is how far the clock may go back without the deadlines being moved.
 const maxClockStep = 2 * time.Second
 
-// Outcome is how a request to a target ended.
+// Outcome is the outcome of a request to a target.
 type Outcome int
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	OK      Outcome = iota // a whole answer
-	Failed                 // no connection, a cut answer or an error of the target
-	Refused                // the target shed the request unrun: it lives and has no room
+	OK      Outcome = iota // a complete answer
+	Failed                 // no connection, an incomplete answer or an error of the target
+	Refused                // the target shed the request without running it: it is alive and has no free slots
 	Timeout                // no answer before the request's deadline
 )
 
-// State is what Weight's result rests on.
+// State is the basis of Weight's result.
 type State string
 
-// The states.
+// States of a target.
 const (
-	Unknown State = "unknown" // not in the book
-	Warm    State = "warm"    // the whole allowance
-	Cold    State = "cold"    // slots grow with successes and time
-	Hinted  State = "hinted"  // lowered by the target's own claim
-	Ejected State = "ejected" // none until a probe succeeds
-	Reduced State = "reduced" // ejected, but used as too many others are too
-	Aged    State = "aged"    // nothing was measured for long
+	Unknown State = "unknown" // not added
+	Warm    State = "warm"    // the whole allowance is usable
+	Cold    State = "cold"    // the usable slots grow with successes and time
+	Hinted  State = "hinted"  // lowered by the target's own report
+	Ejected State = "ejected" // no slots until a probe succeeds
+	Reduced State = "reduced" // ejected, but still used because too many others are ejected too
+	Aged    State = "aged"    // raised because nothing was observed for a long time
 )
 
-// Book keeps the health of targets.
+// Book tracks the health of targets.
 type Book[K comparable] struct {
 	cfg     Config
 	compare func(a, b K) int
 	rng     *rand.Rand
-	latest  time.Time    // latest time seen
+	latest  time.Time    // latest time passed in
 	targets []*target[K] // sorted by compare, each key once
 }
 
-// New makes an empty book. compare orders the keys. It returns a *ConfigError.
+// New returns a Book without targets. compare orders the keys. It returns a *ConfigError if
+// cfg is invalid.
 func New[K comparable](cfg Config, compare func(a, b K) int, rng *rand.Rand) (*Book[K], error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -59,8 +60,8 @@
 	return &Book[K]{cfg: cfg, compare: compare, rng: rng}, nil
 }
 
-// Add puts a target into the book, if it isn't there yet. A warm one is known
-// to have served lately; others start cold, at one slot.
+// Add adds a target, if it isn't there yet. A warm target is known to have served requests
+// lately; others start cold, with one slot.
 func (b *Book[K]) Add(now time.Time, key K, warm bool) {
 	b.followClock(now)
 	i, ok := b.find(key)
@@ -75,15 +76,15 @@
 	b.targets = slices.Insert(b.targets, i, t)
 }
 
-// Remove forgets a target.
+// Remove removes a target.
 func (b *Book[K]) Remove(key K) {
 	if i, ok := b.find(key); ok {
 		b.targets = slices.Delete(b.targets, i, i+1)
 	}
 }
 
-// Observe takes in how one of the owner's own requests or probes ended.
-// latency counts for OK alone.
+// Observe records the outcome of one of the owner's own requests or probes. latency is used
+// only for OK.
 func (b *Book[K]) Observe(now time.Time, key K, o Outcome, latency time.Duration) {
 	t := b.get(now, key)
 	if t == nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// Probed takes in the answer to GET /health. It brings back an ejected target
-// whose time has passed, or ejects it again; it changes no other.
+// Probed records the result of GET /health. For an ejected target whose ejection time has
+// passed, it ends or renews the ejection; it has no effect on other targets.
 func (b *Book[K]) Probed(now time.Time, key K, healthy bool) {
 	t := b.get(now, key)
 	if t == nil || !t.ejected || now.Before(t.ejectedUntil) {
@@ -116,16 +117,16 @@
 	b.Observe(now, key, outcome, t.latency)
 }
 
-// Own says whether this instance uses a target; it is taken to use all that are
-// added. The floor of ejections counts those that it uses.
+// Own sets whether this instance uses a target. Targets that are added count as used. Only
+// used targets count for the bound on ejections.
 func (b *Book[K]) Own(key K, own bool) {
 	if i, ok := b.find(key); ok {
 		b.targets[i].notOwned = !own
 	}
 }
 
-// Claim takes in what a target says of itself. It is a hint that lowers the
-// weight while no own observation is fresh; it ejects and recovers nothing.
+// Claim records a target's report about itself. It only lowers the weight, while no own
+// observation is recent; it neither ejects a target nor ends an ejection.
 func (b *Book[K]) Claim(now time.Time, key K, healthy bool, slots, busy int) {
 	t := b.get(now, key)
 	if t == nil {
@@ -135,8 +136,8 @@
 	t.reported, t.reportedHealthy, t.reportedSlots, t.reportedBusy = true, healthy, slots, busy
 }
 
-// Weight returns how many slots of a target may be used now, 0 to allowance.
-// It keeps the allowance as the bound to which a cold target grows.
+// Weight returns how many slots of a target may be used now, 0 to allowance. It stores the
+// allowance as the limit to which a cold target grows.
 func (b *Book[K]) Weight(now time.Time, key K, allowance int) int {
 	t := b.get(now, key)
 	if t == nil || allowance <= 0 {
@@ -147,7 +148,7 @@
 	return n
 }
 
-// State returns what the weight of a target rests on, for log lines.
+// State returns the basis of a target's weight, for log lines.
 func (b *Book[K]) State(now time.Time, key K) State {
 	t := b.get(now, key)
 	if t == nil {
@@ -157,7 +158,7 @@
 	return state
 }
 
-// Latency returns the recent latency of a target's answers, 0 before the first.
+// Latency returns the recent average latency of a target's answers, 0 before the first.
 func (b *Book[K]) Latency(key K) time.Duration {
 	if i, ok := b.find(key); ok {
 		return b.targets[i].latency
@@ -165,9 +166,9 @@
 	return 0
 }
 
-// ProbesDue returns the ejected targets to try now, each by one real idempotent
-// request or by GET /health, in the order of the keys. Report what comes of it
-// by Observe. A target is returned again if nothing came in time.
+// ProbesDue returns the ejected targets to probe now, each by one real idempotent request
+// or by GET /health, in the order of the keys. The result must be passed to Observe or
+// Probed. A target is returned again if none was in time.
 func (b *Book[K]) ProbesDue(now time.Time) []K {
 	b.followClock(now)
 	var keys []K
@@ -187,7 +188,7 @@
 	})
 }
 
-// get returns the target of key at now, or nil.
+// get returns the target of key at now, or nil if it was not added.
 func (b *Book[K]) get(now time.Time, key K) *target[K] {
 	b.followClock(now)
 	i, ok := b.find(key)
@@ -197,7 +198,7 @@
 	return b.targets[i]
 }
 
-// followClock moves all deadlines back with a clock that was set back far.
+// followClock moves all deadlines back if the clock was set back by more than maxClockStep.
 func (b *Book[K]) followClock(now time.Time) {
 	back := now.Sub(b.latest)
 	if !b.latest.IsZero() && back < -maxClockStep {
--- a/internal/health/book_test.go
+++ b/internal/health/book_test.go
@@ -27,14 +27,14 @@
 	return b
 }
 
-// observeTimes observes the outcome n observeTimes, every 100 ms from at.
+// observeTimes observes the outcome n times, every 100 ms from at.
 func observeTimes(b *Book[int], n int, at time.Duration, o Outcome) {
 	for i := range n {
 		b.Observe(begin.Add(at+time.Duration(i)*100*time.Millisecond), 0, o, time.Millisecond)
 	}
 }
 
-// failAll lets the first n targets fail until they're ejected.
+// failAll observes failures of the first n targets until they are ejected.
 func failAll(b *Book[int], n int) {
 	for range 5 {
 		for key := range n {
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestWeight looks at target 0 of four.
+// TestWeight checks the weight and state of target 0 of four.
 func TestWeight(t *testing.T) {
 	tests := map[string]struct {
 		cold  bool
@@ -95,7 +95,7 @@
 			b.cfg.Eject = time.Minute
 			observeTimes(b, 5, 0, Failed)
 		}, 45 * time.Second, 0, Ejected},
-		"heard again": { // what aged stays
+		"heard again": { // a weight raised by age does not fall back
 			false, func(b *Book[int]) {
 				observeTimes(b, 1, time.Second, Refused)
 				observeTimes(b, 1, 2*time.Second, Refused)
@@ -115,7 +115,7 @@
 		"probe of life": {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); b.Probed(begin.Add(2*time.Second), 0, true) }, 2 * time.Second, 1, Cold},
 		"probe early":   {false, func(b *Book[int]) { observeTimes(b, 5, 0, Failed); b.Probed(begin.Add(time.Second), 0, true) }, 2 * time.Second, 0, Ejected},
 		"probe of warm": {false, func(b *Book[int]) { b.Probed(begin, 0, false) }, time.Second, 10, Warm},
-		"all own fail": { // others use the rest: one of two is left, the least bad
+		"all own fail": { // others use the rest: one of two stays usable, the one that failed least
 			false, func(b *Book[int]) { b.Own(2, false); b.Own(3, false); failAll(b, 2) }, time.Second, 5, Reduced,
 		},
 		"the only own fails": {false, func(b *Book[int]) { b.Own(1, false); b.Own(2, false); b.Own(3, false); failAll(b, 1) }, time.Second, 0, Ejected},
@@ -153,17 +153,18 @@
 			continue
 		}
 		got = append(got, at.Truncate(time.Second))
-		if len(got) > 1 { // the first gets no answer
+		if len(got) > 1 { // the first probe gets no answer
 			observeTimes(b, 1, at, Failed)
 		}
 	}
-	// Ejected at 0.4 s for 1 s, then 2, 4 and 8 s, less up to 20% of jitter.
+	// Ejected at 0.4 s for 1 s, then for 2, 4 and 8 s, each shortened by up to 20% of
+	// jitter.
 	if want := []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 7 * time.Second}; !slices.Equal(got, want) {
 		t.Errorf("got probes at %v, want %v", got, want)
 	}
 }
 
-// TestLeastFailedStaysUsable ejects three of four: one more than the floor allows.
+// TestLeastFailedStaysUsable ejects three of four targets, one more than the bound allows.
 func TestLeastFailedStaysUsable(t *testing.T) {
 	b := newBook(t, Config{}, 4, true)
 	for key := range 3 {
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestFloor lets outcomes, claims and time do what they like: no weight passes
-// the allowance, and no more targets are closed than the floor allows.
+// TestFloor checks with random outcomes, reports and times that no weight exceeds the
+// allowance, and that no more targets are without slots than the bound allows.
 func TestFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 9).Draw(t, "targets")
--- a/internal/health/config.go
+++ b/internal/health/config.go
@@ -7,23 +7,24 @@
 	"github.com/juju/errors"
 )
 
-// Config sets up a Book. Its durations are turned into deadlines at once.
+// Config configures a Book. Its durations are added to the current time when an event is
+// recorded.
 type Config struct {
 	Failures int // consecutive failures that eject a target
-	Percent  int // of failures among recent outcomes that ejects a target
-	Samples  int // outcomes needed before Percent counts
-	Floor    int // percent of the targets that may be ejected at one time
+	Percent  int // percentage of failures among recent outcomes that ejects a target
+	Samples  int // outcomes needed before Percent applies
+	Floor    int // percentage of the targets that may be ejected at one time
 
-	Eject  time.Duration // of the first ejection; each further one doubles it
+	Eject  time.Duration // length of the first ejection; each further one doubles it
 	Most   time.Duration // longest ejection
-	Jitter int           // percent by which an ejection may be shorter
-	Probe  time.Duration // how long a probe may take before the next is due
+	Jitter int           // percentage by which an ejection may be shortened at random
+	Probe  time.Duration // timeout of a probe, after which the next is due
 
-	Fresh  time.Duration // how long an own observation outranks claims
-	Idle   time.Duration // without own observation for so long, a target is cold
-	Step   time.Duration // the least time between two changes of a cold target's slots
-	Silent time.Duration // without observation or claim for so long, the weight begins to age
-	Age    time.Duration // between two steps of ageing
+	Fresh  time.Duration // time for which an own observation overrides the target's reports
+	Idle   time.Duration // time without own observations after which a target is cold
+	Step   time.Duration // shortest time between two changes of a cold target's slots
+	Silent time.Duration // time without observations and reports after which the weight begins to age
+	Age    time.Duration // time between two steps of ageing, each of which doubles the weight
 }
 
 // ConfigError lists all faults of a Config.
@@ -32,7 +33,7 @@
 // Error lists the faults.
 func (e *ConfigError) Error() string { return "health: " + strings.Join(e.Faults, "; ") }
 
-// Defaults fills what is not set.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	setDefault(&c.Failures, 5)
 	setDefault(&c.Percent, 50)
@@ -49,7 +50,7 @@
 	setDefault(&c.Age, 10*time.Second)
 }
 
-// Validate returns a *ConfigError that names every fault.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	check := func(ok bool, fault string) {
--- a/internal/health/figures_test.go
+++ b/internal/health/figures_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkBadDetector reports failures for every request to ten sound targets
-// for 60 s and counts the least slots of 100 that stay in use.
+// BenchmarkBadDetector observes failures of every request to ten healthy targets for 60 s
+// and reports the lowest number of slots, of 100, that stays usable.
 func BenchmarkBadDetector(b *testing.B) {
 	for name, floor := range map[string]int{"floor 50%": 50, "no floor": 100} {
 		b.Run(name, func(b *testing.B) {
@@ -36,10 +36,10 @@
 	return least
 }
 
-// BenchmarkColdTarget keeps one cold target of ten slots as busy as its weight
-// allows for 30 s. A request misses its cache with a chance that falls by 5%
-// of itself each request; misses are filled one after the other, 100 ms each.
-// It reports the latency of the first 200 answers.
+// BenchmarkColdTarget keeps one cold target of ten slots as busy as its weight allows for
+// its first 200 answers, and reports their latency. A request misses the target's cache
+// with a probability that falls by 5% of itself with each request; misses are filled one
+// after the other, 100 ms each.
 func BenchmarkColdTarget(b *testing.B) {
 	for name, warm := range map[string]bool{"slow start": false, "at once": true} {
 		b.Run(name, func(b *testing.B) {
@@ -59,7 +59,7 @@
 	type request struct{ from, done time.Time }
 	var open []request
 	var took []time.Duration
-	miss, debt, filled := 1.0, 0.0, begin // a miss each time that debt reaches 1
+	miss, debt, filled := 1.0, 0.0, begin // one miss each time that debt reaches 1
 	for at := time.Duration(0); len(took) < 200; at += time.Millisecond {
 		now := begin.Add(at)
 		open = slices.DeleteFunc(open, func(r request) bool {
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -5,35 +5,35 @@
 // fullRate is the fixed-point value of a failure rate of 1.
 const fullRate = 1 << 16
 
-// rateShift weighs each outcome with 1/16 of the rate.
+// rateShift gives each outcome a weight of 1/16 in the failure rate.
 const rateShift = 4
 
 // unlimitedSlots is more slots than any target has: it marks a warm target.
 const unlimitedSlots = 1 << 20
 
-// target is what is known of one target.
+// target is the state of one target.
 type target[K comparable] struct {
 	key       K
-	allowance int  // as last given to Weight; 0 before
-	notOwned  bool // another instance uses it: nothing of it is observed here
+	allowance int  // as last passed to Weight; 0 before
+	notOwned  bool // used by another instance, so that nothing of it is observed here
 
-	openSlots int       // 1 <= open <= maxOpen; slots that may be used unless ejected
-	successes int       // successes since open changed
-	growAt    time.Time // open doesn't change before
+	openSlots int       // 1 <= openSlots <= unlimitedSlots; usable unless ejected
+	successes int       // since openSlots changed
+	growAt    time.Time // earliest next change of openSlots
 
-	consecutiveFailures int           // consecutive failures
-	failureRate         int           // 0 <= rate <= whole; of failures, recent outcomes weigh more
+	consecutiveFailures int           // since the last success
+	failureRate         int           // 0 <= failureRate <= fullRate; recent outcomes weigh more
 	samples             int           // outcomes since the last ejection
-	latency             time.Duration // measured, of answers, recent ones weigh more; 0 before the first
+	latency             time.Duration // measured average of answers, recent ones weigh more; 0 before the first
 
 	ejected       bool
 	ejections     int       // since the target was last warm
-	ejectedUntil  time.Time // no probe before; set when ejected
-	probeDeadline time.Time // an answer to the last probe may come until then
+	ejectedUntil  time.Time // earliest next probe; set when ejected
+	probeDeadline time.Time // deadline of the last probe
 
-	freshUntil time.Time // claims don't count before
+	freshUntil time.Time // reports of the target are ignored before
 	coldAt     time.Time // cold from then on unless observed
-	agingAt    time.Time // ageing from then on unless observed or claimed
+	agingAt    time.Time // ageing from then on unless observed or reported
 
 	reported        bool // the next three are set
 	reportedHealthy bool
@@ -41,7 +41,7 @@
 	reportedBusy    int
 }
 
-// limit is the most slots that open may grow to.
+// limit returns the bound of openSlots.
 func (t *target[K]) limit() int {
 	if t.allowance > 0 {
 		return t.allowance
@@ -49,10 +49,10 @@
 	return unlimitedSlots
 }
 
-// warm tells whether all slots may be used.
+// warm reports whether all slots may be used.
 func (t *target[K]) warm() bool { return t.openSlots >= t.limit() }
 
-// recordOutcome takes one outcome into the failure rate.
+// recordOutcome adds one outcome to the failure rate.
 func (t *target[K]) recordOutcome(failed bool) {
 	t.samples++
 	if !failed {
@@ -64,8 +64,8 @@
 	t.failureRate += (fullRate - t.failureRate) >> rateShift
 }
 
-// grow doubles the slots of a cold target after as many successes as it has
-// slots, and not before growAt.
+// grow doubles the slots of a cold target after as many successes as it has slots, but not
+// before growAt.
 func (t *target[K]) grow(now time.Time, step time.Duration) {
 	if t.warm() {
 		t.ejections = 0
@@ -78,7 +78,7 @@
 	t.setOpenSlots(now, t.openSlots*2, step)
 }
 
-// shrink halves the slots after a refusal, once a step.
+// shrink halves the slots after a refusal, at most once per step.
 func (t *target[K]) shrink(now time.Time, step time.Duration) {
 	if now.Before(t.growAt) {
 		return
@@ -86,14 +86,14 @@
 	t.setOpenSlots(now, min(t.openSlots, t.limit())/2, step)
 }
 
-// setOpenSlots sets the slots and starts counting anew.
+// setOpenSlots sets the slots and restarts the count of successes.
 func (t *target[K]) setOpenSlots(now time.Time, open int, step time.Duration) {
 	t.openSlots = min(max(open, 1), unlimitedSlots)
 	t.successes = 0
 	t.growAt = now.Add(step)
 }
 
-// capByReport lowers n by the target's claims. They never close it.
+// capByReport lowers n to what the target's own report allows, at least 1.
 func (t *target[K]) capByReport(now time.Time, n int) int {
 	if !t.reported || now.Before(t.freshUntil) {
 		return n
@@ -108,7 +108,7 @@
 	return min(n, max(slots, 1))
 }
 
-// agingSteps returns how many agingSteps the weight has aged.
+// agingSteps returns by how many steps the weight has aged.
 func (t *target[K]) agingSteps(now time.Time, age time.Duration) int {
 	if now.Before(t.agingAt) {
 		return 0
@@ -116,7 +116,7 @@
 	return 1 + int(now.Sub(t.agingAt)/age)
 }
 
-// shiftDeadlines shifts all deadlines, when the clock was set back.
+// shiftDeadlines moves all deadlines by d after the clock was set back.
 func (t *target[K]) shiftDeadlines(d time.Duration) {
 	for _, deadline := range []*time.Time{
 		&t.growAt, &t.ejectedUntil, &t.probeDeadline, &t.freshUntil, &t.coldAt, &t.agingAt,
@@ -125,7 +125,7 @@
 	}
 }
 
-// agedSlots returns n doubled once a step, from 1 at least, up to limit.
+// agedSlots returns n doubled once per step, at least 1 after a step, up to limit.
 func agedSlots(n, steps, limit int) int {
 	for ; steps > 0 && n < limit; steps-- {
 		n = max(1, n*2)
--- a/internal/health/weight.go
+++ b/internal/health/weight.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// usable returns the slots of t that may be used now, and why.
+// usable returns how many slots of t may be used now, and why.
 func (b *Book[K]) usable(now time.Time, t *target[K]) (int, State) {
 	n, state := b.measured(now, t)
 	steps := t.agingSteps(now, b.cfg.Age)
@@ -15,7 +15,7 @@
 	return n, state
 }
 
-// measured returns what the measurements allow, however old they are.
+// measured returns what the observations allow, whatever their age.
 func (b *Book[K]) measured(now time.Time, t *target[K]) (int, State) {
 	if t.ejected {
 		return b.ejectedSlots(t)
@@ -33,8 +33,8 @@
 	return n, state
 }
 
-// ejectedSlots returns the slots of an ejectedSlots target: none, unless too many are
-// ejectedSlots and this is one of the least bad.
+// ejectedSlots returns the usable slots of an ejected target: none, unless too many targets
+// are ejected and this is one of those that failed least.
 func (b *Book[K]) ejectedSlots(t *target[K]) (int, State) {
 	ejectedCount, failedLess, own := 0, 0, 0
 	for _, other := range b.targets {
@@ -56,8 +56,8 @@
 	return max(1, t.limit()/2), Reduced
 }
 
-// maxEjected is how many of this instance's own targets may be ejected at one time.
-// It is rounded up if other instances use some of the service's targets too.
+// maxEjected returns how many of this instance's own targets may be ejected at one time. It
+// is rounded up if other instances use some of the service's targets too.
 func (b *Book[K]) maxEjected(own int) int {
 	if own < len(b.targets) {
 		return (own*b.cfg.Floor + 99) / 100
@@ -65,7 +65,7 @@
 	return own * b.cfg.Floor / 100
 }
 
-// worse orders ejected targets by how much they failed.
+// worse reports whether t failed more than other, both being ejected.
 func (b *Book[K]) worse(t, other *target[K]) bool {
 	return cmp.Or(
 		cmp.Compare(t.failureRate, other.failureRate),
@@ -74,8 +74,8 @@
 	) > 0
 }
 
-// recordSignal takes note that something was heard of t. What aged stays, so that the
-// weight doesn't fall back; a target that was idle starts cold.
+// recordSignal records that an observation or report of t has arrived. A weight that has
+// aged is kept, so that it doesn't fall back; a target that was idle starts cold.
 func (b *Book[K]) recordSignal(now time.Time, t *target[K]) {
 	idle := !now.Before(t.coldAt)
 	switch {
@@ -90,8 +90,8 @@
 	t.agingAt = now.Add(b.cfg.Silent)
 }
 
-// recordSuccess takes in an answer. An ejected target comes back when its time has
-// passed; before, an answer changes nothing but its rate.
+// recordSuccess records an answer. It ends the ejection of a target once the ejection time
+// has passed; before that it changes only the latency and the failure rate.
 func (b *Book[K]) recordSuccess(now time.Time, t *target[K], latency time.Duration) {
 	t.recordOutcome(false)
 	if t.latency == 0 {
@@ -110,8 +110,8 @@
 	t.setOpenSlots(now, t.openSlots, b.cfg.Step)
 }
 
-// recordFailure takes in a failure. Late failures of requests sent before an ejection
-// don't make it longer.
+// recordFailure records a failure. Late failures of requests sent before an ejection don't
+// prolong it.
 func (b *Book[K]) recordFailure(now time.Time, t *target[K]) {
 	t.recordOutcome(true)
 	switch {
@@ -121,8 +121,8 @@
 	}
 }
 
-// mustEject tells whether a target must be ejected. One that came back and is not
-// warm again is ejected by its first failure.
+// mustEject reports whether a target must be ejected. One whose ejection ended and that is
+// not warm again is ejected by its first failure.
 func (b *Book[K]) mustEject(t *target[K]) bool {
 	if t.ejections > 0 && !t.warm() {
 		return true
@@ -133,7 +133,7 @@
 	return t.samples >= b.cfg.Samples && t.failureRate*100 >= fullRate*b.cfg.Percent
 }
 
-// eject ejects t for twice as long as the last time, Most at most.
+// eject ejects t for twice as long as the last time, up to Config.Most.
 func (b *Book[K]) eject(now time.Time, t *target[K]) {
 	d := b.cfg.Eject
 	for range t.ejections {
@@ -146,6 +146,6 @@
 	t.ejections = min(t.ejections+1, 32)
 	t.ejectedUntil = now.Add(d)
 	t.probeDeadline = time.Time{}
-	t.agingAt = t.ejectedUntil.Add(b.cfg.Silent) // nothing is sent to it before until
+	t.agingAt = t.ejectedUntil.Add(b.cfg.Silent) // no requests are sent to it before ejectedUntil
 	t.setOpenSlots(now, 1, b.cfg.Step)
 }
