--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -10,8 +10,8 @@
 	"github.com/juju/errors"
 )
 
-// perRequest is one retry in the thousandths that a Budget counts in.
-const perRequest = 1000
+// tokensPerRetry is one retry in the thousandths that a Budget counts in.
+const tokensPerRetry = 1000
 
 // Budget counts the retries that a service may still make. Hedged requests
 // spend from it too.
@@ -27,7 +27,7 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "retry.NewBudget")
 	}
-	return &Budget{cfg: cfg, tokens: perRequest, filled: now}, nil
+	return &Budget{cfg: cfg, tokens: tokensPerRetry, filled: now}, nil
 }
 
 // Request counts a first attempt, which pays for a share of a retry.
@@ -41,14 +41,14 @@
 	if !b.Left(now) {
 		return false
 	}
-	b.tokens -= perRequest
+	b.tokens -= tokensPerRetry
 	return true
 }
 
 // Left tells whether a retry is left.
 func (b *Budget) Left(now time.Time) bool {
 	b.fill(now)
-	return b.tokens >= perRequest
+	return b.tokens >= tokensPerRetry
 }
 
 // fill pays in the minimum for the whole milliseconds that have passed. A clock
@@ -67,5 +67,5 @@
 }
 
 func (b *Budget) add(n int) {
-	b.tokens = min(b.tokens+n, b.cfg.Burst*perRequest)
+	b.tokens = min(b.tokens+n, b.cfg.Burst*tokensPerRetry)
 }
--- a/internal/retry/config.go
+++ b/internal/retry/config.go
@@ -50,7 +50,7 @@
 // Validate returns a *ConfigError that names every fault.
 func (c *Config) Validate() error {
 	var faults []string
-	if c.Share < 0 || c.Share > perRequest {
+	if c.Share < 0 || c.Share > tokensPerRetry {
 		faults = append(faults, "share is not within 0 and 1000")
 	}
 	if c.Minimum < NoMinimum {
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -12,7 +12,7 @@
 // The reasons. Again is the only one that allows another attempt.
 const (
 	Again         Reason = "again"
-	Handed        Reason = "handed"         // another instance decides about retries
+	HandedOff     Reason = "handed"         // another instance decides about retries
 	Streamed      Reason = "streamed"       // part of the answer or of the body is gone
 	NotIdempotent Reason = "not-idempotent" // and no proof that it did not run
 	Attempts      Reason = "attempts"       // it had as many as allowed
@@ -54,7 +54,7 @@
 // Decide decides about one more attempt and, when it allows one, spends from
 // the budget.
 func (p Policy) Decide(now time.Time, a Attempt, b *Budget) Decision {
-	if reason := p.refusal(now, a); reason != "" {
+	if reason := p.denyReason(now, a); reason != "" {
 		return Decision{Reason: reason}
 	}
 	if !b.Spend(now) {
@@ -71,17 +71,17 @@
 	if !p.cfg.Hedge || !a.Idempotent || samples < p.cfg.Samples {
 		return time.Time{}, false
 	}
-	if p.refusal(now, a) != "" || !slow.Before(a.Deadline) || !b.Left(now) {
+	if p.denyReason(now, a) != "" || !slow.Before(a.Deadline) || !b.Left(now) {
 		return time.Time{}, false
 	}
 	return slow, true
 }
 
-// refusal returns why there can't be another attempt, leaving the budget aside.
-func (p Policy) refusal(now time.Time, a Attempt) Reason {
+// denyReason returns why there can't be another attempt, leaving the budget aside.
+func (p Policy) denyReason(now time.Time, a Attempt) Reason {
 	switch {
 	case a.Handed:
-		return Handed
+		return HandedOff
 	case a.Streamed:
 		return Streamed
 	case !a.Idempotent && !a.NotRun:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -21,16 +21,16 @@
 		tokens int
 		want   Reason
 	}{
-		"again":          {func(*Attempt) {}, perRequest, Again},
-		"handed":         {func(a *Attempt) { a.Handed = true }, perRequest, Handed},
-		"streamed":       {func(a *Attempt) { a.Streamed = true }, perRequest, Streamed},
-		"not idempotent": {func(a *Attempt) { a.Idempotent = false }, perRequest, NotIdempotent},
-		"proof":          {func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, perRequest, Again},
-		"attempts":       {func(a *Attempt) { a.Tried = DefaultAttempts }, perRequest, Attempts},
-		"no target":      {func(a *Attempt) { a.Targets = 0 }, perRequest, NoTarget},
-		"too late":       {func(a *Attempt) { a.Expected = a.Deadline.Add(1) }, perRequest, Deadline},
-		"past":           {func(a *Attempt) { a.Deadline, a.Expected = begin, begin }, perRequest, Deadline},
-		"no budget":      {func(*Attempt) {}, perRequest - 1, NoBudget},
+		"again":          {func(*Attempt) {}, tokensPerRetry, Again},
+		"handed":         {func(a *Attempt) { a.Handed = true }, tokensPerRetry, HandedOff},
+		"streamed":       {func(a *Attempt) { a.Streamed = true }, tokensPerRetry, Streamed},
+		"not idempotent": {func(a *Attempt) { a.Idempotent = false }, tokensPerRetry, NotIdempotent},
+		"proof":          {func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, tokensPerRetry, Again},
+		"attempts":       {func(a *Attempt) { a.Tried = DefaultAttempts }, tokensPerRetry, Attempts},
+		"no target":      {func(a *Attempt) { a.Targets = 0 }, tokensPerRetry, NoTarget},
+		"too late":       {func(a *Attempt) { a.Expected = a.Deadline.Add(1) }, tokensPerRetry, Deadline},
+		"past":           {func(a *Attempt) { a.Deadline, a.Expected = begin, begin }, tokensPerRetry, Deadline},
+		"no budget":      {func(*Attempt) {}, tokensPerRetry - 1, NoBudget},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -96,13 +96,13 @@
 					retries++
 				}
 			}
-			most := requests*DefaultShare + int(passed.Milliseconds())*DefaultMinimum + perRequest
-			if got := retries * perRequest; got > most {
+			most := requests*DefaultShare + int(passed.Milliseconds())*DefaultMinimum + tokensPerRetry
+			if got := retries * tokensPerRetry; got > most {
 				t.Fatalf("got %d thousandths of a retry, want at most %d", got, most)
 			}
 		}
 		b.Request(now.Add(time.Hour))
-		if got, want := b.tokens, DefaultBurst*perRequest; got > want {
+		if got, want := b.tokens, DefaultBurst*tokensPerRetry; got > want {
 			t.Fatalf("got %d tokens, want at most %d", got, want)
 		}
 	})
@@ -136,7 +136,7 @@
 		b.Run(name, func(b *testing.B) {
 			var attempts, answered int
 			for b.Loop() {
-				attempts, answered = amplify(tt.fail, tt.budget)
+				attempts, answered = simulateRetries(tt.fail, tt.budget)
 			}
 			b.ReportMetric(float64(attempts)/60_000, "attempts/request")
 			b.ReportMetric(100*float64(answered)/60_000, "%answered")
@@ -144,7 +144,7 @@
 	}
 }
 
-func amplify(fail float64, budget bool) (attempts, answered int) {
+func simulateRetries(fail float64, budget bool) (attempts, answered int) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	p, _ := NewPolicy(Config{})
 	b, _ := NewBudget(begin, Config{})
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -6,9 +6,9 @@
 // to within a twentieth of its length.
 const windowSlots = 20
 
-// firstRetries is what a new Window allows in any case: one of the first requests of
+// initialRetries is what a new Window allows in any case: one of the first requests of
 // an instance may meet a target that is gone.
-const firstRetries = 1
+const initialRetries = 1
 
 // Window bounds the retries within the span of a length that ends with each of them,
 // by a share of the requests within the same span and a constant besides. Unlike a Budget it lets all that the
@@ -18,13 +18,13 @@
 	length time.Duration
 	share  float64   // retries for each request; 0 or more
 	slack  float64   // retries besides; 0 or more
-	begun  time.Time // nothing is known of requests and retries before
+	start  time.Time // nothing is known of requests and retries before
 	slots  [windowSlots + 1]windowSlot
 }
 
 // windowSlot counts what came within a part of a Window.
 type windowSlot struct {
-	ends     time.Time // zero if the slot was never used
+	end      time.Time // zero if the slot was never used
 	requests int
 	retries  int
 }
@@ -32,7 +32,7 @@
 // NewWindow makes a window that begins now. The slack grows from nothing over the
 // first length, as retries before now are not known of.
 func NewWindow(now time.Time, length time.Duration, share float64) *Window {
-	return &Window{length: length, share: share, begun: now}
+	return &Window{length: length, share: share, start: now}
 }
 
 // SetSlack sets the retries that are allowed besides the share.
@@ -56,28 +56,28 @@
 	oldest := now.Add(-w.length)
 	requests, retries := 0, 0
 	for _, s := range w.slots {
-		if s.ends.After(oldest) {
+		if s.end.After(oldest) {
 			retries += s.retries
 		}
-		if s.ends.Add(-w.step()).After(oldest) {
+		if s.end.Add(-w.slotLength()).After(oldest) {
 			requests += s.requests
 		}
 	}
-	grown := float64(now.Sub(w.begun)) / float64(w.length)
-	if grown < 1 && retries < firstRetries {
+	grown := float64(now.Sub(w.start)) / float64(w.length)
+	if grown < 1 && retries < initialRetries {
 		return true
 	}
 	return float64(retries+1) <= w.share*float64(requests)+w.slack*min(1, grown)
 }
 
-func (w *Window) step() time.Duration { return w.length / windowSlots }
+func (w *Window) slotLength() time.Duration { return w.length / windowSlots }
 
 // slot returns the slot of now, emptied if it was used for an earlier time.
 func (w *Window) slot(now time.Time) *windowSlot {
-	n := max(0, now.Sub(w.begun)/w.step())
+	n := max(0, now.Sub(w.start)/w.slotLength())
 	s := &w.slots[n%(windowSlots+1)]
-	if ends := w.begun.Add((n + 1) * w.step()); s.ends.Before(ends) {
-		*s = windowSlot{ends: ends}
+	if ends := w.start.Add((n + 1) * w.slotLength()); s.end.Before(ends) {
+		*s = windowSlot{end: ends}
 	}
 	return s
 }
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -45,7 +45,7 @@
 					retries += m.retries
 				}
 			}
-			most := max(share*float64(requests)+float64(slack), firstRetries)
+			most := max(share*float64(requests)+float64(slack), initialRetries)
 			if float64(retries) > most {
 				t.Fatalf("got %d retries for %d requests, want at most %.1f", retries, requests, most)
 			}
