--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -1,5 +1,5 @@
-// Package retry decides whether a request is tried again, and keeps all
-// retries of a service within a budget, so that they can't amplify an outage.
+// Package retry decides whether a request is retried, and keeps all retries of a service
+// within a budget, so that they can't amplify an outage.
 //
 // The package does no input or output and is not safe for concurrent use.
 package retry
@@ -10,18 +10,19 @@
 	"github.com/juju/errors"
 )
 
-// tokensPerRetry is one retry in the thousandths that a Budget counts in.
+// tokensPerRetry is the number of tokens that one retry costs: a Budget counts in
+// thousandths of a retry.
 const tokensPerRetry = 1000
 
-// Budget counts the retries that a service may still make. Hedged requests
-// spend from it too.
+// Budget is a token bucket for the retries of a service. Hedged requests spend from it too.
 type Budget struct {
 	cfg    Config
 	tokens int       // 0 <= tokens <= Burst, in thousandths of a retry
-	filled time.Time // until when Minimum has been paid in
+	filled time.Time // time up to which Minimum has been credited
 }
 
-// NewBudget makes a budget with one retry in it. It returns a *ConfigError.
+// NewBudget returns a Budget that holds one retry. It returns a *ConfigError if cfg is
+// invalid.
 func NewBudget(now time.Time, cfg Config) (*Budget, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -30,13 +31,13 @@
 	return &Budget{cfg: cfg, tokens: tokensPerRetry, filled: now}, nil
 }
 
-// Request counts a first attempt, which pays for a share of a retry.
+// Request counts a first attempt, which adds Share to the budget.
 func (b *Budget) Request(now time.Time) {
 	b.fill(now)
 	b.add(b.cfg.Share)
 }
 
-// Spend takes one retry, and tells whether there was one.
+// Spend takes one retry from the budget, and reports whether there was one.
 func (b *Budget) Spend(now time.Time) bool {
 	if !b.Left(now) {
 		return false
@@ -45,14 +46,14 @@
 	return true
 }
 
-// Left tells whether a retry is left.
+// Left reports whether a retry is left.
 func (b *Budget) Left(now time.Time) bool {
 	b.fill(now)
 	return b.tokens >= tokensPerRetry
 }
 
-// fill pays in the minimum for the whole milliseconds that have passed. A clock
-// that goes back pays nothing; one that goes on pays a burst at most.
+// fill credits Minimum for the whole milliseconds that have passed. If the clock goes back,
+// nothing is credited; if it jumps ahead, at most a burst is.
 func (b *Budget) fill(now time.Time) {
 	passed := now.Sub(b.filled).Truncate(time.Millisecond)
 	if passed <= 0 {
@@ -63,7 +64,7 @@
 	}
 	b.filled = b.filled.Add(passed)
 	passed = min(passed, time.Duration(b.cfg.Burst)*time.Second)
-	b.add(int(passed.Milliseconds()) * max(0, b.cfg.Minimum)) // a thousandth each ms for each retry a second
+	b.add(int(passed.Milliseconds()) * max(0, b.cfg.Minimum)) // Minimum retries per second are as many thousandths per millisecond
 }
 
 func (b *Budget) add(n int) {
--- a/internal/retry/config.go
+++ b/internal/retry/config.go
@@ -8,24 +8,24 @@
 
 // Defaults of Config.
 const (
-	DefaultShare    = 100 // thousandths
+	DefaultShare    = 100 // retries for a thousand requests
 	DefaultMinimum  = 1
 	DefaultBurst    = 10
 	DefaultAttempts = 3
 	DefaultSamples  = 100
 )
 
-// NoMinimum as Minimum allows no retries but those that requests pay for.
+// NoMinimum as Minimum allows only the retries that requests add to the budget.
 const NoMinimum = -1
 
-// Config sets up a Budget and a Policy.
+// Config configures a Budget and a Policy.
 type Config struct {
 	Share    int  // retries allowed for a thousand requests
-	Minimum  int  // retries allowed each second besides, so that a quiet service still retries; NoMinimum for none
-	Burst    int  // the most retries that can be saved up
-	Attempts int  // the most attempts for one request, the first among them
-	Hedge    bool // allows hedged requests
-	Samples  int  // latencies that must have been measured before a hedge
+	Minimum  int  // additional retries per second, so that a service with few requests can still retry; NoMinimum for none
+	Burst    int  // most retries that the budget can hold
+	Attempts int  // most attempts for one request, including the first
+	Hedge    bool // enables hedged requests
+	Samples  int  // number of measured latencies required for a hedged request
 }
 
 // ConfigError lists all faults of a Config.
@@ -34,7 +34,7 @@
 // Error lists the faults.
 func (e *ConfigError) Error() string { return "retry: " + strings.Join(e.Faults, "; ") }
 
-// Defaults fills what is not set.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	fields := map[*int]int{
 		&c.Share: DefaultShare, &c.Minimum: DefaultMinimum, &c.Burst: DefaultBurst,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Validate returns a *ConfigError that names every fault.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	if c.Share < 0 || c.Share > tokensPerRetry {
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -6,43 +6,44 @@
 	"github.com/juju/errors"
 )
 
-// Reason says why a request is or isn't tried again.
+// Reason is the reason that a request is or isn't retried.
 type Reason string
 
-// The reasons. Again is the only one that allows another attempt.
+// Reasons of a Decision. Again is the only one that allows another attempt.
 const (
 	Again         Reason = "again"
 	HandedOff     Reason = "handed"         // another instance decides about retries
-	Streamed      Reason = "streamed"       // part of the answer or of the body is gone
-	NotIdempotent Reason = "not-idempotent" // and no proof that it did not run
-	Attempts      Reason = "attempts"       // it had as many as allowed
-	NoTarget      Reason = "no-target"      // no target is left that it wasn't tried at
-	Deadline      Reason = "deadline"       // another attempt would end too late
+	Streamed      Reason = "streamed"       // part of the answer has been sent on, or part of the body can't be sent again
+	NotIdempotent Reason = "not-idempotent" // not idempotent, and no proof that it did not run
+	Attempts      Reason = "attempts"       // it had as many attempts as allowed
+	NoTarget      Reason = "no-target"      // no target is left that it wasn't sent to
+	Deadline      Reason = "deadline"       // another attempt would end after the deadline
 	NoBudget      Reason = "budget"         // the service has no retry left
 )
 
-// Attempt is a request whose last attempt failed, or has not answered yet.
+// Attempt describes a request whose last attempt failed or is still in flight.
 type Attempt struct {
 	Idempotent bool
-	NotRun     bool      // proof that nothing ran: refused connection, no byte sent, the target's own refusal
+	NotRun     bool      // proof that it did not run: connection refused, no byte sent, or a refusal by the target
 	Handed     bool      // it came from another instance, which alone retries it
-	Streamed   bool      // its body can't be sent again, or its answer has begun to go out
+	Streamed   bool      // its body can't be sent again, or its answer has begun to be sent on
 	Tried      int       // attempts so far
-	Targets    int       // targets with room that it wasn't tried at
-	Expected   time.Time // when another attempt begun now would be answered
-	Deadline   time.Time // of the caller
+	Targets    int       // targets with free slots that it wasn't sent to
+	Expected   time.Time // expected time of the answer to another attempt that starts now
+	Deadline   time.Time // deadline of the caller
 }
 
-// Decision is whether to try again, and why.
+// Decision is the decision about another attempt, with its reason.
 type Decision struct{ Reason Reason }
 
-// Retry tells whether another attempt is allowed. It has been paid for.
+// Retry reports whether another attempt is allowed. If it is, it has been taken from the
+// budget.
 func (d Decision) Retry() bool { return d.Reason == Again }
 
 // Policy decides about retries and hedged requests of one service.
 type Policy struct{ cfg Config }
 
-// NewPolicy makes a policy. It returns a *ConfigError.
+// NewPolicy returns a Policy. It returns a *ConfigError if cfg is invalid.
 func NewPolicy(cfg Config) (Policy, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -51,8 +52,7 @@
 	return Policy{cfg: cfg}, nil
 }
 
-// Decide decides about one more attempt and, when it allows one, spends from
-// the budget.
+// Decide decides about one more attempt and, if it allows one, takes it from the budget.
 func (p Policy) Decide(now time.Time, a Attempt, b *Budget) Decision {
 	if reason := p.denyReason(now, a); reason != "" {
 		return Decision{Reason: reason}
@@ -63,10 +63,10 @@
 	return Decision{Reason: Again}
 }
 
-// HedgeAt returns when to send a second copy of a request that has not been
-// answered. slow is when it would be slower than nearly all (the 99th
-// percentile, say) of the samples measured. ok is false when it must not be
-// hedged. The second copy itself needs a Decide when its time has come.
+// HedgeAt returns when to send a second copy of a request that has not been answered. slow
+// is the time at which the request becomes slower than nearly all measured samples (the
+// 99th percentile, say). ok is false if the request must not be hedged. The second copy
+// itself requires a Decide when it is due.
 func (p Policy) HedgeAt(now time.Time, a Attempt, slow time.Time, samples int, b *Budget) (at time.Time, ok bool) {
 	if !p.cfg.Hedge || !a.Idempotent || samples < p.cfg.Samples {
 		return time.Time{}, false
@@ -77,7 +77,8 @@
 	return slow, true
 }
 
-// denyReason returns why there can't be another attempt, leaving the budget aside.
+// denyReason returns why there can't be another attempt, apart from the budget, or an empty
+// Reason.
 func (p Policy) denyReason(now time.Time, a Attempt) Reason {
 	switch {
 	case a.Handed:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestBudgetBound counts requests, time and retries by itself: never more
-// retries than the share, the minimum and a burst allow.
+// TestBudgetBound counts requests, time and retries on its own and checks that there are
+// never more retries than the share, the minimum and a burst allow.
 func TestBudgetBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, _ := NewBudget(begin, Config{})
@@ -116,9 +116,9 @@
 	}
 }
 
-// BenchmarkAmplification sends 1,000 requests a second for 60 s at targets that
-// fail half or all of them, and reports the attempts for each request and the
-// share answered, with the budget and with three plain attempts.
+// BenchmarkAmplification sends 1,000 requests a second for 60 s to targets that fail some
+// or all of them, and reports the attempts per request and the percentage answered, with
+// the budget and with up to three attempts without one.
 func BenchmarkAmplification(b *testing.B) {
 	tests := map[string]struct {
 		fail   float64
--- a/internal/retry/window.go
+++ b/internal/retry/window.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// windowSlots divides a Window: retries are forgotten, and requests count no more,
-// to within a twentieth of its length.
+// windowSlots is the number of slots that divide the length of a Window. Requests and
+// retries leave the window a slot at a time, so its length is exact to a twentieth.
 const windowSlots = 20
 
-// initialRetries is what a new Window allows in any case: one of the first requests of
-// an instance may meet a target that is gone.
+// initialRetries is the number of retries that a new Window allows in any case: one of the
+// first requests of an instance may meet a target that has been removed.
 const initialRetries = 1
 
-// Window bounds the retries within the span of a length that ends with each of them,
-// by a share of the requests within the same span and a constant besides. Unlike a Budget it lets all that the
-// span allows be spent at once: a failure of many requests at the same moment is
-// what retries are for.
+// Window bounds the retries within a sliding window that ends with each of them, by a share
+// of the requests within the same window and a constant in addition. Unlike a Budget, it
+// allows the whole amount to be spent at once: a failure of many requests at the same
+// moment is the case that retries are meant for.
 type Window struct {
 	length time.Duration
-	share  float64   // retries for each request; 0 or more
-	slack  float64   // retries besides; 0 or more
-	start  time.Time // nothing is known of requests and retries before
+	share  float64   // retries per request; 0 or more
+	slack  float64   // additional retries; 0 or more
+	start  time.Time // earlier requests and retries are not counted
 	slots  [windowSlots + 1]windowSlot
 }
 
-// windowSlot counts what came within a part of a Window.
+// windowSlot counts the requests and retries within one slot of a Window.
 type windowSlot struct {
 	end      time.Time // zero if the slot was never used
 	requests int
 	retries  int
 }
 
-// NewWindow makes a window that begins now. The slack grows from nothing over the
-// first length, as retries before now are not known of.
+// NewWindow returns a Window that begins now. The slack grows from 0 over the first length,
+// since retries before now are not counted.
 func NewWindow(now time.Time, length time.Duration, share float64) *Window {
 	return &Window{length: length, share: share, start: now}
 }
 
-// SetSlack sets the retries that are allowed besides the share.
+// SetSlack sets the number of retries that are allowed in addition to the share.
 func (w *Window) SetSlack(slack float64) { w.slack = slack }
 
 // Request counts a first attempt.
 func (w *Window) Request(now time.Time) { w.slot(now).requests++ }
 
-// Spend counts a retry, and tells whether it was allowed.
+// Spend counts a retry if it is allowed, and reports whether it was.
 func (w *Window) Spend(now time.Time) bool {
 	if !w.Left(now) {
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Left tells whether a retry is allowed. Slots that are in the span in part count
-// for the retries and not for the requests.
+// Left reports whether a retry is allowed. A slot that is only partly within the window
+// counts for its retries but not for its requests.
 func (w *Window) Left(now time.Time) bool {
 	oldest := now.Add(-w.length)
 	requests, retries := 0, 0
@@ -72,7 +72,7 @@
 
 func (w *Window) slotLength() time.Duration { return w.length / windowSlots }
 
-// slot returns the slot of now, emptied if it was used for an earlier time.
+// slot returns the slot of now, reset if it holds counts of an earlier time.
 func (w *Window) slot(now time.Time) *windowSlot {
 	n := max(0, now.Sub(w.start)/w.slotLength())
 	s := &w.slots[n%(windowSlots+1)]
--- a/internal/retry/window_test.go
+++ b/internal/retry/window_test.go
@@ -9,8 +9,8 @@
 
 const windowLength = 10 * time.Second
 
-// TestWindowBound counts by itself: in no span that ends with a retry are there more
-// than the share of its requests, the slack, and the first.
+// TestWindowBound counts on its own and checks that no window that ends with a retry holds
+// more retries than the share of its requests plus the slack, or initialRetries.
 func TestWindowBound(t *testing.T) {
 	type moment struct {
 		at                time.Time
@@ -55,9 +55,9 @@
 
 func TestWindow(t *testing.T) {
 	tests := map[string]struct {
-		requests int           // in the first second
-		slack    float64       // from the beginning
-		after    time.Duration // when the retries come
+		requests int           // sent when the window begins
+		slack    float64       // set when the window begins
+		after    time.Duration // time of the retries
 		want     int           // retries that are allowed at once
 	}{
 		"all at once":       {requests: 100, after: 2 * time.Second, want: 20},
