--- a/internal/targets/client.go
+++ b/internal/targets/client.go
@@ -24,8 +24,8 @@
 // Dial opens a connection; net.Dialer.DialContext by default.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// bounded ends a dial after dialTimeout. Nothing has been sent then.
-func bounded(dial Dial) Dial {
+// withDialTimeout ends a dial after dialTimeout. Nothing has been sent then.
+func withDialTimeout(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
@@ -60,7 +60,7 @@
 		dial = (&net.Dialer{}).DialContext
 	}
 	return &Client{transport: &http.Transport{
-		DialContext:            noting(bounded(dial)),
+		DialContext:            trackWrites(withDialTimeout(dial)),
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    idlePerTarget,
 		IdleConnTimeout:        idleTimeout,
@@ -79,7 +79,7 @@
 
 // Proof says what shows that nothing ran.
 func (e *NotSentError) Proof() once.Proof {
-	if refused(e.Err) {
+	if dialFailed(e.Err) {
 		return once.ProofNoConn
 	}
 	return once.ProofNoByte
@@ -100,12 +100,12 @@
 // that failed sends nothing afterwards. ended is called once if the attempt is broken off
 // after it was sent, or its answer is not read to the end, when the target has ended its
 // connection too; nil is not told.
-func (c *Client) Send(ctx context.Context, r *http.Request, ended func(end End)) (*http.Response, error) {
+func (c *Client) Send(ctx context.Context, r *http.Request, onEnd func(end End)) (*http.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Err: err}
 	}
-	a := attempt{ended: ended}
-	trace := &httptrace.ClientTrace{GotConn: a.gotConn}
+	a := attempt{onEnd: onEnd}
+	trace := &httptrace.ClientTrace{GotConn: a.useConn}
 	resp, err := c.transport.RoundTrip(r.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	switch {
 	case err == nil:
@@ -121,14 +121,14 @@
 type attempt struct {
 	conn  *conn // the latest that it was given; nil before the first
 	sent  bool  // something was written to an earlier one
-	ended func(end End)
+	onEnd func(end End)
 }
 
-// gotConn takes note of the connection that the transport chose. The transport
+// useConn takes note of the connection that the transport chose. The transport
 // repeats requests by itself when a kept connection turns out to be closed,
 // also after it was written to: that one may have run, so the next connection
 // is sealed, and the repetition fails.
-func (a *attempt) gotConn(info httptrace.GotConnInfo) {
+func (a *attempt) useConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		a.sent = true
@@ -140,7 +140,7 @@
 		c.seal()
 		return
 	}
-	c.begin(a.ended)
+	c.assign(a.onEnd)
 }
 
 // unsent says that nothing was written, and lets nothing be written from now on.
@@ -151,8 +151,8 @@
 	return a.conn == nil || a.conn.seal()
 }
 
-// refused says whether the connection was never opened.
-func refused(err error) bool {
+// dialFailed says whether the connection was never opened.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/targets/client_test.go
+++ b/internal/targets/client_test.go
@@ -14,26 +14,26 @@
 	"time"
 )
 
-// closing is a target that answers the first request of each connection and
+// closingTarget is a target that answers the first request of each connection and
 // closes the connection on the second, when it has read it.
-type closing struct {
+type closingTarget struct {
 	ln  net.Listener
 	got atomic.Int32 // requests read
 }
 
-func newClosing(t *testing.T) *closing {
+func newClosingTarget(t *testing.T) *closingTarget {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &closing{ln: ln}
+	s := &closingTarget{ln: ln}
 	go s.accept()
 	return s
 }
 
-func (s *closing) accept() {
+func (s *closingTarget) accept() {
 	for {
 		c, err := s.ln.Accept()
 		if err != nil {
@@ -43,7 +43,7 @@
 	}
 }
 
-func (s *closing) serve(c net.Conn) {
+func (s *closingTarget) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for range 2 {
@@ -68,9 +68,9 @@
 	return r
 }
 
-// TestNoRepetition breaks a kept connection after the request was read: the
+// TestNoTransportRetry breaks a kept connection after the request was read: the
 // transport's own second try must not reach the target.
-func TestNoRepetition(t *testing.T) {
+func TestNoTransportRetry(t *testing.T) {
 	tests := map[string]struct{ method, body string }{
 		"get":              {http.MethodGet, ""},
 		"keyed empty post": {http.MethodPost, ""},
@@ -78,7 +78,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, c := newClosing(t), New(nil)
+			s, c := newClosingTarget(t), New(nil)
 			defer c.Close()
 			address := s.ln.Addr().String()
 			resp, err := c.Send(context.Background(), newRequest(t, tt.method, address, tt.body), nil)
@@ -98,13 +98,13 @@
 	}
 }
 
-// brokenConn fails before or after a byte has gone out.
-type brokenConn struct {
+// failingConn fails before or after a byte has gone out.
+type failingConn struct {
 	net.Conn
 	after bool
 }
 
-func (c brokenConn) Write(b []byte) (int, error) {
+func (c failingConn) Write(b []byte) (int, error) {
 	if c.after {
 		c.Conn.Write(b[:1])
 	}
@@ -116,13 +116,13 @@
 		return func(context.Context, string, string) (net.Conn, error) {
 			near, far := net.Pipe()
 			go io.Copy(io.Discard, far)
-			return brokenConn{near, after}, nil
+			return failingConn{near, after}, nil
 		}
 	}
 	refuse := func(context.Context, string, string) (net.Conn, error) {
 		return nil, &net.OpError{Op: "dial", Err: io.ErrClosedPipe}
 	}
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	tests := map[string]struct {
 		ctx  context.Context
@@ -130,7 +130,7 @@
 		want bool
 	}{
 		"refused":           {context.Background(), refuse, true},
-		"cancelled before":  {ended, pipe(true), true},
+		"cancelled before":  {cancelled, pipe(true), true},
 		"broken on a write": {context.Background(), pipe(true), false},
 	}
 	for name, tt := range tests {
@@ -144,11 +144,11 @@
 	}
 }
 
-func TestSealedConnIsProof(t *testing.T) {
+func TestSealedConnProvesNotSent(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &conn{Conn: near}
-	c.begin(nil)
+	c.assign(nil)
 	if got := c.seal(); !got {
 		t.Error("got no proof, want one: nothing was written")
 	}
@@ -181,15 +181,15 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			left, goOn := make(chan struct{}), make(chan struct{})
+			callerClosed, proceed := make(chan struct{}), make(chan struct{})
 			go func() {
 				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
 				io.Copy(io.Discard, c) // until the caller has left
-				close(left)
-				<-goOn
+				close(callerClosed)
+				<-proceed
 				tt.end(c.(*net.TCPConn))
 			}()
 			client := New(nil)
@@ -202,13 +202,13 @@
 			if !errors.As(err, &lost) {
 				t.Fatalf("got %v, want a *LostError", err)
 			}
-			<-left
+			<-callerClosed
 			select {
 			case end := <-ended:
 				t.Fatalf("got end %d before the target had ended anything", end)
 			case <-time.After(20 * time.Millisecond):
 			}
-			close(goOn)
+			close(proceed)
 			if got := <-ended; got != tt.want {
 				t.Errorf("got end %d, want %d", got, tt.want)
 			}
--- a/internal/targets/conn.go
+++ b/internal/targets/conn.go
@@ -15,13 +15,13 @@
 type conn struct {
 	net.Conn
 
-	reading sync.Mutex // held by who reads
+	readMu sync.Mutex // held by who reads
 
-	mu     sync.Mutex
-	wrote  bool          // since begin; guarded by mu
-	sealed bool          // nothing is written any more; guarded by mu
-	closed bool          // guarded by mu
-	ended  func(end End) // of the attempt that has it; guarded by mu
+	mu      sync.Mutex
+	written bool          // since begin; guarded by mu
+	sealed  bool          // nothing is written any more; guarded by mu
+	closed  bool          // guarded by mu
+	onEnd   func(end End) // of the attempt that has it; guarded by mu
 }
 
 // SealedError says that a connection is not to be written to any more.
@@ -29,8 +29,8 @@
 
 func (e *SealedError) Error() string { return "targets: the connection is sealed" }
 
-// noting makes dial give connections that note what is written.
-func noting(dial Dial) Dial {
+// trackWrites makes dial give connections that note what is written.
+func trackWrites(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
 		if err != nil {
@@ -40,11 +40,11 @@
 	}
 }
 
-// begin gives the connection to an attempt, which is told how it ended.
-func (c *conn) begin(ended func(end End)) {
+// assign gives the connection to an attempt, which is told how it ended.
+func (c *conn) assign(onEnd func(end End)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wrote, c.ended = false, ended
+	c.written, c.onEnd = false, onEnd
 }
 
 // seal lets nothing more be written. It returns true if nothing was written
@@ -53,7 +53,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return !c.wrote
+	return !c.written
 }
 
 // Write notes the attempt's first byte before it goes out.
@@ -63,15 +63,15 @@
 		c.mu.Unlock()
 		return 0, &SealedError{}
 	}
-	c.wrote = true
+	c.written = true
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
 // Read reads until the connection is closed on this side.
 func (c *conn) Read(b []byte) (int, error) {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if c.isClosed() {
 		return 0, net.ErrClosed
 	}
@@ -95,12 +95,12 @@
 )
 
 const (
-	// lingerMost is how long a target may take to end a connection: longer than any
+	// lingerTimeout is how long a target may take to end a connection: longer than any
 	// request may.
-	lingerMost = time.Minute
-	// lingerBytes is how much of an answer that nobody waits for is read: its beginning
+	lingerTimeout = time.Minute
+	// maxDiscard is how much of an answer that nobody waits for is read: its beginning
 	// may be on its way.
-	lingerBytes = 64 << 10
+	maxDiscard = 64 << 10
 )
 
 // Close ends the connection on this side, and in the background waits for the target to
@@ -114,35 +114,35 @@
 	c.closed, c.sealed = true, true
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	switch {
-	case !c.wrote || c.ended == nil:
+	case !c.written || c.onEnd == nil:
 		return c.Conn.Close()
 	case !ok:
-		c.ended(Reset)
+		c.onEnd(Reset)
 		return c.Conn.Close()
 	}
-	go c.linger(half.CloseWrite, c.ended)
+	go c.awaitTargetClose(half.CloseWrite, c.onEnd)
 	return nil
 }
 
-// linger tells how the target ends the connection.
-func (c *conn) linger(closeWrite func() error, ended func(end End)) {
+// awaitTargetClose tells how the target ends the connection.
+func (c *conn) awaitTargetClose(closeWrite func() error, onEnd func(end End)) {
 	defer c.Conn.Close()
 	c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read that is under way
-	c.reading.Lock()
-	defer c.reading.Unlock()
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	if closeWrite() != nil {
-		ended(Reset)
+		onEnd(Reset)
 		return
 	}
-	c.Conn.SetReadDeadline(time.Now().Add(lingerMost))
-	_, err := io.CopyN(io.Discard, c.Conn, lingerBytes)
+	c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, err := io.CopyN(io.Discard, c.Conn, maxDiscard)
 	var network net.Error
 	switch {
 	case errors.Is(err, io.EOF):
-		ended(Noticed)
+		onEnd(Noticed)
 	case errors.As(err, &network) && network.Timeout():
-		ended(Unnoticed)
+		onEnd(Unnoticed)
 	default:
-		ended(Reset)
+		onEnd(Reset)
 	}
 }
