--- a/internal/targets/client.go
+++ b/internal/targets/client.go
@@ -1,5 +1,5 @@
-// Package targets sends requests to targets and to peers over HTTP, and says
-// of each attempt that failed whether it can have run.
+// Package targets sends requests to targets and to peers over HTTP, and reports for each
+// failed attempt whether it may have run.
 package targets
 
 import (
@@ -13,18 +13,19 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// Limits of the connections that are kept.
+// Limits of connections.
 const (
 	idleTimeout   = 90 * time.Second
 	idlePerTarget = 64
-	dialTimeout   = 500 * time.Millisecond // an attempt that can't connect goes elsewhere within its deadline
+	dialTimeout   = 500 * time.Millisecond // short enough that an attempt that can't connect is retried elsewhere within its deadline
 	maxHeader     = 64 << 10
 )
 
-// Dial opens a connection; net.Dialer.DialContext by default.
+// Dial opens a connection. The default is net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// withDialTimeout ends a dial after dialTimeout. Nothing has been sent then.
+// withDialTimeout returns dial with a timeout of dialTimeout. Nothing has been sent when it
+// expires.
 func withDialTimeout(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, dialTimeout)
@@ -33,19 +34,19 @@
 	}
 }
 
-// DialFrom gives a dialer whose connections come from one IP of this machine.
+// DialFrom returns a Dial whose connections come from one IP of this machine.
 func DialFrom(ip string) Dial {
 	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(ip)}}
 	return d.DialContext
 }
 
-// Client sends attempts. It is safe for concurrent use.
+// Client sends attempts of requests. It is safe for concurrent use.
 type Client struct {
 	transport *http.Transport
 }
 
-// Reach opens a connection to an address and closes it. Its error shows whether anything is
-// there.
+// Reach opens a connection to an address and closes it. Its error shows whether the address
+// accepts connections.
 func (c *Client) Reach(ctx context.Context, address string) error {
 	conn, err := c.transport.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -54,7 +55,8 @@
 	return conn.Close()
 }
 
-// New makes a client that opens connections with dial; nil takes the standard dialer.
+// New returns a Client that opens connections with dial, or with the standard dialer if
+// dial is nil.
 func New(dial Dial) *Client {
 	if dial == nil {
 		dial = (&net.Dialer{}).DialContext
@@ -68,16 +70,16 @@
 	}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// NotSentError says that an attempt failed before a byte of it was sent, so that
-// nothing can have run.
+// NotSentError reports that an attempt failed before a byte of it was sent, so that it
+// can't have run.
 type NotSentError struct{ Err error }
 
 func (e *NotSentError) Error() string { return "targets: not sent: " + e.Err.Error() }
 
-// Proof says what shows that nothing ran.
+// Proof returns the proof that the attempt did not run.
 func (e *NotSentError) Proof() once.Proof {
 	if dialFailed(e.Err) {
 		return once.ProofNoConn
@@ -88,7 +90,7 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError says that an attempt failed after it was sent: it may have run.
+// LostError reports that an attempt failed after it was sent, so that it may have run.
 type LostError struct{ Err error }
 
 func (e *LostError) Error() string { return "targets: no answer: " + e.Err.Error() }
@@ -96,10 +98,10 @@
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// Send makes one attempt. Errors are *NotSentError or *LostError. An attempt
-// that failed sends nothing afterwards. ended is called once if the attempt is broken off
-// after it was sent, or its answer is not read to the end, when the target has ended its
-// connection too; nil is not told.
+// Send makes one attempt. Its errors are *NotSentError or *LostError. An attempt that
+// failed sends nothing afterwards. If the attempt is aborted after it was sent, or its
+// answer is not read to the end, onEnd is called once, when the target has closed its
+// connection too or no longer can be expected to. onEnd may be nil.
 func (c *Client) Send(ctx context.Context, r *http.Request, onEnd func(end End)) (*http.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Err: err}
@@ -119,15 +121,15 @@
 
 // attempt follows one request through the transport.
 type attempt struct {
-	conn  *conn // the latest that it was given; nil before the first
-	sent  bool  // something was written to an earlier one
+	conn  *conn // latest connection of the request; nil before the first
+	sent  bool  // data was written to an earlier connection
 	onEnd func(end End)
 }
 
-// useConn takes note of the connection that the transport chose. The transport
-// repeats requests by itself when a kept connection turns out to be closed,
-// also after it was written to: that one may have run, so the next connection
-// is sealed, and the repetition fails.
+// useConn records the connection that the transport chose. The transport retries requests
+// by itself when a kept connection turns out to be closed, even if it was written to. In
+// that case the request may have run, so the next connection is sealed and the transport's
+// retry fails.
 func (a *attempt) useConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
@@ -143,7 +145,8 @@
 	c.assign(a.onEnd)
 }
 
-// unsent says that nothing was written, and lets nothing be written from now on.
+// unsent reports whether nothing was written. If so, it also seals the connection, so that
+// nothing can be written afterwards.
 func (a *attempt) unsent() bool {
 	if a.sent {
 		return false
@@ -151,7 +154,7 @@
 	return a.conn == nil || a.conn.seal()
 }
 
-// dialFailed says whether the connection was never opened.
+// dialFailed reports whether the connection could not be opened.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/internal/targets/client_test.go
+++ b/internal/targets/client_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// closingTarget is a target that answers the first request of each connection and
-// closes the connection on the second, when it has read it.
+// closingTarget is a target that answers the first request of each connection, and closes
+// the connection when it has read the second.
 type closingTarget struct {
 	ln  net.Listener
 	got atomic.Int32 // requests read
@@ -68,8 +68,8 @@
 	return r
 }
 
-// TestNoTransportRetry breaks a kept connection after the request was read: the
-// transport's own second try must not reach the target.
+// TestNoTransportRetry closes a kept connection after the request was read: the transport's
+// own retry must not reach the target.
 func TestNoTransportRetry(t *testing.T) {
 	tests := map[string]struct{ method, body string }{
 		"get":              {http.MethodGet, ""},
@@ -98,7 +98,7 @@
 	}
 }
 
-// failingConn fails before or after a byte has gone out.
+// failingConn fails to write, before or after one byte has been sent.
 type failingConn struct {
 	net.Conn
 	after bool
@@ -131,7 +131,7 @@
 	}{
 		"refused":           {context.Background(), refuse, true},
 		"cancelled before":  {cancelled, pipe(true), true},
-		"broken on a write": {context.Background(), pipe(true), false},
+		"failed on a write": {context.Background(), pipe(true), false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,11 +157,11 @@
 	}
 }
 
-// TestEndOfBrokenAttempt: a caller who leaves learns when the target has noticed, and not
-// before.
+// TestEndOfBrokenAttempt checks that the end of an aborted attempt is reported when the
+// target has closed its connection, and not before.
 func TestEndOfBrokenAttempt(t *testing.T) {
 	tests := map[string]struct {
-		end  func(c *net.TCPConn) // what the target does when its caller has left
+		end  func(c *net.TCPConn) // what the target does when the caller has closed its side
 		want End
 	}{
 		"ends too": {func(c *net.TCPConn) { c.Close() }, Noticed},
@@ -187,7 +187,7 @@
 				if err != nil {
 					return
 				}
-				io.Copy(io.Discard, c) // until the caller has left
+				io.Copy(io.Discard, c) // until the caller has closed its side
 				close(callerClosed)
 				<-proceed
 				tt.end(c.(*net.TCPConn))
@@ -205,7 +205,7 @@
 			<-callerClosed
 			select {
 			case end := <-ended:
-				t.Fatalf("got end %d before the target had ended anything", end)
+				t.Fatalf("got end %d before the target closed its connection", end)
 			case <-time.After(20 * time.Millisecond):
 			}
 			close(proceed)
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestDialIsBounded: an address that does not answer costs a part of the
-// request's time, and is proof that nothing was sent.
+// TestDialIsBounded checks that a dial to an address that does not answer times out before
+// the request does, and counts as proof that nothing was sent.
 func TestDialIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/internal/targets/conn.go
+++ b/internal/targets/conn.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// conn notes whether anything was written for the attempt that has it. Closed under an
-// attempt, it waits for the target to end the connection too: only then the target has
-// noticed.
+// conn records whether anything was written for the attempt that uses it. If it is closed
+// during an attempt, it waits for the target to close the connection too, since only that
+// shows that the target has detected the abort.
 type conn struct {
 	net.Conn
 
-	readMu sync.Mutex // held by who reads
+	readMu sync.Mutex // held while reading
 
 	mu      sync.Mutex
-	written bool          // since begin; guarded by mu
-	sealed  bool          // nothing is written any more; guarded by mu
+	written bool          // since assign; guarded by mu
+	sealed  bool          // writes fail; guarded by mu
 	closed  bool          // guarded by mu
-	onEnd   func(end End) // of the attempt that has it; guarded by mu
+	onEnd   func(end End) // callback of the attempt that uses the connection; guarded by mu
 }
 
-// SealedError says that a connection is not to be written to any more.
+// SealedError reports a write to a sealed connection.
 type SealedError struct{}
 
 func (e *SealedError) Error() string { return "targets: the connection is sealed" }
 
-// trackWrites makes dial give connections that note what is written.
+// trackWrites returns dial with its connections wrapped in conn.
 func trackWrites(dial Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := dial(ctx, network, address)
@@ -40,15 +40,16 @@
 	}
 }
 
-// assign gives the connection to an attempt, which is told how it ended.
+// assign assigns the connection to an attempt. onEnd is called with the way in which the
+// target ends the connection, if the attempt is aborted.
 func (c *conn) assign(onEnd func(end End)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written, c.onEnd = false, onEnd
 }
 
-// seal lets nothing more be written. It returns true if nothing was written
-// since begin, so that the attempt is proved not to have reached its target.
+// seal makes further writes fail. It returns true if nothing was written since assign,
+// which proves that the attempt did not reach its target.
 func (c *conn) seal() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,7 +57,7 @@
 	return !c.written
 }
 
-// Write notes the attempt's first byte before it goes out.
+// Write records that the attempt has written before the data is sent.
 func (c *conn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	if c.sealed {
@@ -84,27 +85,27 @@
 	return c.closed
 }
 
-// End is how the connection of an attempt that was broken off ended.
+// End is the way in which the connection of an aborted attempt ended.
 type End int
 
-// The ends.
+// Ends of a connection.
 const (
-	Noticed   End = iota // the target ended it after this side had: it has noticed
-	Reset                // it was cut, here or on the way: the target will notice, or has
-	Unnoticed            // the target gave no sign for lingerMost
+	Noticed   End = iota // the target closed it after this side had: it has detected the abort
+	Reset                // it was reset, here or on the way: the target will detect the abort, or has
+	Unnoticed            // the target did not close it within lingerTimeout
 )
 
 const (
-	// lingerTimeout is how long a target may take to end a connection: longer than any
-	// request may.
+	// lingerTimeout is how long a target may take to close a connection: longer than any
+	// request may take.
 	lingerTimeout = time.Minute
-	// maxDiscard is how much of an answer that nobody waits for is read: its beginning
-	// may be on its way.
+	// maxDiscard is how many bytes of an answer that is no longer needed are read and
+	// discarded: its beginning may already be in flight.
 	maxDiscard = 64 << 10
 )
 
-// Close ends the connection on this side, and in the background waits for the target to
-// end it too.
+// Close closes the connection on this side. If an attempt with a callback has written to
+// it, it waits in the background for the target to close it too.
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,10 +125,10 @@
 	return nil
 }
 
-// awaitTargetClose tells how the target ends the connection.
+// awaitTargetClose waits until the target closes the connection and reports how it ended.
 func (c *conn) awaitTargetClose(closeWrite func() error, onEnd func(end End)) {
 	defer c.Conn.Close()
-	c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read that is under way
+	c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read in progress
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	if closeWrite() != nil {
