--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -9,10 +9,10 @@
 // arrivals draws the intended starts of one stream: a Poisson process whose
 // rate grows in a straight line during the ramp.
 type arrivals struct {
-	rng    *rand.Rand
-	rate   float64 // requests/s after the ramp
-	ramp   float64 // s
-	expect float64 // requests expected until the last start
+	rng      *rand.Rand
+	rate     float64 // requests/s after the ramp
+	ramp     float64 // s
+	expected float64 // requests expected until the last start
 }
 
 func newArrivals(rate float64, ramp time.Duration, seed, stream uint64) *arrivals {
@@ -25,8 +25,8 @@
 
 // next returns the next intended start, counted from the beginning.
 func (a *arrivals) next() time.Duration {
-	a.expect += a.rng.ExpFloat64()
-	return time.Duration(a.invert(a.expect) * float64(time.Second))
+	a.expected += a.rng.ExpFloat64()
+	return time.Duration(a.invert(a.expected) * float64(time.Second))
 }
 
 // invert returns after how many seconds n requests are expected: the inverse
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,16 +10,16 @@
 	"github.com/juju/errors"
 )
 
-// engine is one run of a plan.
-type engine struct {
-	plan   Plan
-	do     Do
-	start  time.Time
-	slots  chan struct{} // one for each request in flight
-	held   atomic.Uint64
-	unsent atomic.Uint64
-	work   sync.WaitGroup
-	tables *tables
+// runner is one run of a plan.
+type runner struct {
+	plan     Plan
+	do       Do
+	start    time.Time
+	slots    chan struct{} // one for each request in flight
+	delayed  atomic.Uint64
+	unsent   atomic.Uint64
+	requests sync.WaitGroup
+	stats    *stats
 }
 
 // Run sends what the plan says and returns when all requests have ended. When
@@ -31,12 +31,12 @@
 	if err := plan.Validate(); err != nil {
 		return nil, errors.Annotate(err, "load.Run")
 	}
-	e := &engine{
-		plan:   plan,
-		do:     do,
-		start:  time.Now(),
-		slots:  make(chan struct{}, plan.InFlight),
-		tables: newTables(plan.Streams),
+	e := &runner{
+		plan:  plan,
+		do:    do,
+		start: time.Now(),
+		slots: make(chan struct{}, plan.InFlight),
+		stats: newStats(plan.Streams),
 	}
 	var streams sync.WaitGroup
 	for i := range plan.Streams {
@@ -44,13 +44,13 @@
 	}
 	streams.Wait()
 	sent := time.Since(e.start)
-	e.work.Wait()
-	return e.tables.report(sent, e.held.Load(), e.unsent.Load()), nil
+	e.requests.Wait()
+	return e.stats.report(sent, e.delayed.Load(), e.unsent.Load()), nil
 }
 
 // stream sends the requests of one stream, each at its time; those that are
 // late at once.
-func (e *engine) stream(ctx context.Context, i int) {
+func (e *runner) stream(ctx context.Context, i int) {
 	s := &e.plan.Streams[i]
 	times := newArrivals(s.Rate, e.plan.Ramp, e.plan.Seed, uint64(i))
 	for n := 0; ; n++ {
@@ -68,18 +68,18 @@
 			Due:      due,
 			Deadline: due.Add(s.Timeout),
 		}
-		e.work.Go(func() { e.send(ctx, r) })
+		e.requests.Go(func() { e.send(ctx, r) })
 	}
 }
 
 // acquire waits while too many requests are in flight, and counts that it had to.
-func (e *engine) acquire(ctx context.Context) bool {
+func (e *runner) acquire(ctx context.Context) bool {
 	select {
 	case e.slots <- struct{}{}:
 		return true
 	default:
 	}
-	e.held.Add(1)
+	e.delayed.Add(1)
 	select {
 	case e.slots <- struct{}{}:
 		return true
@@ -90,11 +90,11 @@
 }
 
 // send runs one request to its end, also after ctx has ended.
-func (e *engine) send(ctx context.Context, r Request) {
+func (e *runner) send(ctx context.Context, r Request) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
 	defer cancel()
 	result := e.do(ctx, r)
 	took := time.Since(r.Due)
 	<-e.slots
-	e.tables.add(r.Service, result, took)
+	e.stats.record(r.Service, result, took)
 }
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -62,13 +62,13 @@
 func run(t *testing.T, p Plan, do Do) (*Report, []string) {
 	t.Helper()
 	var mu sync.Mutex
-	var seen []string
+	var requests []string
 	var report *Report
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
 		r, err := Run(t.Context(), p, func(ctx context.Context, r Request) Result {
 			mu.Lock()
-			seen = append(seen, r.ID+r.Due.Sub(start).String())
+			requests = append(requests, r.ID+r.Due.Sub(start).String())
 			mu.Unlock()
 			return do(ctx, r)
 		})
@@ -77,8 +77,8 @@
 		}
 		report = r
 	})
-	slices.Sort(seen)
-	return report, seen
+	slices.Sort(requests)
+	return report, requests
 }
 
 func TestRunCounts(t *testing.T) {
--- a/internal/load/tables.go
+++ b/internal/load/tables.go
@@ -9,35 +9,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold microseconds up to ten minutes, to three digits.
+// Histograms hold microseconds up to ten minutes, to three significantDigits.
 const (
-	maxLatency = 10 * time.Minute
-	digits     = 3
+	maxLatency        = 10 * time.Minute
+	significantDigits = 3
 )
 
-// tables counts the results by service.
-type tables struct {
-	services map[string]*table // never changed after newTables
+// stats counts the results by service.
+type stats struct {
+	byService map[string]*serviceStats // never changed after newTables
 }
 
-// table counts the results of one service.
-type table struct {
-	mu       sync.Mutex
-	counts   Counts
-	latency  *hdrhistogram.Histogram // of answered requests, in µs
-	reasons  map[Reason]uint64
-	places   map[string]uint64 // answered, by serving place
-	examples []string          // the first wrong answers
+// serviceStats counts the results of one service.
+type serviceStats struct {
+	mu           sync.Mutex
+	counts       Counts
+	latency      *hdrhistogram.Histogram // of answered requests, in µs
+	reasons      map[Reason]uint64
+	places       map[string]uint64 // answered, by serving place
+	wrongAnswers []string          // the first wrong answers
 }
 
 // maxExamples is how many wrong answers of a service are told in full.
 const maxExamples = 5
 
-func newTables(streams []Stream) *tables {
-	t := &tables{services: map[string]*table{}}
+func newStats(streams []Stream) *stats {
+	t := &stats{byService: map[string]*serviceStats{}}
 	for _, s := range streams {
-		t.services[s.Service] = &table{
-			latency: hdrhistogram.New(1, maxLatency.Microseconds(), digits),
+		t.byService[s.Service] = &serviceStats{
+			latency: hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits),
 			reasons: map[Reason]uint64{},
 			places:  map[string]uint64{},
 		}
@@ -45,13 +45,13 @@
 	return t
 }
 
-func (t *tables) add(service string, r Result, took time.Duration) {
-	s := t.services[service]
+func (t *stats) record(service string, r Result, took time.Duration) {
+	s := t.byService[service]
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.add(r)
-	if r.Wrong != nil && len(s.examples) < maxExamples {
-		s.examples = append(s.examples, r.Wrong.Error())
+	if r.Wrong != nil && len(s.wrongAnswers) < maxExamples {
+		s.wrongAnswers = append(s.wrongAnswers, r.Wrong.Error())
 	}
 	if r.Outcome != Answered {
 		s.reasons[Reason{Outcome: r.Outcome, Word: r.Reason}]++
@@ -65,9 +65,9 @@
 }
 
 // report is called when nothing is added any more.
-func (t *tables) report(sent time.Duration, held, unsent uint64) *Report {
+func (t *stats) report(sent time.Duration, held, unsent uint64) *Report {
 	r := &Report{Seconds: sent.Seconds(), Held: held, Unsent: unsent}
-	for name, s := range t.services {
+	for name, s := range t.byService {
 		r.Services = append(r.Services, s.report(name))
 		r.Counts.sum(s.counts)
 	}
@@ -75,7 +75,7 @@
 	return r
 }
 
-func (s *table) report(name string) Service {
+func (s *serviceStats) report(name string) Service {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := Service{
@@ -85,7 +85,7 @@
 		P99:    s.quantile(99),
 		P999:   s.quantile(99.9),
 		Max:    millis(s.latency.Max()),
-		Wrongs: s.examples,
+		Wrongs: s.wrongAnswers,
 	}
 	for reason, n := range s.reasons {
 		reason.Count = n
@@ -101,6 +101,6 @@
 	return r
 }
 
-func (s *table) quantile(q float64) float64 { return millis(s.latency.ValueAtQuantile(q)) }
+func (s *serviceStats) quantile(q float64) float64 { return millis(s.latency.ValueAtQuantile(q)) }
 
 func millis(us int64) float64 { return float64(us) / 1000 }
