--- a/internal/load/plan.go
+++ b/internal/load/plan.go
@@ -1,6 +1,6 @@
-// Package load sends requests at planned times, whether or not earlier ones
-// have been answered, and reports how they fared. Latency counts from the
-// intended start, so that a slow system can't hide its own delays.
+// Package load is an open-loop load generator: it sends requests at planned times, whether
+// or not earlier ones have been answered, and reports their results. Latency counts from
+// the intended start, so that a slow system can't hide its own delays.
 package load
 
 import (
@@ -12,37 +12,37 @@
 	"github.com/firlever/firlever/internal/emulator/clock"
 )
 
-// Plan says what to send, and for how long.
+// Plan describes what to send, and for how long.
 type Plan struct {
 	Streams  []Stream
-	For      time.Duration // requests are sent for this long; their answers may take longer
-	Ramp     time.Duration // over which the rates grow from 0, part of For
+	For      time.Duration // time for which requests are sent; their answers may take longer
+	Ramp     time.Duration // time in which the rates grow from 0, part of For
 	Seed     uint64        // the same seed gives the same requests at the same times
-	InFlight int           // requests in flight at most; those over it are held up and counted
-	Prefix   string        // of the request ids; must be unique to a run
-	Clock    *clock.Clock  // keeps the intended starts; may be nil
+	InFlight int           // most requests in flight; further ones are delayed and counted
+	Prefix   string        // prefix of the request IDs; must be unique to a run
+	Clock    *clock.Clock  // clock for the intended starts; may be nil
 }
 
-// Stream is one kind of request that arrives at random times.
+// Stream is one kind of request, which arrives at random times.
 type Stream struct {
 	Service    string  // team/service
 	Place      string  // home place of the callers
-	Class      string  // of the service; only carried along
+	Class      string  // class of the service; not used by this package
 	Rate       float64 // requests/s
 	Method     string
-	Path       string // below the service
-	Size       int64  // bytes of the answer
+	Path       string // path below the service
+	Size       int64  // expected bytes of the answer
 	Body       int64  // bytes of the request's body
 	Idempotent bool
-	Timeout    time.Duration // from the intended start
+	Timeout    time.Duration // counted from the intended start
 }
 
-// PlanError names every fault of a Plan.
+// PlanError lists all faults of a Plan.
 type PlanError struct{ Faults []string }
 
 func (e *PlanError) Error() string { return "load: " + strings.Join(e.Faults, "; ") }
 
-// Defaults sets what is left at zero.
+// Defaults sets the fields that are zero.
 func (p *Plan) Defaults() {
 	setDefault(&p.For, 10*time.Second)
 	setDefault(&p.InFlight, 4096)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Validate returns a *PlanError that names every fault at once.
+// Validate returns a *PlanError that lists every fault, or nil.
 func (p *Plan) Validate() error {
 	var faults []string
 	check := func(ok bool, format string, args ...any) {
@@ -87,5 +87,5 @@
 	return &PlanError{Faults: faults}
 }
 
-// maxRate is the most requests/s of one stream.
+// maxRate is the highest rate of one stream, in requests/s.
 const maxRate = 1_000_000
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -9,26 +9,26 @@
 	"github.com/juju/errors"
 )
 
-// Report tells how the requests of a run fared. Latencies are in milliseconds,
-// those of answered requests only, from the intended start to the last byte.
+// Report holds the results of a run. Latencies are in milliseconds, of answered requests
+// only, from the intended start to the last byte.
 type Report struct {
 	Counts
-	Held     uint64    `json:"held"`    // requests sent late because too many were in flight
-	Unsent   uint64    `json:"unsent"`  // those that were still held up when the run was broken off
-	Seconds  float64   `json:"seconds"` // for which requests were sent
+	Held     uint64    `json:"held"`    // requests that were delayed because too many were in flight
+	Unsent   uint64    `json:"unsent"`  // delayed requests that were not sent before the run was cancelled
+	Seconds  float64   `json:"seconds"` // time for which requests were sent
 	Services []Service `json:"services"`
 }
 
-// Counts adds up requests by outcome.
+// Counts counts requests by outcome.
 type Counts struct {
 	Requests uint64 `json:"requests"` // always the sum of the next three
 	Answered uint64 `json:"answered"`
 	Refused  uint64 `json:"refused"`
 	Unknown  uint64 `json:"unknown"`
-	Wrong    uint64 `json:"wrong"` // those whose body was passed off as whole and was not
+	Wrong    uint64 `json:"wrong"` // requests whose body was delivered as complete but was not the expected one
 }
 
-// Service is the part of one service.
+// Service holds the results of one service.
 type Service struct {
 	Name string `json:"name"`
 	Counts
@@ -38,7 +38,7 @@
 	Max    float64  `json:"max"`
 	Errors []Reason `json:"errors,omitempty"`
 	Places []Place  `json:"places,omitempty"`
-	Wrongs []string `json:"wrongs,omitempty"` // the first few wrong answers
+	Wrongs []string `json:"wrongs,omitempty"` // the first maxExamples wrong answers
 }
 
 // Reason counts the requests that ended without an answer for one reason.
@@ -90,7 +90,7 @@
 	return errors.Annotate(json.NewEncoder(w).Encode(r), "Report.WriteJSON")
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a table for people to read.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "service\trequests\tanswered\trefused\tunknown\twrong\tp50 ms\tp99 ms\tp99.9 ms\tmax ms\t")
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -13,24 +13,24 @@
 	Deadline time.Time // Due plus the stream's timeout
 }
 
-// Outcome is how a request ended.
+// Outcome is the outcome of a request.
 type Outcome string
 
-// The outcomes of a request.
+// Outcomes of a request.
 const (
-	Answered Outcome = "answered" // the whole answer of a target
+	Answered Outcome = "answered" // complete answer of a target
 	Refused  Outcome = "not-run"  // proved not to have run
 	Unknown  Outcome = "unknown"  // may have run
 )
 
-// Result tells how a request fared.
+// Result is the result of a request.
 type Result struct {
 	Outcome Outcome
-	Reason  string // one word for Refused and Unknown
-	Place   string // that served it, when known
-	Wrong   error  // why a body that was passed off as whole was not the whole answer to the request
+	Reason  string // one word, for Refused and Unknown
+	Place   string // place that served it, if known
+	Wrong   error  // why a body that was delivered as complete was not the complete answer to the request
 }
 
-// Do sends a request, reads the answer and verifies it. Its context ends at the
-// request's deadline. It is called by many goroutines at once.
+// Do sends a request, reads the answer and verifies it. Its context ends at the request's
+// deadline. It is called concurrently by many goroutines.
 type Do func(ctx context.Context, r Request) Result
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -15,16 +15,16 @@
 	plan     Plan
 	do       Do
 	start    time.Time
-	slots    chan struct{} // one for each request in flight
+	slots    chan struct{} // holds an element for each request in flight
 	delayed  atomic.Uint64
 	unsent   atomic.Uint64
 	requests sync.WaitGroup
 	stats    *stats
 }
 
-// Run sends what the plan says and returns when all requests have ended. When
-// ctx ends, it sends no more and lets those in flight end. It returns a
-// *PlanError when the plan is faulty.
+// Run sends the requests of the plan and returns when all of them have ended. When ctx
+// ends, it sends no more and waits for those in flight. It returns a *PlanError if the plan
+// is invalid.
 func Run(ctx context.Context, plan Plan, do Do) (*Report, error) {
 	plan.Streams = append([]Stream(nil), plan.Streams...)
 	plan.Defaults()
@@ -48,8 +48,7 @@
 	return e.stats.report(sent, e.delayed.Load(), e.unsent.Load()), nil
 }
 
-// stream sends the requests of one stream, each at its time; those that are
-// late at once.
+// stream sends the requests of one stream at their intended times, late ones at once.
 func (e *runner) stream(ctx context.Context, i int) {
 	s := &e.plan.Streams[i]
 	times := newArrivals(s.Rate, e.plan.Ramp, e.plan.Seed, uint64(i))
@@ -72,7 +71,8 @@
 	}
 }
 
-// acquire waits while too many requests are in flight, and counts that it had to.
+// acquire waits while too many requests are in flight, and counts the request as delayed if
+// it had to wait. It returns false if ctx ended first.
 func (e *runner) acquire(ctx context.Context) bool {
 	select {
 	case e.slots <- struct{}{}:
@@ -89,7 +89,7 @@
 	}
 }
 
-// send runs one request to its end, also after ctx has ended.
+// send sends one request and records its result, even after ctx has ended.
 func (e *runner) send(ctx context.Context, r Request) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
 	defer cancel()
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -19,7 +19,7 @@
 	const rate, horizon = 1000.0, 100 * time.Second
 	tests := map[string]struct {
 		ramp time.Duration
-		want float64 // expected in the horizon
+		want float64 // expected arrivals within the horizon
 	}{
 		"level":   {0, 100_000},
 		"ramp":    {40 * time.Second, 80_000},
@@ -42,7 +42,7 @@
 			if sigma := math.Sqrt(tt.want); math.Abs(float64(n)-tt.want) > 5*sigma {
 				t.Errorf("got %d arrivals, want about %g", n, tt.want)
 			}
-			want := rate * tt.ramp.Seconds() / 8 // half the ramp has a quarter of its requests
+			want := rate * tt.ramp.Seconds() / 8 // half of the ramp has a quarter of its requests
 			if math.Abs(float64(early)-want) > 5*math.Sqrt(want) {
 				t.Errorf("got %d arrivals in half the ramp, want about %g", early, want)
 			}
@@ -58,7 +58,8 @@
 	}
 }
 
-// run plays a plan in virtual time and returns the requests by id too.
+// run executes a plan in virtual time, and also returns the ID and intended start of each
+// request, sorted.
 func run(t *testing.T, p Plan, do Do) (*Report, []string) {
 	t.Helper()
 	var mu sync.Mutex
@@ -112,7 +113,8 @@
 	}
 }
 
-// One request at a time, each of 100 ms, at 100/s: the queue grows by 9 in 10.
+// TestRunCountsFromIntendedStart sends one request at a time, each of 100 ms, at 100/s: of
+// ten intended requests, nine are added to the queue.
 func TestRunCountsFromIntendedStart(t *testing.T) {
 	p := Plan{Streams: []Stream{{Service: "s", Rate: 100}}, For: time.Second, InFlight: 1}
 	r, seen := run(t, p, func(context.Context, Request) Result {
@@ -120,7 +122,7 @@
 		return Result{Outcome: Answered}
 	})
 	n := float64(len(seen))
-	want := n*100 - 1000 // ms that the last one waits, at least
+	want := n*100 - 1000 // ms that the last request waits, at least
 	if got := r.Services[0].Max; got < want {
 		t.Errorf("got a longest latency of %g ms, want at least %g", got, want)
 	}
--- a/internal/load/tables.go
+++ b/internal/load/tables.go
@@ -9,28 +9,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms hold microseconds up to ten minutes, to three significantDigits.
+// Histograms hold microseconds up to ten minutes, to three significant digits.
 const (
 	maxLatency        = 10 * time.Minute
 	significantDigits = 3
 )
 
-// stats counts the results by service.
+// stats collects the results by service.
 type stats struct {
-	byService map[string]*serviceStats // never changed after newTables
+	byService map[string]*serviceStats // not changed after newStats
 }
 
-// serviceStats counts the results of one service.
+// serviceStats collects the results of one service.
 type serviceStats struct {
 	mu           sync.Mutex
 	counts       Counts
-	latency      *hdrhistogram.Histogram // of answered requests, in µs
+	latency      *hdrhistogram.Histogram // latencies of answered requests, in µs
 	reasons      map[Reason]uint64
-	places       map[string]uint64 // answered, by serving place
-	wrongAnswers []string          // the first wrong answers
+	places       map[string]uint64 // answered requests by the place that served them
+	wrongAnswers []string          // descriptions of the first wrong answers
 }
 
-// maxExamples is how many wrong answers of a service are told in full.
+// maxExamples is how many wrong answers of a service are described in the report.
 const maxExamples = 5
 
 func newStats(streams []Stream) *stats {
@@ -64,7 +64,7 @@
 	}
 }
 
-// report is called when nothing is added any more.
+// report returns the report of a run. It must be called after the last record.
 func (t *stats) report(sent time.Duration, held, unsent uint64) *Report {
 	r := &Report{Seconds: sent.Seconds(), Held: held, Unsent: unsent}
 	for name, s := range t.byService {
