--- a/internal/health/figures_test.go
+++ b/internal/health/figures_test.go
@@ -57,12 +57,12 @@
 
 func coldLatencies(book *Book[int]) []time.Duration {
 	type request struct{ from, done time.Time }
-	var open []request
+	var inFlight []request
 	var took []time.Duration
 	miss, debt, filled := 1.0, 0.0, begin // one miss each time that debt reaches 1
 	for at := time.Duration(0); len(took) < 200; at += time.Millisecond {
 		now := begin.Add(at)
-		open = slices.DeleteFunc(open, func(r request) bool {
+		inFlight = slices.DeleteFunc(inFlight, func(r request) bool {
 			if r.done.After(now) {
 				return false
 			}
@@ -70,7 +70,7 @@
 			took = append(took, now.Sub(r.from))
 			return true
 		})
-		for len(open) < book.Weight(now, 0, allowance) {
+		for len(inFlight) < book.Weight(now, 0, allowance) {
 			done := now.Add(10 * time.Millisecond)
 			if debt += miss; debt >= 1 {
 				debt--
@@ -78,7 +78,7 @@
 				done = filled
 			}
 			miss *= 0.95
-			open = append(open, request{now, done})
+			inFlight = append(inFlight, request{now, done})
 		}
 	}
 	slices.Sort(took)
--- a/internal/health/target.go
+++ b/internal/health/target.go
@@ -87,8 +87,8 @@
 }
 
 // setOpenSlots sets the slots and restarts the count of successes.
-func (t *target[K]) setOpenSlots(now time.Time, open int, step time.Duration) {
-	t.openSlots = min(max(open, 1), unlimitedSlots)
+func (t *target[K]) setOpenSlots(now time.Time, n int, step time.Duration) {
+	t.openSlots = min(max(n, 1), unlimitedSlots)
 	t.successes = 0
 	t.growAt = now.Add(step)
 }
--- a/internal/health/weight.go
+++ b/internal/health/weight.go
@@ -27,8 +27,8 @@
 	if n < t.limit() {
 		state = Cold
 	}
-	if hinted := t.capByReport(now, n); hinted < n {
-		return hinted, Hinted
+	if capped := t.capByReport(now, n); capped < n {
+		return capped, Hinted
 	}
 	return n, state
 }
--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -34,7 +34,7 @@
 	lossy    atomic.Bool // drops half of the packets and dials
 }
 
-func (tr *traffic) lost() bool { return tr.lossy.Load() && mathrand.IntN(2) == 0 }
+func (tr *traffic) drop() bool { return tr.lossy.Load() && mathrand.IntN(2) == 0 }
 
 type countedPacket struct {
 	net.PacketConn
@@ -44,7 +44,7 @@
 func (c countedPacket) WriteTo(b []byte, to net.Addr) (int, error) {
 	c.tr.udp.Add(int64(len(b)))
 	c.tr.packets.Add(1)
-	if c.tr.lost() {
+	if c.tr.drop() {
 		return len(b), nil
 	}
 	return c.PacketConn.WriteTo(b, to)
@@ -140,7 +140,7 @@
 }
 
 func (c *benchCluster) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if c.tr.lost() {
+	if c.tr.drop() {
 		return nil, context.DeadlineExceeded
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -108,8 +108,8 @@
 	return c
 }
 
-// ask repeats a request until it is answered: at first no configuration may be in force.
-func (f *fleet) ask(c *caller.Client, r *caller.Request) string {
+// doUntilAnswered repeats a request until it is answered: at first no configuration may be in force.
+func (f *fleet) doUntilAnswered(c *caller.Client, r *caller.Request) string {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 					in.Kill()
 				}
 			}()
-			if got := f.ask(f.client(), &r); got == "" {
+			if got := f.doUntilAnswered(f.client(), &r); got == "" {
 				t.Errorf("got an empty answer, want the target's")
 			}
 			if got := f.journal.Use(target.Scope{Place: "east"}).Runs; got != 1 {
@@ -200,13 +200,13 @@
 	f := newFleet(t, 2)
 	defer f.list[0].Kill()
 	c := f.client()
-	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
+	f.doUntilAnswered(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := f.list[1].Stop(ctx); err != nil {
 		t.Fatalf("got %v, want a clean stop", err)
 	}
-	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
+	f.doUntilAnswered(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
 }
 
 // TestConfirmedInstancesFollowRoster checks that an instance follows the roster though it
--- a/internal/instance/learn.go
+++ b/internal/instance/learn.go
@@ -68,18 +68,18 @@
 }
 
 // wait returns the longest time from the last read of the list to the next.
-func (p *listSchedule) wait(reasons []listReason, most time.Duration) time.Duration {
+func (p *listSchedule) wait(reasons []listReason, longest time.Duration) time.Duration {
 	if p.first > 0 {
-		most = p.first
+		longest = p.first
 	}
 	for _, r := range reasons {
 		wait := r.wait
 		for i := 0; i < p.tries[r.key] && wait < listMax && !r.noBackoff; i++ {
 			wait *= 2
 		}
-		most = min(most, wait)
+		longest = min(longest, wait)
 	}
-	return most
+	return longest
 }
 
 // recordRead records a read of the list that was made for these reasons.
--- a/internal/instance/list_test.go
+++ b/internal/instance/list_test.go
@@ -11,8 +11,8 @@
 func TestListSteadyState(t *testing.T) {
 	runSimulation(t, 2, 1, 3, func(w *simulation) {
 		w.startAll()
-		const rest = 20 * time.Minute
-		time.Sleep(rest)
+		const steady = 20 * time.Minute
+		time.Sleep(steady)
 		readers, most := 0, 0
 		for _, s := range w.all() {
 			n := w.stores[s.id].takeCalls()["instances"]
@@ -21,9 +21,9 @@
 			}
 			most = max(most, n)
 		}
-		t.Logf("%d instances read the list more than once in %s, at most %d times", readers, rest, most)
+		t.Logf("%d instances read the list more than once in %s, at most %d times", readers, steady, most)
 		if readers > 2 || most > 5 {
-			t.Errorf("got %d readers and %d readings, want one in a domain, every 5 to 10 min", readers, most)
+			t.Errorf("got %d readers and at most %d reads each, want one reader per domain, every 5 to 10 min", readers, most)
 		}
 	})
 }
@@ -41,7 +41,7 @@
 		time.Sleep(20 * time.Minute)
 		calls := w.takeCalls(w.domain(0))
 		w.report("place without instances", w.domain(0), 20*time.Minute, calls)
-		w.atMost(map[string]int{"instances": calls["instances"]}, map[string]float64{"instances": 12 * 2})
+		w.checkAtMost(map[string]int{"instances": calls["instances"]}, map[string]float64{"instances": 12 * 2})
 		w.start(w.domain(1))
 		took := w.waitFor(time.Minute, "complete membership", func() bool {
 			for _, in := range w.running {
@@ -56,8 +56,8 @@
 }
 
 func TestListPlan(t *testing.T) {
-	missing, former := listReason{"member a", listUnknownMember, false}, listReason{"former b", listPreviousMember, false}
-	proved := listReason{"former b", listPreviousMember, true}
+	missing, previous := listReason{"member a", listUnknownMember, false}, listReason{"former b", listPreviousMember, false}
+	provable := listReason{"former b", listPreviousMember, true}
 	tests := map[string]struct {
 		reads   int
 		reasons []listReason
@@ -67,11 +67,11 @@
 		"start":                    {0, nil, nil, listFirst},
 		"start in doubt":           {0, nil, []listReason{missing}, listUnknownMember},
 		"rest":                     {1, nil, nil, listMax},
-		"doubt":                    {1, nil, []listReason{former}, listPreviousMember},
-		"doubt that stays":         {3, []listReason{former}, []listReason{former}, 8 * listPreviousMember},
+		"doubt":                    {1, nil, []listReason{previous}, listPreviousMember},
+		"doubt that stays":         {3, []listReason{previous}, []listReason{previous}, 8 * listPreviousMember},
 		"doubt that never ends":    {30, []listReason{missing}, []listReason{missing}, listMax},
-		"new doubt beside an old":  {9, []listReason{former}, []listReason{former, missing}, listUnknownMember},
-		"doubt that the list ends": {9, []listReason{proved}, []listReason{proved}, listPreviousMember},
+		"new doubt beside an old":  {9, []listReason{previous}, []listReason{previous, missing}, listUnknownMember},
+		"doubt that the list ends": {9, []listReason{provable}, []listReason{provable}, listPreviousMember},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -110,15 +110,15 @@
 		}
 		time.Sleep(time.Minute)
 		w.takeCalls(w.all())
-		const rest = 2 * time.Minute
-		for range rest / time.Second {
+		const steady = 2 * time.Minute
+		for range steady / time.Second {
 			time.Sleep(time.Second)
 			if list, _, err := w.kv.Instances(context.Background()); err != nil || len(list) != len(w.all()) {
 				t.Fatalf("got %d in the list, %v, want all %d", len(list), err, len(w.all()))
 			}
 		}
 		calls = w.takeCalls(w.all())
-		w.report("at rest", w.all(), rest, calls)
-		w.atMost(map[string]int{"register": calls["register"]}, map[string]float64{"register": float64(len(w.all())) * (rest.Seconds()/24 + 1)})
+		w.report("steady state", w.all(), steady, calls)
+		w.checkAtMost(map[string]int{"register": calls["register"]}, map[string]float64{"register": float64(len(w.all())) * (steady.Seconds()/24 + 1)})
 	})
 }
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -49,7 +49,7 @@
 		Snapshot:  in.snapshot,
 		Documents: in.docs.Documents,
 		Apply:     in.applyDocuments,
-		Status:    in.report,
+		Status:    in.operatorStatus,
 		Fleet:     operator.Gather(in.fleet),
 		Metrics:   set.Handler(),
 		Ready:     in.ready,
@@ -99,8 +99,8 @@
 	return list
 }
 
-// report returns this instance's status for operators.
-func (in *Instance) report() operator.Status {
+// operatorStatus returns this instance's status for operators.
+func (in *Instance) operatorStatus() operator.Status {
 	st := in.Status()
 	r := operator.Status{
 		Instance: in.cfg.ID, Incarnation: in.incarnation,
--- a/internal/instance/recovery_test.go
+++ b/internal/instance/recovery_test.go
@@ -21,7 +21,7 @@
 		t.Logf("targets usable after %s more", w.waitFor(30*time.Second, "targets", w.fullyUsable(w.all())))
 		calls := w.takeCalls(w.all())
 		w.report("start of all", w.all(), 10*time.Second, calls)
-		w.atMost(map[string]int{"list": calls["list"]}, map[string]float64{"list": 2 * watchers})
+		w.checkAtMost(map[string]int{"list": calls["list"]}, map[string]float64{"list": 2 * watchers})
 	})
 }
 
@@ -99,7 +99,7 @@
 		calls := w.takeCalls(w.all())
 		w.report("first 10 s after", w.all(), 10*time.Second, calls)
 		n, watching := float64(len(w.all())), 2.0*watchers
-		w.atMost(calls, map[string]float64{"register": n, "get": 2 * n, "instances": n, "watch": 4 * watching})
+		w.checkAtMost(calls, map[string]float64{"register": n, "get": 2 * n, "instances": n, "watch": 4 * watching})
 		w.waitFor(time.Minute, "rosters", w.rostersCurrent(w.all()))
 	})
 }
@@ -169,7 +169,7 @@
 			return w.usableSlots([]nodeConfig{s}) == 0 && w.fullyUsable(w.all())()
 		}))
 		w.waitFor(3*time.Second, "out of look-ups", func() bool { return !w.inLookups(s) })
-		drains := w.running[s.id].report().Drains
+		drains := w.running[s.id].operatorStatus().Drains
 		if len(drains) != 1 || drains[0].Left != 0 || drains[0].Instance != s.id {
 			t.Errorf("got drains %+v, want nothing left at %s", drains, s.id)
 		}
@@ -187,10 +187,10 @@
 // it have expired, and no longer if there are none.
 func TestStopLingers(t *testing.T) {
 	tests := map[string]struct {
-		ask   int           // index of the node that answers a look-up, -1 for none
-		stale time.Duration // time between the look-up and the stop; negative blocks the node's network
-		least time.Duration
-		most  time.Duration
+		askedNode int           // index of the node that answers a look-up, -1 for none
+		stale     time.Duration // time between the look-up and the stop; negative blocks the node's network
+		atLeast   time.Duration
+		atMost    time.Duration
 	}{
 		"nobody asked":       {-1, 0, 0, time.Second},
 		"asked itself":       {0, time.Second, 4 * time.Second, 5 * time.Second},
@@ -205,8 +205,8 @@
 				w.startAll()
 				s := w.nodes[0]
 				for range 50 {
-					if tt.ask >= 0 {
-						w.running[w.nodes[tt.ask].id].dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.MustParseAddr("10.0.0.1"), 1)
+					if tt.askedNode >= 0 {
+						w.running[w.nodes[tt.askedNode].id].dispatcher.Lookup(settings.ServiceID{Team: "shop", Name: "orders"}, netip.MustParseAddr("10.0.0.1"), 1)
 					}
 				}
 				if tt.stale < 0 {
@@ -220,8 +220,8 @@
 				delete(w.running, s.id)
 				took := time.Since(began)
 				t.Logf("stopped after %s", took)
-				if took < tt.least || took > tt.most {
-					t.Errorf("got %s, want %s to %s", took, tt.least, tt.most)
+				if took < tt.atLeast || took > tt.atMost {
+					t.Errorf("got %s, want %s to %s", took, tt.atLeast, tt.atMost)
 				}
 			})
 		})
--- a/internal/instance/restore_test.go
+++ b/internal/instance/restore_test.go
@@ -63,7 +63,7 @@
 		w.report("after a restore", w.all(), reregisterJitter, calls)
 		n, watching := float64(len(w.all())), 2.0*watchers
 		delete(calls, "watch") // includes the retries during the outage
-		w.atMost(calls, map[string]float64{"restore": 3 * watching, "register": 2 * n, "get": 3 * n, "instances": n, "list": 0})
+		w.checkAtMost(calls, map[string]float64{"restore": 3 * watching, "register": 2 * n, "get": 3 * n, "instances": n, "list": 0})
 		// Two documents, in the worst case written by each of the watchers at once, and the
 		// change made by this test.
 		if writes, _ := w.storeCalls(); writes-w.checked[0] > int(2*watching)+1 {
@@ -125,7 +125,7 @@
 			return err == nil && e.Version >= version
 		})
 		t.Logf("written again after %s", took)
-		w.atMost(map[string]int{"restore": w.takeCalls(w.all())["restore"]}, map[string]float64{"restore": 3})
+		w.checkAtMost(map[string]int{"restore": w.takeCalls(w.all())["restore"]}, map[string]float64{"restore": 3})
 		w.start(last)
 		w.waitFor(2*time.Minute, "rosters current", w.rostersCurrent(w.all()))
 		w.waitFor(time.Minute, "targets", w.fullyUsable(w.all()))
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -14,7 +14,7 @@
 // Stop performs a planned stop: peers and look-ups stop naming this instance, it keeps
 // serving callers until their cached look-ups have expired, completes the requests in
 // flight and hands its targets over. If ctx ends first, the remaining requests are aborted
-// and Stop returns a *CutError.
+// and Stop returns a *StopTimeoutError.
 func (in *Instance) Stop(ctx context.Context) error {
 	in.members.leave()
 	in.dispatcher.Step(core.Stopping{})
@@ -25,7 +25,7 @@
 	})
 	in.Kill()
 	if open > 0 {
-		return &CutError{Requests: open}
+		return &StopTimeoutError{Requests: open}
 	}
 	return nil
 }
@@ -51,27 +51,29 @@
 	t := time.NewTicker(stopPollInterval)
 	defer t.Stop()
 	for {
-		open, idle := in.open()
+		open, idle := in.openRequests()
 		if idle || (open == 0 && ctx.Err() != nil) {
 			return 0
 		}
 		select {
 		case <-ctx.Done():
-			open, _ := in.open()
+			open, _ := in.openRequests()
 			return open
 		case <-t.C:
 		}
 	}
 }
 
-func (in *Instance) open() (int, bool) {
+func (in *Instance) openRequests() (int, bool) {
 	var open int
 	var idle bool
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { open, idle = n.Open(), n.Idle() })
 	return open, idle
 }
 
-// CutError reports that a planned stop timed out with requests in flight.
-type CutError struct{ Requests int }
+// StopTimeoutError reports that a planned stop timed out with requests in flight.
+type StopTimeoutError struct{ Requests int }
 
-func (e *CutError) Error() string { return "instance: stop cut requests in flight" }
+func (e *StopTimeoutError) Error() string {
+	return "instance: planned stop timed out with requests in flight"
+}
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -142,7 +142,7 @@
 
 // documentsByPath returns the documents at these paths, up to about so many bytes, but at
 // least one if there is one.
-func (in *Instance) documentsByPath(paths []string, most int) []*wire.Document {
+func (in *Instance) documentsByPath(paths []string, maxBytes int) []*wire.Document {
 	var docs []*wire.Document
 	size := 0
 	in.docs.Read(func(s *replica.Set, _ platform.Revision) {
@@ -152,7 +152,7 @@
 				continue
 			}
 			size += len(doc.Body)
-			if size > most && len(docs) > 0 {
+			if size > maxBytes && len(docs) > 0 {
 				return
 			}
 			docs = append(docs, toWire(doc))
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -152,18 +152,18 @@
 }
 
 // waitFor waits until ok holds, and returns how long that took.
-func (w *simulation) waitFor(most time.Duration, what string, ok func() bool) time.Duration {
+func (w *simulation) waitFor(timeout time.Duration, what string, ok func() bool) time.Duration {
 	w.t.Helper()
 	start := time.Now()
 	for !ok() {
-		if time.Since(start) > most {
+		if time.Since(start) > timeout {
 			for _, s := range w.nodes {
 				if in := w.running[s.id]; in != nil {
 					st := in.Status()
 					w.t.Logf("%s: confirmed %v, roster %+v, targets %+v", s.id, st.Confirmed, in.roster(), st.Targets)
 				}
 			}
-			w.t.Fatalf("not within %s: %s", most, what)
+			w.t.Fatalf("not within %s: %s", timeout, what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -295,8 +295,8 @@
 	}
 }
 
-// atMost checks that no call was made more often in total than allowed.
-func (w *simulation) atMost(calls map[string]int, most map[string]float64) {
+// checkAtMost checks that no call was made more often in total than allowed.
+func (w *simulation) checkAtMost(calls map[string]int, most map[string]float64) {
 	w.t.Helper()
 	for call, n := range calls {
 		if float64(n) > most[call] {
--- a/internal/load/tables.go
+++ b/internal/load/tables.go
@@ -65,8 +65,8 @@
 }
 
 // report returns the report of a run. It must be called after the last record.
-func (t *stats) report(sent time.Duration, held, unsent uint64) *Report {
-	r := &Report{Seconds: sent.Seconds(), Held: held, Unsent: unsent}
+func (t *stats) report(sent time.Duration, delayed, unsent uint64) *Report {
+	r := &Report{Seconds: sent.Seconds(), Held: delayed, Unsent: unsent}
 	for name, s := range t.byService {
 		r.Services = append(r.Services, s.report(name))
 		r.Counts.sum(s.counts)
