--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	benchPlace   = 9 // instances of a place
-	benchSeconds = 5 // of a steady state
+	benchPlace   = 9 // instances per place
+	benchSeconds = 5 // length of a measured steady state
 	benchDomains = 3
-	benchWarm    = 8 * time.Second // until the news of the start has spread
+	benchWarmUp  = 8 * time.Second // until all changes of the start have propagated
 )
 
-// traffic counts what instances send and receive, and loses some of it.
+// traffic counts what instances send and receive, and can drop some of it.
 type traffic struct {
-	udp, tcp atomic.Int64 // bytes sent; both ways for tcp
+	udp, tcp atomic.Int64 // bytes sent; for tcp, also received
 	packets  atomic.Int64
-	lossy    atomic.Bool // half of the packets and dials are lost
+	lossy    atomic.Bool // drops half of the packets and dials
 }
 
-func (tr *traffic) lost() bool { return tr.lossy.Load() && mathrand.IntN(2) == 0 }
+func (tr *traffic) drop() bool { return tr.lossy.Load() && mathrand.IntN(2) == 0 }
 
 type countedPacket struct {
 	net.PacketConn
@@ -44,7 +44,7 @@
 func (c countedPacket) WriteTo(b []byte, to net.Addr) (int, error) {
 	c.tr.udp.Add(int64(len(b)))
 	c.tr.packets.Add(1)
-	if c.tr.lost() {
+	if c.tr.drop() {
 		return len(b), nil
 	}
 	return c.PacketConn.WriteTo(b, to)
@@ -67,32 +67,33 @@
 	return n, err
 }
 
-// crowd is many instances in one process, without targets.
-type crowd struct {
+// benchCluster is a cluster of many instances in one process, without targets.
+type benchCluster struct {
 	b     *testing.B
 	store *inproc.Store
 	tr    *traffic
 	list  []*Instance
 }
 
-func newCrowd(b *testing.B, services int) *crowd {
+func newBenchCluster(b *testing.B, services int) *benchCluster {
 	local, err := inproc.New(store.Defaults())
 	if err != nil {
 		b.Fatal(err)
 	}
-	c := &crowd{b: b, store: local, tr: &traffic{}}
+	c := &benchCluster{b: b, store: local, tr: &traffic{}}
 	c.put("/blocks/all", 0, "blocks:\n  - {prefix: 127.0.0.0/8, place: p000}\n")
 	for i := range 12 {
 		c.put("/places/"+benchPlaceName(i), 0, fmt.Sprintf("region: r\ndomain: d%d\nlimit: 4000\n", i%benchDomains))
 	}
 	for i := range services {
-		c.put(fmt.Sprintf("/teams/shop/services/s%d", i), 0, benchSites(i))
+		c.put(fmt.Sprintf("/teams/shop/services/s%d", i), 0, benchService(i))
 	}
 	return c
 }
 
-// benchSites is a service with a target in each place, that nobody probes with success.
-func benchSites(i int) string {
+// benchService returns a service with a target in each place. Nothing listens at the
+// targets' addresses.
+func benchService(i int) string {
 	body := "class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n"
 	for p := range 12 {
 		body += fmt.Sprintf("  %s:\n    limit: 4\n    targets:\n      - {name: t%d, address: \"127.0.0.1:%d\", slots: 4, connections: 100}\n",
@@ -103,15 +104,15 @@
 
 func benchPlaceName(i int) string { return fmt.Sprintf("p%03d", i) }
 
-func (c *crowd) put(path string, version uint64, body string) {
+func (c *benchCluster) put(path string, version uint64, body string) {
 	if _, err := docstore.PutDocument(context.Background(), c.store, path, version, []byte(body), "bench"); err != nil {
 		c.b.Fatal(err)
 	}
 }
 
-// start starts n instances at once; the first nine of a place are of the same
-// domain, and places take turns among domains.
-func (c *crowd) start(n, domains int) {
+// start starts n instances at once, benchPlace of them in each place. Places are assigned
+// to the domains in turn.
+func (c *benchCluster) start(n, domains int) {
 	for i := range n {
 		place := i / benchPlace
 		cfg := Config{
@@ -133,13 +134,13 @@
 	}
 }
 
-func (c *crowd) packet(address string) (net.PacketConn, error) {
+func (c *benchCluster) packet(address string) (net.PacketConn, error) {
 	conn, err := net.ListenPacket("udp", address)
 	return countedPacket{PacketConn: conn, tr: c.tr}, err
 }
 
-func (c *crowd) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if c.tr.lost() {
+func (c *benchCluster) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if c.tr.drop() {
 		return nil, context.DeadlineExceeded
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
@@ -149,19 +150,19 @@
 	return countedConn{Conn: conn, tr: c.tr}, nil
 }
 
-func (c *crowd) stop() {
+func (c *benchCluster) stop() {
 	for _, in := range c.list {
 		in.Kill()
 	}
 }
 
-// until waits for all instances, and returns how long that took.
-func (c *crowd) until(ok func(*Instance) bool) time.Duration {
+// waitFor waits until ok holds for all instances, and returns how long that took.
+func (c *benchCluster) waitFor(ok func(*Instance) bool) time.Duration {
 	began := time.Now()
 	for _, in := range c.list {
 		for !ok(in) {
 			if time.Since(began) > 2*time.Minute {
-				c.b.Fatalf("%s has not come so far in %s", in.cfg.ID, time.Since(began))
+				c.b.Fatalf("%s did not reach the state within %s", in.cfg.ID, time.Since(began))
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -169,10 +170,10 @@
 	return time.Since(began)
 }
 
-// confirmed waits until each place's roster is whole, and every instance knows
-// its place's others.
-func (c *crowd) confirmed() time.Duration {
-	return c.until(func(in *Instance) bool {
+// confirmed waits until each place's roster is complete, and every instance has the other
+// instances of its place in its membership.
+func (c *benchCluster) confirmed() time.Duration {
+	return c.waitFor(func(in *Instance) bool {
 		if len(in.members.Members()) < c.ofPlace(in.cfg.Place)-1 {
 			return false
 		}
@@ -185,7 +186,7 @@
 	})
 }
 
-func (c *crowd) ofPlace(place string) int {
+func (c *benchCluster) ofPlace(place string) int {
 	n := 0
 	for _, in := range c.list {
 		if in.cfg.Place == place {
@@ -195,11 +196,11 @@
 	return n
 }
 
-// spread writes a document and returns how long it takes to be in force everywhere.
-func (c *crowd) spread(version uint64) time.Duration {
+// propagate writes a document and returns how long it takes to reach all instances.
+func (c *benchCluster) propagate(version uint64) time.Duration {
 	const path = "/teams/shop/services/s0"
-	c.put(path, version, benchSites(0)+"# changed\n")
-	return c.until(func(in *Instance) bool {
+	c.put(path, version, benchService(0)+"# changed\n")
+	return c.waitFor(func(in *Instance) bool {
 		var got uint64
 		in.docs.Read(func(s *replica.Set, _ platform.Revision) {
 			doc, _ := s.Get(path)
@@ -209,7 +210,7 @@
 	})
 }
 
-func (c *crowd) calls() (writes, reads float64) {
+func (c *benchCluster) calls() (writes, reads float64) {
 	writes = float64(c.store.Calls("/kv-txn") + c.store.Calls("/kv-lease"))
 	reads = float64(c.store.Calls("/kv-key") + c.store.Calls("/kv-range") + c.store.Calls("/kv-watch"))
 	return writes, reads
@@ -223,8 +224,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// steady measures a steady state, by instance and second.
-func (c *crowd) steady() {
+// steady measures a steady state, per instance and second.
+func (c *benchCluster) steady() {
 	each := float64(len(c.list) * benchSeconds)
 	udp, tcp, packets, cpu := c.tr.udp.Load(), c.tr.tcp.Load(), c.tr.packets.Load(), processTime(c.b)
 	time.Sleep(benchSeconds * time.Second)
@@ -234,24 +235,24 @@
 	c.b.ReportMetric(float64((processTime(c.b)-cpu).Microseconds())/each, "cpu-us/s")
 }
 
-// BenchmarkCapacityFleet runs so many instances over loopback, nine a place in
-// three domains, and reports what each sends and takes in a steady state, and
-// how long a document takes to all of them, with half the messages lost too.
+// BenchmarkCapacityFleet runs n instances over loopback, nine per place in three domains.
+// It reports what each sends and its processor time in a steady state, and how long a
+// document takes to reach all of them, also with half of the messages dropped.
 func BenchmarkCapacityFleet(b *testing.B) {
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 3)
+				c := newBenchCluster(b, 3)
 				c.start(n, benchDomains)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				_, before := c.calls()
-				b.ReportMetric(c.spread(1).Seconds(), "spread-s")
+				b.ReportMetric(c.propagate(1).Seconds(), "spread-s")
 				_, after := c.calls()
 				b.ReportMetric(after-before, "spread-reads")
 				c.tr.lossy.Store(true)
-				b.ReportMetric(c.spread(2).Seconds(), "lossy-s")
+				b.ReportMetric(c.propagate(2).Seconds(), "lossy-s")
 				c.stop()
 				b.ReportMetric(0, "ns/op")
 			}
@@ -259,16 +260,16 @@
 	}
 }
 
-// BenchmarkCapacityRooms is the fleet's steady state by the number of services
-// in a place.
+// BenchmarkCapacityRooms measures the steady state of a place by the number of its
+// services, as the packets with free slots depend on it.
 func BenchmarkCapacityRooms(b *testing.B) {
 	for _, services := range []int{1, 10, 30} {
 		b.Run(fmt.Sprint(services), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, services)
+				c := newBenchCluster(b, services)
 				c.start(benchPlace, 1)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				c.stop()
 				b.ReportMetric(0, "ns/op")
@@ -277,13 +278,13 @@
 	}
 }
 
-// BenchmarkCapacityRestart starts a whole domain at once, and counts the
-// platform's calls until every instance owns its part.
+// BenchmarkCapacityRestart starts a whole domain at once, and counts the calls to the
+// platform until every instance is in its roster with confirmed leases.
 func BenchmarkCapacityRestart(b *testing.B) {
 	for _, n := range []int{9, 27, 99} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 3)
+				c := newBenchCluster(b, 3)
 				writes, reads := c.calls()
 				c.start(n, 1)
 				b.ReportMetric(c.confirmed().Seconds(), "whole-s")
@@ -297,13 +298,13 @@
 	}
 }
 
-// BenchmarkCapacityProbe is what one instance spends on so many owned targets
-// that live.
+// BenchmarkCapacityProbe measures what one instance spends on probing n live targets that
+// it owns.
 func BenchmarkCapacityProbe(b *testing.B) {
 	for _, targets := range []int{2, 8, 32} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
 			for range b.N {
-				c := newCrowd(b, 0)
+				c := newBenchCluster(b, 0)
 				body := fmt.Sprintf("class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n  p000:\n    limit: %d\n    targets:\n", 4*targets)
 				for i := range targets {
 					body += fmt.Sprintf("      - {name: t%d, address: %q, slots: 4, connections: 100}\n", i, c.target(i))
@@ -311,7 +312,7 @@
 				c.put("/teams/shop/services/probed", 0, body)
 				c.start(1, 1)
 				c.confirmed()
-				time.Sleep(benchWarm)
+				time.Sleep(benchWarmUp)
 				c.steady()
 				c.stop()
 				b.ReportMetric(0, "ns/op")
@@ -320,7 +321,7 @@
 	}
 }
 
-func (c *crowd) target(i int) string {
+func (c *benchCluster) target(i int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		c.b.Fatal(err)
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -19,9 +19,9 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-const patience = 20 * time.Second // the longest that a test waits for what has to come
+const waitTimeout = 20 * time.Second // longest wait of a test for a state
 
-// fleet is a platform, one place's target and instances, all over loopback.
+// fleet is a platform store, a target of one place, and instances, over loopback.
 type fleet struct {
 	t       *testing.T
 	store   docstore.Store
@@ -46,7 +46,7 @@
 	return f
 }
 
-// target starts a stand-in and returns its address.
+// target starts an emulated target and returns its address.
 func (f *fleet) target(name string) string {
 	f.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -108,10 +108,10 @@
 	return c
 }
 
-// ask repeats a request until it is answered: at the start nothing may be in force yet.
-func (f *fleet) ask(c *caller.Client, r *caller.Request) string {
+// doUntilAnswered repeats a request until it is answered: at first no configuration may be in force.
+func (f *fleet) doUntilAnswered(c *caller.Client, r *caller.Request) string {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for {
 		resp, err := c.Do(ctx, "shop/orders", r)
@@ -143,7 +143,7 @@
 					in.Kill()
 				}
 			}()
-			if got := f.ask(f.client(), &r); got == "" {
+			if got := f.doUntilAnswered(f.client(), &r); got == "" {
 				t.Errorf("got an empty answer, want the target's")
 			}
 			if got := f.journal.Use(target.Scope{Place: "east"}).Runs; got != 1 {
@@ -157,7 +157,7 @@
 	tests := map[string]struct {
 		change func(*Config)
 		faults int
-		want   string // peers' address in lists of instances; empty for the one that is listened at
+		want   string // peers' address in lists of instances; empty for the listener's
 	}{
 		"none":            {func(*Config) {}, 0, ""},
 		"peers":           {func(c *Config) { c.AdvertisePeers = "127.0.0.9:7200" }, 0, "127.0.0.9:7200"},
@@ -182,36 +182,36 @@
 			}
 			in.Start()
 			defer in.Kill()
-			if got, want := in.self().Address, or(tt.want, in.Peers()); got != want {
+			if got, want := in.self().Address, firstNonEmpty(tt.want, in.Peers()); got != want {
 				t.Errorf("got %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-func or(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-func TestStopCutsNothing(t *testing.T) {
+func TestStopCompletesRequests(t *testing.T) {
 	f := newFleet(t, 2)
 	defer f.list[0].Kill()
 	c := f.client()
-	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	f.doUntilAnswered(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := f.list[1].Stop(ctx); err != nil {
 		t.Fatalf("got %v, want a clean stop", err)
 	}
-	f.ask(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
+	f.doUntilAnswered(c, &caller.Request{Method: http.MethodGet, Path: "/", Idempotent: true})
 }
 
-// An instance whose rights the others' acks confirm has no need to read the
-// roster; it has to follow it all the same.
-func TestRosterFollows(t *testing.T) {
+// TestConfirmedInstancesFollowRoster checks that an instance follows the roster though it
+// has no need to read it, because acks of the others confirm its leases.
+func TestConfirmedInstancesFollowRoster(t *testing.T) {
 	f := newFleet(t, 5)
 	defer func() {
 		for _, in := range f.list {
@@ -221,7 +221,7 @@
 	began := time.Now()
 	for _, in := range f.list {
 		for members := 0; members < len(f.list); {
-			if time.Since(began) > patience {
+			if time.Since(began) > waitTimeout {
 				t.Fatalf("got %d members in the roster of %s, want %d", members, in.cfg.ID, len(f.list))
 			}
 			time.Sleep(20 * time.Millisecond)
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -8,7 +8,7 @@
 func (in *Instance) platformFailed(call string, err error) {
 	in.cfg.Metrics.PlatformFailed(call)
 	if in.cfg.Log != nil {
-		in.cfg.Log.Warn("platform failed", "call", call, "err", err)
+		in.cfg.Log.Warn("platform call failed", "call", call, "err", err)
 	}
 }
 
@@ -18,23 +18,23 @@
 	}
 }
 
-// logSwap writes the line of a placement decision.
-// logRestored logs that the platform's store has come back from a copy of itself.
+// logRestored logs that the platform's store was restored from a snapshot.
 func (in *Instance) logRestored(epoch uint64) {
 	if in.cfg.Log != nil {
 		in.cfg.Log.Warn("store restored", "epoch", epoch, "root", in.docs.Root())
 	}
 }
 
-func (in *Instance) logSwap(d core.SwapRoster, err error) {
+// logRosterSwap logs a roster change, made by a placement decision of the node, and its result.
+func (in *Instance) logRosterSwap(d core.SwapRoster, err error) {
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("roster", "place", in.cfg.Place, "version", d.Next.Version,
 			"reason", d.Reason, "removed", d.Removed, "members", len(d.Next.Members), "err", err)
 	}
 }
 
-// logNews writes the line of what a target said of the requests that it wants.
-func (in *Instance) logNews(d core.TargetNews) {
+// logNotice logs a notice of a target about the requests that it accepts.
+func (in *Instance) logNotice(d core.TargetNews) {
 	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("target notice", "service", d.Target.Service, "target", d.Target.Name, "leaving", d.Notice.Leaving,
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -18,22 +18,22 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// finishFactor is how many usual service times a drain is predicted to take.
+// finishFactor is how many average service times a drain is predicted to take.
 const finishFactor = 3
 
-// NoSettingsError says that no configuration has arrived yet.
+// NoSettingsError reports that no configuration has arrived yet.
 type NoSettingsError struct{}
 
 func (e *NoSettingsError) Error() string { return "instance: no configuration has arrived yet" }
 
-// NoTenureError says that this instance's rights to its targets are not confirmed.
-type NoTenureError struct{}
+// NoLeaseError reports that this instance's ownership leases are not confirmed.
+type NoLeaseError struct{}
 
-func (e *NoTenureError) Error() string {
-	return "instance: the rights to targets are not confirmed; half of each is used"
+func (e *NoLeaseError) Error() string {
+	return "instance: ownership leases of targets are not confirmed; half of each target's slots are used"
 }
 
-// operatorHandler serves the operators' address.
+// operatorHandler returns the handler of the operators' address.
 func (in *Instance) operatorHandler() (http.Handler, error) {
 	logger := in.cfg.Log
 	if logger == nil {
@@ -48,12 +48,12 @@
 		Store:     in.operatorStore(),
 		Snapshot:  in.snapshot,
 		Documents: in.docs.Documents,
-		Apply:     in.takeDocuments,
-		Status:    in.report,
+		Apply:     in.applyDocuments,
+		Status:    in.operatorStatus,
 		Fleet:     operator.Gather(in.fleet),
 		Metrics:   set.Handler(),
 		Ready:     in.ready,
-		Complete:  in.whole,
+		Complete:  in.checkComplete,
 		Log:       logger,
 		Bootstrap: in.cfg.Bootstrap,
 	})
@@ -63,7 +63,7 @@
 	return s.HTTP().Handler, nil
 }
 
-// snapshot is what is in force, empty before the first documents.
+// snapshot returns the snapshot in force, an empty one before the first documents.
 func (in *Instance) snapshot() *settings.Snapshot {
 	if s := in.docs.Snapshot(); s != nil {
 		return s
@@ -72,15 +72,15 @@
 	return s
 }
 
-// whole says why changes can't be checked here yet, or nil.
-func (in *Instance) whole() error {
+// checkComplete returns the reason that changes can't be validated here yet, or nil.
+func (in *Instance) checkComplete() error {
 	if !in.complete() {
 		return &NoSettingsError{}
 	}
 	return nil
 }
 
-// ready says why this instance should get no work, or nil.
+// ready returns the reason that this instance should get no requests, or nil.
 func (in *Instance) ready() error {
 	if in.docs.Snapshot() == nil {
 		return &NoSettingsError{}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// fleet lists the instances that this one knows, itself included.
+// fleet returns the known instances that are not dead, this one included.
 func (in *Instance) fleet(context.Context) []docstore.Instance {
 	list := []docstore.Instance{in.self()}
 	for _, m := range in.members.Members() {
@@ -99,8 +99,8 @@
 	return list
 }
 
-// report is what this instance tells operators of itself.
-func (in *Instance) report() operator.Status {
+// operatorStatus returns this instance's status for operators.
+func (in *Instance) operatorStatus() operator.Status {
 	st := in.Status()
 	r := operator.Status{
 		Instance: in.cfg.ID, Incarnation: in.incarnation,
@@ -113,7 +113,7 @@
 	if err := in.ready(); err != nil {
 		r.Ready, r.Reason = false, err.Error()
 	} else if !st.Confirmed {
-		r.Reason = (&NoTenureError{}).Error()
+		r.Reason = (&NoLeaseError{}).Error()
 	}
 	for _, m := range in.members.Members() {
 		r.Peers = append(r.Peers, operator.Peer{ID: m.ID, Address: m.Address, Place: m.Place, State: m.State.String()})
@@ -123,7 +123,7 @@
 	return r
 }
 
-// reportLoad tells of the place's services and targets.
+// reportLoad adds the load of the place's services and targets.
 func (in *Instance) reportLoad(r *operator.Status, st core.Status) {
 	place := operator.Place{Name: in.cfg.Place}
 	for _, s := range st.Services {
@@ -147,8 +147,8 @@
 	}
 }
 
-// reportDrains tells of the drains that concern this instance, and predicts
-// when they are done.
+// reportDrains adds the drains that are in force, and for those that concern this instance
+// the requests left and a predicted end.
 func (in *Instance) reportDrains(r *operator.Status, st core.Status) {
 	for _, d := range in.snapshot().Drains() {
 		drain := operator.Drain{
@@ -160,13 +160,13 @@
 		}
 		var wait time.Duration
 		for _, t := range st.Targets {
-			if drains(drain, in.cfg.Place, t) {
+			if drainApplies(drain, in.cfg.Place, t) {
 				drain.Left += t.InFlight
 				wait = max(wait, t.Usual*finishFactor)
 			}
 		}
 		if drain.Instance == in.cfg.ID {
-			drain.Left, wait = st.Open, in.longestWait(st)
+			drain.Left, wait = st.Open, in.predictedWait(st)
 		}
 		if drain.Left > 0 && wait > 0 {
 			drain.Finish = in.now().Add(wait)
@@ -175,8 +175,8 @@
 	}
 }
 
-// longestWait predicts how long the requests in flight at this instance go on.
-func (in *Instance) longestWait(st core.Status) time.Duration {
+// predictedWait predicts how long the requests in flight at this instance will take.
+func (in *Instance) predictedWait(st core.Status) time.Duration {
 	var wait time.Duration
 	for _, t := range st.Targets {
 		if t.InFlight > 0 {
@@ -186,8 +186,8 @@
 	return wait
 }
 
-// drains says whether a drain concerns a target of this place.
-func drains(d operator.Drain, place string, t core.TargetStatus) bool {
+// drainApplies reports whether a drain concerns a target of this place.
+func drainApplies(d operator.Drain, place string, t core.TargetStatus) bool {
 	if d.Service != "" && d.Service != t.Key.Service.String() {
 		return false
 	}
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -15,31 +15,31 @@
 
 const (
 	probeTimeout = 500 * time.Millisecond
-	probers      = 4       // probes under way at one time
-	maxLoad      = 4 << 10 // bytes of a load report
+	probeWorkers = 4       // probes in flight at one time
+	maxLoad      = 4 << 10 // most bytes of a load report that are read
 )
 
-// load is what a target reports of itself.
-type load struct {
+// loadReport is a target's report about itself.
+type loadReport struct {
 	Slots int `json:"slots"`
 	Busy  int `json:"busy"`
 }
 
-// probe carries out the node's probes, a few at a time.
+// probe sends the node's probes, up to probeWorkers at a time.
 func (in *Instance) probe(ctx context.Context) {
 	done := make(chan struct{})
-	for range probers {
+	for range probeWorkers {
 		go func() {
 			defer func() { done <- struct{}{} }()
-			in.prober(ctx)
+			in.probeWorker(ctx)
 		}()
 	}
-	for range probers {
+	for range probeWorkers {
 		<-done
 	}
 }
 
-func (in *Instance) prober(ctx context.Context) {
+func (in *Instance) probeWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,7 +50,9 @@
 	}
 }
 
-// probeOnce asks a target for its load, which also tells that it is there.
+// probeOnce sends a health check to a target and, if it is answered, requests its load
+// report. If the probe's Look is set, it first opens a new connection: a refused one shows
+// that the target's process has ended, which kept connections may not show.
 func (in *Instance) probeOnce(ctx context.Context, p core.Probe) core.Probed {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -72,7 +74,7 @@
 		return got
 	}
 	defer resp.Body.Close()
-	var l load
+	var l loadReport
 	if json.NewDecoder(io.LimitReader(resp.Body, maxLoad)).Decode(&l) == nil {
 		got.Slots, got.Busy = l.Slots, l.Busy
 	}
@@ -84,6 +86,6 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Header["User-Agent"] = nil // or the transport adds its own
+	r.Header["User-Agent"] = nil // keeps the transport from adding its own
 	return in.client.Send(ctx, r, nil)
 }
--- a/internal/instance/status.go
+++ b/internal/instance/status.go
@@ -8,14 +8,14 @@
 	"github.com/firlever/firlever/internal/metrics"
 )
 
-// showEvery is how often the gauges are set.
-const showEvery = time.Second
+// gaugeInterval is the time between two updates of the gauges.
+const gaugeInterval = time.Second
 
-// show keeps the gauges up to date.
-func (in *Instance) show(ctx context.Context) {
+// publishGauges keeps the gauges up to date.
+func (in *Instance) publishGauges(ctx context.Context) {
 	for ctx.Err() == nil {
 		in.cfg.Metrics.Show(in.gauges())
-		sleep(ctx, showEvery)
+		sleep(ctx, gaugeInterval)
 	}
 }
 
@@ -32,7 +32,7 @@
 	return state
 }
 
-// Status is what the node tells of itself now.
+// Status returns the node's current status.
 func (in *Instance) Status() core.Status {
 	var st core.Status
 	in.dispatcher.Read(func(now time.Time, n *core.Node) { st = n.Status(now) })
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -8,13 +8,13 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// stopTick is how often a planned stop looks whether it is done.
-const stopTick = 20 * time.Millisecond
+// stopPollInterval is the time between two checks whether a planned stop is complete.
+const stopPollInterval = 20 * time.Millisecond
 
-// Stop is a planned stop. Peers and look-ups stop naming this instance, it goes
-// on serving callers until their cached look-ups have run out, finishes what is
-// in flight, and hands its targets over. When ctx ends first, what is left is
-// cut, and Stop returns a *CutError.
+// Stop performs a planned stop: peers and look-ups stop naming this instance, it keeps
+// serving callers until their cached look-ups have expired, completes the requests in
+// flight and hands its targets over. If ctx ends first, the remaining requests are aborted
+// and Stop returns a *StopTimeoutError.
 func (in *Instance) Stop(ctx context.Context) error {
 	in.members.leave()
 	in.dispatcher.Step(core.Stopping{})
@@ -25,54 +25,55 @@
 	})
 	in.Kill()
 	if open > 0 {
-		return &CutError{Requests: open}
+		return &StopTimeoutError{Requests: open}
 	}
 	return nil
 }
 
-// linger goes on serving until no caller can have a look-up left that sends it
-// here, or for the longest time if a peer does not tell what it has given out.
+// linger waits until no caller can still have a cached look-up that names this instance, or
+// for Config.Linger if a peer does not report when its look-ups expire.
 func (in *Instance) linger(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, in.cfg.Linger)
 	defer cancel()
 	for ctx.Err() == nil {
-		sleep(ctx, stopTick)
-		until, known := in.members.lastNamed()
-		var own time.Time
-		in.dispatcher.Read(func(_ time.Time, n *core.Node) { own, _ = n.Named(in.cfg.ID) })
-		if now := in.now(); known && !now.Before(until) && !now.Before(own) {
+		sleep(ctx, stopPollInterval)
+		until, known := in.members.lastLookupExpiry()
+		var ownExpiry time.Time
+		in.dispatcher.Read(func(_ time.Time, n *core.Node) { ownExpiry, _ = n.Named(in.cfg.ID) })
+		if now := in.now(); known && !now.Before(until) && !now.Before(ownExpiry) {
 			return
 		}
 	}
 }
 
-// waitIdle waits until no request is left inside. It returns how many were
-// left when ctx ended.
+// waitIdle waits until no request is in flight. It returns how many were when ctx ended.
 func (in *Instance) waitIdle(ctx context.Context) int {
-	t := time.NewTicker(stopTick)
+	t := time.NewTicker(stopPollInterval)
 	defer t.Stop()
 	for {
-		open, idle := in.open()
+		open, idle := in.openRequests()
 		if idle || (open == 0 && ctx.Err() != nil) {
 			return 0
 		}
 		select {
 		case <-ctx.Done():
-			open, _ := in.open()
+			open, _ := in.openRequests()
 			return open
 		case <-t.C:
 		}
 	}
 }
 
-func (in *Instance) open() (int, bool) {
+func (in *Instance) openRequests() (int, bool) {
 	var open int
 	var idle bool
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { open, idle = n.Open(), n.Idle() })
 	return open, idle
 }
 
-// CutError says that a planned stop ran out of time with requests in flight.
-type CutError struct{ Requests int }
+// StopTimeoutError reports that a planned stop timed out with requests in flight.
+type StopTimeoutError struct{ Requests int }
 
-func (e *CutError) Error() string { return "instance: stop cut requests in flight" }
+func (e *StopTimeoutError) Error() string {
+	return "instance: planned stop timed out with requests in flight"
+}
--- a/internal/instance/stores.go
+++ b/internal/instance/stores.go
@@ -10,30 +10,30 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// epochStore notes the epochs that a store's answers are of.
+// epochStore passes the revision of each answer of a store to observe.
 type epochStore struct {
 	docstore.Store
-	reached func(at platform.Revision)
+	observe func(at platform.Revision)
 }
 
 // Get reads one path.
 func (s *epochStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
 	e, err := s.Store.Get(ctx, path)
-	s.reached(e.Revision)
+	s.observe(e.Revision)
 	return e, err
 }
 
 // List reads every entry under a prefix.
 func (s *epochStore) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.List(ctx, prefix)
-	s.reached(at)
+	s.observe(at)
 	return entries, at, err
 }
 
 // Swap writes value if the path still has the given version.
 func (s *epochStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	e, err := s.Store.Swap(ctx, path, version, value)
-	s.reached(e.Revision)
+	s.observe(e.Revision)
 	return e, err
 }
 
@@ -41,7 +41,7 @@
 func (s *epochStore) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.Watch(ctx, prefix, after, wait)
 	if err == nil {
-		s.reached(at)
+		s.observe(at)
 	}
 	return entries, at, err
 }
@@ -49,12 +49,13 @@
 // Instances reads the list of instances.
 func (s *epochStore) Instances(ctx context.Context) ([]docstore.Instance, platform.Revision, error) {
 	list, at, err := s.Store.Instances(ctx)
-	s.reached(at)
+	s.observe(at)
 	return list, at, err
 }
 
-// operatorStore is the store as operators see it: what was confirmed to them is not older there
-// while a store that came back from a copy is written again, and nothing is changed before.
+// operatorStore is the store for operators. While a restored store is being written again,
+// it does not return versions that are older than those already confirmed to operators, and
+// it refuses changes.
 type operatorStore struct {
 	docstore.Store
 	in *Instance
@@ -64,7 +65,8 @@
 	return &operatorStore{Store: in.cfg.Store, in: in}
 }
 
-// Get reads one path. A document that is known here at a later version is written again first.
+// Get reads one path. If a later version of the document is held here, it is written to the
+// store first.
 func (s *operatorStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
 	e, err := s.Store.Get(ctx, path)
 	if !s.behind(path, e, err) {
@@ -76,7 +78,7 @@
 	return s.Store.Get(ctx, path)
 }
 
-// behind says whether the store has an earlier version of a document than is known here.
+// behind reports whether the store has an earlier version of a document than is held here.
 func (s *operatorStore) behind(path string, e docstore.Entry, err error) bool {
 	var missing *docstore.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -86,8 +88,8 @@
 	return held && doc.Version > e.Version
 }
 
-// List reads every entry under a prefix, those that are known here at a later version as they
-// are here.
+// List reads every entry under a prefix. Documents that are held here at a later version
+// are returned as held here.
 func (s *operatorStore) List(ctx context.Context, prefix string) ([]docstore.Entry, platform.Revision, error) {
 	entries, at, err := s.Store.List(ctx, prefix)
 	if err != nil {
@@ -123,7 +125,7 @@
 	}
 	e, err := s.Store.Swap(ctx, path, version, value)
 	if err == nil {
-		s.in.restoration.wrote(s.in.now(), path)
+		s.in.restoration.recordWrite(s.in.now(), path)
 	}
 	return e, err
 }
--- a/internal/instance/watch.go
+++ b/internal/instance/watch.go
@@ -12,29 +12,29 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// How the platform is called.
+// Times and bounds of calls to the platform.
 const (
-	watchWait    = 20 * time.Second // of one waiting watch
-	callTimeout  = 2 * time.Second  // of any other call
-	backoffLow   = 200 * time.Millisecond
-	backoffHigh  = 10 * time.Second
-	watcherCheck = time.Second            // by those that are no watchers
-	watchPause   = 600 * time.Millisecond // after changes, so that a row of them does not cost a call each
-	watchers     = 2                      // instances of a domain that watch the platform; the others ask peers
+	watchWait    = 20 * time.Second // longest wait of one watch call
+	callTimeout  = 2 * time.Second  // timeout of any other call, added to the wait of a watch
+	backoffMin   = 200 * time.Millisecond
+	backoffMax   = 10 * time.Second
+	watcherCheck = time.Second            // interval at which instances that do not watch check whether they should
+	watchPause   = 600 * time.Millisecond // pause after changes, so that a series of them does not cost a call each
+	watchers     = 2                      // instances of a domain that watch the platform's store; the others get changes from peers
 	rosterRoot   = "/rosters/"
 )
 
-// backoff spaces tries after failures; each wait is jittered so that instances
-// don't come back to the platform together.
+// backoff computes the waits between retries. Each wait is jittered, so that instances do
+// not retry calls to the platform at the same time.
 type backoff struct{ next time.Duration }
 
 func (b *backoff) reset() { b.next = 0 }
 
 func (b *backoff) wait(ctx context.Context) { sleep(ctx, b.step()) }
 
-// step is the next wait.
+// step returns the next wait.
 func (b *backoff) step() time.Duration {
-	b.next = min(max(b.next*2, backoffLow), backoffHigh)
+	b.next = min(max(b.next*2, backoffMin), backoffMax)
 	return jittered(b.next)
 }
 
@@ -47,16 +47,17 @@
 	}
 }
 
-// jittered spreads what many instances do over half of a period.
+// jittered returns a random duration between half of d and d, so that many instances don't
+// act at once.
 func jittered(d time.Duration) time.Duration { return d/2 + rand.N(d/2+1) }
 
-// watch gets all documents at the start, and then follows the platform's: by a
-// waiting watch if this instance is one of its domain's watchers, else it
-// leaves that to them.
+// watch loads all documents at the start and then follows the platform's store: by a watch
+// call if this instance is one of its domain's watchers; the other instances get changes
+// from them.
 func (in *Instance) watch(ctx context.Context) {
-	settled := in.now().Add(jittered(in.firstWait()))
-	in.begin(ctx)
-	sleep(ctx, settled.Sub(in.now()))
+	discovered := in.now().Add(jittered(in.discoveryWait()))
+	in.loadDocuments(ctx)
+	sleep(ctx, discovered.Sub(in.now()))
 	var b backoff
 	for ctx.Err() == nil {
 		if !in.isWatcher() {
@@ -76,41 +77,42 @@
 	}
 }
 
-// watchOnce waits for what is newer than the documents held, whoever gave them.
+// watchOnce waits for changes after the revision up to which the documents held are
+// complete, whatever their source.
 func (in *Instance) watchOnce(ctx context.Context) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
-	_, after := in.docs.Mark()
+	_, after := in.docs.Progress()
 	entries, next, err := in.cfg.Store.Watch(ctx, "/", after, watchWait)
 	if err != nil {
 		return false, err
 	}
 	if !after.IsZero() && next.Epoch() > after.Epoch() {
-		in.compare(entries)
+		in.queueMissing(entries)
 	}
-	in.takeEntries(entries)
+	in.applyEntries(entries)
 	in.docs.Complete(next)
 	return len(entries) > 0, nil
 }
 
-// takeEntries sorts entries of the platform into documents and rosters.
-func (in *Instance) takeEntries(entries []docstore.Entry) {
+// applyEntries applies entries of the platform's store, documents and rosters.
+func (in *Instance) applyEntries(entries []docstore.Entry) {
 	var docs []settings.Document
 	for _, e := range entries {
 		if strings.HasPrefix(e.Path, rosterRoot) {
-			in.takeRoster(e)
+			in.applyRoster(e)
 			continue
 		}
 		if doc, err := docstore.DecodeDocument(e); err == nil {
 			docs = append(docs, doc)
 		}
 	}
-	in.takeDocuments(docs)
+	in.applyDocuments(docs)
 }
 
-// takeRoster takes in this place's roster from a watch. A watch may be late, so
+// applyRoster passes this place's roster from a watch to the node. A watch may be late, so
 // it confirms nothing.
-func (in *Instance) takeRoster(e docstore.Entry) {
+func (in *Instance) applyRoster(e docstore.Entry) {
 	if e.Path != rosterRoot+in.cfg.Place {
 		return
 	}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,33 +10,33 @@
 	"github.com/juju/errors"
 )
 
-// engine is one run of a plan.
-type engine struct {
-	plan   Plan
-	do     Do
-	start  time.Time
-	slots  chan struct{} // one for each request in flight
-	held   atomic.Uint64
-	unsent atomic.Uint64
-	work   sync.WaitGroup
-	tables *tables
+// runner is one run of a plan.
+type runner struct {
+	plan     Plan
+	do       Do
+	start    time.Time
+	slots    chan struct{} // holds an element for each request in flight
+	delayed  atomic.Uint64
+	unsent   atomic.Uint64
+	requests sync.WaitGroup
+	stats    *stats
 }
 
-// Run sends what the plan says and returns when all requests have ended. When
-// ctx ends, it sends no more and lets those in flight end. It returns a
-// *PlanError when the plan is faulty.
+// Run sends the requests of the plan and returns when all of them have ended. When ctx
+// ends, it sends no more and waits for those in flight. It returns a *PlanError if the plan
+// is invalid.
 func Run(ctx context.Context, plan Plan, do Do) (*Report, error) {
 	plan.Streams = append([]Stream(nil), plan.Streams...)
 	plan.Defaults()
 	if err := plan.Validate(); err != nil {
 		return nil, errors.Annotate(err, "load.Run")
 	}
-	e := &engine{
-		plan:   plan,
-		do:     do,
-		start:  time.Now(),
-		slots:  make(chan struct{}, plan.InFlight),
-		tables: newTables(plan.Streams),
+	e := &runner{
+		plan:  plan,
+		do:    do,
+		start: time.Now(),
+		slots: make(chan struct{}, plan.InFlight),
+		stats: newStats(plan.Streams),
 	}
 	var streams sync.WaitGroup
 	for i := range plan.Streams {
@@ -44,13 +44,12 @@
 	}
 	streams.Wait()
 	sent := time.Since(e.start)
-	e.work.Wait()
-	return e.tables.report(sent, e.held.Load(), e.unsent.Load()), nil
+	e.requests.Wait()
+	return e.stats.report(sent, e.delayed.Load(), e.unsent.Load()), nil
 }
 
-// stream sends the requests of one stream, each at its time; those that are
-// late at once.
-func (e *engine) stream(ctx context.Context, i int) {
+// stream sends the requests of one stream at their intended times, late ones at once.
+func (e *runner) stream(ctx context.Context, i int) {
 	s := &e.plan.Streams[i]
 	times := newArrivals(s.Rate, e.plan.Ramp, e.plan.Seed, uint64(i))
 	for n := 0; ; n++ {
@@ -68,18 +67,19 @@
 			Due:      due,
 			Deadline: due.Add(s.Timeout),
 		}
-		e.work.Go(func() { e.send(ctx, r) })
+		e.requests.Go(func() { e.send(ctx, r) })
 	}
 }
 
-// acquire waits while too many requests are in flight, and counts that it had to.
-func (e *engine) acquire(ctx context.Context) bool {
+// acquire waits while too many requests are in flight, and counts the request as delayed if
+// it had to wait. It returns false if ctx ended first.
+func (e *runner) acquire(ctx context.Context) bool {
 	select {
 	case e.slots <- struct{}{}:
 		return true
 	default:
 	}
-	e.held.Add(1)
+	e.delayed.Add(1)
 	select {
 	case e.slots <- struct{}{}:
 		return true
@@ -89,12 +89,12 @@
 	}
 }
 
-// send runs one request to its end, also after ctx has ended.
-func (e *engine) send(ctx context.Context, r Request) {
+// send sends one request and records its result, even after ctx has ended.
+func (e *runner) send(ctx context.Context, r Request) {
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), r.Deadline)
 	defer cancel()
 	result := e.do(ctx, r)
 	took := time.Since(r.Due)
 	<-e.slots
-	e.tables.add(r.Service, result, took)
+	e.stats.record(r.Service, result, took)
 }
