--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -20,7 +20,7 @@
 	bytes   int                    // of records and answers; never over cfg.Bytes
 	running int                    // records without an outcome
 	closed  bool
-	counts  [verdictKinds]uint64
+	counts  [verdictKindCount]uint64
 }
 
 // New makes the book of one incarnation. cfg must be valid; checks may be nil.
@@ -36,7 +36,7 @@
 // Issue makes a key. Its life is cut to Config.Life. A key takes no memory here
 // until it begins.
 func (b *Book) Issue(now, until time.Time) Key {
-	now = b.clock(now)
+	now = b.monotonicNow(now)
 	last := now.Add(b.cfg.Life)
 	if until.After(last) {
 		until = last
@@ -48,40 +48,40 @@
 // one who asked must call Dispatch just before the first byte goes to a target,
 // and Finish in any case.
 func (b *Book) Begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
-	v := b.begin(b.clock(now), key, fp, request)
+	v := b.begin(b.monotonicNow(now), key, fp, request)
 	b.counts[v.Kind]++
 	return v
 }
 
 func (b *Book) begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
-	if kind := b.admit(key); kind != 0 {
+	if kind := b.checkKey(key); kind != 0 {
 		return Verdict{Kind: kind}
 	}
 	r := b.records[key.number]
 	if r == nil {
-		return b.first(now, key, fp, request)
+		return b.startFirst(now, key, fp, request)
 	}
 	if r.fingerprint != fp {
 		return Verdict{Kind: VerdictMismatch}
 	}
 	switch r.outcome.Kind {
 	case OutcomeAnswered:
-		return Verdict{Kind: VerdictAnswered, Request: r.request, Outcome: r.outcome}
+		return Verdict{Kind: VerdictAnswered, RequestID: r.requestID, Outcome: r.outcome}
 	case OutcomeUnknown:
-		return Verdict{Kind: VerdictUnknown, Request: r.request}
+		return Verdict{Kind: VerdictUnknown, RequestID: r.requestID}
 	case OutcomeNotRun:
-		return b.again(now, r, request)
+		return b.startAgain(now, r, request)
 	default:
-		return Verdict{Kind: VerdictRunning, Request: r.request}
+		return Verdict{Kind: VerdictRunning, RequestID: r.requestID}
 	}
 }
 
-// admit judges a key by itself; 0 means that it is genuine and at home.
-func (b *Book) admit(key Key) VerdictKind {
+// checkKey judges a key by itself; 0 means that it is genuine and at home.
+func (b *Book) checkKey(key Key) VerdictKind {
 	switch {
 	case key.instance == b.issuer.instance && key.incarnation < b.issuer.incarnation:
 		return VerdictGone
-	case !b.issuer.Home(key):
+	case !b.issuer.IsHomeOf(key):
 		return VerdictForeign
 	case !b.issuer.Genuine(key):
 		return VerdictForged
@@ -90,7 +90,7 @@
 	}
 }
 
-func (b *Book) first(now time.Time, key Key, fp Fingerprint, request string) Verdict {
+func (b *Book) startFirst(now time.Time, key Key, fp Fingerprint, request string) Verdict {
 	switch {
 	case !now.Before(key.Until()):
 		return Verdict{Kind: VerdictExpired}
@@ -106,8 +106,8 @@
 	return b.start(r, request)
 }
 
-// again lets a request run anew after a proof that nothing ran.
-func (b *Book) again(now time.Time, r *record, request string) Verdict {
+// startAgain lets a request run anew after a proof that nothing ran.
+func (b *Book) startAgain(now time.Time, r *record, request string) Verdict {
 	if !now.Before(r.until) {
 		return Verdict{Kind: VerdictExpired}
 	}
@@ -120,7 +120,7 @@
 func (b *Book) start(r *record, request string) Verdict {
 	r.outcome = Outcome{}
 	r.attempt++
-	r.request = strings.Clone(request[:min(len(request), maxRequest)])
+	r.requestID = strings.Clone(request[:min(len(request), maxRequestID)])
 	b.running++
 	return Verdict{Kind: VerdictRun, Attempt: r.attempt}
 }
@@ -129,13 +129,13 @@
 // whether it may go. When the key's deadline has passed the attempt ends as
 // OutcomeNotRun.
 func (b *Book) Dispatch(now time.Time, key Key, attempt uint32) bool {
-	now = b.clock(now)
-	r := b.current(key, attempt)
+	now = b.monotonicNow(now)
+	r := b.activeRecord(key, attempt)
 	if r == nil || r.dispatches > 0 {
 		return false
 	}
 	if !now.Before(r.until) {
-		b.end(r, Outcome{Kind: OutcomeNotRun})
+		b.endAttempt(r, Outcome{Kind: OutcomeNotRun})
 		return false
 	}
 	r.dispatches++
@@ -149,7 +149,7 @@
 // nothing, so that the same attempt may dispatch to another target. It returns
 // false, and changes nothing, without a proof or for a past attempt.
 func (b *Book) Withdraw(key Key, attempt uint32, proof Proof) bool {
-	r := b.current(key, attempt)
+	r := b.activeRecord(key, attempt)
 	if r == nil || proof == ProofNone {
 		return false
 	}
@@ -162,8 +162,8 @@
 // dispatch becomes OutcomeUnknown. It returns false for a past attempt, which
 // changes nothing.
 func (b *Book) Finish(now time.Time, key Key, attempt uint32, outcome Outcome) (Outcome, bool) {
-	b.clock(now)
-	r := b.current(key, attempt)
+	b.monotonicNow(now)
+	r := b.activeRecord(key, attempt)
 	if r == nil {
 		return Outcome{}, false
 	}
@@ -175,12 +175,12 @@
 	case outcome.Kind != OutcomeNotRun && outcome.Kind != OutcomeAnswered:
 		outcome = Outcome{Kind: OutcomeUnknown}
 	}
-	b.end(r, outcome)
+	b.endAttempt(r, outcome)
 	return r.outcome, true
 }
 
-// current returns the record of an attempt that is under way, or nil.
-func (b *Book) current(key Key, attempt uint32) *record {
+// activeRecord returns the record of an attempt that is under way, or nil.
+func (b *Book) activeRecord(key Key, attempt uint32) *record {
 	if !b.issuer.Genuine(key) {
 		return nil
 	}
@@ -191,10 +191,10 @@
 	return r
 }
 
-func (b *Book) end(r *record, outcome Outcome) {
+func (b *Book) endAttempt(r *record, outcome Outcome) {
 	if outcome.Kind == OutcomeNotRun {
 		b.checks.Check(invariant.NotRunTrue, r.dispatches == 0, func() string {
-			return fmt.Sprintf("request %s recorded as not run after a dispatch", r.request)
+			return fmt.Sprintf("request %s recorded as not run after a dispatch", r.requestID)
 		})
 	}
 	if n := outcome.size(); n > b.cfg.Answer || b.bytes+n > b.cfg.Bytes {
@@ -203,13 +203,13 @@
 	b.bytes += outcome.size()
 	b.running--
 	r.outcome = outcome
-	if r.place == deadline.Absent {
+	if r.heapIndex == deadline.Absent {
 		b.expiry.Push(r)
 	}
 }
 
-// clock returns now, or the latest time seen if the clock has gone back.
-func (b *Book) clock(now time.Time) time.Time {
+// monotonicNow returns now, or the latest time seen if the monotonicNow has gone back.
+func (b *Book) monotonicNow(now time.Time) time.Time {
 	if now.After(b.latest) {
 		b.latest = now
 	}
--- a/internal/once/book_test.go
+++ b/internal/once/book_test.go
@@ -11,7 +11,7 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-func newBook(t testing.TB, cfg Config) *Book {
+func newTestTable(t testing.TB, cfg Config) *Book {
 	t.Helper()
 	checks := invariant.New(func(n invariant.Name, s string) { t.Errorf("%s: %s", n, s) })
 	return New(cfg, newIssuer(t, "home", 5), checks)
@@ -36,14 +36,14 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := newBook(t, Defaults())
+			b := newTestTable(t, Defaults())
 			k := b.Issue(start, start.Add(time.Second))
 			v := b.Begin(start, k, Fingerprint{}, "r1")
 			if tt.dispatch && !b.Dispatch(start, k, v.Attempt) {
 				t.Fatal("got no dispatch, want one")
 			}
-			if got := b.Begin(start, k, Fingerprint{}, "r2"); got.Kind != VerdictRunning || got.Request != "r1" {
-				t.Fatalf("got %v of %s, want running of r1", got.Kind, got.Request)
+			if got := b.Begin(start, k, Fingerprint{}, "r2"); got.Kind != VerdictRunning || got.RequestID != "r1" {
+				t.Fatalf("got %v of %s, want running of r1", got.Kind, got.RequestID)
 			}
 			b.Finish(start, k, v.Attempt, tt.outcome)
 			now := start
@@ -58,7 +58,7 @@
 }
 
 func TestBeginRefusals(t *testing.T) {
-	b := newBook(t, Config{Records: 1, Bytes: recordSize, Life: time.Second})
+	b := newTestTable(t, Config{Records: 1, Bytes: recordSize, Life: time.Second})
 	other := newIssuer(t, "other", 5).Issue(start.Add(time.Second))
 	earlier := newIssuer(t, "home", 4).Issue(start.Add(time.Second))
 	later := newIssuer(t, "home", 6).Issue(start.Add(time.Second))
@@ -92,7 +92,7 @@
 }
 
 func TestDeadlineInQueueEndsAsNotRun(t *testing.T) {
-	b := newBook(t, Defaults())
+	b := newTestTable(t, Defaults())
 	k := b.Issue(start, start.Add(time.Second))
 	v := b.Begin(start, k, Fingerprint{}, "r")
 	if b.Dispatch(start.Add(time.Second), k, v.Attempt) {
@@ -104,7 +104,7 @@
 }
 
 func TestPastAttemptChangesNothing(t *testing.T) {
-	b := newBook(t, Defaults())
+	b := newTestTable(t, Defaults())
 	k := b.Issue(start, start.Add(time.Second))
 	past := b.Begin(start, k, Fingerprint{}, "r1").Attempt
 	b.Finish(start, k, past, Outcome{Kind: OutcomeNotRun})
@@ -125,7 +125,7 @@
 }
 
 func TestCloseBeginsNothingNew(t *testing.T) {
-	b := newBook(t, Defaults())
+	b := newTestTable(t, Defaults())
 	old, fresh := b.Issue(start, start.Add(time.Second)), b.Issue(start, start.Add(time.Second))
 	v := b.Begin(start, old, Fingerprint{}, "r1")
 	b.Close()
@@ -142,7 +142,7 @@
 }
 
 func TestSweepKeepsWhatRuns(t *testing.T) {
-	b := newBook(t, Defaults())
+	b := newTestTable(t, Defaults())
 	k := b.Issue(start, start.Add(time.Second))
 	v := b.Begin(start, k, Fingerprint{}, "r")
 	b.Dispatch(start, k, v.Attempt)
@@ -168,16 +168,16 @@
 	for _, records := range []int{1_000, 5_000, 20_000, 60_000} {
 		b.Run(strconv.Itoa(records), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(recordBytes(b, records), "B/record")
+				b.ReportMetric(measureRecordBytes(b, records), "B/record")
 				b.ReportMetric(0, "ns/op")
 			}
 		})
 	}
 }
 
-func recordBytes(b *testing.B, records int) float64 {
+func measureRecordBytes(b *testing.B, records int) float64 {
 	request := strings.Repeat("r", 32)
-	book := newBook(b, Config{Records: records, Bytes: records * recordSize, Life: time.Minute})
+	book := newTestTable(b, Config{Records: records, Bytes: records * recordSize, Life: time.Minute})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -195,7 +195,7 @@
 
 // BenchmarkBegin is the processor time of one request's whole way.
 func BenchmarkBegin(b *testing.B) {
-	book := newBook(b, Config{Records: 1 << 30, Bytes: 1 << 40, Life: time.Minute})
+	book := newTestTable(b, Config{Records: 1 << 30, Bytes: 1 << 40, Life: time.Minute})
 	now := start
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
--- a/internal/once/issuer.go
+++ b/internal/once/issuer.go
@@ -46,11 +46,11 @@
 // Genuine says whether this incarnation issued k as it stands.
 func (i *Issuer) Genuine(k Key) bool {
 	want := i.sign(k)
-	return i.Home(k) && hmac.Equal(want[:], k.mac[:])
+	return i.IsHomeOf(k) && hmac.Equal(want[:], k.mac[:])
 }
 
-// Home says whether k names this incarnation.
-func (i *Issuer) Home(k Key) bool {
+// IsHomeOf says whether k names this incarnation.
+func (i *Issuer) IsHomeOf(k Key) bool {
 	return k.instance == i.instance && k.incarnation == i.incarnation
 }
 
--- a/internal/once/random_test.go
+++ b/internal/once/random_test.go
@@ -11,37 +11,37 @@
 
 // attempt is a runner at some home, as the test knows it.
 type attempt struct {
-	book    *Book
-	key     Key
-	number  uint32
-	sent    bool
-	refused bool // by the target, which ran nothing
+	book       *Book
+	key        Key
+	number     uint32
+	dispatched bool
+	refused    bool // by the target, which ran nothing
 }
 
-// message is a duplicate of a request on its way to an instance.
-type message struct {
-	key Key
-	to  int
-	fp  Fingerprint
+// duplicate is a duplicate of a request on its way to an instance.
+type duplicate struct {
+	key      Key
+	instance int
+	fp       Fingerprint
 }
 
-// world holds homes, messages that may cross, and what targets truly ran.
-type world struct {
-	t        *rapid.T
-	now      time.Time
-	books    []*Book
-	lives    []uint64
-	keys     []Key
-	messages []message
-	attempts []attempt
-	runs     map[Key]int // ground truth
-	checks   *invariant.Counter
+// simulation holds homes, messages that may cross, and what targets truly ran.
+type simulation struct {
+	t            *rapid.T
+	now          time.Time
+	books        []*Book
+	incarnations []uint64
+	keys         []Key
+	inTransit    []duplicate
+	attempts     []attempt
+	runs         map[Key]int // ground truth
+	checks       *invariant.Counter
 }
 
-func (w *world) restart(n int) {
-	w.lives[n]++
+func (w *simulation) restart(n int) {
+	w.incarnations[n]++
 	cfg := Config{Records: 4, Bytes: 2*recordSize + 20, Answer: 50, Life: 10 * time.Second}
-	i, err := NewIssuer(fmt.Sprint("home-", n), w.lives[n], Secret{byte(n), byte(w.lives[n])}, newIssuer(w.t, "x", w.lives[n]<<8|uint64(n)).rnd)
+	i, err := NewIssuer(fmt.Sprint("home-", n), w.incarnations[n], Secret{byte(n), byte(w.incarnations[n])}, newIssuer(w.t, "x", w.incarnations[n]<<8|uint64(n)).rnd)
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -56,26 +56,26 @@
 	w.attempts = alive
 }
 
-func (w *world) notRun(key Key, what string) {
+func (w *simulation) checkNotRun(key Key, what string) {
 	if got := w.runs[key]; got != 0 {
 		w.t.Fatalf("%s told as not run: got %d runs, want 0", what, got)
 	}
 }
 
-func (w *world) deliver(m message) {
-	b := w.books[m.to]
+func (w *simulation) deliver(m duplicate) {
+	b := w.books[m.instance]
 	v := b.Begin(w.now, m.key, m.fp, "r")
 	switch v.Kind {
 	case VerdictForeign:
 		for n, home := range w.books {
-			if home.issuer.Home(m.key) {
-				w.messages = append(w.messages, message{m.key, n, m.fp})
+			if home.issuer.IsHomeOf(m.key) {
+				w.inTransit = append(w.inTransit, duplicate{m.key, n, m.fp})
 			}
 		}
 	case VerdictRun:
 		w.attempts = append(w.attempts, attempt{book: b, key: m.key, number: v.Attempt})
 	case VerdictFull, VerdictForged, VerdictClosed:
-		w.notRun(m.key, v.Kind.String())
+		w.checkNotRun(m.key, v.Kind.String())
 	case VerdictAnswered:
 		if got := w.runs[m.key]; got != 1 {
 			w.t.Fatalf("answered: got %d runs, want 1", got)
@@ -83,12 +83,12 @@
 	}
 }
 
-func (w *world) dispatch(n int) {
+func (w *simulation) dispatch(n int) {
 	a := &w.attempts[n]
 	if !a.book.Dispatch(w.now, a.key, a.number) {
 		return
 	}
-	a.sent = true
+	a.dispatched = true
 	a.refused = rapid.Bool().Draw(w.t, "refused")
 	if !a.refused {
 		w.runs[a.key]++
@@ -101,31 +101,31 @@
 		if a.refused {
 			proof = ProofRefusal
 		}
-		a.sent = !a.book.Withdraw(a.key, a.number, proof)
+		a.dispatched = !a.book.Withdraw(a.key, a.number, proof)
 	}
 }
 
-func (w *world) finish(n int) {
+func (w *simulation) finish(n int) {
 	a := w.attempts[n]
 	o := Outcome{Kind: OutcomeNotRun}
 	switch {
-	case a.sent && a.refused:
+	case a.dispatched && a.refused:
 		o.Proof = ProofNoConn
-	case a.sent && rapid.Bool().Draw(w.t, "answered"):
+	case a.dispatched && rapid.Bool().Draw(w.t, "answered"):
 		o = Outcome{Kind: OutcomeAnswered, Status: 200, Body: make([]byte, rapid.IntRange(0, 80).Draw(w.t, "body"))}
-	case a.sent && rapid.Bool().Draw(w.t, "lost"):
+	case a.dispatched && rapid.Bool().Draw(w.t, "lost"):
 		o.Kind = OutcomeUnknown
 	}
 	got, ok := a.book.Finish(w.now, a.key, a.number, o)
 	if ok && got.Kind == OutcomeNotRun {
-		w.notRun(a.key, "finish")
+		w.checkNotRun(a.key, "finish")
 	}
 	if rapid.Bool().Draw(w.t, "gone") { // else it may dispatch and finish again by mistake
 		w.attempts = append(w.attempts[:n], w.attempts[n+1:]...)
 	}
 }
 
-func (w *world) check() {
+func (w *simulation) check() {
 	for _, b := range w.books {
 		s := b.Stats()
 		if s.Records > b.cfg.Records || s.Bytes > b.cfg.Bytes {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	t := w.t
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	switch action := rapid.IntRange(0, 15).Draw(t, "action"); {
@@ -159,11 +159,11 @@
 		w.keys = append(w.keys, w.books[pick(len(w.books))].Issue(w.now, w.now.Add(life)))
 	case action < 7:
 		fp := Fingerprint{byte(rapid.IntRange(0, 9).Draw(t, "fingerprint") / 9)}
-		w.messages = append(w.messages, message{w.keys[pick(len(w.keys))], pick(len(w.books)), fp})
-	case action < 11 && len(w.messages) > 0:
-		n := pick(len(w.messages))
-		m := w.messages[n]
-		w.messages = append(w.messages[:n], w.messages[n+1:]...)
+		w.inTransit = append(w.inTransit, duplicate{w.keys[pick(len(w.keys))], pick(len(w.books)), fp})
+	case action < 11 && len(w.inTransit) > 0:
+		n := pick(len(w.inTransit))
+		m := w.inTransit[n]
+		w.inTransit = append(w.inTransit[:n], w.inTransit[n+1:]...)
 		w.deliver(m)
 	case action < 14 && len(w.attempts) > 0:
 		w.dispatch(pick(len(w.attempts)))
@@ -177,8 +177,8 @@
 func TestRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := invariant.New(func(n invariant.Name, s string) { rt.Fatalf("%s: %s", n, s) })
-		w := &world{
-			t: rt, now: start, books: make([]*Book, 3), lives: make([]uint64, 3),
+		w := &simulation{
+			t: rt, now: start, books: make([]*Book, 3), incarnations: make([]uint64, 3),
 			runs: make(map[Key]int), checks: checks,
 		}
 		for n := range w.books {
--- a/internal/once/record.go
+++ b/internal/once/record.go
@@ -4,7 +4,7 @@
 
 const (
 	recordSize    = 320 // bytes counted for a record, its map entry and its heap entry; see BenchmarkCapacityRecord
-	maxRequest    = 64  // bytes kept of a request id
+	maxRequestID  = 64  // bytes kept of a request id
 	maxDispatches = 1   // dispatches allowed without a proof between them
 )
 
@@ -13,11 +13,11 @@
 	number      [numberSize]byte
 	fingerprint Fingerprint
 	until       time.Time // the key's deadline; the record stays at least until then
-	request     string    // id of the request that runs or ran it
+	requestID   string    // id of the request that runs or ran it
 	outcome     Outcome   // zero while under way
 	attempt     uint32    // grows with each VerdictRun
 	dispatches  uint32    // without a proof that nothing ran; never over 1
-	place       int       // in the heap of deadlines
+	heapIndex   int       // in the heap of deadlines
 }
 
 func (r *record) running() bool { return r.outcome.Kind == 0 }
@@ -26,4 +26,4 @@
 func (r *record) Deadline() time.Time { return r.until }
 
 // Place is for deadline.Heap.
-func (r *record) Place() *int { return &r.place }
+func (r *record) Place() *int { return &r.heapIndex }
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -7,12 +7,12 @@
 	Records int // kept
 	Running int // under way; a planned stop waits until it is 0
 	Bytes   int // counted for records and answers
-	counts  [verdictKinds]uint64
+	counts  [verdictKindCount]uint64
 }
 
 // Verdicts returns how many verdicts of a kind the book has given.
 func (s Stats) Verdicts(kind VerdictKind) uint64 {
-	if kind >= verdictKinds {
+	if kind >= verdictKindCount {
 		return 0
 	}
 	return s.counts[kind]
@@ -30,7 +30,7 @@
 // Sweep drops the records past their deadline, but for those under way, and
 // returns how many it dropped.
 func (b *Book) Sweep(now time.Time) int {
-	now = b.clock(now)
+	now = b.monotonicNow(now)
 	n := 0
 	for {
 		r, due := b.expiry.Due(now)
@@ -46,8 +46,8 @@
 	}
 }
 
-// Next returns when Sweep next has something to do; zero if never.
-func (b *Book) Next() time.Time { return b.expiry.Next() }
+// NextSweep returns when Sweep next has something to do; zero if never.
+func (b *Book) NextSweep() time.Time { return b.expiry.Next() }
 
 func (b *Book) drop(r *record) {
 	b.bytes -= recordSize + r.outcome.size()
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -16,17 +16,17 @@
 	VerdictMismatch                        // the key was used with a different request: this one was not run
 	VerdictFull                            // no room for a record: not run
 	VerdictClosed                          // the home is leaving and begins nothing new: not run
-	verdictKinds
+	verdictKindCount
 )
 
-var verdictNames = [verdictKinds]string{
+var verdictNames = [verdictKindCount]string{
 	"none", "run", "running", "answered", "unknown", "expired", "forged",
 	"foreign", "gone", "mismatch", "full", "closed",
 }
 
 // String returns a word for logs.
 func (k VerdictKind) String() string {
-	if k >= verdictKinds {
+	if k >= verdictKindCount {
 		return verdictNames[0]
 	}
 	return verdictNames[k]
@@ -34,8 +34,8 @@
 
 // Verdict is Begin's answer.
 type Verdict struct {
-	Kind    VerdictKind
-	Attempt uint32  // of VerdictRun: to be given to Dispatch, Withdraw and Finish
-	Request string  // of VerdictRunning, VerdictAnswered, VerdictUnknown: id of the request that ran it
-	Outcome Outcome // of VerdictAnswered
+	Kind      VerdictKind
+	Attempt   uint32  // of VerdictRun: to be given to Dispatch, Withdraw and Finish
+	RequestID string  // of VerdictRunning, VerdictAnswered, VerdictUnknown: id of the request that ran it
+	Outcome   Outcome // of VerdictAnswered
 }
