--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -9,21 +9,22 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Book holds the records of one incarnation's keys.
+// Book holds the idempotency records of one incarnation's keys.
 type Book struct {
 	cfg     Config
 	issuer  *Issuer
 	checks  *invariant.Counter
 	records map[[numberSize]byte]*record
-	expiry  deadline.Heap[*record] // records to be dropped; one that is under way past its deadline is not in it
-	latest  time.Time              // never goes back, so that a clock set back can't revive a key whose record is gone
-	bytes   int                    // of records and answers; never over cfg.Bytes
+	expiry  deadline.Heap[*record] // records by deadline; one that is still running past its deadline is not in it
+	latest  time.Time              // latest time observed; never decreases, or a clock set back could make a key valid again whose record was dropped
+	bytes   int                    // memory counted for records and answers; at most cfg.Bytes
 	running int                    // records without an outcome
 	closed  bool
 	counts  [verdictKindCount]uint64
 }
 
-// New makes the book of one incarnation. cfg must be valid; checks may be nil.
+// New returns an empty table for the incarnation of issuer. cfg must be valid;
+// checks may be nil.
 func New(cfg Config, issuer *Issuer, checks *invariant.Counter) *Book {
 	return &Book{
 		cfg:     cfg,
@@ -33,8 +34,8 @@
 	}
 }
 
-// Issue makes a key. Its life is cut to Config.Life. A key takes no memory here
-// until it begins.
+// Issue returns a new key that is valid until the given time, but for no longer
+// than Config.Life. A key takes no memory in the table until Begin.
 func (b *Book) Issue(now, until time.Time) Key {
 	now = b.monotonicNow(now)
 	last := now.Add(b.cfg.Life)
@@ -44,9 +45,9 @@
 	return b.issuer.Issue(until)
 }
 
-// Begin says what to do with a request that brings key. After VerdictRun the
-// one who asked must call Dispatch just before the first byte goes to a target,
-// and Finish in any case.
+// Begin decides how to handle a request that carries key. After VerdictRun,
+// Dispatch must be called immediately before the first byte is sent to a target,
+// and Finish in every case.
 func (b *Book) Begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
 	v := b.begin(b.monotonicNow(now), key, fp, request)
 	b.counts[v.Kind]++
@@ -76,7 +77,8 @@
 	}
 }
 
-// checkKey judges a key by itself; 0 means that it is genuine and at home.
+// checkKey checks where a key was issued and its MAC. It returns 0 if this incarnation
+// issued the key.
 func (b *Book) checkKey(key Key) VerdictKind {
 	switch {
 	case key.instance == b.issuer.instance && key.incarnation < b.issuer.incarnation:
@@ -106,7 +108,7 @@
 	return b.start(r, request)
 }
 
-// startAgain lets a request run anew after a proof that nothing ran.
+// startAgain starts another attempt after an attempt that is proved not to have run.
 func (b *Book) startAgain(now time.Time, r *record, request string) Verdict {
 	if !now.Before(r.until) {
 		return Verdict{Kind: VerdictExpired}
@@ -125,9 +127,9 @@
 	return Verdict{Kind: VerdictRun, Attempt: r.attempt}
 }
 
-// Dispatch is called just before the first byte goes to a target, and says
-// whether it may go. When the key's deadline has passed the attempt ends as
-// OutcomeNotRun.
+// Dispatch must be called immediately before the first byte is sent to a target,
+// and reports whether it may be sent. If the key's deadline has passed, the
+// attempt ends as OutcomeNotRun.
 func (b *Book) Dispatch(now time.Time, key Key, attempt uint32) bool {
 	now = b.monotonicNow(now)
 	r := b.activeRecord(key, attempt)
@@ -140,14 +142,14 @@
 	}
 	r.dispatches++
 	b.checks.Check(invariant.AtMostOnce, r.dispatches <= maxDispatches && b.records[key.number] == r, func() string {
-		return fmt.Sprintf("key %s dispatched %d times without a proof between", key, r.dispatches)
+		return fmt.Sprintf("key %s dispatched %d times without proof in between that nothing ran", key, r.dispatches)
 	})
 	return true
 }
 
-// Withdraw says that the dispatch of this attempt is proved to have run
-// nothing, so that the same attempt may dispatch to another target. It returns
-// false, and changes nothing, without a proof or for a past attempt.
+// Withdraw records proof that the dispatch of this attempt ran nothing. The same
+// attempt may then dispatch to another target. Without a proof, or for an attempt
+// that is not the running one, it changes nothing and returns false.
 func (b *Book) Withdraw(key Key, attempt uint32, proof Proof) bool {
 	r := b.activeRecord(key, attempt)
 	if r == nil || proof == ProofNone {
@@ -157,10 +159,10 @@
 	return true
 }
 
-// Finish records how an attempt ended, and returns the outcome on record, which
-// is the one that callers must be told: OutcomeNotRun without a proof after a
-// dispatch becomes OutcomeUnknown. It returns false for a past attempt, which
-// changes nothing.
+// Finish records how an attempt ended and returns the recorded outcome, which is
+// the one to report to callers: OutcomeNotRun without a proof after a dispatch
+// becomes OutcomeUnknown. For an attempt that is not the running one it changes
+// nothing and returns false.
 func (b *Book) Finish(now time.Time, key Key, attempt uint32, outcome Outcome) (Outcome, bool) {
 	b.monotonicNow(now)
 	r := b.activeRecord(key, attempt)
@@ -179,7 +181,8 @@
 	return r.outcome, true
 }
 
-// activeRecord returns the record of an attempt that is under way, or nil.
+// activeRecord returns the record of the given attempt, or nil if that attempt is not
+// running.
 func (b *Book) activeRecord(key Key, attempt uint32) *record {
 	if !b.issuer.Genuine(key) {
 		return nil
@@ -208,7 +211,7 @@
 	}
 }
 
-// monotonicNow returns now, or the latest time seen if the monotonicNow has gone back.
+// monotonicNow returns now, or the latest time observed if the clock was set back.
 func (b *Book) monotonicNow(now time.Time) time.Time {
 	if now.After(b.latest) {
 		b.latest = now
--- a/internal/once/book_test.go
+++ b/internal/once/book_test.go
@@ -22,7 +22,7 @@
 	tests := map[string]struct {
 		dispatch bool
 		outcome  Outcome
-		late     bool // begin again past the deadline
+		late     bool // Begin is repeated at the deadline
 		want     VerdictKind
 	}{
 		"answered":           {true, answer, false, VerdictAnswered},
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestCloseBeginsNothingNew(t *testing.T) {
+func TestCloseStartsNoAttempt(t *testing.T) {
 	b := newTestTable(t, Defaults())
 	old, fresh := b.Issue(start, start.Add(time.Second)), b.Issue(start, start.Add(time.Second))
 	v := b.Begin(start, old, Fingerprint{}, "r1")
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestSweepKeepsWhatRuns(t *testing.T) {
+func TestSweepKeepsRunning(t *testing.T) {
 	b := newTestTable(t, Defaults())
 	k := b.Issue(start, start.Add(time.Second))
 	v := b.Begin(start, k, Fingerprint{}, "r")
@@ -163,7 +163,7 @@
 	}
 }
 
-// BenchmarkCapacityRecord prints the memory of a record whose answer is dropped.
+// BenchmarkCapacityRecord measures the memory of a record without a stored answer.
 func BenchmarkCapacityRecord(b *testing.B) {
 	for _, records := range []int{1_000, 5_000, 20_000, 60_000} {
 		b.Run(strconv.Itoa(records), func(b *testing.B) {
@@ -193,7 +193,7 @@
 	return float64(after.HeapAlloc-before.HeapAlloc) / float64(records)
 }
 
-// BenchmarkBegin is the processor time of one request's whole way.
+// BenchmarkBegin measures the processor time of one request from issue to sweep.
 func BenchmarkBegin(b *testing.B) {
 	book := newTestTable(b, Config{Records: 1 << 30, Bytes: 1 << 40, Life: time.Minute})
 	now := start
--- a/internal/once/config.go
+++ b/internal/once/config.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Config bounds a Book.
+// Config limits the memory of the table and the lifetime of keys.
 type Config struct {
-	Records int           // records kept at one time
-	Bytes   int           // bytes of records and recorded answers
-	Answer  int           // bytes of header and body kept of one answer
-	Life    time.Duration // longest life of a key from its issue
+	Records int           // maximum number of records
+	Bytes   int           // maximum bytes of records and recorded answers
+	Answer  int           // maximum bytes of header and body stored for one answer
+	Life    time.Duration // maximum lifetime of a key from its issue
 }
 
 // Defaults returns the limits of a small instance.
@@ -20,7 +20,7 @@
 	}
 }
 
-// Validate reports every fault at once, as a *ConfigError.
+// Validate returns a *ConfigError that lists all invalid fields, or nil.
 func (c Config) Validate() error {
 	var faults []Fault
 	check := func(ok bool, field, reason string) {
--- a/internal/once/issuer.go
+++ b/internal/once/issuer.go
@@ -9,10 +9,10 @@
 )
 
 // Secret authenticates the keys of one incarnation. It must come from a
-// cryptographic source and leaves the process nowhere.
+// cryptographic random source and must not leave the process.
 type Secret [32]byte
 
-// Issuer issues the keys of one incarnation and tells them from forged ones.
+// Issuer issues and authenticates the keys of one incarnation.
 type Issuer struct {
 	instance    string
 	incarnation uint64
@@ -20,8 +20,8 @@
 	rnd         *rand.Rand
 }
 
-// NewIssuer makes the issuer of one incarnation. rnd must not repeat itself
-// between incarnations: outside tests seed rand.NewChaCha8 from crypto/rand.
+// NewIssuer returns the issuer of one incarnation. rnd must not repeat its output
+// in another incarnation: outside tests, seed rand.NewChaCha8 from crypto/rand.
 // The error is a *NameError.
 func NewIssuer(instance string, incarnation uint64, secret Secret, rnd *rand.Rand) (*Issuer, error) {
 	if !validInstance(instance) {
@@ -30,7 +30,8 @@
 	return &Issuer{instance: instance, incarnation: incarnation, secret: secret, rnd: rnd}, nil
 }
 
-// Issue makes a key that lasts until the given time, cut to a millisecond.
+// Issue returns a key that is valid until the given time, truncated to a
+// millisecond.
 func (i *Issuer) Issue(until time.Time) Key {
 	k := Key{
 		instance:    i.instance,
@@ -43,13 +44,14 @@
 	return k
 }
 
-// Genuine says whether this incarnation issued k as it stands.
+// Genuine reports whether this incarnation issued k, unmodified.
 func (i *Issuer) Genuine(k Key) bool {
 	want := i.sign(k)
 	return i.IsHomeOf(k) && hmac.Equal(want[:], k.mac[:])
 }
 
-// IsHomeOf says whether k names this incarnation.
+// IsHomeOf reports whether k names this incarnation as its home. It does not
+// authenticate k.
 func (i *Issuer) IsHomeOf(k Key) bool {
 	return k.instance == i.instance && k.incarnation == i.incarnation
 }
@@ -61,7 +63,7 @@
 	h := hmac.New(sha256.New, i.secret[:])
 	h.Write(words[:])
 	h.Write(k.number[:])
-	h.Write([]byte(k.instance)) // last, so that no length is needed
+	h.Write([]byte(k.instance)) // the only part of variable length comes last and needs no length prefix
 	var mac [macSize]byte
 	copy(mac[:], h.Sum(nil))
 	return mac
--- a/internal/once/key.go
+++ b/internal/once/key.go
@@ -1,8 +1,8 @@
 // Package once runs each non-idempotent request at most once. A Key belongs to
-// one incarnation of one instance, its home. Only the home's Book may let the
-// request run; every other instance forwards the key or answers "unknown".
+// one incarnation of one instance, its home. Only the home may run the request;
+// every other instance forwards the key to it or answers "unknown".
 //
-// The package does no input or output and is not safe for concurrent use.
+// The package does no I/O and is not safe for concurrent use.
 package once
 
 import (
@@ -13,28 +13,28 @@
 	"time"
 )
 
-// Limits of a key's text.
+// Maximum lengths in the text form of a key, in bytes.
 const (
-	MaxInstance = 64 // bytes of an instance's name
+	MaxInstance = 64 // instance name
 	MaxKey      = 4 + wordDigits + numberDigits + wordDigits + macDigits + MaxInstance
 )
 
 const (
 	numberSize   = 16 // bytes
-	macSize      = 16 // bytes kept of the HMAC
+	macSize      = 16 // bytes; the HMAC is truncated to it
 	wordDigits   = 16 // hex digits of a 64-bit word
 	numberDigits = 2 * numberSize
 	macDigits    = 2 * macSize
 	keyParts     = 5
 )
 
-// Key names one non-idempotent request. It can be compared with ==.
+// Key identifies one non-idempotent request. It can be compared with ==.
 type Key struct {
 	instance    string           // name of the home; never empty in a parsed or issued key
 	incarnation uint64           // of the home
 	number      [numberSize]byte // random; unique within the incarnation
 	until       int64            // Unix milliseconds by the home's clock; never negative
-	mac         [macSize]byte    // over all the other fields, by the incarnation's secret
+	mac         [macSize]byte    // of all other fields, under the incarnation's secret
 }
 
 // Instance returns the name of the home.
@@ -43,8 +43,8 @@
 // Incarnation returns the incarnation of the home.
 func (k Key) Incarnation() uint64 { return k.incarnation }
 
-// Until returns the deadline from which the request can't begin to run. Only
-// the home's clock judges it.
+// Until returns the deadline from which on the request is no longer started. Only
+// the home's clock decides.
 func (k Key) Until() time.Time { return time.UnixMilli(k.until).UTC() }
 
 // String returns the text that ParseKey reads.
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("%016x.%x.%016x.%x.%s", k.incarnation, k.number, k.until, k.mac, k.instance)
 }
 
-// ParseKey reads the one text form of a key. It doesn't authenticate the key:
-// only its home can. The error is a *KeyError.
+// ParseKey parses the text form of a key, of which there is exactly one. It
+// doesn't authenticate the key: only its home can. The error is a *KeyError.
 func ParseKey(s string) (Key, error) {
 	if len(s) > MaxKey {
 		return Key{}, &KeyError{Part: "text", Reason: "is too long"}
--- a/internal/once/outcome.go
+++ b/internal/once/outcome.go
@@ -6,17 +6,17 @@
 	"net/http"
 )
 
-// OutcomeKind says how an attempt ended.
+// OutcomeKind is the result of an attempt.
 type OutcomeKind uint8
 
-// Kinds of outcome. The zero kind is no outcome.
+// Kinds of outcome. The zero value means that there is none yet.
 const (
-	OutcomeAnswered OutcomeKind = iota + 1 // the target's whole answer is known
-	OutcomeNotRun                          // proved that nothing ran
-	OutcomeUnknown                         // it may have run; stays so for ever
+	OutcomeAnswered OutcomeKind = iota + 1 // the target's complete answer was received
+	OutcomeNotRun                          // proved not to have run
+	OutcomeUnknown                         // may have run; final
 )
 
-// String returns the word of the wire.
+// String returns the name used on the wire.
 func (k OutcomeKind) String() string {
 	switch k {
 	case OutcomeAnswered:
@@ -30,30 +30,30 @@
 	}
 }
 
-// Proof says why nothing ran although the request was dispatched.
+// Proof is the reason why a dispatched request is certain not to have run.
 type Proof uint8
 
-// Proofs that nothing ran. A timeout or a lost connection is none.
+// Proofs that nothing ran. A timeout or a lost connection proves nothing.
 const (
 	ProofNone    Proof = iota
 	ProofNoConn        // the connection was refused
 	ProofNoByte        // no byte of the request was sent
-	ProofRefusal       // the target's own refusal
+	ProofRefusal       // the target refused the request
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt and, if it was answered, the answer.
 type Outcome struct {
 	Kind    OutcomeKind
 	Proof   Proof       // of OutcomeNotRun after a dispatch
 	Status  int         // of OutcomeAnswered
 	Header  http.Header // of OutcomeAnswered; must not be changed afterwards
 	Body    []byte      // of OutcomeAnswered; must not be changed afterwards
-	Dropped bool        // the target answered, but header and body were too large to keep
+	Dropped bool        // the target answered, but header and body were too large to store
 }
 
-// size returns the bytes that keeping the answer takes beyond its record.
+// size returns the bytes that the stored answer takes in addition to its record.
 func (o Outcome) size() int {
-	const valueSize = 48 // string headers and the map's share, roughly
+	const valueSize = 48 // approximate bytes of string headers and map overhead
 	n := len(o.Body)
 	for name, values := range o.Header {
 		n += len(name) + valueSize
@@ -64,10 +64,10 @@
 	return n
 }
 
-// Fingerprint tells whether two requests with one key are the same request.
+// Fingerprint is a hash by which two requests with the same key are compared.
 type Fingerprint [sha256.Size]byte
 
-// NewFingerprint hashes a request. Pass a nil body when it is too large to
+// NewFingerprint returns the hash of a request. body is nil if it is too large to
 // have been read at this point.
 func NewFingerprint(method, path string, body []byte) Fingerprint {
 	h := sha256.New()
--- a/internal/once/random_test.go
+++ b/internal/once/random_test.go
@@ -9,23 +9,24 @@
 	"pgregory.net/rapid"
 )
 
-// attempt is a runner at some home, as the test knows it.
+// attempt is an attempt that a home allowed to run.
 type attempt struct {
 	book       *Book
 	key        Key
 	number     uint32
 	dispatched bool
-	refused    bool // by the target, which ran nothing
+	refused    bool // by the target, without running it
 }
 
-// duplicate is a duplicate of a request on its way to an instance.
+// duplicate is a copy of a request on its way to an instance.
 type duplicate struct {
 	key      Key
 	instance int
 	fp       Fingerprint
 }
 
-// simulation holds homes, messages that may cross, and what targets truly ran.
+// simulation holds the homes, requests in transit, which arrive in any order, and the
+// number of times that targets ran each request.
 type simulation struct {
 	t            *rapid.T
 	now          time.Time
@@ -34,69 +35,69 @@
 	keys         []Key
 	inTransit    []duplicate
 	attempts     []attempt
-	runs         map[Key]int // ground truth
+	runs         map[Key]int // executions by targets: what the tables must agree with
 	checks       *invariant.Counter
 }
 
-func (w *simulation) restart(n int) {
-	w.incarnations[n]++
+func (sim *simulation) restart(n int) {
+	sim.incarnations[n]++
 	cfg := Config{Records: 4, Bytes: 2*recordSize + 20, Answer: 50, Life: 10 * time.Second}
-	i, err := NewIssuer(fmt.Sprint("home-", n), w.incarnations[n], Secret{byte(n), byte(w.incarnations[n])}, newIssuer(w.t, "x", w.incarnations[n]<<8|uint64(n)).rnd)
+	i, err := NewIssuer(fmt.Sprint("home-", n), sim.incarnations[n], Secret{byte(n), byte(sim.incarnations[n])}, newIssuer(sim.t, "x", sim.incarnations[n]<<8|uint64(n)).rnd)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	old := w.books[n]
-	w.books[n] = New(cfg, i, w.checks)
-	alive := w.attempts[:0]
-	for _, a := range w.attempts {
+	old := sim.books[n]
+	sim.books[n] = New(cfg, i, sim.checks)
+	alive := sim.attempts[:0]
+	for _, a := range sim.attempts {
 		if a.book != old {
 			alive = append(alive, a)
 		}
 	}
-	w.attempts = alive
+	sim.attempts = alive
 }
 
-func (w *simulation) checkNotRun(key Key, what string) {
-	if got := w.runs[key]; got != 0 {
-		w.t.Fatalf("%s told as not run: got %d runs, want 0", what, got)
+func (sim *simulation) checkNotRun(key Key, what string) {
+	if got := sim.runs[key]; got != 0 {
+		sim.t.Fatalf("%s reported as not run: got %d runs, want 0", what, got)
 	}
 }
 
-func (w *simulation) deliver(m duplicate) {
-	b := w.books[m.instance]
-	v := b.Begin(w.now, m.key, m.fp, "r")
+func (sim *simulation) deliver(m duplicate) {
+	b := sim.books[m.instance]
+	v := b.Begin(sim.now, m.key, m.fp, "r")
 	switch v.Kind {
 	case VerdictForeign:
-		for n, home := range w.books {
+		for n, home := range sim.books {
 			if home.issuer.IsHomeOf(m.key) {
-				w.inTransit = append(w.inTransit, duplicate{m.key, n, m.fp})
+				sim.inTransit = append(sim.inTransit, duplicate{m.key, n, m.fp})
 			}
 		}
 	case VerdictRun:
-		w.attempts = append(w.attempts, attempt{book: b, key: m.key, number: v.Attempt})
+		sim.attempts = append(sim.attempts, attempt{book: b, key: m.key, number: v.Attempt})
 	case VerdictFull, VerdictForged, VerdictClosed:
-		w.checkNotRun(m.key, v.Kind.String())
+		sim.checkNotRun(m.key, v.Kind.String())
 	case VerdictAnswered:
-		if got := w.runs[m.key]; got != 1 {
-			w.t.Fatalf("answered: got %d runs, want 1", got)
+		if got := sim.runs[m.key]; got != 1 {
+			sim.t.Fatalf("answered: got %d runs, want 1", got)
 		}
 	}
 }
 
-func (w *simulation) dispatch(n int) {
-	a := &w.attempts[n]
-	if !a.book.Dispatch(w.now, a.key, a.number) {
+func (sim *simulation) dispatch(n int) {
+	a := &sim.attempts[n]
+	if !a.book.Dispatch(sim.now, a.key, a.number) {
 		return
 	}
 	a.dispatched = true
-	a.refused = rapid.Bool().Draw(w.t, "refused")
+	a.refused = rapid.Bool().Draw(sim.t, "refused")
 	if !a.refused {
-		w.runs[a.key]++
+		sim.runs[a.key]++
 	}
-	if got := w.runs[a.key]; got > 1 {
-		w.t.Fatalf("key %s: got %d runs, want at most 1", a.key, got)
+	if got := sim.runs[a.key]; got > 1 {
+		sim.t.Fatalf("key %s: got %d runs, want at most 1", a.key, got)
 	}
-	if rapid.Bool().Draw(w.t, "retry") {
+	if rapid.Bool().Draw(sim.t, "retry") {
 		proof := ProofNone
 		if a.refused {
 			proof = ProofRefusal
@@ -105,31 +106,31 @@
 	}
 }
 
-func (w *simulation) finish(n int) {
-	a := w.attempts[n]
+func (sim *simulation) finish(n int) {
+	a := sim.attempts[n]
 	o := Outcome{Kind: OutcomeNotRun}
 	switch {
 	case a.dispatched && a.refused:
 		o.Proof = ProofNoConn
-	case a.dispatched && rapid.Bool().Draw(w.t, "answered"):
-		o = Outcome{Kind: OutcomeAnswered, Status: 200, Body: make([]byte, rapid.IntRange(0, 80).Draw(w.t, "body"))}
-	case a.dispatched && rapid.Bool().Draw(w.t, "lost"):
+	case a.dispatched && rapid.Bool().Draw(sim.t, "answered"):
+		o = Outcome{Kind: OutcomeAnswered, Status: 200, Body: make([]byte, rapid.IntRange(0, 80).Draw(sim.t, "body"))}
+	case a.dispatched && rapid.Bool().Draw(sim.t, "lost"):
 		o.Kind = OutcomeUnknown
 	}
-	got, ok := a.book.Finish(w.now, a.key, a.number, o)
+	got, ok := a.book.Finish(sim.now, a.key, a.number, o)
 	if ok && got.Kind == OutcomeNotRun {
-		w.checkNotRun(a.key, "finish")
+		sim.checkNotRun(a.key, "finish")
 	}
-	if rapid.Bool().Draw(w.t, "gone") { // else it may dispatch and finish again by mistake
-		w.attempts = append(w.attempts[:n], w.attempts[n+1:]...)
+	if rapid.Bool().Draw(sim.t, "gone") { // otherwise it may wrongly dispatch and finish again
+		sim.attempts = append(sim.attempts[:n], sim.attempts[n+1:]...)
 	}
 }
 
-func (w *simulation) check() {
-	for _, b := range w.books {
+func (sim *simulation) check() {
+	for _, b := range sim.books {
 		s := b.Stats()
 		if s.Records > b.cfg.Records || s.Bytes > b.cfg.Bytes {
-			w.t.Fatalf("got %+v, want it within %+v", s, b.cfg)
+			sim.t.Fatalf("got %+v, want it within %+v", s, b.cfg)
 		}
 		running, bytes := 0, 0
 		for _, r := range b.records {
@@ -139,54 +140,55 @@
 			}
 		}
 		if running != s.Running || bytes != s.Bytes {
-			w.t.Fatalf("got %+v, want %d running, %d bytes", s, running, bytes)
+			sim.t.Fatalf("got %+v, want %d running, %d bytes", s, running, bytes)
 		}
 	}
 }
 
-func (w *simulation) step() {
-	t := w.t
+func (sim *simulation) step() {
+	t := sim.t
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	switch action := rapid.IntRange(0, 15).Draw(t, "action"); {
 	case action == 0:
-		w.restart(pick(len(w.books)))
+		sim.restart(pick(len(sim.books)))
 	case action == 1:
-		w.now = w.now.Add(time.Duration(rapid.IntRange(-4000, 4000).Draw(t, "ms")) * time.Millisecond)
+		sim.now = sim.now.Add(time.Duration(rapid.IntRange(-4000, 4000).Draw(t, "ms")) * time.Millisecond)
 	case action == 2:
-		w.books[pick(len(w.books))].Sweep(w.now)
-	case action == 3 || len(w.keys) == 0:
+		sim.books[pick(len(sim.books))].Sweep(sim.now)
+	case action == 3 || len(sim.keys) == 0:
 		life := time.Duration(rapid.IntRange(1, 9).Draw(t, "life")) * time.Second
-		w.keys = append(w.keys, w.books[pick(len(w.books))].Issue(w.now, w.now.Add(life)))
+		sim.keys = append(sim.keys, sim.books[pick(len(sim.books))].Issue(sim.now, sim.now.Add(life)))
 	case action < 7:
 		fp := Fingerprint{byte(rapid.IntRange(0, 9).Draw(t, "fingerprint") / 9)}
-		w.inTransit = append(w.inTransit, duplicate{w.keys[pick(len(w.keys))], pick(len(w.books)), fp})
-	case action < 11 && len(w.inTransit) > 0:
-		n := pick(len(w.inTransit))
-		m := w.inTransit[n]
-		w.inTransit = append(w.inTransit[:n], w.inTransit[n+1:]...)
-		w.deliver(m)
-	case action < 14 && len(w.attempts) > 0:
-		w.dispatch(pick(len(w.attempts)))
-	case len(w.attempts) > 0:
-		w.finish(pick(len(w.attempts)))
+		sim.inTransit = append(sim.inTransit, duplicate{sim.keys[pick(len(sim.keys))], pick(len(sim.books)), fp})
+	case action < 11 && len(sim.inTransit) > 0:
+		n := pick(len(sim.inTransit))
+		m := sim.inTransit[n]
+		sim.inTransit = append(sim.inTransit[:n], sim.inTransit[n+1:]...)
+		sim.deliver(m)
+	case action < 14 && len(sim.attempts) > 0:
+		sim.dispatch(pick(len(sim.attempts)))
+	case len(sim.attempts) > 0:
+		sim.finish(pick(len(sim.attempts)))
 	}
 }
 
-// TestRandomRuns sends duplicates that cross through homes that restart, with a
-// clock that jumps both ways, and counts what targets truly ran.
+// TestRandomRuns sends duplicate requests in random order through homes that
+// restart, with a clock that jumps in both directions, and checks that no target
+// runs a request twice.
 func TestRandomRuns(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := invariant.New(func(n invariant.Name, s string) { rt.Fatalf("%s: %s", n, s) })
-		w := &simulation{
+		sim := &simulation{
 			t: rt, now: start, books: make([]*Book, 3), incarnations: make([]uint64, 3),
 			runs: make(map[Key]int), checks: checks,
 		}
-		for n := range w.books {
-			w.restart(n)
+		for n := range sim.books {
+			sim.restart(n)
 		}
 		for range rapid.IntRange(50, 300).Draw(rt, "steps") {
-			w.step()
-			w.check()
+			sim.step()
+			sim.check()
 		}
 	})
 }
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Stats tells how full a book is and what it has decided.
+// Stats is the size of the table and the number of its verdicts.
 type Stats struct {
-	Records int // kept
-	Running int // under way; a planned stop waits until it is 0
+	Records int // stored
+	Running int // attempts without an outcome; a graceful stop waits until it is 0
 	Bytes   int // counted for records and answers
 	counts  [verdictKindCount]uint64
 }
 
-// Verdicts returns how many verdicts of a kind the book has given.
+// Verdicts returns the number of verdicts of a kind.
 func (s Stats) Verdicts(kind VerdictKind) uint64 {
 	if kind >= verdictKindCount {
 		return 0
@@ -18,16 +18,16 @@
 	return s.counts[kind]
 }
 
-// Stats returns the present figures.
+// Stats returns the current numbers.
 func (b *Book) Stats() Stats {
 	return Stats{Records: len(b.records), Running: b.running, Bytes: b.bytes, counts: b.counts}
 }
 
-// Close makes the book begin nothing new. Attempts under way go on, and records
-// are still told.
+// Close stops the start of new attempts. Running attempts continue, and Begin
+// still returns recorded outcomes.
 func (b *Book) Close() { b.closed = true }
 
-// Sweep drops the records past their deadline, but for those under way, and
+// Sweep drops the records whose deadline has passed, except for running ones, and
 // returns how many it dropped.
 func (b *Book) Sweep(now time.Time) int {
 	now = b.monotonicNow(now)
@@ -39,14 +39,15 @@
 		}
 		b.expiry.Pop()
 		if r.running() {
-			continue // Finish puts it back
+			continue // Finish pushes it again
 		}
 		b.drop(r)
 		n++
 	}
 }
 
-// NextSweep returns when Sweep next has something to do; zero if never.
+// NextSweep returns the earliest deadline in the table, at which Sweep is due, or the
+// zero time if there is none.
 func (b *Book) NextSweep() time.Time { return b.expiry.Next() }
 
 func (b *Book) drop(r *record) {
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -1,21 +1,21 @@
 package once
 
-// VerdictKind says what to do with a request that brings a key.
+// VerdictKind is the decision on a request that carries a key.
 type VerdictKind uint8
 
 // Kinds of verdict.
 const (
-	VerdictRun      VerdictKind = iota + 1 // the one who asked must run it now and Finish
-	VerdictRunning                         // under way: wait for the outcome or come back
-	VerdictAnswered                        // Outcome holds the recorded answer
-	VerdictUnknown                         // it may have run; nobody will ever know more
-	VerdictExpired                         // past its deadline: never runs from now on; earlier outcome not known
-	VerdictForged                          // never issued as it stands: not run
-	VerdictForeign                         // another home: forward it there or answer unknown; never run it
-	VerdictGone                            // an earlier incarnation of this instance: unknown
-	VerdictMismatch                        // the key was used with a different request: this one was not run
-	VerdictFull                            // no room for a record: not run
-	VerdictClosed                          // the home is leaving and begins nothing new: not run
+	VerdictRun      VerdictKind = iota + 1 // to be run now, and ended by Finish
+	VerdictRunning                         // an attempt is running: wait for its outcome or retry later
+	VerdictAnswered                        // completed; Outcome holds the recorded answer
+	VerdictUnknown                         // may have run; this is final
+	VerdictExpired                         // past its deadline: will not run; an earlier outcome is not known
+	VerdictForged                          // authentication failed: not run
+	VerdictForeign                         // has another home: forward it there or answer unknown; must not run here
+	VerdictGone                            // issued by an earlier incarnation of this instance, whose records are lost: outcome unknown
+	VerdictMismatch                        // the key was used for a different request: this one was not run
+	VerdictFull                            // the table is full: not run
+	VerdictClosed                          // the home is stopping and starts no new attempts: not run
 	verdictKindCount
 )
 
@@ -24,7 +24,7 @@
 	"foreign", "gone", "mismatch", "full", "closed",
 }
 
-// String returns a word for logs.
+// String returns the name used in logs.
 func (k VerdictKind) String() string {
 	if k >= verdictKindCount {
 		return verdictNames[0]
@@ -32,10 +32,10 @@
 	return verdictNames[k]
 }
 
-// Verdict is Begin's answer.
+// Verdict is the result of Begin.
 type Verdict struct {
 	Kind      VerdictKind
-	Attempt   uint32  // of VerdictRun: to be given to Dispatch, Withdraw and Finish
-	RequestID string  // of VerdictRunning, VerdictAnswered, VerdictUnknown: id of the request that ran it
-	Outcome   Outcome // of VerdictAnswered
+	Attempt   uint32  // for VerdictRun: the argument for Dispatch, Withdraw and Finish
+	RequestID string  // for VerdictRunning, VerdictAnswered, VerdictUnknown: ID of the request that runs or ran it
+	Outcome   Outcome // for VerdictAnswered
 }
