--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -14,25 +14,25 @@
 // Dispatcher guards a node and passes each decision to whom it concerns. It is
 // safe for concurrent use.
 type Dispatcher struct {
-	now     func() time.Time
-	timed   chan struct{}       // holds a token after a step that leaves something waiting
-	control func(core.Decision) // takes decisions that belong to no request; must not block
+	now        func() time.Time
+	tickNeeded chan struct{}       // holds a token after a step that leaves something waiting
+	control    func(core.Decision) // takes decisions that belong to no request; must not block
 
-	mu      sync.Mutex
-	node    *core.Node // guarded by mu
-	last    core.ID
-	waiting map[core.ID]*Mailbox // one for each open request
+	mu        sync.Mutex
+	node      *core.Node // guarded by mu
+	lastID    core.ID
+	mailboxes map[core.ID]*Mailbox // one for each open request
 }
 
 // New makes a dispatcher for a node. control is called for each decision that
 // is not about a request; it must not block, nor call the dispatcher.
 func New(node *core.Node, now func() time.Time, control func(core.Decision)) *Dispatcher {
 	return &Dispatcher{
-		now:     now,
-		control: control,
-		timed:   make(chan struct{}, 1),
-		node:    node,
-		waiting: make(map[core.ID]*Mailbox),
+		now:        now,
+		control:    control,
+		tickNeeded: make(chan struct{}, 1),
+		node:       node,
+		mailboxes:  make(map[core.ID]*Mailbox),
 	}
 }
 
@@ -43,10 +43,10 @@
 func (d *Dispatcher) Open() (core.ID, *Mailbox) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
+	d.lastID++
 	m := newMailbox()
-	d.waiting[d.last] = m
-	return d.last, m
+	d.mailboxes[d.lastID] = m
+	return d.lastID, m
 }
 
 // Close ends a request. If it has had no final answer, because its handler
@@ -54,7 +54,7 @@
 func (d *Dispatcher) Close(id core.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.waiting, id)
+	delete(d.mailboxes, id)
 	d.step(core.Cancelled{ID: id})
 	d.step(core.Finished{ID: id, Result: core.Failed, Final: true, Gone: true})
 }
@@ -68,29 +68,29 @@
 
 func (d *Dispatcher) step(ev core.Event) {
 	for _, dec := range d.node.Step(d.now(), ev) {
-		d.pass(dec)
+		d.deliver(dec)
 	}
 	if !d.node.Waiting() {
 		return
 	}
 	select {
-	case d.timed <- struct{}{}:
+	case d.tickNeeded <- struct{}{}:
 	default: // it is told already
 	}
 }
 
 // Waiting gives a token after a step that leaves something to wait for time to
 // pass: the next core.Tick is then due soon.
-func (d *Dispatcher) Waiting() <-chan struct{} { return d.timed }
+func (d *Dispatcher) Waiting() <-chan struct{} { return d.tickNeeded }
 
-// pass never blocks. A decision for a request that has closed is dropped.
-func (d *Dispatcher) pass(dec core.Decision) {
+// deliver never blocks. A decision for a request that has closed is dropped.
+func (d *Dispatcher) deliver(dec core.Decision) {
 	id, ok := core.RequestOf(dec)
 	if !ok {
 		d.control(dec)
 		return
 	}
-	if m, ok := d.waiting[id]; ok {
+	if m, ok := d.mailboxes[id]; ok {
 		m.put(dec)
 	}
 }
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -10,9 +10,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-var orders = settings.ServiceID{Team: "shop", Name: "orders"}
+var testService = settings.ServiceID{Team: "shop", Name: "orders"}
 
-const service = `
+const serviceDocument = `
 class: interactive
 timeout: 2s
 shift: 1
@@ -31,7 +31,7 @@
 	}
 	s, err := settings.Compile([]settings.Document{
 		{Path: "/places/east", Version: 1, Body: []byte("region: coast\ndomain: east\nlimit: 1\n")},
-		{Path: "/teams/shop/services/orders", Version: 1, Body: []byte(service)},
+		{Path: "/teams/shop/services/orders", Version: 1, Body: []byte(serviceDocument)},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -46,17 +46,17 @@
 	return d
 }
 
-func (d *Dispatcher) arrive(deadline time.Time) (core.ID, *Mailbox) {
+func (d *Dispatcher) addRequest(deadline time.Time) (core.ID, *Mailbox) {
 	id, box := d.Open()
 	d.Step(core.Arrived{ID: id, Request: core.Request{
-		Service: orders, Method: "GET", Path: "/", Caller: netip.Addr{}, Deadline: deadline, Replayable: true,
+		Service: testService, Method: "GET", Path: "/", Caller: netip.Addr{}, Deadline: deadline, Replayable: true,
 	}})
 	return id, box
 }
 
-// TestCloseLeavesNothing closes requests whose handlers broke off at any stage. What was
+// TestCloseReleasesRequest closes requests whose handlers broke off at any stage. What was
 // under way keeps its slot until the target has ended it too, whatever else it answers.
-func TestCloseLeavesNothing(t *testing.T) {
+func TestCloseReleasesRequest(t *testing.T) {
 	tests := map[string]struct {
 		others int // requests that hold the slot before
 		end    bool
@@ -70,9 +70,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDispatcher(t)
 			for range tt.others {
-				d.arrive(time.Time{})
+				d.addRequest(time.Time{})
 			}
-			id, box := d.arrive(time.Time{})
+			id, box := d.addRequest(time.Time{})
 			if len(box.Take()) != 1 {
 				t.Fatal("got no decision, want one")
 			}
@@ -80,18 +80,18 @@
 				d.Step(core.Finished{ID: id, Result: core.Answered})
 			}
 			d.Close(id)
-			target := owner.TargetKey{Service: orders, Name: "e"}
+			target := owner.TargetKey{Service: testService, Name: "e"}
 			d.Step(core.Probed{Target: target, Asked: d.Now(), Healthy: true, Slots: 1})
 			d.Step(core.Tick{})
-			d.has(t, "before the target ends it", tt.others, tt.kept)
+			d.checkCounts(t, "before the target ends it", tt.others, tt.kept)
 			d.Step(core.Ended{ID: id, Target: target})
-			d.has(t, "after the target ended it", tt.others, tt.others)
+			d.checkCounts(t, "after the target ended it", tt.others, tt.others)
 		})
 	}
 }
 
-// has checks the number of open requests, and of those that hold a slot. None may wait.
-func (d *Dispatcher) has(t *testing.T, when string, open, flying int) {
+// checkCounts checks the number of open requests, and of those that hold a slot. None may wait.
+func (d *Dispatcher) checkCounts(t *testing.T, when string, open, flying int) {
 	t.Helper()
 	d.Read(func(now time.Time, n *core.Node) {
 		st := n.Status(now)
@@ -102,20 +102,20 @@
 	})
 }
 
-// TestMailboxHoldsUpNobody gives more decisions than anybody takes.
-func TestMailboxHoldsUpNobody(t *testing.T) {
+// TestMailboxNeverBlocks gives more decisions than anybody takes.
+func TestMailboxNeverBlocks(t *testing.T) {
 	const count = 1000
 	d := newDispatcher(t)
 	id, box := d.Open()
 	for range count {
-		d.pass(core.Hold{ID: id})
+		d.deliver(core.Hold{ID: id})
 	}
 	<-box.Ready()
 	if got := len(box.Take()); got != count {
 		t.Errorf("got %d decisions, want %d", got, count)
 	}
 	d.Close(id)
-	d.pass(core.Hold{ID: id})
+	d.deliver(core.Hold{ID: id})
 	if got := len(box.Take()); got != 0 {
 		t.Errorf("got %d decisions after the end, want 0", got)
 	}
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -6,10 +6,10 @@
 )
 
 // The shell ticks seldom until a request waits.
-func TestWaitingIsTold(t *testing.T) {
+func TestQueuedRequestSignalsTick(t *testing.T) {
 	d := newDispatcher(t)
 	for i, want := range []int{0, 1} { // the first takes the only slot, the second waits
-		d.arrive(time.Time{})
+		d.addRequest(time.Time{})
 		if got := len(d.Waiting()); got != want {
 			t.Errorf("got %d tokens after request %d, want %d", got, i, want)
 		}
--- a/internal/pace/link.go
+++ b/internal/pace/link.go
@@ -5,19 +5,19 @@
 
 import "time"
 
-// chunkPart is the part of a second that one chunk may fill the link for:
+// chunksPerSecond is the part of a second that one chunk may fill the link for:
 // others wait behind it for that long.
-const chunkPart = 20
+const chunksPerSecond = 20
 
-// minChunk is the smallest chunk in bytes: below it the cost of each outgrows
+// minChunkSize is the smallest chunk in bytes: below it the cost of each outgrows
 // its use.
-const minChunk = 1 << 10
+const minChunkSize = 1 << 10
 
 // Link is one sender's share of a link. Each transfer takes its turn with one
 // chunk at a time, so that all of them get on alike.
 type Link struct {
-	rate int64     // bytes/s; 0 sets no limit
-	free time.Time // when all the bytes taken so far have left
+	rate   int64     // bytes/s; 0 sets no limit
+	freeAt time.Time // when all the bytes taken so far have left
 }
 
 // SetRate changes the share, in bytes/s; 0 or less sets no limit. Bytes that
@@ -27,11 +27,11 @@
 	if rate == l.rate {
 		return
 	}
-	left := l.free.Sub(now)
+	left := l.freeAt.Sub(now)
 	if l.rate > 0 && rate > 0 && left > 0 {
-		l.free = now.Add(time.Duration(float64(left) * float64(l.rate) / float64(rate)))
+		l.freeAt = now.Add(time.Duration(float64(left) * float64(l.rate) / float64(rate)))
 	} else {
-		l.free = now
+		l.freeAt = now
 	}
 	l.rate = rate
 }
@@ -44,10 +44,10 @@
 		return now
 	}
 	at := now
-	if l.free.After(now) {
-		at = l.free
+	if l.freeAt.After(now) {
+		at = l.freeAt
 	}
-	l.free = at.Add(time.Duration(float64(n) / float64(l.rate) * float64(time.Second)))
+	l.freeAt = at.Add(time.Duration(float64(n) / float64(l.rate) * float64(time.Second)))
 	return at
 }
 
@@ -56,5 +56,5 @@
 	if l.rate == 0 {
 		return most
 	}
-	return min(most, max(int(min(l.rate/chunkPart, int64(most))), minChunk))
+	return min(most, max(int(min(l.rate/chunksPerSecond, int64(most))), minChunkSize))
 }
--- a/internal/pace/link_test.go
+++ b/internal/pace/link_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var begin = time.Unix(1_000_000, 0)
+var start = time.Unix(1_000_000, 0)
 
 func TestTake(t *testing.T) {
 	tests := map[string]struct {
@@ -25,18 +25,18 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			var l Link
-			l.SetRate(begin, tt.rate)
+			l.SetRate(start, tt.rate)
 			for _, n := range tt.before {
-				l.Take(begin, n)
+				l.Take(start, n)
 			}
-			if got := l.Take(begin.Add(tt.later), 1).Sub(begin); got != tt.want {
+			if got := l.Take(start.Add(tt.later), 1).Sub(start); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
 	}
 }
 
-func TestSetRateKeepsWhatIsOwed(t *testing.T) {
+func TestSetRateKeepsReservedBytes(t *testing.T) {
 	tests := map[string]struct {
 		rate int64
 		want time.Duration
@@ -50,10 +50,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			var l Link
-			l.SetRate(begin, 1000)
-			l.Take(begin, 1000)
-			l.SetRate(begin, tt.rate)
-			if got := l.Take(begin, 1).Sub(begin); got != tt.want {
+			l.SetRate(start, 1000)
+			l.Take(start, 1000)
+			l.SetRate(start, tt.rate)
+			if got := l.Take(start, 1).Sub(start); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -66,9 +66,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var l Link
 		rate := rapid.Int64Range(100, 1<<24).Draw(t, "rate")
-		l.SetRate(begin, rate)
+		l.SetRate(start, rate)
 		chunk := l.Chunk(32 << 10)
-		now := begin
+		now := start
 		var times []time.Time // of each chunk
 		for range rapid.IntRange(1, 100).Draw(t, "chunks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
