--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatch stands between the node, which only decides, and the
-// goroutines that carry its decisions out.
+// Package dispatch serializes access to the node, which only makes decisions, and
+// delivers them to the goroutines that carry them out.
 package dispatch
 
 import (
@@ -11,21 +11,22 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Dispatcher guards a node and passes each decision to whom it concerns. It is
-// safe for concurrent use.
+// Dispatcher guards a node with a lock and delivers each decision to the mailbox
+// of its request. It is safe for concurrent use.
 type Dispatcher struct {
 	now        func() time.Time
-	tickNeeded chan struct{}       // holds a token after a step that leaves something waiting
-	control    func(core.Decision) // takes decisions that belong to no request; must not block
+	tickNeeded chan struct{}       // holds a token after a step that leaves something waiting for a Tick
+	control    func(core.Decision) // handles decisions that belong to no request; must not block
 
 	mu        sync.Mutex
 	node      *core.Node // guarded by mu
 	lastID    core.ID
-	mailboxes map[core.ID]*Mailbox // one for each open request
+	mailboxes map[core.ID]*Mailbox // by open request; guarded by mu
 }
 
-// New makes a dispatcher for a node. control is called for each decision that
-// is not about a request; it must not block, nor call the dispatcher.
+// New returns a dispatcher for a node. control is called with the lock held for
+// each decision that belongs to no request; it must not block or call the
+// dispatcher.
 func New(node *core.Node, now func() time.Time, control func(core.Decision)) *Dispatcher {
 	return &Dispatcher{
 		now:        now,
@@ -36,10 +37,10 @@
 	}
 }
 
-// Now is the time by the clock that the node is driven by.
+// Now returns the time by the clock that drives the node.
 func (d *Dispatcher) Now() time.Time { return d.now() }
 
-// Open gives a new request its id and the mailbox of its decisions.
+// Open allocates the ID of a new request and the mailbox for its decisions.
 func (d *Dispatcher) Open() (core.ID, *Mailbox) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,8 +50,8 @@
 	return d.lastID, m
 }
 
-// Close ends a request. If it has had no final answer, because its handler
-// broke off, the node is told, so that nothing of it is left behind.
+// Close ends a request and removes its mailbox. If the request has no final answer,
+// because its handler was aborted, the node cancels it and releases what it holds.
 func (d *Dispatcher) Close(id core.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -59,7 +60,7 @@
 	d.step(core.Finished{ID: id, Result: core.Failed, Final: true, Gone: true})
 }
 
-// Step tells the node of an event and passes its decisions on.
+// Step passes an event to the node and delivers the resulting decisions.
 func (d *Dispatcher) Step(ev core.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,15 +76,17 @@
 	}
 	select {
 	case d.tickNeeded <- struct{}{}:
-	default: // it is told already
+	default: // a token is pending already
 	}
 }
 
-// Waiting gives a token after a step that leaves something to wait for time to
-// pass: the next core.Tick is then due soon.
+// Waiting returns a channel that holds a token after a step that leaves something
+// waiting for time to pass: the next core.Tick is then due soon.
 func (d *Dispatcher) Waiting() <-chan struct{} { return d.tickNeeded }
 
-// deliver never blocks. A decision for a request that has closed is dropped.
+// deliver puts a decision into the mailbox of its request, or passes it to control.
+// It doesn't block. A decision for a closed request is dropped. The caller holds
+// mu.
 func (d *Dispatcher) deliver(dec core.Decision) {
 	id, ok := core.RequestOf(dec)
 	if !ok {
@@ -95,21 +98,21 @@
 	}
 }
 
-// Lookup answers a caller's look-up.
+// Lookup answers a caller's lookup of a service.
 func (d *Dispatcher) Lookup(id settings.ServiceID, caller netip.Addr, keys int) (core.Lookup, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Lookup(d.now(), id, caller, keys)
 }
 
-// Offer answers a peer that asks for grants.
+// Offer answers a peer's request for grants.
 func (d *Dispatcher) Offer(a core.Ask) core.Offer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Offer(d.now(), a)
 }
 
-// Read runs f with the node locked. f must not keep the node.
+// Read calls f with the node locked. f must not retain the node.
 func (d *Dispatcher) Read(f func(now time.Time, n *core.Node)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -20,7 +20,7 @@
   east: {limit: 1, targets: [{name: e, address: "127.0.0.1:1", slots: 1, connections: 9}]}
 `
 
-// newDispatcher gives one whose node has one slot.
+// newDispatcher returns a dispatcher whose node has one slot.
 func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
@@ -54,13 +54,14 @@
 	return id, box
 }
 
-// TestCloseReleasesRequest closes requests whose handlers broke off at any stage. What was
-// under way keeps its slot until the target has ended it too, whatever else it answers.
+// TestCloseReleasesRequest closes requests whose handlers were aborted at different
+// stages. A request that was sent keeps its slot until its target has ended it too,
+// even if a health check of the target succeeds before.
 func TestCloseReleasesRequest(t *testing.T) {
 	tests := map[string]struct {
-		others int // requests that hold the slot before
+		others int // earlier requests, which hold the slot
 		end    bool
-		kept   int // slots that are taken until the target has ended the attempt
+		kept   int // slots in use until the target has ended the attempt
 	}{
 		"at its target": {0, false, 1},
 		"in the queue":  {1, false, 1},
@@ -90,19 +91,20 @@
 	}
 }
 
-// checkCounts checks the number of open requests, and of those that hold a slot. None may wait.
-func (d *Dispatcher) checkCounts(t *testing.T, when string, open, flying int) {
+// checkCounts checks the number of open requests and of those that hold a slot, and
+// that none is queued.
+func (d *Dispatcher) checkCounts(t *testing.T, when string, open, inFlight int) {
 	t.Helper()
 	d.Read(func(now time.Time, n *core.Node) {
 		st := n.Status(now)
-		if st.Open != open || st.Queued != 0 || st.Services[0].InFlight != flying {
+		if st.Open != open || st.Queued != 0 || st.Services[0].InFlight != inFlight {
 			t.Errorf("%s: got %d open, %d queued, %d in flight, want %d, 0, %d",
-				when, st.Open, st.Queued, st.Services[0].InFlight, open, flying)
+				when, st.Open, st.Queued, st.Services[0].InFlight, open, inFlight)
 		}
 	})
 }
 
-// TestMailboxNeverBlocks gives more decisions than anybody takes.
+// TestMailboxNeverBlocks delivers many decisions before any is taken.
 func TestMailboxNeverBlocks(t *testing.T) {
 	const count = 1000
 	d := newDispatcher(t)
--- a/internal/dispatch/mailbox.go
+++ b/internal/dispatch/mailbox.go
@@ -6,10 +6,10 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// Mailbox holds the decisions about one request until its goroutine acts on
-// them. It takes any number, so that the node is never held up.
+// Mailbox queues the decisions on one request until its goroutine takes them. It is
+// unbounded, as delivery must not block the node.
 type Mailbox struct {
-	ready chan struct{} // has one element when list may have some
+	ready chan struct{} // holds a token when list may not be empty
 
 	mu   sync.Mutex
 	list []core.Decision // guarded by mu
@@ -17,10 +17,10 @@
 
 func newMailbox() *Mailbox { return &Mailbox{ready: make(chan struct{}, 1)} }
 
-// Ready gives a value when there may be decisions to take.
+// Ready returns a channel that yields a value when there may be decisions to take.
 func (m *Mailbox) Ready() <-chan struct{} { return m.ready }
 
-// Take empties the mailbox, oldest decision first.
+// Take removes and returns all queued decisions, oldest first.
 func (m *Mailbox) Take() []core.Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dispatch/waiting_test.go
+++ b/internal/dispatch/waiting_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The shell ticks seldom until a request waits.
+// Ticks are infrequent until a request is queued, so a queued one must signal it.
 func TestQueuedRequestSignalsTick(t *testing.T) {
 	d := newDispatcher(t)
 	for i, want := range []int{0, 1} { // the first takes the only slot, the second waits
