--- a/internal/pace/link.go
+++ b/internal/pace/link.go
@@ -1,27 +1,27 @@
-// Package pace spreads the bytes of bulk transfers over time, so that they
-// leave room on a limited link. It does no input or output and is not safe for
-// concurrent use.
+// Package pace limits the rate of bulk transfers, so that they leave bandwidth for
+// other traffic on a limited link. It does no I/O and is not safe for concurrent
+// use.
 package pace
 
 import "time"
 
-// chunksPerSecond is the part of a second that one chunk may fill the link for:
-// others wait behind it for that long.
+// chunksPerSecond bounds the size of a chunk: one occupies the link for at most a
+// 20th of a second, as others wait behind it for that long.
 const chunksPerSecond = 20
 
-// minChunkSize is the smallest chunk in bytes: below it the cost of each outgrows
-// its use.
+// minChunkSize is the minimum size of a chunk in bytes. The overhead of smaller ones
+// outweighs their benefit.
 const minChunkSize = 1 << 10
 
-// Link is one sender's share of a link. Each transfer takes its turn with one
-// chunk at a time, so that all of them get on alike.
+// Link paces one sender's share of a link. Transfers reserve one chunk at a time,
+// so that they share the rate equally.
 type Link struct {
-	rate   int64     // bytes/s; 0 sets no limit
-	freeAt time.Time // when all the bytes taken so far have left
+	rate   int64     // bytes/s; 0 means no limit
+	freeAt time.Time // when all bytes reserved so far are sent
 }
 
-// SetRate changes the share, in bytes/s; 0 or less sets no limit. Bytes that
-// were taken but have not left go at the new rate.
+// SetRate changes the rate, in bytes/s; 0 or less means no limit. Bytes that are
+// reserved but not yet sent go at the new rate.
 func (l *Link) SetRate(now time.Time, rate int64) {
 	rate = max(rate, 0)
 	if rate == l.rate {
@@ -36,9 +36,9 @@
 	l.rate = rate
 }
 
-// Take reserves n bytes and returns when they may be sent: at once if the link
-// is free. Idle time is not saved up, so that in any window no more goes out
-// than the rate allows and one chunk.
+// Take reserves n bytes and returns when they may be sent: now if the link is free.
+// Idle time earns no credit: any time window holds at most what the rate allows
+// plus one chunk.
 func (l *Link) Take(now time.Time, n int) time.Time {
 	if l.rate == 0 {
 		return now
@@ -51,10 +51,10 @@
 	return at
 }
 
-// Chunk is how many bytes to take at a time, at most most.
-func (l *Link) Chunk(most int) int {
+// Chunk returns the number of bytes to reserve at a time, no more than maxBytes.
+func (l *Link) Chunk(maxBytes int) int {
 	if l.rate == 0 {
-		return most
+		return maxBytes
 	}
-	return min(most, max(int(min(l.rate/chunksPerSecond, int64(most))), minChunkSize))
+	return min(maxBytes, max(int(min(l.rate/chunksPerSecond, int64(maxBytes))), minChunkSize))
 }
--- a/internal/pace/link_test.go
+++ b/internal/pace/link_test.go
@@ -12,9 +12,9 @@
 func TestTake(t *testing.T) {
 	tests := map[string]struct {
 		rate   int64
-		before []int // bytes taken at begin
+		before []int // bytes reserved at the start
 		later  time.Duration
-		want   time.Duration // after begin
+		want   time.Duration // after the start
 	}{
 		"no limit":       {0, []int{1 << 30}, 0, 0},
 		"free":           {1000, nil, 0, 0},
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestRateHolds takes at random times: no window gets more than its rate and
-// one chunk.
+// TestRateHolds reserves chunks at random times: no time window holds more than the
+// rate allows plus one chunk.
 func TestRateHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Link
@@ -74,7 +74,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			at := l.Take(now, chunk)
 			if at.Before(now) {
-				t.Fatalf("got %v, before now", at)
+				t.Fatalf("got %v, want no time before now", at)
 			}
 			times = append(times, at)
 			for i, since := range times {
