--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	// maxWhole is how much of an answer is read before any of it is passed on. An
+	// maxBuffered is how much of an answer is read before any of it is passed on. An
 	// answer that breaks off before can be replaced by another target's.
-	maxWhole = 1 << 20
-	// writeAtOnce is how much is written before the answer is read; more is written
+	maxBuffered = 1 << 20
+	// maxSyncWrite is how much is written before the answer is read; more is written
 	// beside, as a target may answer before it has read a long body.
-	writeAtOnce = 4 << 10
-	maxStray    = 4 // answers to other requests that are skipped on one connection
+	maxSyncWrite = 4 << 10
+	maxStray     = 4 // answers to other requests that are skipped on one connection
 )
 
 // Exchange is one attempt at a target.
@@ -85,8 +85,8 @@
 		return nil, &NotSentError{Err: &UnwantedError{}}
 	}
 	c.conn.SetDeadline(boottime.Runtime(e.Until))
-	p.begin(c, e.Until)
-	defer p.end(c)
+	p.trackPending(c, e.Until)
+	defer p.untrackPending(c)
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	begin := boottime.Now()
@@ -95,24 +95,24 @@
 	if err != nil {
 		c.conn.Close()
 		switch {
-		case c.used && silent(ctx, err):
+		case c.reused && timedOut(ctx, err):
 			p.dropBefore(c.target, begin)
-		case c.used && ctx.Err() == nil && forgotten(err, boottime.Since(begin), begin.Sub(c.answered)):
-			p.forgetful.forgot(boottime.Now(), e.Group, begin.Sub(c.answered))
+		case c.reused && ctx.Err() == nil && staleFailure(err, boottime.Since(begin), begin.Sub(c.idleSince)):
+			p.idleLimits.recordStale(boottime.Now(), e.Group, begin.Sub(c.idleSince))
 		}
-		return nil, &LostError{Err: err, Reused: c.used}
+		return nil, &LostError{Err: err, Reused: c.reused}
 	}
 	if a.response.Rest != nil {
 		a.response.Rest = &restReader{Reader: a.response.Rest, conn: c}
 		return a.response, nil
 	}
-	p.settle(c, sent, a, e)
+	p.release(c, sent, a, e)
 	return a.response, nil
 }
 
-// silent says whether an exchange failed since the target sent nothing, rather than
+// timedOut says whether an exchange failed since the target sent nothing, rather than
 // that the caller left.
-func silent(ctx context.Context, err error) bool {
+func timedOut(ctx context.Context, err error) bool {
 	var network net.Error
 	return errors.As(err, &network) && network.Timeout() && !errors.Is(ctx.Err(), context.Canceled)
 }
@@ -123,7 +123,7 @@
 	b := bytes.NewBuffer(make([]byte, 0, 512+len(e.Request.Body)))
 	appendRequest(b, e.Request, e.Header)
 	done := make(chan error, 1)
-	if b.Len() <= writeAtOnce {
+	if b.Len() <= maxSyncWrite {
 		_, err := c.conn.Write(b.Bytes())
 		done <- err
 		return done
@@ -135,25 +135,25 @@
 	return done
 }
 
-// settle keeps the connection, or closes it if anything about it is doubtful.
-func (p *Pool) settle(c *poolConn, sent <-chan error, a answer, e *Exchange) {
+// release keeps the connection, or closes it if anything about it is doubtful.
+func (p *Pool) release(c *poolConn, sent <-chan error, a answer, e *Exchange) {
 	whole := false
 	select {
 	case err := <-sent:
 		whole = err == nil
 	default: // answered before all was sent
 	}
-	if !whole || !a.keep || c.read.Buffered() > 0 || !e.Keep(a.response) {
+	if !whole || !a.reusable || c.reader.Buffered() > 0 || !e.Keep(a.response) {
 		c.conn.Close()
 		return
 	}
-	c.used = true
+	c.reused = true
 	c.conn.SetDeadline(time.Time{})
-	p.put(c, a.idle)
+	p.putIdle(c, a.idleTimeout)
 }
 
-// idleTimeout is how long the target keeps an idle connection; 0 if it doesn't say.
-func idleTimeout(h http.Header) time.Duration {
+// keepAliveTimeout is how long the target keeps an idle connection; 0 if it doesn't say.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if n, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
@@ -165,16 +165,16 @@
 
 // answer is what was read for a request.
 type answer struct {
-	response *Response
-	keep     bool          // nothing but the answer was read, and the target keeps the connection
-	idle     time.Duration // how long the target keeps it idle; 0 if it didn't say
+	response    *Response
+	reusable    bool          // nothing but the answer was read, and the target keeps the connection
+	idleTimeout time.Duration // how long the target keeps it idle; 0 if it didn't say
 }
 
 // receive reads the answer to the request, past answers to others.
 func (c *poolConn) receive(e *Exchange) (answer, error) {
-	asked := &http.Request{Method: e.Request.Method}
+	request := &http.Request{Method: e.Request.Method}
 	for stray := 0; stray <= maxStray; stray++ {
-		in, err := readFinal(c, asked)
+		in, err := readFinal(c, request)
 		if err != nil {
 			return answer{}, err
 		}
@@ -184,17 +184,17 @@
 			}
 			continue
 		}
-		a := answer{keep: stray == 0 && !in.Close, idle: idleTimeout(in.Header)}
-		a.response, err = readWhole(in)
+		a := answer{reusable: stray == 0 && !in.Close, idleTimeout: keepAliveTimeout(in.Header)}
+		a.response, err = readBody(in)
 		return a, err
 	}
 	return answer{}, &StrayError{Count: maxStray + 1}
 }
 
 // readFinal reads the head of an answer, past interim ones.
-func readFinal(c *poolConn, asked *http.Request) (*http.Response, error) {
+func readFinal(c *poolConn, request *http.Request) (*http.Response, error) {
 	for {
-		in, err := http.ReadResponse(c.read, asked)
+		in, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -204,19 +204,19 @@
 	}
 }
 
-// readWhole reads the body of an answer, or the beginning of a long one.
-func readWhole(in *http.Response) (*Response, error) {
-	size := max(0, min(in.ContentLength, maxWhole))
+// readBody reads the body of an answer, or the beginning of a long one.
+func readBody(in *http.Response) (*Response, error) {
+	size := max(0, min(in.ContentLength, maxBuffered))
 	body := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
-	n, err := io.Copy(body, io.LimitReader(in.Body, maxWhole))
+	n, err := io.Copy(body, io.LimitReader(in.Body, maxBuffered))
 	if err != nil {
 		return nil, err
 	}
 	resp := &Response{Status: in.StatusCode, Header: in.Header, Body: body.Bytes()}
-	if n == maxWhole && n != in.ContentLength {
+	if n == maxBuffered && n != in.ContentLength {
 		resp.Rest, resp.Length = in.Body, in.ContentLength
 	}
-	strip(resp.Header)
+	removeConnectionHeaders(resp.Header)
 	return resp, nil
 }
 
--- a/internal/http1/forgetful_test.go
+++ b/internal/http1/forgetful_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// forgetting is a target that resets a connection on which a request comes after it
+// newStaleTarget is a target that resets a connection on which a request comes after it
 // rested for longer than a time.
-func forgetting(t *testing.T, rest time.Duration) (address string) {
+func newStaleTarget(t *testing.T, maxIdle time.Duration) (address string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,20 +26,20 @@
 			if err != nil {
 				return
 			}
-			go forgetAfter(c.(*net.TCPConn), rest)
+			go serveStale(c.(*net.TCPConn), maxIdle)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func forgetAfter(c *net.TCPConn, rest time.Duration) {
+func serveStale(c *net.TCPConn, maxIdle time.Duration) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for answered := time.Now(); ; answered = time.Now() {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		if time.Since(answered) > rest {
+		if time.Since(answered) > maxIdle {
 			c.SetLinger(0)
 			return
 		}
@@ -50,15 +50,15 @@
 // Targets of a group forget connections that rested for 150 ms, and say that they keep
 // them for a minute. After the first that is lost, requests that can't be repeated use
 // none that rested so long, of none of them, and no other group is held to it.
-func TestForgottenConnections(t *testing.T) {
+func TestStaleConnections(t *testing.T) {
 	var addresses []string
 	for range 4 {
-		addresses = append(addresses, forgetting(t, 150*time.Millisecond))
+		addresses = append(addresses, newStaleTarget(t, 150*time.Millisecond))
 	}
 	p := NewPool("")
 	defer p.Close()
 	send := func(target int, group string) error {
-		e := exchange(addresses[target])
+		e := newExchange(addresses[target])
 		e.Target, e.Group, e.Once = fmt.Sprint(target), group, true
 		_, err := p.Do(context.Background(), e)
 		return err
@@ -75,16 +75,16 @@
 	if lost != 1 {
 		t.Errorf("got %d of 16 requests lost, want the first on a connection that had rested", lost)
 	}
-	if p.forgetful.allows(time.Now(), "s", time.Now().Add(-190*time.Millisecond)) || !p.forgetful.allows(time.Now(), "other", time.Now().Add(-time.Second)) {
+	if p.idleLimits.allows(time.Now(), "s", time.Now().Add(-190*time.Millisecond)) || !p.idleLimits.allows(time.Now(), "other", time.Now().Add(-time.Second)) {
 		t.Error("got connections of another group held to it, or those of its own not")
 	}
 }
 
-func TestForgetful(t *testing.T) {
+func TestIdleLimits(t *testing.T) {
 	now := time.UnixMilli(1_900_000_000_000)
-	var f forgetful
-	f.forgot(now, "s", 300*time.Millisecond)
-	f.forgot(now.Add(time.Second), "s", time.Second) // says less than the one before
+	var f idleLimits
+	f.recordStale(now, "s", 300*time.Millisecond)
+	f.recordStale(now.Add(time.Second), "s", time.Second) // says less than the one before
 	tests := map[string]struct {
 		at   time.Duration
 		idle time.Duration
@@ -92,8 +92,8 @@
 	}{
 		"rested less":    {2 * time.Second, 200 * time.Millisecond, true},
 		"rested as long": {2 * time.Second, 220 * time.Millisecond, false},
-		"held on":        {time.Second + forgetHold - 1, time.Second, false},
-		"over":           {time.Second + forgetHold, time.Second, true},
+		"held on":        {time.Second + idleLimitHold - 1, time.Second, false},
+		"over":           {time.Second + idleLimitHold, time.Second, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -107,20 +107,20 @@
 
 // What fails late, by the end of its time, or on a connection that hardly rested tells
 // nothing of idle connections.
-func TestForgotten(t *testing.T) {
+func TestStaleFailure(t *testing.T) {
 	tests := map[string]struct {
 		err        error
 		took, idle time.Duration
 		want       bool
 	}{
 		"at once":           {io.EOF, time.Millisecond, time.Second, true},
-		"after some work":   {io.EOF, forgetTime + 1, time.Second, false},
-		"hardly rested":     {io.EOF, time.Millisecond, forgetLeast - 1, false},
+		"after some work":   {io.EOF, staleErrorWithin + 1, time.Second, false},
+		"hardly rested":     {io.EOF, time.Millisecond, staleMinIdle - 1, false},
 		"its time was over": {context.DeadlineExceeded, time.Millisecond, time.Second, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := forgotten(tt.err, tt.took, tt.idle); got != tt.want {
+			if got := staleFailure(tt.err, tt.took, tt.idle); got != tt.want {
 				t.Errorf("got %t, want %t", got, tt.want)
 			}
 		})
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -38,8 +38,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// strip removes the headers that concern one connection.
-func strip(h http.Header) {
+// removeConnectionHeaders removes the headers that concern one connection.
+func removeConnectionHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -77,7 +77,7 @@
 	b.WriteString(r.Host)
 	b.WriteString("\r\n")
 	appendHeader(b, h)
-	if len(r.Body) > 0 || hasBody(r.Method) {
+	if len(r.Body) > 0 || expectsBody(r.Method) {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(r.Body)))
 		b.WriteString("\r\n")
@@ -86,9 +86,9 @@
 	b.Write(r.Body)
 }
 
-// hasBody says whether a request of a method is expected to have a body, so that
+// expectsBody says whether a request of a method is expected to have a body, so that
 // an empty one has to be said.
-func hasBody(method string) bool {
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -16,13 +16,13 @@
 	// regions, and less than the second after which a lost packet is sent again,
 	// so that another target is tried instead.
 	dialTimeout = 500 * time.Millisecond
-	// idleDefault is how long a connection is kept whose target doesn't say.
-	idleDefault = 4 * time.Second
+	// defaultIdle is how long a connection is kept whose target doesn't say.
+	defaultIdle = 4 * time.Second
 	// idleShare is the part of what a target says that is used, as the target may
 	// close just when a request is on its way. A non-idempotent request, which
 	// can't be repeated then, uses half of that.
-	idleShare  = 0.8
-	sweepEvery = time.Second
+	idleShare     = 0.8
+	sweepInterval = time.Second
 )
 
 // Pool keeps connections to targets. It is safe for concurrent use.
@@ -30,17 +30,17 @@
 	dialer *net.Dialer
 	stop   chan struct{}
 
-	forgetful forgetful
+	idleLimits idleLimits
 
-	mu     sync.Mutex
-	idle   map[string][]*poolConn  // by target; the last used is last; guarded by mu
-	busy   map[*poolConn]time.Time // connections on which answers are waited for, and until when; guarded by mu
-	closed bool                    // guarded by mu
+	mu      sync.Mutex
+	idle    map[string][]*poolConn  // by target; the last used is last; guarded by mu
+	pending map[*poolConn]time.Time // connections on which answers are waited for, and until when; guarded by mu
+	closed  bool                    // guarded by mu
 }
 
 // NewPool makes a pool whose connections come from ip; "" lets the system choose.
 func NewPool(ip string) *Pool {
-	p := &Pool{idle: make(map[string][]*poolConn), busy: make(map[*poolConn]time.Time), stop: make(chan struct{}), dialer: tcp.NewDialer(ip)}
+	p := &Pool{idle: make(map[string][]*poolConn), pending: make(map[*poolConn]time.Time), stop: make(chan struct{}), dialer: tcp.NewDialer(ip)}
 	go p.sweep()
 	return p
 }
@@ -75,30 +75,30 @@
 // instead of 41 requests failed in the seconds after the first.
 func (p *Pool) dropBefore(target string, sent time.Time) {
 	p.mu.Lock()
-	var old, sound []*poolConn
+	var stale, kept []*poolConn
 	for _, c := range p.idle[target] {
-		if c.answered.Before(sent) {
-			old = append(old, c)
+		if c.idleSince.Before(sent) {
+			stale = append(stale, c)
 		} else {
-			sound = append(sound, c)
+			kept = append(kept, c)
 		}
 	}
 	if p.idle != nil {
-		p.idle[target] = sound
+		p.idle[target] = kept
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(stale)
 }
 
 // get returns a kept connection to a target, or opens one. once says that the
 // request can't be repeated: it gets no connection that may be closing.
 func (p *Pool) get(ctx context.Context, e *Exchange) (*poolConn, error) {
 	for {
-		c := p.kept(e)
+		c := p.takeIdle(e)
 		if c == nil {
 			break
 		}
-		if c.sound() {
+		if c.usable() {
 			return c, nil
 		}
 		c.conn.Close()
@@ -121,12 +121,12 @@
 	if err != nil {
 		return err
 	}
-	p.put(newPoolConn(conn, target), 0)
+	p.putIdle(newPoolConn(conn, target), 0)
 	return nil
 }
 
-// kept takes the connection that was used last, if one is fresh enough.
-func (p *Pool) kept(e *Exchange) *poolConn {
+// takeIdle takes the connection that was used last, if one is fresh enough.
+func (p *Pool) takeIdle(e *Exchange) *poolConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[e.Target]
@@ -135,24 +135,24 @@
 	}
 	c := list[len(list)-1]
 	now := boottime.Now()
-	if !now.Before(c.until) || e.Once && !now.Before(c.onceUntil) {
+	if !now.Before(c.usableUntil) || e.Once && !now.Before(c.nonIdempotentUntil) {
 		return nil
 	}
-	if e.Once && !p.forgetful.allows(now, e.Group, c.answered) {
+	if e.Once && !p.idleLimits.allows(now, e.Group, c.idleSince) {
 		return nil
 	}
 	p.idle[e.Target] = list[:len(list)-1]
 	return c
 }
 
-// put keeps a connection for further requests.
-func (p *Pool) put(c *poolConn, keep time.Duration) {
-	if keep <= 0 {
-		keep = idleDefault
+// putIdle keeps a connection for further requests.
+func (p *Pool) putIdle(c *poolConn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdle
 	}
-	keep = time.Duration(idleShare * float64(keep))
+	idleTimeout = time.Duration(idleShare * float64(idleTimeout))
 	now := boottime.Now()
-	c.answered, c.until, c.onceUntil = now, now.Add(keep), now.Add(keep/2)
+	c.idleSince, c.usableUntil, c.nonIdempotentUntil = now, now.Add(idleTimeout), now.Add(idleTimeout/2)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -162,26 +162,26 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// begin notes that an answer is waited for until a time.
-func (p *Pool) begin(c *poolConn, until time.Time) {
+// trackPending notes that an answer is waited for until a time.
+func (p *Pool) trackPending(c *poolConn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy[c] = until
+	p.pending[c] = until
 }
 
-// end notes that none is waited for any more.
-func (p *Pool) end(c *poolConn) {
+// untrackPending notes that none is waited for any more.
+func (p *Pool) untrackPending(c *poolConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, c)
+	delete(p.pending, c)
 }
 
-// giveUp ends the waiting for answers that were due while the machine was suspended: the
+// abortOverdue ends the waiting for answers that were due while the machine was suspended: the
 // connections' own deadlines stood still.
-func (p *Pool) giveUp(now time.Time) {
+func (p *Pool) abortOverdue(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c, until := range p.busy {
+	for c, until := range p.pending {
 		if !now.Before(until) {
 			c.conn.SetDeadline(time.Unix(1, 0))
 		}
@@ -190,7 +190,7 @@
 
 // sweep closes connections that were idle for too long.
 func (p *Pool) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		resumed := boottime.Resumed()
@@ -199,7 +199,7 @@
 			return
 		case <-ticker.C:
 		case <-resumed:
-			p.giveUp(boottime.Now())
+			p.abortOverdue(boottime.Now())
 		}
 		closeAll(p.expired(boottime.Now()))
 	}
@@ -210,7 +210,7 @@
 	defer p.mu.Unlock()
 	var old []*poolConn
 	for target, list := range p.idle {
-		keep := slices.IndexFunc(list, func(c *poolConn) bool { return now.Before(c.until) })
+		keep := slices.IndexFunc(list, func(c *poolConn) bool { return now.Before(c.usableUntil) })
 		if keep < 0 {
 			keep = len(list)
 		}
--- a/internal/http1/pool_test.go
+++ b/internal/http1/pool_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// script is a target that answers each request on a connection with the next text;
+// newScriptedTarget is a target that answers each request on a connection with the next text;
 // "close" ends the connection, "reset" resets it, and "wait" gives no answer.
-func script(t *testing.T, texts ...string) (address string, conns <-chan int) {
+func newScriptedTarget(t *testing.T, texts ...string) (address string, conns <-chan int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,13 +34,13 @@
 				return
 			}
 			opened <- n
-			go play(c, next)
+			go runScript(c, next)
 		}
 	}()
 	return ln.Addr().String(), opened
 }
 
-func play(c net.Conn, next <-chan string) {
+func runScript(c net.Conn, next <-chan string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -67,7 +67,7 @@
 	}
 }
 
-func exchange(address string) *Exchange {
+func newExchange(address string) *Exchange {
 	return &Exchange{
 		Request: &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}, Header: http.Header{"Id": {"mine"}},
 		Target: "t", Address: address, Until: time.Now().Add(5 * time.Second),
@@ -77,8 +77,8 @@
 }
 
 const (
-	good  = "HTTP/1.1 200 OK\nId: mine\nContent-Length: 2\n\nok"
-	stray = "HTTP/1.1 200 OK\nId: other\nContent-Length: 3\n\nbad"
+	goodAnswer  = "HTTP/1.1 200 OK\nId: mine\nContent-Length: 2\n\nok"
+	strayAnswer = "HTTP/1.1 200 OK\nId: other\nContent-Length: 3\n\nbad"
 )
 
 func TestExchange(t *testing.T) {
@@ -87,26 +87,26 @@
 		want    string // body; "" for a lost exchange
 		conns   int    // opened for two exchanges, the second with a good answer
 	}{
-		"kept":             {[]string{good, good}, "ok", 1},
-		"closed":           {[]string{"HTTP/1.1 200 OK\nId: mine\nContent-Length: 2\nConnection: close\n\nok", good}, "ok", 2},
-		"ends with itself": {[]string{"HTTP/1.1 200 OK\nId: mine\nConnection: close\n\nok", good}, "ok", 2},
-		"chunks":           {[]string{"HTTP/1.1 200 OK\nId: mine\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n", good}, "ok", 1},
-		"interim":          {[]string{"HTTP/1.1 103 Early\n\n" + good, good}, "ok", 1},
-		"late before it":   {[]string{stray + good, good}, "ok", 2},
-		"extra after it":   {[]string{good + stray, good}, "ok", 2},
-		"cut short":        {[]string{"HTTP/1.1 200 OK\nId: mine\nContent-Length: 20\nConnection: close\n\nok", good}, "", 2},
-		"cut chunk":        {[]string{"HTTP/1.1 200 OK\nId: mine\nTransfer-Encoding: chunked\nConnection: close\n\n5\nok", good}, "", 2},
-		"not HTTP":         {[]string{"hello there\n\n", good}, "", 2},
-		"only strays":      {[]string{strings.Repeat(stray, maxStray+1), good}, "", 2},
-		"no answer":        {[]string{"close", good}, "", 2},
-		"reset":            {[]string{"reset", good}, "", 2},
+		"kept":             {[]string{goodAnswer, goodAnswer}, "ok", 1},
+		"closed":           {[]string{"HTTP/1.1 200 OK\nId: mine\nContent-Length: 2\nConnection: close\n\nok", goodAnswer}, "ok", 2},
+		"ends with itself": {[]string{"HTTP/1.1 200 OK\nId: mine\nConnection: close\n\nok", goodAnswer}, "ok", 2},
+		"chunks":           {[]string{"HTTP/1.1 200 OK\nId: mine\nTransfer-Encoding: chunked\n\n2\nok\n0\n\n", goodAnswer}, "ok", 1},
+		"interim":          {[]string{"HTTP/1.1 103 Early\n\n" + goodAnswer, goodAnswer}, "ok", 1},
+		"late before it":   {[]string{strayAnswer + goodAnswer, goodAnswer}, "ok", 2},
+		"extra after it":   {[]string{goodAnswer + strayAnswer, goodAnswer}, "ok", 2},
+		"cut short":        {[]string{"HTTP/1.1 200 OK\nId: mine\nContent-Length: 20\nConnection: close\n\nok", goodAnswer}, "", 2},
+		"cut chunk":        {[]string{"HTTP/1.1 200 OK\nId: mine\nTransfer-Encoding: chunked\nConnection: close\n\n5\nok", goodAnswer}, "", 2},
+		"not HTTP":         {[]string{"hello there\n\n", goodAnswer}, "", 2},
+		"only strays":      {[]string{strings.Repeat(strayAnswer, maxStray+1), goodAnswer}, "", 2},
+		"no answer":        {[]string{"close", goodAnswer}, "", 2},
+		"reset":            {[]string{"reset", goodAnswer}, "", 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			address, conns := script(t, tt.answers...)
+			address, conns := newScriptedTarget(t, tt.answers...)
 			p := NewPool("")
 			defer p.Close()
-			resp, err := p.Do(context.Background(), exchange(address))
+			resp, err := p.Do(context.Background(), newExchange(address))
 			var lost *LostError
 			switch {
 			case tt.want == "" && !errors.As(err, &lost):
@@ -117,7 +117,7 @@
 				t.Errorf("got %q, want %q", resp.Body, tt.want)
 			}
 			time.Sleep(10 * time.Millisecond) // bytes that come late are there by now
-			if _, err := p.Do(context.Background(), exchange(address)); err != nil {
+			if _, err := p.Do(context.Background(), newExchange(address)); err != nil {
 				t.Errorf("second: got %v", err)
 			}
 			if got := len(conns); got != tt.conns {
@@ -137,7 +137,7 @@
 	ln.Close()
 	p := NewPool("")
 	defer p.Close()
-	_, err = p.Do(context.Background(), exchange(address))
+	_, err = p.Do(context.Background(), newExchange(address))
 	var unsent *NotSentError
 	if !errors.As(err, &unsent) {
 		t.Errorf("got %v, want a *NotSentError", err)
@@ -146,10 +146,10 @@
 
 // A request that is not wanted any more when there is a connection is not sent.
 func TestUnwanted(t *testing.T) {
-	address, _ := script(t, "close")
+	address, _ := newScriptedTarget(t, "close")
 	p := NewPool("")
 	defer p.Close()
-	e := exchange(address)
+	e := newExchange(address)
 	asked := 0
 	e.Wanted = func() bool {
 		asked++
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestGivesUp(t *testing.T) {
+func TestExchangeAborted(t *testing.T) {
 	tests := map[string]func(e *Exchange) context.Context{
 		"deadline": func(e *Exchange) context.Context {
 			e.Until = time.Now().Add(50 * time.Millisecond)
@@ -177,10 +177,10 @@
 	}
 	for name, prepare := range tests {
 		t.Run(name, func(t *testing.T) {
-			address, _ := script(t, "wait")
+			address, _ := newScriptedTarget(t, "wait")
 			p := NewPool("")
 			defer p.Close()
-			e := exchange(address)
+			e := newExchange(address)
 			begin := time.Now()
 			_, err := p.Do(prepare(e), e)
 			var lost *LostError
@@ -209,14 +209,14 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, strings.ReplaceAll(good, "\n", "\r\n"))
+			io.WriteString(c, strings.ReplaceAll(goodAnswer, "\n", "\r\n"))
 			n, _ := io.Copy(io.Discard, c)
 			read <- n
 		}
 	}()
 	p := NewPool("")
 	defer p.Close()
-	e := exchange(ln.Addr().String())
+	e := newExchange(ln.Addr().String())
 	e.Request.Method, e.Request.Body = "POST", make([]byte, 32<<20)
 	if _, err := p.Do(context.Background(), e); err != nil {
 		t.Fatal(err)
@@ -228,16 +228,16 @@
 
 // Connections that may be closing are not used for what can't be repeated.
 func TestOnceUsesFreshConnections(t *testing.T) {
-	address, conns := script(t, good, good, good)
+	address, conns := newScriptedTarget(t, goodAnswer, goodAnswer, goodAnswer)
 	p := NewPool("")
 	defer p.Close()
-	if _, err := p.Do(context.Background(), exchange(address)); err != nil {
+	if _, err := p.Do(context.Background(), newExchange(address)); err != nil {
 		t.Fatal(err)
 	}
 	p.mu.Lock()
-	p.idle["t"][0].onceUntil = time.Now()
+	p.idle["t"][0].nonIdempotentUntil = time.Now()
 	p.mu.Unlock()
-	e := exchange(address)
+	e := newExchange(address)
 	e.Once = true
 	if _, err := p.Do(context.Background(), e); err != nil {
 		t.Fatal(err)
@@ -259,13 +259,13 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			address, conns := script(t, good, good, "wait", good)
+			address, conns := newScriptedTarget(t, goodAnswer, goodAnswer, "wait", goodAnswer)
 			p := NewPool("")
 			defer p.Close()
-			keepTwo(t, p, address)
+			fillPool(t, p, address)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			e := exchange(address)
+			e := newExchange(address)
 			if tt.leave {
 				time.AfterFunc(100*time.Millisecond, cancel)
 			} else {
@@ -274,7 +274,7 @@
 			if _, err := p.Do(ctx, e); err == nil {
 				t.Fatal("got an answer from a silent connection")
 			}
-			if _, err := p.Do(context.Background(), exchange(address)); err != nil {
+			if _, err := p.Do(context.Background(), newExchange(address)); err != nil {
 				t.Fatal(err)
 			}
 			if got := len(conns); got != tt.conns {
@@ -284,25 +284,25 @@
 	}
 }
 
-// keepTwo leaves two kept connections to the target of exchange in the pool.
-func keepTwo(t *testing.T, p *Pool, address string) {
+// fillPool leaves two kept connections to the target of exchange in the pool.
+func fillPool(t *testing.T, p *Pool, address string) {
 	t.Helper()
 	var list []*poolConn
 	for range 2 {
-		c, err := p.get(context.Background(), exchange(address))
+		c, err := p.get(context.Background(), newExchange(address))
 		if err != nil {
 			t.Fatal(err)
 		}
 		list = append(list, c)
 	}
 	for _, c := range list {
-		e := exchange(address)
+		e := newExchange(address)
 		sent := c.send(e)
 		a, err := c.receive(e)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p.settle(c, sent, a, e)
+		p.release(c, sent, a, e)
 	}
 }
 
@@ -310,7 +310,7 @@
 	for text, want := range map[string]time.Duration{
 		"timeout=10": 10 * time.Second, "max=5, Timeout=3": 3 * time.Second, "": 0, "timeout=x": 0,
 	} {
-		if got := idleTimeout(http.Header{"Keep-Alive": {text}}); got != want {
+		if got := keepAliveTimeout(http.Header{"Keep-Alive": {text}}); got != want {
 			t.Errorf("%q: got %s, want %s", text, got, want)
 		}
 	}
@@ -318,11 +318,11 @@
 
 // A long answer is passed on while it is read.
 func TestLongAnswer(t *testing.T) {
-	size := maxWhole + 1000
-	address, _ := script(t, fmt.Sprintf("HTTP/1.1 200 OK\nId: mine\nContent-Length: %d\n\n%s", size, strings.Repeat("x", size)))
+	size := maxBuffered + 1000
+	address, _ := newScriptedTarget(t, fmt.Sprintf("HTTP/1.1 200 OK\nId: mine\nContent-Length: %d\n\n%s", size, strings.Repeat("x", size)))
 	p := NewPool("")
 	defer p.Close()
-	resp, err := p.Do(context.Background(), exchange(address))
+	resp, err := p.Do(context.Background(), newExchange(address))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/http1/poolconn.go
+++ b/internal/http1/poolconn.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-const targetBuffer = 4 << 10 // of a connection to a target; the head of an answer mostly fits
+const targetBufferSize = 4 << 10 // of a connection to a target; the head of an answer mostly fits
 
 // poolConn is a connection to a target. One request at a time uses it.
 type poolConn struct {
-	conn      net.Conn
-	target    string
-	read      *bufio.Reader
-	used      bool      // a request was answered on it
-	answered  time.Time // when the last one was; zero if none was
-	until     time.Time // it isn't used later
-	onceUntil time.Time // nor later by a non-idempotent request; not after until
+	conn               net.Conn
+	target             string
+	reader             *bufio.Reader
+	reused             bool      // a request was answered on it
+	idleSince          time.Time // when the last one was; zero if none was
+	usableUntil        time.Time // it isn't used later
+	nonIdempotentUntil time.Time // nor later by a non-idempotent request; not after until
 }
 
 func newPoolConn(conn net.Conn, target string) *poolConn {
-	return &poolConn{conn: conn, target: target, read: bufio.NewReaderSize(conn, targetBuffer)}
+	return &poolConn{conn: conn, target: target, reader: bufio.NewReaderSize(conn, targetBufferSize)}
 }
 
-// sound says whether an idle connection may be used: nothing was read beyond the
+// usable says whether an idle connection may be used: nothing was read beyond the
 // last answer, and nothing has come since, neither bytes nor the end.
-func (c *poolConn) sound() bool {
-	if c.read.Buffered() > 0 {
+func (c *poolConn) usable() bool {
+	if c.reader.Buffered() > 0 {
 		return false
 	}
 	sc, ok := c.conn.(syscall.Conn)
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -42,12 +42,12 @@
 type Server struct {
 	callers Callers
 
-	next     atomic.Uint64 // number of the last connection
-	draining atomic.Bool   // each connection ends with its next answer
+	lastConnID atomic.Uint64 // number of the last connection
+	draining   atomic.Bool   // each connection ends with its next answer
 
-	mu    sync.Mutex
-	conns map[*serverConn]struct{} // guarded by mu
-	done  sync.WaitGroup           // open connections
+	mu        sync.Mutex
+	conns     map[*serverConn]struct{} // guarded by mu
+	connsOpen sync.WaitGroup           // open connections
 }
 
 // NewServer makes a server.
@@ -70,13 +70,13 @@
 }
 
 func (s *Server) start(c net.Conn) {
-	sc := newServerConn(s, c, s.next.Add(1))
+	sc := newServerConn(s, c, s.lastConnID.Add(1))
 	s.mu.Lock()
 	s.conns[sc] = struct{}{}
 	s.mu.Unlock()
-	s.done.Add(1)
+	s.connsOpen.Add(1)
 	go func() {
-		defer s.done.Done()
+		defer s.connsOpen.Done()
 		sc.run()
 		s.mu.Lock()
 		delete(s.conns, sc)
@@ -90,7 +90,7 @@
 // CloseIdle closes the connections on which no request waits for its answer. It
 // goes with Drain.
 func (s *Server) CloseIdle() {
-	for _, c := range s.open() {
+	for _, c := range s.openConns() {
 		c.closeIdle()
 	}
 }
@@ -99,7 +99,7 @@
 func (s *Server) Wait(ctx context.Context) error {
 	ended := make(chan struct{})
 	go func() {
-		s.done.Wait()
+		s.connsOpen.Wait()
 		close(ended)
 	}()
 	select {
@@ -111,9 +111,9 @@
 }
 
 // Open returns how many connections are open.
-func (s *Server) Open() int { return len(s.open()) }
+func (s *Server) Open() int { return len(s.openConns()) }
 
-func (s *Server) open() []*serverConn {
+func (s *Server) openConns() []*serverConn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*serverConn, 0, len(s.conns))
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -16,8 +16,8 @@
 	HeaderBytes: 8 << 10, BodyBytes: 1 << 10, HeaderTimeout: 200 * time.Millisecond, IdleTimeout: 300 * time.Millisecond,
 }
 
-// handling returns what a server does whose requests a function answers.
-func handling(handle func(context.Context, *Request) *Response) Callers {
+// newTestCallers returns what a server does whose requests a function answers.
+func newTestCallers(handle func(context.Context, *Request) *Response) Callers {
 	return Callers{
 		Handle: handle, Early: func(*Request) *Response { return nil }, Busy: func() bool { return false }, Limits: func() Limits { return testLimits },
 		Unreadable: func(status int) *Response { return &Response{Status: status, Header: http.Header{}} },
@@ -27,7 +27,7 @@
 // serve starts a server and returns a function that connects to it.
 func serve(t *testing.T, handle func(context.Context, *Request) *Response) (*Server, func() net.Conn) {
 	t.Helper()
-	return serveCallers(t, handling(handle))
+	return serveCallers(t, newTestCallers(handle))
 }
 
 func serveCallers(t *testing.T, callers Callers) (*Server, func() net.Conn) {
@@ -54,8 +54,8 @@
 	return &Response{Status: 200, Header: http.Header{"X": {"y"}}, Body: []byte(r.Method + " " + r.URI + " " + string(r.Body))}
 }
 
-// answers reads n answers, with their bodies.
-func answers(t *testing.T, c net.Conn, n int) []string {
+// readAnswers reads n readAnswers, with their bodies.
+func readAnswers(t *testing.T, c net.Conn, n int) []string {
 	t.Helper()
 	r := bufio.NewReader(c)
 	var list []string
@@ -106,7 +106,7 @@
 			_, dial := serve(t, echo)
 			c := dial()
 			io.WriteString(c, tt.send)
-			got := answers(t, c, len(tt.want))
+			got := readAnswers(t, c, len(tt.want))
 			if fmt.Sprint(got) != fmt.Sprint(tt.want) {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
@@ -121,7 +121,7 @@
 
 // Later requests of a connection are worked on while the first waits, and their
 // answers come after its own.
-func TestServerReadsOn(t *testing.T) {
+func TestServerPipelining(t *testing.T) {
 	release := make(chan struct{})
 	worked := make(chan string, 3)
 	_, dial := serve(t, func(_ context.Context, r *Request) *Response {
@@ -139,7 +139,7 @@
 		<-worked
 	}
 	close(release)
-	got := answers(t, c, 3)
+	got := readAnswers(t, c, 3)
 	want := []string{"200 GET /1 ", "200 GET /2 ", "200 GET /3 "}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %q, want %q", got, want)
@@ -235,11 +235,11 @@
 }
 
 // An answer whose rest breaks off does not look complete.
-func TestBrokenRest(t *testing.T) {
+func TestTruncatedRest(t *testing.T) {
 	for name, length := range map[string]int64{"length": 100, "no length": -1} {
 		t.Run(name, func(t *testing.T) {
 			_, dial := serve(t, func(context.Context, *Request) *Response {
-				rest := io.NopCloser(io.MultiReader(strings.NewReader("rest"), &failing{}))
+				rest := io.NopCloser(io.MultiReader(strings.NewReader("rest"), &failingReader{}))
 				return &Response{Status: 200, Header: http.Header{}, Body: []byte("begin"), Rest: rest, Length: length}
 			})
 			c := dial()
@@ -272,7 +272,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			callers := handling(echo)
+			callers := newTestCallers(echo)
 			callers.Early = func(r *Request) *Response {
 				if r.Path == "/no" {
 					return &Response{Status: http.StatusUnauthorized, Header: http.Header{}}
@@ -285,7 +285,7 @@
 				time.Sleep(time.Duration(i) * 20 * time.Millisecond) // the parts come apart
 				io.WriteString(c, part)
 			}
-			if got := answers(t, c, 1)[0]; got != tt.want {
+			if got := readAnswers(t, c, 1)[0]; got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -320,7 +320,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			callers := handling(echo)
+			callers := newTestCallers(echo)
 			next := 0
 			callers.Busy = func() bool {
 				next++
@@ -332,7 +332,7 @@
 			_, dial := serveCallers(t, callers)
 			c := dial()
 			io.WriteString(c, tt.send)
-			if got := answers(t, c, len(tt.want)); fmt.Sprint(got) != fmt.Sprint(tt.want) {
+			if got := readAnswers(t, c, len(tt.want)); fmt.Sprint(got) != fmt.Sprint(tt.want) {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -344,16 +344,16 @@
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (*failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (*failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 func FuzzServer(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, send string) {
 		var seen []string
-		s := NewServer(handling(func(_ context.Context, r *Request) *Response {
+		s := NewServer(newTestCallers(func(_ context.Context, r *Request) *Response {
 			seen = append(seen, r.URI)
 			if strings.ContainsAny(r.URI, " \r\n") || strings.ContainsAny(r.Host, "\r\n") {
 				t.Errorf("got request %q of host %q", r.URI, r.Host)
--- a/internal/http1/serverconn.go
+++ b/internal/http1/serverconn.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	readBuffer = 4 << 10 // of a caller's connection; a request without a body mostly fits
+	readBufferSize = 4 << 10 // of a caller's connection; a request without a body mostly fits
 	// lingerTime is how long a closing connection is read on, so that the last
 	// answer isn't lost by a reset. A caller reads it within a round trip.
 	lingerTime = 500 * time.Millisecond
@@ -26,28 +26,28 @@
 // serverConn is one connection of a caller. One goroutine reads requests; each
 // request has its own, which writes the answer when those before it are written.
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	id     uint64
-	limit  *limitedConn
-	read   *bufio.Reader
-	slots  chan struct{} // one for each request that is worked on
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup // requests that are worked on
+	server   *Server
+	conn     net.Conn
+	id       uint64
+	limited  *limitedConn
+	reader   *bufio.Reader
+	slots    chan struct{} // one for each request that is worked on
+	ctx      context.Context
+	cancel   context.CancelFunc
+	handlers sync.WaitGroup // requests that are worked on
 
-	mu      sync.Mutex
-	pending int  // requests that were read and not answered; guarded by mu
-	closing bool // no more requests are taken; guarded by mu
-	reading bool // the next request has begun to come; guarded by mu
-	idled   bool // closing, but with no answer that said so: a request that was being read is taken; guarded by mu
+	mu         sync.Mutex
+	pending    int  // requests that were read and not answered; guarded by mu
+	closing    bool // no more requests are taken; guarded by mu
+	reading    bool // the next request has begun to come; guarded by mu
+	closedIdle bool // closing, but with no answer that said so: a request that was being read is taken; guarded by mu
 }
 
 func newServerConn(s *Server, c net.Conn, id uint64) *serverConn {
 	ctx, cancel := context.WithCancel(context.Background())
-	limit := &limitedConn{conn: c, left: maxUnlimited}
+	limit := &limitedConn{conn: c, remaining: unlimited}
 	return &serverConn{
-		server: s, conn: c, id: id, limit: limit, read: bufio.NewReaderSize(limit, readBuffer),
+		server: s, conn: c, id: id, limited: limit, reader: bufio.NewReaderSize(limit, readBufferSize),
 		slots: make(chan struct{}, maxPipelined), ctx: ctx, cancel: cancel,
 	}
 }
@@ -59,25 +59,25 @@
 	previous := make(chan struct{})
 	close(previous)
 	for {
-		in := c.next()
-		if in.ended || !c.begin(in.last) {
+		in := c.readNext()
+		if in.closed || !c.admit(in.last) {
 			break
 		}
 		mine := make(chan struct{})
-		c.work.Add(1)
+		c.handlers.Add(1)
 		c.slots <- struct{}{}
 		if in.refusal != nil && isClosed(previous) {
-			c.answer(in, previous, mine) // spares an overloaded process a goroutine
+			c.handle(in, previous, mine) // spares an overloaded process a goroutine
 		} else {
-			go c.answer(in, previous, mine)
+			go c.handle(in, previous, mine)
 		}
 		previous = mine
 		if in.last {
 			break
 		}
 	}
-	c.watch()
-	c.work.Wait()
+	c.awaitClose()
+	c.handlers.Wait()
 }
 
 // isClosed says whether a channel that nothing is sent on is closed.
@@ -90,14 +90,14 @@
 	}
 }
 
-// begin counts a request that was read, unless the connection is closing.
-func (c *serverConn) begin(last bool) bool {
+// admit counts a request that was read, unless the connection is closing.
+func (c *serverConn) admit(last bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing && !c.idled {
+	if c.closing && !c.closedIdle {
 		return false
 	}
-	c.idled, c.reading = false, false
+	c.closedIdle, c.reading = false, false
 	c.pending++
 	if last {
 		c.closing = true
@@ -106,9 +106,9 @@
 	return true
 }
 
-// watch waits for the caller to leave or for the last answer to be read. A caller
+// awaitClose waits for the caller to leave or for the last answer to be read. A caller
 // that leaves with answers due ends the work on them.
-func (c *serverConn) watch() {
+func (c *serverConn) awaitClose() {
 	if c.isClosing() {
 		io.Copy(io.Discard, c.conn)
 	}
@@ -125,9 +125,9 @@
 	return c.closing
 }
 
-// answer works on one request and writes its answer after those before it.
-func (c *serverConn) answer(in incoming, previous, mine chan struct{}) {
-	defer c.work.Done()
+// handle works on one request and writes its handle after those before it.
+func (c *serverConn) handle(in incoming, previous, mine chan struct{}) {
+	defer c.handlers.Done()
 	defer close(mine)
 	defer func() { <-c.slots }()
 	resp := c.respond(in)
@@ -135,14 +135,14 @@
 	if resp.Rest != nil {
 		defer resp.Rest.Close()
 	}
-	closing := c.finish()
+	closing := c.decideClose()
 	head := in.request != nil && in.request.Method == http.MethodHead
 	if err := c.write(resp, head, closing); err != nil {
 		c.cancel()
 		c.conn.Close()
 		return
 	}
-	c.answered(closing)
+	c.answerWritten(closing)
 }
 
 func (c *serverConn) respond(in incoming) *Response {
@@ -155,8 +155,8 @@
 	return c.server.callers.Handle(c.ctx, in.request)
 }
 
-// finish decides whether the connection ends with the answer that comes next.
-func (c *serverConn) finish() bool {
+// decideClose decides whether the connection ends with the answer that comes next.
+func (c *serverConn) decideClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.pending == 1
@@ -166,8 +166,8 @@
 	return last && c.closing
 }
 
-// answered counts an answer that was written.
-func (c *serverConn) answered(closing bool) {
+// answerWritten counts an answer that was written.
+func (c *serverConn) answerWritten(closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
@@ -182,8 +182,8 @@
 	}
 }
 
-// setIdle sets when a connection on which nothing is due ends.
-func (c *serverConn) setIdle(limits Limits) {
+// setIdleDeadline sets when a connection on which nothing is due ends.
+func (c *serverConn) setIdleDeadline(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -201,7 +201,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == 0 && !c.closing {
-		c.closing, c.idled = true, true
+		c.closing, c.closedIdle = true, true
 		if !c.reading {
 			c.conn.SetReadDeadline(time.Now())
 		}
--- a/internal/http1/serverread.go
+++ b/internal/http1/serverread.go
@@ -18,79 +18,79 @@
 	status  int       // of the refusal of one that can't be read; 0 if there is none
 	refusal *Response // of one whose body was not waited for; nil if there is none
 	last    bool      // nothing is read after it
-	ended   bool      // neither a request nor a refusal
+	closed  bool      // neither a request nor a refusal
 }
 
-// next reads one request.
-func (c *serverConn) next() incoming {
+// readNext reads one request.
+func (c *serverConn) readNext() incoming {
 	limits := c.server.callers.Limits()
-	c.setIdle(limits)
-	if _, err := c.read.Peek(1); err != nil {
-		return incoming{ended: true}
+	c.setIdleDeadline(limits)
+	if _, err := c.reader.Peek(1); err != nil {
+		return incoming{closed: true}
 	}
-	c.limit.left = int64(limits.HeaderBytes + headerSlack)
+	c.limited.remaining = int64(limits.HeaderBytes + headerSlack)
 	due := boottime.Now().Add(limits.HeaderTimeout)
 	c.setReading(due)
-	r, err := http.ReadRequest(c.read)
+	r, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return c.unreadable(err, due)
+		return c.classifyReadError(err, due)
 	}
-	c.limit.left = maxUnlimited
+	c.limited.remaining = unlimited
 	if r.ContentLength > limits.BodyBytes {
-		return refused(http.StatusRequestEntityTooLarge)
+		return refuse(http.StatusRequestEntityTooLarge)
 	}
 	expects := r.Header.Get("Expect") != ""
-	awaits := c.awaits(r)
+	incomplete := c.bodyIncomplete(r)
 	if c.server.callers.Busy() {
-		if !awaits {
+		if !incomplete {
 			io.Copy(io.Discard, r.Body) // it is all in the buffer
 		}
-		return incoming{refusal: c.server.callers.TooBusy(c.request(r, nil)), last: r.Close || awaits}
+		return incoming{refusal: c.server.callers.TooBusy(c.newRequest(r, nil)), last: r.Close || incomplete}
 	}
-	if awaits {
-		if resp := c.server.callers.Early(c.request(r, nil)); resp != nil {
+	if incomplete {
+		if resp := c.server.callers.Early(c.newRequest(r, nil)); resp != nil {
 			return incoming{refusal: resp, last: true}
 		}
 	}
 	if expects {
-		c.goOn()
+		c.sendContinue()
 	}
 	due = boottime.Now().Add(limits.IdleTimeout)
 	c.conn.SetReadDeadline(boottime.Runtime(due))
 	body, err := io.ReadAll(io.LimitReader(r.Body, limits.BodyBytes+1))
 	if err != nil {
-		return c.unreadable(err, due)
+		return c.classifyReadError(err, due)
 	}
 	if int64(len(body)) > limits.BodyBytes {
-		return refused(http.StatusRequestEntityTooLarge)
+		return refuse(http.StatusRequestEntityTooLarge)
 	}
-	return incoming{request: c.request(r, body), last: r.Close}
+	return incoming{request: c.newRequest(r, body), last: r.Close}
 }
 
-// awaits says whether a part of the request's body has yet to come.
-func (c *serverConn) awaits(r *http.Request) bool {
-	return r.ContentLength < 0 || r.ContentLength > int64(c.read.Buffered())
+// bodyIncomplete says whether a part of the request's body has yet to come.
+func (c *serverConn) bodyIncomplete(r *http.Request) bool {
+	return r.ContentLength < 0 || r.ContentLength > int64(c.reader.Buffered())
 }
 
-func refused(status int) incoming { return incoming{status: status, last: true} }
+func refuse(status int) incoming { return incoming{status: status, last: true} }
 
-// unreadable says what becomes of a request that could not be read whole until it
+// classifyReadError says what becomes of a request that could not be read whole until it
 // was due. The parser hides the end of the time behind errors of its own.
-func (c *serverConn) unreadable(err error, due time.Time) incoming {
+func (c *serverConn) classifyReadError(err error, due time.Time) incoming {
 	var network net.Error
 	switch {
-	case c.limit.left <= 0:
-		return refused(http.StatusRequestHeaderFieldsTooLarge)
+	case c.limited.remaining <= 0:
+		return refuse(http.StatusRequestHeaderFieldsTooLarge)
 	case !boottime.Now().Before(due):
-		return refused(http.StatusRequestTimeout)
+		return refuse(http.StatusRequestTimeout)
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF), errors.As(err, &network):
-		return incoming{ended: true}
+		return incoming{closed: true}
 	}
-	return refused(http.StatusBadRequest)
+	return refuse(http.StatusBadRequest)
 }
 
-// goOn tells a caller that waits for it to send its body, if no answer is due.
-func (c *serverConn) goOn() {
+// sendContinue tells a caller that waits for it to send its body, if no answer is due.
+func (c *serverConn) sendContinue() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == 0 {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *serverConn) request(in *http.Request, body []byte) *Request {
+func (c *serverConn) newRequest(in *http.Request, body []byte) *Request {
 	path := in.URL.Path
 	if u, err := url.ParseRequestURI(in.RequestURI); err == nil {
 		path = u.Path
@@ -107,27 +107,27 @@
 		Method: in.Method, URI: in.RequestURI, Path: path, Host: in.Host,
 		Header: in.Header, Body: body, At: boottime.Now(), Conn: c.id,
 	}
-	strip(r.Header)
+	removeConnectionHeaders(r.Header)
 	return r
 }
 
-// maxUnlimited lets a limitedConn read on as good as for ever.
-const maxUnlimited = 1 << 62
+// unlimited lets a limitedConn read on as good as for ever.
+const unlimited = 1 << 62
 
 // limitedConn bounds how much is read; used to bound a header.
 type limitedConn struct {
-	conn net.Conn
-	left int64
+	conn      net.Conn
+	remaining int64
 }
 
 func (l *limitedConn) Read(b []byte) (int, error) {
-	if l.left <= 0 {
+	if l.remaining <= 0 {
 		return 0, io.ErrShortBuffer
 	}
-	if int64(len(b)) > l.left {
-		b = b[:l.left]
+	if int64(len(b)) > l.remaining {
+		b = b[:l.remaining]
 	}
 	n, err := l.conn.Read(b)
-	l.left -= int64(n)
+	l.remaining -= int64(n)
 	return n, err
 }
