--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// flushEvery is how long lines gather. What a crash finds gathered is lost.
-	flushEvery = 100 * time.Millisecond
+	// flushInterval is how long lines gather. What a crash finds gathered is lost.
+	flushInterval = 100 * time.Millisecond
 	// maxPending bounds what is gathered while the reader doesn't read, in bytes:
 	// about 2,000 lines. What doesn't fit is dropped and counted.
 	maxPending = 512 << 10
@@ -25,7 +25,7 @@
 // reading costs lines, never time. It is safe for concurrent use.
 type Writer struct {
 	out  io.Writer
-	kick chan struct{}
+	wake chan struct{}
 	done chan struct{}
 
 	mu      sync.Mutex
@@ -37,7 +37,7 @@
 
 // NewWriter makes a writer to out. Close ends it.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, kick: make(chan struct{}, 1), done: make(chan struct{})}
+	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
@@ -52,7 +52,7 @@
 	}
 	if len(w.pending) == 0 {
 		select {
-		case w.kick <- struct{}{}:
+		case w.wake <- struct{}{}:
 		default:
 		}
 	}
@@ -65,7 +65,7 @@
 	w.mu.Lock()
 	if !w.closed {
 		w.closed = true
-		close(w.kick)
+		close(w.wake)
 	}
 	w.mu.Unlock()
 	select {
@@ -77,8 +77,8 @@
 // run writes what gathers. It sleeps while there is nothing to write.
 func (w *Writer) run() {
 	defer close(w.done)
-	for range w.kick {
-		time.Sleep(flushEvery)
+	for range w.wake {
+		time.Sleep(flushInterval)
 		w.flush()
 	}
 	w.flush()
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// output is a reader of lines that can stop reading.
-type output struct {
+// stallingOutput is a reader of lines that can stop reading.
+type stallingOutput struct {
 	mu   sync.Mutex // held while it does not read
 	text bytes.Buffer
 }
 
-func (o *output) Write(b []byte) (int, error) {
+func (o *stallingOutput) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.text.Write(b)
 }
 
 func TestWriter(t *testing.T) {
-	var out output
+	var out stallingOutput
 	w := NewWriter(&out)
 	for range 10 {
 		w.Write([]byte("line\n"))
@@ -34,7 +34,7 @@
 
 // A reader that stops reading costs lines, which are counted, and no time.
 func TestWriterNeverBlocks(t *testing.T) {
-	var out output
+	var out stallingOutput
 	w := NewWriter(&out)
 	out.mu.Lock()
 	line := []byte(strings.Repeat("x", 1023) + "\n")
@@ -72,7 +72,7 @@
 }
 
 func BenchmarkLine(b *testing.B) {
-	w := NewWriter(&output{})
+	w := NewWriter(&stallingOutput{})
 	logger, err := New(w, "info")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/metrics/edge.go
+++ b/internal/metrics/edge.go
@@ -8,24 +8,24 @@
 
 // Names of the gauges of an instance on the users' platform, below the prefix.
 const (
-	nameReady       = "ready"             // 1 if the instance can serve
-	nameVersion     = "config_version"    // of the configuration in force
-	nameRevision    = "store_revision"    // up to which changes are known, within its epoch
-	nameEpoch       = "store_epoch"       // how often the store has come back from a copy of itself
-	nameStoreAge    = "store_age_seconds" // since the store confirmed that
-	nameInstances   = "instances"         // that are registered
-	nameConnections = "connections"       // of callers that are open
-	nameRefusing    = "overload_share"    // of new requests that is refused, as the process has too much to do
-	nameTargets     = "targets"           // by service: registered
-	nameUsable      = "targets_usable"    // by service: neither leaving, evacuated, ejected nor at rest
+	nameReady         = "ready"             // 1 if the instance can serve
+	nameVersion       = "config_version"    // of the configuration in force
+	nameRevision      = "store_revision"    // up to which changes are known, within its epoch
+	nameEpoch         = "store_epoch"       // how often the store has come back from a copy of itself
+	nameStoreAge      = "store_age_seconds" // since the store confirmed that
+	nameInstances     = "instances"         // that are registered
+	nameConnections   = "connections"       // of callers that are open
+	nameOverloadShare = "overload_share"    // of new requests that is refused, as the process has too much to do
+	nameTargets       = "targets"           // by service: registered
+	nameUsableTargets = "targets_usable"    // by service: neither leaving, evacuated, ejected nor at rest
 )
 
 const (
-	// nameAsked counts requests for which a token of a workspace's quota was asked: workspace, outcome.
-	nameAsked = "quota_requests"
-	// mostWorkspaces bounds the workspaces that have a counter of their own; the others
+	// nameQuotaRequests counts requests for which a token of a workspace's quota was asked: workspace, outcome.
+	nameQuotaRequests = "quota_requests"
+	// maxWorkspaces bounds the workspaces that have a counter of their own; the others
 	// share one. 5,000 of them would be 2 MB of text each time.
-	mostWorkspaces   = 200
+	maxWorkspaces    = 200
 	otherWorkspaces  = "other"
 	outcomeAllowed   = "allowed"
 	outcomeOverQuota = "over-quota"
@@ -59,14 +59,14 @@
 	for name, value := range map[string]float64{
 		nameReady: asFloat(e.Ready), nameVersion: float64(e.Version), nameRevision: float64(e.Revision), nameEpoch: float64(e.Epoch),
 		nameStoreAge: e.StoreAge.Seconds(), nameInstances: float64(e.Instances), nameConnections: float64(e.Connections),
-		nameRefusing: e.Refusing,
+		nameOverloadShare: e.Refusing,
 	} {
 		s.scope.Gauge(name).Update(value)
 	}
 	for _, v := range e.Services {
 		scope := s.scope.Tagged(map[string]string{"service": v.Name})
 		scope.Gauge(nameTargets).Update(float64(v.Targets))
-		scope.Gauge(nameUsable).Update(float64(v.Usable))
+		scope.Gauge(nameUsableTargets).Update(float64(v.Usable))
 	}
 }
 
@@ -76,13 +76,13 @@
 		return
 	}
 	s.mu.Lock()
-	c, ok := s.asked[workspace]
+	c, ok := s.quotaByWorkspace[workspace]
 	if !ok {
-		if len(s.asked) >= mostWorkspaces {
+		if len(s.quotaByWorkspace) >= maxWorkspaces {
 			workspace = otherWorkspaces
 		}
-		c = s.counters(workspace)
-		s.asked[workspace] = c
+		c = s.newQuotaCounters(workspace)
+		s.quotaByWorkspace[workspace] = c
 	}
 	s.mu.Unlock()
 	if allowed {
@@ -95,10 +95,10 @@
 // quotaCounters count the requests of a workspace.
 type quotaCounters struct{ allowed, refused tally.Counter }
 
-// counters makes the counters of a workspace.
-func (s *Set) counters(workspace string) quotaCounters {
+// newQuotaCounters makes the newQuotaCounters of a workspace.
+func (s *Set) newQuotaCounters(workspace string) quotaCounters {
 	counter := func(outcome string) tally.Counter {
-		return s.scope.Tagged(map[string]string{"workspace": workspace, "outcome": outcome}).Counter(nameAsked)
+		return s.scope.Tagged(map[string]string{"workspace": workspace, "outcome": outcome}).Counter(nameQuotaRequests)
 	}
 	return quotaCounters{allowed: counter(outcomeAllowed), refused: counter(outcomeOverQuota)}
 }
--- a/internal/metrics/edge_test.go
+++ b/internal/metrics/edge_test.go
@@ -35,7 +35,7 @@
 // Workspaces beyond a number share a counter.
 func TestAsked(t *testing.T) {
 	s := New()
-	for i := range mostWorkspaces + 50 {
+	for i := range maxWorkspaces + 50 {
 		s.Asked(fmt.Sprint("w", i), i%2 == 0)
 	}
 	if err := s.Close(); err != nil {
@@ -52,8 +52,8 @@
 			t.Errorf("got no %q", want)
 		}
 	}
-	if got, most := strings.Count(text, "firlever_quota_requests{"), 2*(mostWorkspaces+1); got > most {
-		t.Errorf("got %d counters, want %d at most", got, most)
+	if got, limit := strings.Count(text, "firlever_quota_requests{"), 2*(maxWorkspaces+1); got > limit {
+		t.Errorf("got %d counters, want %d at most", got, limit)
 	}
 	var none *Set
 	none.Asked("w", true) // keeps nothing
--- a/internal/metrics/set.go
+++ b/internal/metrics/set.go
@@ -17,20 +17,20 @@
 
 // Names of the metrics, below the prefix.
 const (
-	prefix         = "firlever"
-	nameDecisions  = "decisions"            // counter: kind, service, reason
-	nameLatency    = "latency_seconds"      // histogram: service; answered requests, from arrival to the last byte
-	nameChecks     = "invariant_checks"     // gauge: invariant
-	nameViolations = "invariant_violations" // gauge: invariant; anything but 0 is a fault of firlever
-	nameLimit      = "limit"                // gauge: service; slots that this instance may use now
-	nameInFlight   = "in_flight"            // gauge: service; slots in use
-	nameQueued     = "queued"               // gauge; requests that wait
-	namePeers      = "peers"                // gauge; instances known to be alive
-	nameConfirmed  = "confirmed"            // gauge; 1 while the rights to targets are confirmed
-	namePlatform   = "platform_failures"    // counter: call
+	prefix               = "firlever"
+	nameDecisions        = "decisions"            // counter: kind, service, reason
+	nameLatency          = "latency_seconds"      // histogram: service; answered requests, from arrival to the last byte
+	nameChecks           = "invariant_checks"     // gauge: invariant
+	nameViolations       = "invariant_violations" // gauge: invariant; anything but 0 is a fault of firlever
+	nameLimit            = "limit"                // gauge: service; slots that this instance may use now
+	nameInFlight         = "in_flight"            // gauge: service; slots in use
+	nameQueued           = "queued"               // gauge; requests that wait
+	namePeers            = "peers"                // gauge; instances known to be alive
+	nameConfirmed        = "confirmed"            // gauge; 1 while the rights to targets are confirmed
+	namePlatformFailures = "platform_failures"    // counter: call
 )
 
-const reportEvery = time.Second
+const reportInterval = time.Second
 
 // latencyBuckets are the upper bounds of the latency histogram, in seconds.
 var latencyBuckets = tally.ValueBuckets{
@@ -60,10 +60,10 @@
 	closer  io.Closer
 	handler http.Handler
 
-	mu        sync.Mutex
-	decisions map[Decision]tally.Counter // guarded by mu
-	latency   map[string]tally.Histogram // by service; guarded by mu
-	asked     map[string]quotaCounters   // by workspace; guarded by mu
+	mu               sync.Mutex
+	decisions        map[Decision]tally.Counter // guarded by mu
+	latency          map[string]tally.Histogram // by service; guarded by mu
+	quotaByWorkspace map[string]quotaCounters   // by workspace; guarded by mu
 }
 
 // New makes an empty set. Close ends it.
@@ -76,14 +76,14 @@
 		Separator:              reporter.DefaultSeparator,
 		SanitizeOptions:        &sanitize,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Set{
-		scope:     scope,
-		closer:    closer,
-		handler:   promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
-		decisions: make(map[Decision]tally.Counter),
-		latency:   make(map[string]tally.Histogram),
-		asked:     make(map[string]quotaCounters),
+		scope:            scope,
+		closer:           closer,
+		handler:          promhttp.HandlerFor(registry, promhttp.HandlerOpts{}),
+		decisions:        make(map[Decision]tally.Counter),
+		latency:          make(map[string]tally.Histogram),
+		quotaByWorkspace: make(map[string]quotaCounters),
 	}
 }
 
@@ -130,7 +130,7 @@
 	if s == nil {
 		return
 	}
-	s.scope.Tagged(map[string]string{"call": call}).Counter(namePlatform).Inc(1)
+	s.scope.Tagged(map[string]string{"call": call}).Counter(namePlatformFailures).Inc(1)
 }
 
 // Service is what an instance may use and uses of one service.
--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -20,9 +20,9 @@
 	// ProbeIdle is how long a connection is quiet before its peer is probed: the least
 	// that the kernel takes.
 	ProbeIdle = time.Second
-	// ProbeEvery is the time between two probes: the least that the kernel takes.
-	ProbeEvery = time.Second
-	probes     = 1 // unanswered ones that end a connection
+	// ProbeInterval is the time between two probes: the least that the kernel takes.
+	ProbeInterval = time.Second
+	probeCount    = 1 // unanswered ones that end a connection
 )
 
 // NewDialer returns a dialer whose connections fail within AckTimeout if the peer
@@ -30,8 +30,8 @@
 // lets the system choose.
 func NewDialer(ip string) *net.Dialer {
 	d := &net.Dialer{
-		Control:         control,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ProbeIdle, Interval: ProbeEvery, Count: probes},
+		Control:         setUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ProbeIdle, Interval: ProbeInterval, Count: probeCount},
 	}
 	if ip != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(ip)}
@@ -39,8 +39,8 @@
 	return d
 }
 
-// control sets what the standard library has no field for.
-func control(_, _ string, c syscall.RawConn) error {
+// setUserTimeout sets what the standard library has no field for.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
--- a/internal/tcp/dialer_test.go
+++ b/internal/tcp/dialer_test.go
@@ -23,8 +23,8 @@
 		"user timeout":   {unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds())},
 		"keep-alive":     {unix.SOL_SOCKET, unix.SO_KEEPALIVE, 1},
 		"probe idle":     {unix.IPPROTO_TCP, unix.TCP_KEEPIDLE, int(ProbeIdle / time.Second)},
-		"probe interval": {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(ProbeEvery / time.Second)},
-		"probe count":    {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probes},
+		"probe interval": {unix.IPPROTO_TCP, unix.TCP_KEEPINTVL, int(ProbeInterval / time.Second)},
+		"probe count":    {unix.IPPROTO_TCP, unix.TCP_KEEPCNT, probeCount},
 	}
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/tcp/listener_test.go
+++ b/internal/tcp/listener_test.go
@@ -11,8 +11,8 @@
 
 func TestListener(t *testing.T) {
 	const (
-		head, idle = 50 * time.Millisecond, 400 * time.Millisecond
-		request    = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+		headerTimeout, idleTimeout = 50 * time.Millisecond, 400 * time.Millisecond
+		request                    = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	)
 	tests := map[string]struct {
 		silent time.Duration // before anything is sent
@@ -21,16 +21,16 @@
 		from   time.Duration // after which the connection ends
 	}{
 		"request at once":       {0, request, true, 0},
-		"request after a while": {3 * head, request, true, 0},
-		"half a head":           {3 * head, request[:10], false, head},
-		"nothing":               {0, "", false, idle},
+		"request after a while": {3 * headerTimeout, request, true, 0},
+		"half a head":           {3 * headerTimeout, request[:10], false, headerTimeout},
+		"nothing":               {0, "", false, idleTimeout},
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ReadHeaderTimeout: head, IdleTimeout: idle}
-	go srv.Serve(NewListener(ln, head, idle))
+	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	go srv.Serve(NewListener(ln, headerTimeout, idleTimeout))
 	defer srv.Close()
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
