--- a/internal/tcp/dialer.go
+++ b/internal/tcp/dialer.go
@@ -1,6 +1,6 @@
-// Package tcp opens connections that notice a peer which has gone silent: one that
-// lost power, is partitioned, or whose connection was forgotten on the way. Such a
-// peer sends neither an answer nor a reset.
+// Package tcp opens connections that detect an unreachable peer: one that lost power,
+// is partitioned, or whose connection was dropped by a middlebox. Such a peer sends
+// neither an answer nor a reset.
 package tcp
 
 import (
@@ -13,21 +13,22 @@
 )
 
 const (
-	// AckTimeout is how long sent bytes may stay unacknowledged: two retransmissions
-	// at the kernel's least interval of 200 ms and a round trip between regions of
-	// 50 ms. A link that loses 3% of its packets loses three in a row once in 37,000.
+	// AckTimeout is how long sent bytes may stay unacknowledged. It allows for two
+	// retransmissions at the kernel's minimum interval of 200 ms and a round trip
+	// between regions of 50 ms. A link that loses 3% of its packets loses three in a
+	// row once in 37,000.
 	AckTimeout = 700 * time.Millisecond
-	// ProbeIdle is how long a connection is quiet before its peer is probed: the least
-	// that the kernel takes.
+	// ProbeIdle is the idle time before the first keep-alive probe: the minimum that
+	// the kernel accepts.
 	ProbeIdle = time.Second
-	// ProbeInterval is the time between two probes: the least that the kernel takes.
+	// ProbeInterval is the time between two probes: the minimum that the kernel accepts.
 	ProbeInterval = time.Second
-	probeCount    = 1 // unanswered ones that end a connection
+	probeCount    = 1 // unanswered probes after which a connection fails
 )
 
 // NewDialer returns a dialer whose connections fail within AckTimeout if the peer
-// acknowledges nothing, and within 2 s if it is waited for. They come from ip; ""
-// lets the system choose.
+// doesn't acknowledge sent data, and within 2 s if it is unreachable while an answer
+// is awaited. ip is their source address; "" lets the system choose.
 func NewDialer(ip string) *net.Dialer {
 	d := &net.Dialer{
 		Control:         setUserTimeout,
@@ -39,14 +40,14 @@
 	return d
 }
 
-// setUserTimeout sets what the standard library has no field for.
+// setUserTimeout sets TCP_USER_TIMEOUT, for which net.Dialer has no field.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
 		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Annotate(err, "tcp control")
+		return errors.Annotate(err, "tcp: access socket")
 	}
-	return errors.Annotate(failed, "tcp user timeout")
+	return errors.Annotate(failed, "tcp: set TCP_USER_TIMEOUT")
 }
--- a/internal/tcp/dialer_test.go
+++ b/internal/tcp/dialer_test.go
@@ -55,6 +55,6 @@
 	address := ln.Addr().String()
 	ln.Close()
 	if _, err := NewDialer("").Dial("tcp", address); err == nil {
-		t.Error("got no error from a port without a listener")
+		t.Error("got no error from a port without a listener, want one")
 	}
 }
--- a/internal/tcp/listener.go
+++ b/internal/tcp/listener.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// NewListener returns a listener for an http.Server, whose connections may be silent for idle
-// before their first request, and take head for its header from the first byte on. The server
-// itself counts the time for the first header from the moment of connecting. Callers open
-// connections that they use later, and a request on one that the server is about to close is
-// lost.
+// NewListener returns a listener for an http.Server whose connections may be idle for
+// idleTimeout before their first request, and have headerTimeout for its header from the first
+// byte on. http.Server itself counts the time for the first header from the accept of the
+// connection: it would close connections that callers open in advance, and a request that
+// arrives during the close is lost.
 func NewListener(ln net.Listener, headerTimeout, idleTimeout time.Duration) net.Listener {
 	return &listener{Listener: ln, headerTimeout: headerTimeout, idleTimeout: idleTimeout}
 }
@@ -21,7 +21,7 @@
 	headerTimeout, idleTimeout time.Duration
 }
 
-// Accept waits for a connection.
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -29,21 +29,21 @@
 			return nil, err
 		}
 		if err := c.SetReadDeadline(time.Now().Add(l.idleTimeout)); err != nil {
-			_ = c.Close() // it has ended already
+			_ = c.Close() // it is closed already
 			continue
 		}
 		return &firstRequestConn{Conn: c, headerTimeout: l.headerTimeout}, nil
 	}
 }
 
-// firstRequestConn is a connection that may not have been used yet.
+// firstRequestConn is a connection on which the first request may not have arrived yet.
 type firstRequestConn struct {
 	net.Conn
-	headerTimeout time.Duration // for the first request's header, from its first byte on
-	used          atomic.Bool   // that byte has come
+	headerTimeout time.Duration // of the first request's header, from its first byte on
+	used          atomic.Bool   // that byte has been received
 }
 
-// Read reads what has come.
+// Read reads from the connection. The first byte starts the header timeout.
 func (c *firstRequestConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 && err == nil && c.used.CompareAndSwap(false, true) {
@@ -52,7 +52,7 @@
 	return n, err
 }
 
-// SetReadDeadline sets until when reads wait, once the first byte has come.
+// SetReadDeadline sets the read deadline. It has no effect before the first byte is received.
 func (c *firstRequestConn) SetReadDeadline(t time.Time) error {
 	if !c.used.Load() {
 		return nil
@@ -60,8 +60,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite closes the direction from here: http.Server does so before it closes a connection
-// on which something still comes, so that its answer isn't lost.
+// CloseWrite closes the writing side. http.Server calls it before it closes a connection that
+// still receives data, so that its answer isn't lost to a reset. The error is
+// errors.ErrUnsupported if the underlying connection has no CloseWrite.
 func (c *firstRequestConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/tcp/listener_test.go
+++ b/internal/tcp/listener_test.go
@@ -18,7 +18,7 @@
 		silent time.Duration // before anything is sent
 		sent   string
 		served bool
-		from   time.Duration // after which the connection ends
+		from   time.Duration // minimum time from silent to the end of the connection
 	}{
 		"request at once":       {0, request, true, 0},
 		"request after a while": {3 * headerTimeout, request, true, 0},
@@ -52,7 +52,7 @@
 				t.Errorf("got served %t, want %t: %v", got, want, err)
 			}
 			if got, want := time.Since(begun), tt.silent+tt.from; got < want {
-				t.Errorf("got the end after %s, want %s at least", got, want)
+				t.Errorf("got the end after %s, want at least %s", got, want)
 			}
 		})
 	}
