--- a/internal/metrics/edge.go
+++ b/internal/metrics/edge.go
@@ -6,32 +6,33 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// Names of the gauges of an instance on the users' platform, below the prefix.
+// Names of the gauges of an instance on the users' platform, without the prefix.
 const (
-	nameReady         = "ready"             // 1 if the instance can serve
+	nameReady         = "ready"             // 1 if the instance can serve, else 0
 	nameVersion       = "config_version"    // of the configuration in force
-	nameRevision      = "store_revision"    // up to which changes are known, within its epoch
-	nameEpoch         = "store_epoch"       // how often the store has come back from a copy of itself
-	nameStoreAge      = "store_age_seconds" // since the store confirmed that
-	nameInstances     = "instances"         // that are registered
-	nameConnections   = "connections"       // of callers that are open
-	nameOverloadShare = "overload_share"    // of new requests that is refused, as the process has too much to do
-	nameTargets       = "targets"           // by service: registered
-	nameUsableTargets = "targets_usable"    // by service: neither leaving, evacuated, ejected nor at rest
+	nameRevision      = "store_revision"    // latest known revision of the store, within its epoch
+	nameEpoch         = "store_epoch"       // number of times that the store was restored from a snapshot
+	nameStoreAge      = "store_age_seconds" // time since the store last confirmed that revision
+	nameInstances     = "instances"         // registered instances
+	nameConnections   = "connections"       // open connections of callers
+	nameOverloadShare = "overload_share"    // fraction of new requests refused because the process is overloaded
+	nameTargets       = "targets"           // by service: registered targets
+	nameUsableTargets = "targets_usable"    // by service: targets that are neither leaving, evacuated, ejected nor backing off
 )
 
 const (
-	// nameQuotaRequests counts requests for which a token of a workspace's quota was asked: workspace, outcome.
+	// nameQuotaRequests is a counter of requests for which a token of a workspace's quota was
+	// requested: workspace, outcome.
 	nameQuotaRequests = "quota_requests"
-	// maxWorkspaces bounds the workspaces that have a counter of their own; the others
-	// share one. 5,000 of them would be 2 MB of text each time.
+	// maxWorkspaces is the maximum number of workspaces with counters of their own; the
+	// others share one. Counters of 5,000 workspaces would add 2 MB to each scrape.
 	maxWorkspaces    = 200
 	otherWorkspaces  = "other"
 	outcomeAllowed   = "allowed"
 	outcomeOverQuota = "over-quota"
 )
 
-// Edge is what the gauges of an instance on the users' platform show.
+// Edge holds the values of the gauges of an instance on the users' platform.
 type Edge struct {
 	Ready       bool
 	Version     uint64
@@ -40,18 +41,18 @@
 	StoreAge    time.Duration
 	Instances   int
 	Connections int
-	Refusing    float64 // 0 to 1
+	Refusing    float64 // fraction of new requests that are refused, 0 to 1
 	Services    []EdgeService
 }
 
-// EdgeService is what they show of a service.
+// EdgeService holds the values of a service's gauges.
 type EdgeService struct {
 	Name    string
 	Targets int
 	Usable  int
 }
 
-// ShowEdge sets the gauges.
+// ShowEdge sets the gauges of an instance on the users' platform.
 func (s *Set) ShowEdge(e Edge) {
 	if s == nil {
 		return
@@ -70,7 +71,7 @@
 	}
 }
 
-// Asked counts a request for which a token of its workspace's quota was asked.
+// Asked counts a request for which a token of its workspace's quota was requested.
 func (s *Set) Asked(workspace string, allowed bool) {
 	if s == nil {
 		return
@@ -95,7 +96,7 @@
 // quotaCounters count the requests of a workspace.
 type quotaCounters struct{ allowed, refused tally.Counter }
 
-// newQuotaCounters makes the newQuotaCounters of a workspace.
+// newQuotaCounters returns the counters of a workspace.
 func (s *Set) newQuotaCounters(workspace string) quotaCounters {
 	counter := func(outcome string) tally.Counter {
 		return s.scope.Tagged(map[string]string{"workspace": workspace, "outcome": outcome}).Counter(nameQuotaRequests)
--- a/internal/metrics/edge_test.go
+++ b/internal/metrics/edge_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The gauges of an instance on the users' platform are scraped under their names.
+// The gauges of an instance on the users' platform are exported under their names.
 func TestShowEdge(t *testing.T) {
 	s := New()
 	s.ShowEdge(Edge{
 		Ready: true, Version: 7, Revision: 42, StoreAge: 1500 * time.Millisecond, Instances: 9, Connections: 3, Refusing: 0.25,
 		Services: []EdgeService{{Name: "s", Targets: 4, Usable: 2}},
 	})
-	if err := s.Close(); err != nil { // reports what was set
+	if err := s.Close(); err != nil { // reports the values that were set
 		t.Fatal(err)
 	}
 	w := httptest.NewRecorder()
@@ -29,10 +29,10 @@
 		}
 	}
 	var none *Set
-	none.ShowEdge(Edge{}) // keeps nothing
+	none.ShowEdge(Edge{}) // no effect
 }
 
-// Workspaces beyond a number share a counter.
+// Workspaces beyond maxWorkspaces share their counters.
 func TestAsked(t *testing.T) {
 	s := New()
 	for i := range maxWorkspaces + 50 {
@@ -53,8 +53,8 @@
 		}
 	}
 	if got, limit := strings.Count(text, "firlever_quota_requests{"), 2*(maxWorkspaces+1); got > limit {
-		t.Errorf("got %d counters, want %d at most", got, limit)
+		t.Errorf("got %d counters, want at most %d", got, limit)
 	}
 	var none *Set
-	none.Asked("w", true) // keeps nothing
+	none.Asked("w", true) // no effect
 }
--- a/internal/metrics/set.go
+++ b/internal/metrics/set.go
@@ -1,4 +1,4 @@
-// Package metrics keeps an instance's metrics and serves them for scraping.
+// Package metrics collects an instance's metrics and serves them to Prometheus.
 package metrics
 
 import (
@@ -15,19 +15,19 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Names of the metrics, below the prefix.
+// Names of the metrics, without the prefix.
 const (
 	prefix               = "firlever"
-	nameDecisions        = "decisions"            // counter: kind, service, reason
-	nameLatency          = "latency_seconds"      // histogram: service; answered requests, from arrival to the last byte
-	nameChecks           = "invariant_checks"     // gauge: invariant
-	nameViolations       = "invariant_violations" // gauge: invariant; anything but 0 is a fault of firlever
-	nameLimit            = "limit"                // gauge: service; slots that this instance may use now
-	nameInFlight         = "in_flight"            // gauge: service; slots in use
-	nameQueued           = "queued"               // gauge; requests that wait
-	namePeers            = "peers"                // gauge; instances known to be alive
-	nameConfirmed        = "confirmed"            // gauge; 1 while the rights to targets are confirmed
-	namePlatformFailures = "platform_failures"    // counter: call
+	nameDecisions        = "decisions"            // counter; labels kind, service, reason
+	nameLatency          = "latency_seconds"      // histogram; label service; answered requests, from arrival to the last byte
+	nameChecks           = "invariant_checks"     // gauge; label invariant
+	nameViolations       = "invariant_violations" // gauge; label invariant; a value other than 0 is a bug in firlever
+	nameLimit            = "limit"                // gauge; label service; slots that this instance may use now
+	nameInFlight         = "in_flight"            // gauge; label service; slots in use
+	nameQueued           = "queued"               // gauge; queued requests
+	namePeers            = "peers"                // gauge; peers considered alive
+	nameConfirmed        = "confirmed"            // gauge; 1 while the ownership lease on targets is confirmed
+	namePlatformFailures = "platform_failures"    // counter; label call
 )
 
 const reportInterval = time.Second
@@ -37,8 +37,8 @@
 	0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30,
 }
 
-// sanitize keeps names as Prometheus takes them, and lets values hold what
-// services and instances are named with.
+// sanitize replaces characters that Prometheus doesn't allow in names. Label values may
+// also hold the characters of service and instance names.
 var sanitize = tally.SanitizeOptions{
 	NameCharacters:       reporter.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:        reporter.DefaultSanitizerOpts.KeyCharacters,
@@ -46,15 +46,15 @@
 	ReplacementCharacter: tally.DefaultReplacementCharacter,
 }
 
-// Decision names a counter of decisions.
+// Decision holds the labels of a counter of decisions.
 type Decision struct {
 	Kind    string
 	Service string
 	Reason  string
 }
 
-// Set holds an instance's metrics. It is safe for concurrent use, and a nil Set
-// takes everything and keeps nothing.
+// Set holds an instance's metrics. It is safe for concurrent use. The methods that record
+// values do nothing on a nil Set.
 type Set struct {
 	scope   tally.Scope
 	closer  io.Closer
@@ -66,7 +66,7 @@
 	quotaByWorkspace map[string]quotaCounters   // by workspace; guarded by mu
 }
 
-// New makes an empty set. Close ends it.
+// New returns an empty set, which must be closed after use.
 func New() *Set {
 	registry := prometheus.NewRegistry()
 	rep := reporter.NewReporter(reporter.Options{Registerer: registry, Gatherer: registry})
@@ -87,10 +87,10 @@
 	}
 }
 
-// Handler serves the metrics in the Prometheus text format.
+// Handler returns a handler that serves the metrics in the Prometheus text format.
 func (s *Set) Handler() http.Handler { return s.handler }
 
-// Close stops the reports.
+// Close reports the latest values once more and stops the periodic reports.
 func (s *Set) Close() error { return s.closer.Close() }
 
 // Decided counts a decision.
@@ -110,7 +110,7 @@
 	c.Inc(1)
 }
 
-// Answered notes how long an answered request took.
+// Answered records the latency of an answered request.
 func (s *Set) Answered(service string, took time.Duration) {
 	if s == nil {
 		return
@@ -125,7 +125,7 @@
 	h.RecordValue(took.Seconds())
 }
 
-// PlatformFailed counts a call to the platform that failed.
+// PlatformFailed counts a failed call to the platform.
 func (s *Set) PlatformFailed(call string) {
 	if s == nil {
 		return
@@ -133,14 +133,14 @@
 	s.scope.Tagged(map[string]string{"call": call}).Counter(namePlatformFailures).Inc(1)
 }
 
-// Service is what an instance may use and uses of one service.
+// Service holds the values of a service's gauges.
 type Service struct {
 	Name     string
-	Limit    int
-	InFlight int
+	Limit    int // slots that this instance may use now
+	InFlight int // slots in use
 }
 
-// State is what the gauges show.
+// State holds the values of the gauges.
 type State struct {
 	Services  []Service
 	Queued    int
--- a/internal/metrics/set_test.go
+++ b/internal/metrics/set_test.go
@@ -20,7 +20,7 @@
 		Confirmed: true,
 		Counts:    []invariant.Count{{Name: invariant.AtMostOnce, Checks: 7}},
 	})
-	s.Close() // reports what is left
+	s.Close() // reports the values that are not reported yet
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
 	tests := map[string]string{
