--- a/internal/logs/limiter.go
+++ b/internal/logs/limiter.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// Limiter bounds how many lines of one kind are written a second. It is safe for
-// concurrent use.
+// Limiter limits the rate of log lines of one kind. It is safe for concurrent use.
 type Limiter struct {
-	perSecond int // lines a second
+	perSecond int // maximum number of lines per second
 
 	mu         sync.Mutex
-	windowEnd  time.Time // the current second ends then; guarded by mu
-	written    int       // in the current second; at most most; guarded by mu
-	suppressed int       // since a line was last written; guarded by mu
+	windowEnd  time.Time // end of the current one-second window; guarded by mu
+	written    int       // lines in the current window; at most perSecond; guarded by mu
+	suppressed int       // lines since the last written one; guarded by mu
 }
 
-// NewLimiter makes a limiter of so many lines a second.
+// NewLimiter returns a limiter that allows the given number of lines per second.
 func NewLimiter(perSecond int) *Limiter { return &Limiter{perSecond: perSecond} }
 
-// Allow says whether a line may be written now, and how many of its kind were
-// suppressed since the last one.
+// Allow reports whether a line may be written now and, if so, how many lines were
+// suppressed since the last written one.
 func (l *Limiter) Allow(now time.Time) (suppressed int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -1,4 +1,4 @@
-// Package logs writes log lines without ever blocking who logs.
+// Package logs writes log lines in the background, so that logging never blocks.
 package logs
 
 import (
@@ -11,38 +11,39 @@
 )
 
 const (
-	// flushInterval is how long lines gather. What a crash finds gathered is lost.
+	// flushInterval is how long lines are buffered. Buffered lines are lost in a crash.
 	flushInterval = 100 * time.Millisecond
-	// maxPending bounds what is gathered while the reader doesn't read, in bytes:
-	// about 2,000 lines. What doesn't fit is dropped and counted.
+	// maxPending is the maximum number of bytes buffered while the reader of the
+	// output doesn't read: about 2,000 lines. Further lines are dropped and counted.
 	maxPending = 512 << 10
 )
 
-// CloseTime is how long a process that ends waits for its last lines to be written.
+// CloseTime is how long an exiting process waits for its last lines to be written.
 const CloseTime = 500 * time.Millisecond
 
-// Writer gathers lines and writes them in the background. A reader that stops
-// reading costs lines, never time. It is safe for concurrent use.
+// Writer buffers lines and writes them in the background. If the reader of the output
+// stops reading, lines are dropped, and Write doesn't block. It is safe for concurrent
+// use.
 type Writer struct {
 	out  io.Writer
 	wake chan struct{}
 	done chan struct{}
 
 	mu      sync.Mutex
-	pending []byte // whole lines; at most maxPending; guarded by mu
-	spare   []byte // to gather in next; guarded by mu
-	dropped int    // lines since the last flush; guarded by mu
+	pending []byte // complete lines, at most maxPending bytes; guarded by mu
+	spare   []byte // buffer for reuse after the next flush; guarded by mu
+	dropped int    // lines dropped since the last flush; guarded by mu
 	closed  bool   // guarded by mu
 }
 
-// NewWriter makes a writer to out. Close ends it.
+// NewWriter returns a writer to out, which must be closed after use.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It always succeeds.
+// Write buffers one line, or drops it if the buffer is full or closed. It never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,7 +61,7 @@
 	return len(line), nil
 }
 
-// Close writes what is gathered, and waits for that at most until the deadline.
+// Close flushes the buffered lines. It waits for that no longer than until the deadline.
 func (w *Writer) Close(deadline time.Time) {
 	w.mu.Lock()
 	if !w.closed {
@@ -74,7 +75,7 @@
 	}
 }
 
-// run writes what gathers. It sleeps while there is nothing to write.
+// run flushes buffered lines until Close. It blocks while there is nothing to write.
 func (w *Writer) run() {
 	defer close(w.done)
 	for range w.wake {
@@ -89,7 +90,7 @@
 	lines, dropped := w.pending, w.dropped
 	w.pending, w.dropped = w.spare[:0], 0
 	w.mu.Unlock()
-	w.out.Write(lines) // an output that is gone takes no line of its own either
+	w.out.Write(lines) // an error can't be logged, as the log output itself failed
 	if dropped > 0 {
 		fmt.Fprintf(w.out, "time=%s level=warn msg=\"log lines dropped\" count=%d\n",
 			time.Now().Format(time.RFC3339Nano), dropped)
@@ -99,7 +100,7 @@
 	w.mu.Unlock()
 }
 
-// New makes a logger of logfmt lines. It returns an error for an unknown level.
+// New returns a logger of logfmt lines. It returns an error for an unknown level.
 func New(w io.Writer, level string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// stallingOutput is a reader of lines that can stop reading.
+// stallingOutput is an output whose reader can stop reading.
 type stallingOutput struct {
-	mu   sync.Mutex // held while it does not read
+	mu   sync.Mutex // held by a test to stop reading
 	text bytes.Buffer
 }
 
@@ -32,7 +32,8 @@
 	}
 }
 
-// A reader that stops reading costs lines, which are counted, and no time.
+// If the reader of the output stops reading, lines are dropped and counted, and Write does
+// not block.
 func TestWriterNeverBlocks(t *testing.T) {
 	var out stallingOutput
 	w := NewWriter(&out)
@@ -44,16 +45,16 @@
 		w.Write(line)
 	}
 	if took := time.Since(begin); took > 2*time.Second {
-		t.Errorf("got %s for %d lines without a reader", took, lines)
+		t.Errorf("got %s for %d lines without a reader, want at most 2s", took, lines)
 	}
 	out.mu.Unlock()
 	w.Close(time.Now().Add(5 * time.Second))
 	text := out.text.String()
 	if !strings.Contains(text, "log lines dropped") {
-		t.Error("got no line about what was dropped")
+		t.Error("got no line with the number of dropped lines, want one")
 	}
 	if got := len(text); got > 3*maxPending {
-		t.Errorf("got %d bytes kept, want a bound", got)
+		t.Errorf("got %d bytes written, want at most three times maxPending", got)
 	}
 }
 
