--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -73,8 +73,8 @@
 			for range tt.others {
 				d.addRequest(time.Time{})
 			}
-			id, box := d.addRequest(time.Time{})
-			if len(box.Take()) != 1 {
+			id, mailbox := d.addRequest(time.Time{})
+			if len(mailbox.Take()) != 1 {
 				t.Fatal("got no decision, want one")
 			}
 			if tt.end {
@@ -119,6 +119,6 @@
 	d.Close(id)
 	d.deliver(core.Hold{ID: id})
 	if got := len(box.Take()); got != 0 {
-		t.Errorf("got %d decisions after the end, want 0", got)
+		t.Errorf("got %d decisions after Close, want 0", got)
 	}
 }
--- a/internal/http1/pool_test.go
+++ b/internal/http1/pool_test.go
@@ -112,13 +112,13 @@
 			case tt.want == "" && !errors.As(err, &lost):
 				t.Errorf("got %v, want the error for no complete answer", err)
 			case tt.want != "" && err != nil:
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want no error", err)
 			case tt.want != "" && string(resp.Body) != tt.want:
 				t.Errorf("got %q, want %q", resp.Body, tt.want)
 			}
 			time.Sleep(10 * time.Millisecond) // late bytes have arrived by now
 			if _, err := p.Do(context.Background(), newExchange(address)); err != nil {
-				t.Errorf("second: got %v", err)
+				t.Errorf("second exchange: got %v, want no error", err)
 			}
 			if got := len(conns); got != tt.conns {
 				t.Errorf("got %d connections, want %d", got, tt.conns)
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -123,9 +123,9 @@
 // answers follow its answer in order.
 func TestServerPipelining(t *testing.T) {
 	release := make(chan struct{})
-	worked := make(chan string, 3)
+	handled := make(chan string, 3)
 	_, dial := serve(t, func(_ context.Context, r *Request) *Response {
-		worked <- r.URI
+		handled <- r.URI
 		if r.URI == "/1" {
 			<-release
 		}
@@ -136,7 +136,7 @@
 		fmt.Fprintf(c, "GET /%d HTTP/1.1\r\nHost: h\r\n\r\n", i)
 	}
 	for range 3 {
-		<-worked
+		<-handled
 	}
 	close(release)
 	got := readAnswers(t, c, 3)
@@ -155,19 +155,19 @@
 	}
 	for name, send := range tests {
 		t.Run(name, func(t *testing.T) {
-			begun, left := make(chan struct{}), make(chan struct{})
+			started, cancelled := make(chan struct{}), make(chan struct{})
 			_, dial := serve(t, func(ctx context.Context, r *Request) *Response {
-				close(begun)
+				close(started)
 				<-ctx.Done()
-				close(left)
+				close(cancelled)
 				return echo(ctx, r)
 			})
 			c := dial()
 			io.WriteString(c, send)
-			<-begun
+			<-started
 			c.Close()
 			select {
-			case <-left:
+			case <-cancelled:
 			case <-time.After(5 * time.Second):
 				t.Error("got a request still handled after its caller disconnected, want it cancelled")
 			}
@@ -178,15 +178,15 @@
 // A draining server answers the requests that it has read, announces the close in the
 // last answer, and closes all connections.
 func TestDrain(t *testing.T) {
-	release, begun := make(chan struct{}), make(chan struct{}, 1)
+	release, started := make(chan struct{}), make(chan struct{}, 1)
 	s, dial := serve(t, func(ctx context.Context, r *Request) *Response {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
 		return echo(ctx, r)
 	})
 	idle, busy := dial(), dial()
 	io.WriteString(busy, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
-	<-begun
+	<-started
 	s.Drain()
 	s.CloseIdle()
 	close(release)
@@ -262,16 +262,16 @@
 // is not checked at this point.
 func TestEarlyRefusal(t *testing.T) {
 	tests := map[string]struct {
-		send string
-		want string
-		left bool // the connection stays open after the answer
+		send      string
+		want      string
+		staysOpen bool // the connection stays open after the answer
 	}{
 		"body to come":           {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n", want: "401 "},
 		"chunks to come":         {send: "POST /no HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", want: "401 "},
 		"waits for a go-ahead":   {send: "POST /no HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n", want: "401 "},
-		"body is there":          {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", want: "200 POST /no hi", left: true},
-		"no body":                {send: "GET /no HTTP/1.1\r\nHost: h\r\n\r\n", want: "200 GET /no ", left: true},
-		"allowed, body in parts": {send: "POST /yes HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n|hi", want: "200 POST /yes hi", left: true},
+		"body is there":          {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", want: "200 POST /no hi", staysOpen: true},
+		"no body":                {send: "GET /no HTTP/1.1\r\nHost: h\r\n\r\n", want: "200 GET /no ", staysOpen: true},
+		"allowed, body in parts": {send: "POST /yes HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n|hi", want: "200 POST /yes hi", staysOpen: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -293,8 +293,8 @@
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			_, err := c.Read(make([]byte, 1))
-			if left := err != io.EOF; left != tt.left {
-				t.Errorf("got the connection open: %t, want %t", left, tt.left)
+			if open := err != io.EOF; open != tt.staysOpen {
+				t.Errorf("got the connection open: %t, want %t", open, tt.staysOpen)
 			}
 		})
 	}
@@ -306,10 +306,10 @@
 	const get, busy = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy HTTP/1.1\r\nHost: h\r\n\r\n"
 	const post = "POST /busy HTTP/1.1\r\nHost: h\r\n"
 	tests := map[string]struct {
-		send string
-		busy []bool // result of Busy for each request
-		want []string
-		left bool // the connection stays open after the answers
+		send      string
+		busy      []bool // result of Busy for each request
+		want      []string
+		staysOpen bool // the connection stays open after the answers
 	}{
 		"no body":              {busy, []bool{true}, []string{"503 /busy"}, true},
 		"body is there":        {post + "Content-Length: 2\r\n\r\nhi" + get, []bool{true, false}, []string{"503 /busy", "200 GET /1 "}, true},
@@ -340,8 +340,8 @@
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			_, err := c.Read(make([]byte, 1))
-			if left := err != io.EOF; left != tt.left {
-				t.Errorf("got the connection open: %t, want %t", left, tt.left)
+			if open := err != io.EOF; open != tt.staysOpen {
+				t.Errorf("got the connection open: %t, want %t", open, tt.staysOpen)
 			}
 		})
 	}
--- a/internal/metrics/edge_test.go
+++ b/internal/metrics/edge_test.go
@@ -9,7 +9,7 @@
 )
 
 // The gauges of an instance on the users' platform are exported under their names.
-func TestShowEdge(t *testing.T) {
+func TestEdgeGauges(t *testing.T) {
 	s := New()
 	s.ShowEdge(Edge{
 		Ready: true, Version: 7, Revision: 42, StoreAge: 1500 * time.Millisecond, Instances: 9, Connections: 3, Refusing: 0.25,
@@ -33,7 +33,7 @@
 }
 
 // Workspaces beyond maxWorkspaces share their counters.
-func TestAsked(t *testing.T) {
+func TestQuotaCounters(t *testing.T) {
 	s := New()
 	for i := range maxWorkspaces + 50 {
 		s.Asked(fmt.Sprint("w", i), i%2 == 0)
--- a/internal/once/book_test.go
+++ b/internal/once/book_test.go
@@ -87,7 +87,7 @@
 		})
 	}
 	if got, want := used.Until(), start.Add(time.Second); !got.Equal(want) {
-		t.Errorf("got life until %v, want it cut to %v", got, want)
+		t.Errorf("got a key valid until %v, want its lifetime limited to %v", got, want)
 	}
 }
 
@@ -133,11 +133,11 @@
 		t.Errorf("got %v, want closed", got)
 	}
 	if !b.Dispatch(start, old, v.Attempt) {
-		t.Error("got no dispatch of what had begun, want one")
+		t.Error("got no dispatch of a running attempt, want one")
 	}
 	b.Finish(start, old, v.Attempt, Outcome{Kind: OutcomeNotRun, Proof: ProofRefusal})
 	if got := b.Begin(start, old, Fingerprint{}, "r3").Kind; got != VerdictClosed {
-		t.Errorf("again: got %v, want closed", got)
+		t.Errorf("second attempt: got %v, want closed", got)
 	}
 }
 
--- a/internal/once/key_test.go
+++ b/internal/once/key_test.go
@@ -61,7 +61,7 @@
 			_, err := ParseKey(tt.in)
 			var got *KeyError
 			if !errors.As(err, &got) || got.Part != tt.part {
-				t.Errorf("got %v, want a fault of %s", err, tt.part)
+				t.Errorf("got %v, want a *KeyError for %s", err, tt.part)
 			}
 		})
 	}
--- a/internal/pace/link_test.go
+++ b/internal/pace/link_test.go
@@ -9,7 +9,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestTake(t *testing.T) {
+func TestSendTimes(t *testing.T) {
 	tests := map[string]struct {
 		rate   int64
 		before []int // bytes reserved at the start
--- a/internal/tcp/listener_test.go
+++ b/internal/tcp/listener_test.go
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			begun := time.Now()
+			started := time.Now()
 			time.Sleep(tt.silent)
 			if _, err := io.WriteString(c, tt.sent); err != nil {
 				t.Fatal(err)
@@ -51,7 +51,7 @@
 			if got, want := err == nil && resp.StatusCode == http.StatusOK, tt.served; got != want {
 				t.Errorf("got served %t, want %t: %v", got, want, err)
 			}
-			if got, want := time.Since(begun), tt.silent+tt.from; got < want {
+			if got, want := time.Since(started), tt.silent+tt.from; got < want {
 				t.Errorf("got the end after %s, want at least %s", got, want)
 			}
 		})
