--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -19,8 +19,8 @@
 	control    func(core.Decision) // handles decisions that belong to no request; must not block
 
 	mu        sync.Mutex
-	node      *core.Node // guarded by mu
-	lastID    core.ID
+	node      *core.Node           // guarded by mu
+	lastID    core.ID              // of the latest request; guarded by mu
 	mailboxes map[core.ID]*Mailbox // by open request; guarded by mu
 }
 
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -58,7 +58,7 @@
 // answer was received: it may have run.
 type LostError struct {
 	Err    error
-	Reused bool // the connection was a pooled one
+	Reused bool // an earlier request was answered on the connection
 }
 
 func (e *LostError) Error() string { return "http1: no complete answer: " + e.Err.Error() }
