--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,5 +1,5 @@
-// Package dispatch stands between the node, which only decides, and the
-// goroutines that carry its decisions out.
+// Package dispatch serializes access to the node, which only makes decisions, and
+// delivers them to the goroutines that carry them out.
 package dispatch
 
 import (
@@ -11,55 +11,56 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Dispatcher guards a node and passes each decision to whom it concerns. It is
-// safe for concurrent use.
+// Dispatcher guards a node with a lock and delivers each decision to the mailbox
+// of its request. It is safe for concurrent use.
 type Dispatcher struct {
-	now     func() time.Time
-	timed   chan struct{}       // holds a token after a step that leaves something waiting
-	control func(core.Decision) // takes decisions that belong to no request; must not block
+	now        func() time.Time
+	tickNeeded chan struct{}       // holds a token after a step that leaves something waiting for a Tick
+	control    func(core.Decision) // handles decisions that belong to no request; must not block
 
-	mu      sync.Mutex
-	node    *core.Node // guarded by mu
-	last    core.ID
-	waiting map[core.ID]*Mailbox // one for each open request
+	mu        sync.Mutex
+	node      *core.Node           // guarded by mu
+	lastID    core.ID              // of the latest request; guarded by mu
+	mailboxes map[core.ID]*Mailbox // by open request; guarded by mu
 }
 
-// New makes a dispatcher for a node. control is called for each decision that
-// is not about a request; it must not block, nor call the dispatcher.
+// New returns a dispatcher for a node. control is called with the lock held for
+// each decision that belongs to no request; it must not block or call the
+// dispatcher.
 func New(node *core.Node, now func() time.Time, control func(core.Decision)) *Dispatcher {
 	return &Dispatcher{
-		now:     now,
-		control: control,
-		timed:   make(chan struct{}, 1),
-		node:    node,
-		waiting: make(map[core.ID]*Mailbox),
+		now:        now,
+		control:    control,
+		tickNeeded: make(chan struct{}, 1),
+		node:       node,
+		mailboxes:  make(map[core.ID]*Mailbox),
 	}
 }
 
-// Now is the time by the clock that the node is driven by.
+// Now returns the time by the clock that drives the node.
 func (d *Dispatcher) Now() time.Time { return d.now() }
 
-// Open gives a new request its id and the mailbox of its decisions.
+// Open allocates the ID of a new request and the mailbox for its decisions.
 func (d *Dispatcher) Open() (core.ID, *Mailbox) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.last++
+	d.lastID++
 	m := newMailbox()
-	d.waiting[d.last] = m
-	return d.last, m
+	d.mailboxes[d.lastID] = m
+	return d.lastID, m
 }
 
-// Close ends a request. If it has had no final answer, because its handler
-// broke off, the node is told, so that nothing of it is left behind.
+// Close ends a request and removes its mailbox. If the request has no final answer,
+// because its handler was aborted, the node cancels it and releases what it holds.
 func (d *Dispatcher) Close(id core.ID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.waiting, id)
+	delete(d.mailboxes, id)
 	d.step(core.Cancelled{ID: id})
 	d.step(core.Finished{ID: id, Result: core.Failed, Final: true, Gone: true})
 }
 
-// Step tells the node of an event and passes its decisions on.
+// Step passes an event to the node and delivers the resulting decisions.
 func (d *Dispatcher) Step(ev core.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,48 +69,50 @@
 
 func (d *Dispatcher) step(ev core.Event) {
 	for _, dec := range d.node.Step(d.now(), ev) {
-		d.pass(dec)
+		d.deliver(dec)
 	}
 	if !d.node.Waiting() {
 		return
 	}
 	select {
-	case d.timed <- struct{}{}:
-	default: // it is told already
+	case d.tickNeeded <- struct{}{}:
+	default: // a token is pending already
 	}
 }
 
-// Waiting gives a token after a step that leaves something to wait for time to
-// pass: the next core.Tick is then due soon.
-func (d *Dispatcher) Waiting() <-chan struct{} { return d.timed }
+// Waiting returns a channel that holds a token after a step that leaves something
+// waiting for time to pass: the next core.Tick is then due soon.
+func (d *Dispatcher) Waiting() <-chan struct{} { return d.tickNeeded }
 
-// pass never blocks. A decision for a request that has closed is dropped.
-func (d *Dispatcher) pass(dec core.Decision) {
+// deliver puts a decision into the mailbox of its request, or passes it to control.
+// It doesn't block. A decision for a closed request is dropped. The caller holds
+// mu.
+func (d *Dispatcher) deliver(dec core.Decision) {
 	id, ok := core.RequestOf(dec)
 	if !ok {
 		d.control(dec)
 		return
 	}
-	if m, ok := d.waiting[id]; ok {
+	if m, ok := d.mailboxes[id]; ok {
 		m.put(dec)
 	}
 }
 
-// Lookup answers a caller's look-up.
+// Lookup answers a caller's lookup of a service.
 func (d *Dispatcher) Lookup(id settings.ServiceID, caller netip.Addr, keys int) (core.Lookup, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Lookup(d.now(), id, caller, keys)
 }
 
-// Offer answers a peer that asks for grants.
+// Offer answers a peer's request for grants.
 func (d *Dispatcher) Offer(a core.Ask) core.Offer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.node.Offer(d.now(), a)
 }
 
-// Read runs f with the node locked. f must not keep the node.
+// Read calls f with the node locked. f must not retain the node.
 func (d *Dispatcher) Read(f func(now time.Time, n *core.Node)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -10,9 +10,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-var orders = settings.ServiceID{Team: "shop", Name: "orders"}
+var testService = settings.ServiceID{Team: "shop", Name: "orders"}
 
-const service = `
+const serviceDocument = `
 class: interactive
 timeout: 2s
 shift: 1
@@ -20,7 +20,7 @@
   east: {limit: 1, targets: [{name: e, address: "127.0.0.1:1", slots: 1, connections: 9}]}
 `
 
-// newDispatcher gives one whose node has one slot.
+// newDispatcher returns a dispatcher whose node has one slot.
 func newDispatcher(t *testing.T) *Dispatcher {
 	t.Helper()
 	now := time.Unix(1_000_000, 0)
@@ -31,7 +31,7 @@
 	}
 	s, err := settings.Compile([]settings.Document{
 		{Path: "/places/east", Version: 1, Body: []byte("region: coast\ndomain: east\nlimit: 1\n")},
-		{Path: "/teams/shop/services/orders", Version: 1, Body: []byte(service)},
+		{Path: "/teams/shop/services/orders", Version: 1, Body: []byte(serviceDocument)},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -46,21 +46,22 @@
 	return d
 }
 
-func (d *Dispatcher) arrive(deadline time.Time) (core.ID, *Mailbox) {
+func (d *Dispatcher) addRequest(deadline time.Time) (core.ID, *Mailbox) {
 	id, box := d.Open()
 	d.Step(core.Arrived{ID: id, Request: core.Request{
-		Service: orders, Method: "GET", Path: "/", Caller: netip.Addr{}, Deadline: deadline, Replayable: true,
+		Service: testService, Method: "GET", Path: "/", Caller: netip.Addr{}, Deadline: deadline, Replayable: true,
 	}})
 	return id, box
 }
 
-// TestCloseLeavesNothing closes requests whose handlers broke off at any stage. What was
-// under way keeps its slot until the target has ended it too, whatever else it answers.
-func TestCloseLeavesNothing(t *testing.T) {
+// TestCloseReleasesRequest closes requests whose handlers were aborted at different
+// stages. A request that was sent keeps its slot until its target has ended it too,
+// even if a health check of the target succeeds before.
+func TestCloseReleasesRequest(t *testing.T) {
 	tests := map[string]struct {
-		others int // requests that hold the slot before
+		others int // earlier requests, which hold the slot
 		end    bool
-		kept   int // slots that are taken until the target has ended the attempt
+		kept   int // slots in use until the target has ended the attempt
 	}{
 		"at its target": {0, false, 1},
 		"in the queue":  {1, false, 1},
@@ -70,53 +71,54 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDispatcher(t)
 			for range tt.others {
-				d.arrive(time.Time{})
+				d.addRequest(time.Time{})
 			}
-			id, box := d.arrive(time.Time{})
-			if len(box.Take()) != 1 {
+			id, mailbox := d.addRequest(time.Time{})
+			if len(mailbox.Take()) != 1 {
 				t.Fatal("got no decision, want one")
 			}
 			if tt.end {
 				d.Step(core.Finished{ID: id, Result: core.Answered})
 			}
 			d.Close(id)
-			target := owner.TargetKey{Service: orders, Name: "e"}
+			target := owner.TargetKey{Service: testService, Name: "e"}
 			d.Step(core.Probed{Target: target, Asked: d.Now(), Healthy: true, Slots: 1})
 			d.Step(core.Tick{})
-			d.has(t, "before the target ends it", tt.others, tt.kept)
+			d.checkCounts(t, "before the target ends it", tt.others, tt.kept)
 			d.Step(core.Ended{ID: id, Target: target})
-			d.has(t, "after the target ended it", tt.others, tt.others)
+			d.checkCounts(t, "after the target ended it", tt.others, tt.others)
 		})
 	}
 }
 
-// has checks the number of open requests, and of those that hold a slot. None may wait.
-func (d *Dispatcher) has(t *testing.T, when string, open, flying int) {
+// checkCounts checks the number of open requests and of those that hold a slot, and
+// that none is queued.
+func (d *Dispatcher) checkCounts(t *testing.T, when string, open, inFlight int) {
 	t.Helper()
 	d.Read(func(now time.Time, n *core.Node) {
 		st := n.Status(now)
-		if st.Open != open || st.Queued != 0 || st.Services[0].InFlight != flying {
+		if st.Open != open || st.Queued != 0 || st.Services[0].InFlight != inFlight {
 			t.Errorf("%s: got %d open, %d queued, %d in flight, want %d, 0, %d",
-				when, st.Open, st.Queued, st.Services[0].InFlight, open, flying)
+				when, st.Open, st.Queued, st.Services[0].InFlight, open, inFlight)
 		}
 	})
 }
 
-// TestMailboxHoldsUpNobody gives more decisions than anybody takes.
-func TestMailboxHoldsUpNobody(t *testing.T) {
+// TestMailboxNeverBlocks delivers many decisions before any is taken.
+func TestMailboxNeverBlocks(t *testing.T) {
 	const count = 1000
 	d := newDispatcher(t)
 	id, box := d.Open()
 	for range count {
-		d.pass(core.Hold{ID: id})
+		d.deliver(core.Hold{ID: id})
 	}
 	<-box.Ready()
 	if got := len(box.Take()); got != count {
 		t.Errorf("got %d decisions, want %d", got, count)
 	}
 	d.Close(id)
-	d.pass(core.Hold{ID: id})
+	d.deliver(core.Hold{ID: id})
 	if got := len(box.Take()); got != 0 {
-		t.Errorf("got %d decisions after the end, want 0", got)
+		t.Errorf("got %d decisions after Close, want 0", got)
 	}
 }
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -16,63 +16,66 @@
 )
 
 const (
-	// maxWhole is how much of an answer is read before any of it is passed on. An
-	// answer that breaks off before can be replaced by another target's.
-	maxWhole = 1 << 20
-	// writeAtOnce is how much is written before the answer is read; more is written
-	// beside, as a target may answer before it has read a long body.
-	writeAtOnce = 4 << 10
-	maxStray    = 4 // answers to other requests that are skipped on one connection
+	// maxBuffered is how many bytes of an answer are read before any are passed on. An
+	// answer that is truncated before that can be replaced by another target's.
+	maxBuffered = 1 << 20
+	// maxSyncWrite is the size up to which a request is written before the answer is
+	// read. A longer one is written concurrently, as a target may answer before it
+	// has read the body.
+	maxSyncWrite = 4 << 10
+	maxStray     = 4 // answers to other requests that are skipped in one exchange
 )
 
-// Exchange is one attempt at a target.
+// Exchange is one attempt to send a request to a target.
 type Exchange struct {
 	Request *Request
-	Header  http.Header // of the attempt
-	Target  string      // ID, by which connections are kept
-	Group   string      // of targets that are alike in how long they keep idle connections
+	Header  http.Header // header sent with this attempt
+	Target  string      // ID, the key of pooled connections
+	Group   string      // targets that presumably keep idle connections equally long
 	Address string
 	Once    bool                                 // the request must not run twice
-	Mine    func(status int, h http.Header) bool // whether an answer belongs to this request
-	Keep    func(resp *Response) bool            // whether the connection is kept after an answer
-	Until   time.Time                            // when the attempt is given up
-	Wanted  func() bool                          // whether to send it, asked when there is a connection; nil: always
+	Mine    func(status int, h http.Header) bool // reports whether an answer belongs to this request
+	Keep    func(resp *Response) bool            // reports whether the connection may be reused after an answer
+	Until   time.Time                            // deadline of the attempt
+	Wanted  func() bool                          // reports whether to send the request; called once connected; nil: always
 }
 
-// UnwantedError says that a request was not sent, as Wanted said so.
+// UnwantedError reports that a request was not sent because it was no longer wanted
+// when the connection was established.
 type UnwantedError struct{}
 
-func (e *UnwantedError) Error() string { return "not wanted any more" }
+func (e *UnwantedError) Error() string { return "request no longer wanted" }
 
-// NotSentError says that nothing of a request was sent: it can't have run.
+// NotSentError reports that no byte of a request was sent: it can't have run.
 type NotSentError struct{ Err error }
 
-func (e *NotSentError) Error() string { return "http1: not sent: " + e.Err.Error() }
+func (e *NotSentError) Error() string { return "http1: request not sent: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError says that a request was sent, in part at least, and no whole answer
-// came: it may have run.
+// LostError reports that a request was sent, at least in part, and that no complete
+// answer was received: it may have run.
 type LostError struct {
 	Err    error
-	Reused bool // the connection had been kept
+	Reused bool // an earlier request was answered on the connection
 }
 
-func (e *LostError) Error() string { return "http1: no whole answer: " + e.Err.Error() }
+func (e *LostError) Error() string { return "http1: no complete answer: " + e.Err.Error() }
 
 // Unwrap returns the cause.
 func (e *LostError) Unwrap() error { return e.Err }
 
-// StrayError says that answers to other requests came instead of the expected one.
+// StrayError reports that only answers to other requests were received.
 type StrayError struct{ Count int }
 
 func (e *StrayError) Error() string {
-	return fmt.Sprintf("%d answers to other requests", e.Count)
+	return fmt.Sprintf("received %d answers to other requests", e.Count)
 }
 
-// Do makes the attempt. It returns *NotSentError or *LostError, and a whole
-// answer or one whose Rest must be closed. It gives up when ctx ends.
+// Do sends the request and reads the answer. Its errors distinguish a request that was
+// not sent, a *NotSentError, from one that may have run. If Rest of the answer is set,
+// it must be closed. Do returns early when ctx ends.
 func (p *Pool) Do(ctx context.Context, e *Exchange) (*Response, error) {
 	ctx, cancel := context.WithDeadline(ctx, boottime.Runtime(e.Until))
 	defer cancel()
@@ -85,8 +88,8 @@
 		return nil, &NotSentError{Err: &UnwantedError{}}
 	}
 	c.conn.SetDeadline(boottime.Runtime(e.Until))
-	p.begin(c, e.Until)
-	defer p.end(c)
+	p.trackPending(c, e.Until)
+	defer p.untrackPending(c)
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	begin := boottime.Now()
@@ -95,35 +98,35 @@
 	if err != nil {
 		c.conn.Close()
 		switch {
-		case c.used && silent(ctx, err):
+		case c.reused && timedOut(ctx, err):
 			p.dropBefore(c.target, begin)
-		case c.used && ctx.Err() == nil && forgotten(err, boottime.Since(begin), begin.Sub(c.answered)):
-			p.forgetful.forgot(boottime.Now(), e.Group, begin.Sub(c.answered))
+		case c.reused && ctx.Err() == nil && staleFailure(err, boottime.Since(begin), begin.Sub(c.idleSince)):
+			p.idleLimits.recordStale(boottime.Now(), e.Group, begin.Sub(c.idleSince))
 		}
-		return nil, &LostError{Err: err, Reused: c.used}
+		return nil, &LostError{Err: err, Reused: c.reused}
 	}
 	if a.response.Rest != nil {
 		a.response.Rest = &restReader{Reader: a.response.Rest, conn: c}
 		return a.response, nil
 	}
-	p.settle(c, sent, a, e)
+	p.release(c, sent, a, e)
 	return a.response, nil
 }
 
-// silent says whether an exchange failed since the target sent nothing, rather than
-// that the caller left.
-func silent(ctx context.Context, err error) bool {
+// timedOut reports whether an exchange failed because the target did not answer in time,
+// and not because the caller disconnected.
+func timedOut(ctx context.Context, err error) bool {
 	var network net.Error
 	return errors.As(err, &network) && network.Timeout() && !errors.Is(ctx.Err(), context.Canceled)
 }
 
-// send writes the request. A long one is written beside; the channel then gives
-// its end.
+// send writes the request. A long one is written in the background. The channel
+// yields the result of the write.
 func (c *poolConn) send(e *Exchange) <-chan error {
 	b := bytes.NewBuffer(make([]byte, 0, 512+len(e.Request.Body)))
 	appendRequest(b, e.Request, e.Header)
 	done := make(chan error, 1)
-	if b.Len() <= writeAtOnce {
+	if b.Len() <= maxSyncWrite {
 		_, err := c.conn.Write(b.Bytes())
 		done <- err
 		return done
@@ -135,25 +138,27 @@
 	return done
 }
 
-// settle keeps the connection, or closes it if anything about it is doubtful.
-func (p *Pool) settle(c *poolConn, sent <-chan error, a answer, e *Exchange) {
+// release returns the connection to the pool, or closes it unless the exchange is
+// complete and the connection reusable.
+func (p *Pool) release(c *poolConn, sent <-chan error, a answer, e *Exchange) {
 	whole := false
 	select {
 	case err := <-sent:
 		whole = err == nil
-	default: // answered before all was sent
+	default: // answered before the request was sent completely
 	}
-	if !whole || !a.keep || c.read.Buffered() > 0 || !e.Keep(a.response) {
+	if !whole || !a.reusable || c.reader.Buffered() > 0 || !e.Keep(a.response) {
 		c.conn.Close()
 		return
 	}
-	c.used = true
+	c.reused = true
 	c.conn.SetDeadline(time.Time{})
-	p.put(c, a.idle)
+	p.putIdle(c, a.idleTimeout)
 }
 
-// idleTimeout is how long the target keeps an idle connection; 0 if it doesn't say.
-func idleTimeout(h http.Header) time.Duration {
+// keepAliveTimeout returns the time for which the target announces to keep an idle
+// connection, or 0 if it announces none.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for field := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if n, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
@@ -163,18 +168,19 @@
 	return 0
 }
 
-// answer is what was read for a request.
+// answer is the answer to a request, and whether its connection can be reused.
 type answer struct {
-	response *Response
-	keep     bool          // nothing but the answer was read, and the target keeps the connection
-	idle     time.Duration // how long the target keeps it idle; 0 if it didn't say
+	response    *Response
+	reusable    bool          // no other answer was read, and the target keeps the connection open
+	idleTimeout time.Duration // announced by the target; 0 if none
 }
 
-// receive reads the answer to the request, past answers to others.
+// receive reads the answer to the request. It skips up to maxStray answers to other
+// requests.
 func (c *poolConn) receive(e *Exchange) (answer, error) {
-	asked := &http.Request{Method: e.Request.Method}
+	request := &http.Request{Method: e.Request.Method}
 	for stray := 0; stray <= maxStray; stray++ {
-		in, err := readFinal(c, asked)
+		in, err := readFinal(c, request)
 		if err != nil {
 			return answer{}, err
 		}
@@ -184,17 +190,17 @@
 			}
 			continue
 		}
-		a := answer{keep: stray == 0 && !in.Close, idle: idleTimeout(in.Header)}
-		a.response, err = readWhole(in)
+		a := answer{reusable: stray == 0 && !in.Close, idleTimeout: keepAliveTimeout(in.Header)}
+		a.response, err = readBody(in)
 		return a, err
 	}
 	return answer{}, &StrayError{Count: maxStray + 1}
 }
 
-// readFinal reads the head of an answer, past interim ones.
-func readFinal(c *poolConn, asked *http.Request) (*http.Response, error) {
+// readFinal reads the head of an answer and skips interim (1xx) ones.
+func readFinal(c *poolConn, request *http.Request) (*http.Response, error) {
 	for {
-		in, err := http.ReadResponse(c.read, asked)
+		in, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -204,29 +210,29 @@
 	}
 }
 
-// readWhole reads the body of an answer, or the beginning of a long one.
-func readWhole(in *http.Response) (*Response, error) {
-	size := max(0, min(in.ContentLength, maxWhole))
+// readBody reads the body of an answer, or the first maxBuffered bytes of a longer one.
+func readBody(in *http.Response) (*Response, error) {
+	size := max(0, min(in.ContentLength, maxBuffered))
 	body := bytes.NewBuffer(make([]byte, 0, size+bytes.MinRead))
-	n, err := io.Copy(body, io.LimitReader(in.Body, maxWhole))
+	n, err := io.Copy(body, io.LimitReader(in.Body, maxBuffered))
 	if err != nil {
 		return nil, err
 	}
 	resp := &Response{Status: in.StatusCode, Header: in.Header, Body: body.Bytes()}
-	if n == maxWhole && n != in.ContentLength {
+	if n == maxBuffered && n != in.ContentLength {
 		resp.Rest, resp.Length = in.Body, in.ContentLength
 	}
-	strip(resp.Header)
+	removeConnectionHeaders(resp.Header)
 	return resp, nil
 }
 
-// restReader reads the rest of an answer and closes its connection at the end.
+// restReader reads the rest of an answer; its connection is not reused.
 type restReader struct {
 	io.Reader
 	conn *poolConn
 }
 
-// Close ends the exchange.
+// Close closes the connection.
 func (r *restReader) Close() error {
 	return r.conn.conn.Close()
 }
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -12,40 +12,42 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection: several round trips between
-	// regions, and less than the second after which a lost packet is sent again,
-	// so that another target is tried instead.
+	// dialTimeout bounds the time to connect: several round trips between regions,
+	// and less than the second after which a lost SYN is retransmitted, so that
+	// another target is tried instead.
 	dialTimeout = 500 * time.Millisecond
-	// idleDefault is how long a connection is kept whose target doesn't say.
-	idleDefault = 4 * time.Second
-	// idleShare is the part of what a target says that is used, as the target may
-	// close just when a request is on its way. A non-idempotent request, which
-	// can't be repeated then, uses half of that.
-	idleShare  = 0.8
-	sweepEvery = time.Second
+	// defaultIdle is the assumed keep-alive time of a target that announces none.
+	defaultIdle = 4 * time.Second
+	// idleShare is the fraction of a target's keep-alive time for which a connection
+	// is reused, as the target may close it while a request is on its way. For a
+	// non-idempotent request, which can't be retried then, half of that applies.
+	idleShare     = 0.8
+	sweepInterval = time.Second
 )
 
-// Pool keeps connections to targets. It is safe for concurrent use.
+// Pool keeps idle connections to targets for reuse. It is safe for concurrent use.
 type Pool struct {
 	dialer *net.Dialer
 	stop   chan struct{}
 
-	forgetful forgetful
+	idleLimits idleLimits
 
-	mu     sync.Mutex
-	idle   map[string][]*poolConn  // by target; the last used is last; guarded by mu
-	busy   map[*poolConn]time.Time // connections on which answers are waited for, and until when; guarded by mu
-	closed bool                    // guarded by mu
+	mu      sync.Mutex
+	idle    map[string][]*poolConn  // by target; the most recently used is last; guarded by mu
+	pending map[*poolConn]time.Time // deadlines of exchanges in progress; guarded by mu
+	closed  bool                    // guarded by mu
 }
 
-// NewPool makes a pool whose connections come from ip; "" lets the system choose.
+// NewPool returns a pool whose connections use ip as their source address; "" lets
+// the system choose.
 func NewPool(ip string) *Pool {
-	p := &Pool{idle: make(map[string][]*poolConn), busy: make(map[*poolConn]time.Time), stop: make(chan struct{}), dialer: tcp.NewDialer(ip)}
+	p := &Pool{idle: make(map[string][]*poolConn), pending: make(map[*poolConn]time.Time), stop: make(chan struct{}), dialer: tcp.NewDialer(ip)}
 	go p.sweep()
 	return p
 }
 
-// Close drops the connections that are not in use.
+// Close closes the idle connections. Exchanges in progress continue, and their
+// connections are closed afterwards.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +62,7 @@
 	p.idle = nil
 }
 
-// Forget drops the connections to a target that is gone.
+// Forget closes the idle connections to a target that was removed.
 func (p *Pool) Forget(target string) {
 	p.mu.Lock()
 	list := p.idle[target]
@@ -69,36 +71,37 @@
 	closeAll(list)
 }
 
-// dropBefore drops the connections to a target that were last answered before a request
-// was sent on another one in vain: what silences one, such as a partition or a lost
-// entry of a firewall, silences those beside it. With all of them silenced at once, 30
-// instead of 41 requests failed in the seconds after the first.
+// dropBefore closes the connections to a target that became idle before the given time, at
+// which a request was sent on another connection that timed out. The cause of a timeout,
+// such as a partition or an expired entry of a firewall, usually affects the other
+// connections too. With all connections of a target blocked at once, this reduced the
+// failed requests in the seconds after the first from 41 to 30.
 func (p *Pool) dropBefore(target string, sent time.Time) {
 	p.mu.Lock()
-	var old, sound []*poolConn
+	var stale, kept []*poolConn
 	for _, c := range p.idle[target] {
-		if c.answered.Before(sent) {
-			old = append(old, c)
+		if c.idleSince.Before(sent) {
+			stale = append(stale, c)
 		} else {
-			sound = append(sound, c)
+			kept = append(kept, c)
 		}
 	}
 	if p.idle != nil {
-		p.idle[target] = sound
+		p.idle[target] = kept
 	}
 	p.mu.Unlock()
-	closeAll(old)
+	closeAll(stale)
 }
 
-// get returns a kept connection to a target, or opens one. once says that the
-// request can't be repeated: it gets no connection that may be closing.
+// get returns an idle connection to the target of e, or opens one. A non-idempotent
+// request gets no connection that the target may be closing.
 func (p *Pool) get(ctx context.Context, e *Exchange) (*poolConn, error) {
 	for {
-		c := p.kept(e)
+		c := p.takeIdle(e)
 		if c == nil {
 			break
 		}
-		if c.sound() {
+		if c.usable() {
 			return c, nil
 		}
 		c.conn.Close()
@@ -112,8 +115,8 @@
 	return newPoolConn(conn, e.Target), nil
 }
 
-// Reach opens a connection to a target, which is kept for requests. Its error shows whether
-// the target is there.
+// Reach opens a connection to a target and adds it to the pool. It returns an error if the
+// target doesn't accept connections.
 func (p *Pool) Reach(ctx context.Context, target, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -121,12 +124,13 @@
 	if err != nil {
 		return err
 	}
-	p.put(newPoolConn(conn, target), 0)
+	p.putIdle(newPoolConn(conn, target), 0)
 	return nil
 }
 
-// kept takes the connection that was used last, if one is fresh enough.
-func (p *Pool) kept(e *Exchange) *poolConn {
+// takeIdle removes and returns the most recently used idle connection, or nil if it has been
+// idle for too long.
+func (p *Pool) takeIdle(e *Exchange) *poolConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[e.Target]
@@ -135,24 +139,25 @@
 	}
 	c := list[len(list)-1]
 	now := boottime.Now()
-	if !now.Before(c.until) || e.Once && !now.Before(c.onceUntil) {
+	if !now.Before(c.usableUntil) || e.Once && !now.Before(c.nonIdempotentUntil) {
 		return nil
 	}
-	if e.Once && !p.forgetful.allows(now, e.Group, c.answered) {
+	if e.Once && !p.idleLimits.allows(now, e.Group, c.idleSince) {
 		return nil
 	}
 	p.idle[e.Target] = list[:len(list)-1]
 	return c
 }
 
-// put keeps a connection for further requests.
-func (p *Pool) put(c *poolConn, keep time.Duration) {
-	if keep <= 0 {
-		keep = idleDefault
+// putIdle adds a connection to the pool. idleTimeout is the keep-alive time that the
+// target announces; 0 means none.
+func (p *Pool) putIdle(c *poolConn, idleTimeout time.Duration) {
+	if idleTimeout <= 0 {
+		idleTimeout = defaultIdle
 	}
-	keep = time.Duration(idleShare * float64(keep))
+	idleTimeout = time.Duration(idleShare * float64(idleTimeout))
 	now := boottime.Now()
-	c.answered, c.until, c.onceUntil = now, now.Add(keep), now.Add(keep/2)
+	c.idleSince, c.usableUntil, c.nonIdempotentUntil = now, now.Add(idleTimeout), now.Add(idleTimeout/2)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -162,35 +167,36 @@
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// begin notes that an answer is waited for until a time.
-func (p *Pool) begin(c *poolConn, until time.Time) {
+// trackPending records the deadline of an exchange on a connection.
+func (p *Pool) trackPending(c *poolConn, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busy[c] = until
+	p.pending[c] = until
 }
 
-// end notes that none is waited for any more.
-func (p *Pool) end(c *poolConn) {
+// untrackPending removes the record of trackPending.
+func (p *Pool) untrackPending(c *poolConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy, c)
+	delete(p.pending, c)
 }
 
-// giveUp ends the waiting for answers that were due while the machine was suspended: the
-// connections' own deadlines stood still.
-func (p *Pool) giveUp(now time.Time) {
+// abortOverdue aborts exchanges whose deadline passed while the machine was suspended: the
+// clock of the connections' own deadlines stops during a suspension.
+func (p *Pool) abortOverdue(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c, until := range p.busy {
+	for c, until := range p.pending {
 		if !now.Before(until) {
 			c.conn.SetDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// sweep closes connections that were idle for too long.
+// sweep closes expired idle connections every sweepInterval, and aborts overdue exchanges
+// when the machine resumes from a suspension. It returns when the pool is closed.
 func (p *Pool) sweep() {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		resumed := boottime.Resumed()
@@ -199,7 +205,7 @@
 			return
 		case <-ticker.C:
 		case <-resumed:
-			p.giveUp(boottime.Now())
+			p.abortOverdue(boottime.Now())
 		}
 		closeAll(p.expired(boottime.Now()))
 	}
@@ -210,7 +216,7 @@
 	defer p.mu.Unlock()
 	var old []*poolConn
 	for target, list := range p.idle {
-		keep := slices.IndexFunc(list, func(c *poolConn) bool { return now.Before(c.until) })
+		keep := slices.IndexFunc(list, func(c *poolConn) bool { return now.Before(c.usableUntil) })
 		if keep < 0 {
 			keep = len(list)
 		}
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -16,18 +16,18 @@
 	HeaderBytes: 8 << 10, BodyBytes: 1 << 10, HeaderTimeout: 200 * time.Millisecond, IdleTimeout: 300 * time.Millisecond,
 }
 
-// handling returns what a server does whose requests a function answers.
-func handling(handle func(context.Context, *Request) *Response) Callers {
+// newTestCallers returns the functions of a server whose requests are answered by handle.
+func newTestCallers(handle func(context.Context, *Request) *Response) Callers {
 	return Callers{
 		Handle: handle, Early: func(*Request) *Response { return nil }, Busy: func() bool { return false }, Limits: func() Limits { return testLimits },
 		Unreadable: func(status int) *Response { return &Response{Status: status, Header: http.Header{}} },
 	}
 }
 
-// serve starts a server and returns a function that connects to it.
+// serve starts a server and returns it with a function that connects to it.
 func serve(t *testing.T, handle func(context.Context, *Request) *Response) (*Server, func() net.Conn) {
 	t.Helper()
-	return serveCallers(t, handling(handle))
+	return serveCallers(t, newTestCallers(handle))
 }
 
 func serveCallers(t *testing.T, callers Callers) (*Server, func() net.Conn) {
@@ -54,8 +54,8 @@
 	return &Response{Status: 200, Header: http.Header{"X": {"y"}}, Body: []byte(r.Method + " " + r.URI + " " + string(r.Body))}
 }
 
-// answers reads n answers, with their bodies.
-func answers(t *testing.T, c net.Conn, n int) []string {
+// readAnswers reads n answers and returns their status and body.
+func readAnswers(t *testing.T, c net.Conn, n int) []string {
 	t.Helper()
 	r := bufio.NewReader(c)
 	var list []string
@@ -76,8 +76,8 @@
 func TestServerAnswers(t *testing.T) {
 	tests := map[string]struct {
 		send string
-		want []string // the answers, after which the connection ends if closed
-		ends bool
+		want []string // answers
+		ends bool     // the connection is closed after them
 	}{
 		"length":   {"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nxyz", []string{"200 POST /a xyz"}, false},
 		"chunks":   {"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nxyz\r\n0\r\n\r\n", []string{"200 POST /a xyz"}, false},
@@ -106,26 +106,26 @@
 			_, dial := serve(t, echo)
 			c := dial()
 			io.WriteString(c, tt.send)
-			got := answers(t, c, len(tt.want))
+			got := readAnswers(t, c, len(tt.want))
 			if fmt.Sprint(got) != fmt.Sprint(tt.want) {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if tt.ends {
 				if n, err := c.Read(make([]byte, 1)); n != 0 || err == nil {
-					t.Errorf("got %d bytes, %v, want the end", n, err)
+					t.Errorf("got %d bytes, %v, want the connection closed", n, err)
 				}
 			}
 		})
 	}
 }
 
-// Later requests of a connection are worked on while the first waits, and their
-// answers come after its own.
-func TestServerReadsOn(t *testing.T) {
+// Later requests of a connection are handled while the first one waits, and their
+// answers follow its answer in order.
+func TestServerPipelining(t *testing.T) {
 	release := make(chan struct{})
-	worked := make(chan string, 3)
+	handled := make(chan string, 3)
 	_, dial := serve(t, func(_ context.Context, r *Request) *Response {
-		worked <- r.URI
+		handled <- r.URI
 		if r.URI == "/1" {
 			<-release
 		}
@@ -136,18 +136,18 @@
 		fmt.Fprintf(c, "GET /%d HTTP/1.1\r\nHost: h\r\n\r\n", i)
 	}
 	for range 3 {
-		<-worked
+		<-handled
 	}
 	close(release)
-	got := answers(t, c, 3)
+	got := readAnswers(t, c, 3)
 	want := []string{"200 GET /1 ", "200 GET /2 ", "200 GET /3 "}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// The work on a request ends when its caller leaves, also behind one that asked
-// for the connection's end.
+// The handling of a request is cancelled when its caller disconnects, also if the request
+// had Connection: close.
 func TestCallerLeaves(t *testing.T) {
 	tests := map[string]string{
 		"kept connection": "GET / HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -155,37 +155,38 @@
 	}
 	for name, send := range tests {
 		t.Run(name, func(t *testing.T) {
-			begun, left := make(chan struct{}), make(chan struct{})
+			started, cancelled := make(chan struct{}), make(chan struct{})
 			_, dial := serve(t, func(ctx context.Context, r *Request) *Response {
-				close(begun)
+				close(started)
 				<-ctx.Done()
-				close(left)
+				close(cancelled)
 				return echo(ctx, r)
 			})
 			c := dial()
 			io.WriteString(c, send)
-			<-begun
+			<-started
 			c.Close()
 			select {
-			case <-left:
+			case <-cancelled:
 			case <-time.After(5 * time.Second):
-				t.Error("the work goes on after its caller has left")
+				t.Error("got a request still handled after its caller disconnected, want it cancelled")
 			}
 		})
 	}
 }
 
-// A draining server answers what it has read, says that it closes, and ends.
+// A draining server answers the requests that it has read, announces the close in the
+// last answer, and closes all connections.
 func TestDrain(t *testing.T) {
-	release, begun := make(chan struct{}), make(chan struct{}, 1)
+	release, started := make(chan struct{}), make(chan struct{}, 1)
 	s, dial := serve(t, func(ctx context.Context, r *Request) *Response {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-release
 		return echo(ctx, r)
 	})
 	idle, busy := dial(), dial()
 	io.WriteString(busy, "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
-	<-begun
+	<-started
 	s.Drain()
 	s.CloseIdle()
 	close(release)
@@ -194,23 +195,24 @@
 		t.Fatal(err)
 	}
 	if !resp.Close || resp.StatusCode != 200 {
-		t.Errorf("got status %d, close %t, want 200 and the end", resp.StatusCode, resp.Close)
+		t.Errorf("got status %d, close %t, want 200 and Connection: close", resp.StatusCode, resp.Close)
 	}
 	resp.Body.Close()
 	busy.Close()
 	if n, err := idle.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("got %d bytes, %v on an idle connection, want its end", n, err)
+		t.Errorf("got %d bytes, %v on an idle connection, want it closed", n, err)
 	}
 	idle.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if err := s.Wait(ctx); err != nil {
-		t.Errorf("got %v, want all connections ended", err)
+		t.Errorf("got %v, want all connections closed", err)
 	}
 }
 
-// A request of which some has come when idle connections are closed gets an answer: its
-// caller can't know that it was not read. Before, the connection stayed open without one.
+// A request that is received in part when idle connections are closed gets an answer, as
+// its caller can't assume that it was not read. The server once read it, gave no answer
+// and left the connection open.
 func TestCloseIdleMeetsRequest(t *testing.T) {
 	s, dial := serve(t, echo)
 	c := dial()
@@ -218,14 +220,14 @@
 	for s.Open() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(20 * time.Millisecond) // it is being read
+	time.Sleep(20 * time.Millisecond) // until the server reads it
 	s.Drain()
 	s.CloseIdle()
 	fmt.Fprint(c, "TP/1.1\r\nHost: h\r\n\r\n")
 	c.SetDeadline(time.Now().Add(time.Second))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil || resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Fatalf("got %+v, %v, want 200 and the end of the connection", resp, err)
+		t.Fatalf("got %+v, %v, want 200 and Connection: close", resp, err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -234,12 +236,12 @@
 	}
 }
 
-// An answer whose rest breaks off does not look complete.
-func TestBrokenRest(t *testing.T) {
+// An answer whose rest is truncated must not appear complete to the caller.
+func TestTruncatedRest(t *testing.T) {
 	for name, length := range map[string]int64{"length": 100, "no length": -1} {
 		t.Run(name, func(t *testing.T) {
 			_, dial := serve(t, func(context.Context, *Request) *Response {
-				rest := io.NopCloser(io.MultiReader(strings.NewReader("rest"), &failing{}))
+				rest := io.NopCloser(io.MultiReader(strings.NewReader("rest"), &failingReader{}))
 				return &Response{Status: 200, Header: http.Header{}, Body: []byte("begin"), Rest: rest, Length: length}
 			})
 			c := dial()
@@ -249,30 +251,31 @@
 				t.Fatal(err)
 			}
 			if b, err := io.ReadAll(resp.Body); err == nil {
-				t.Errorf("got %q as a whole body", b)
+				t.Errorf("got %q as a complete body, want an error", b)
 			}
 		})
 	}
 }
 
-// A request that can't be allowed is refused before its body has come, and the
-// connection ends with the answer; one whose body is there is not asked about twice.
+// A request that is not allowed is refused before its body is received, and the
+// connection closes with the answer. A request whose body has been received with its head
+// is not checked at this point.
 func TestEarlyRefusal(t *testing.T) {
 	tests := map[string]struct {
-		send string
-		want string
-		left bool // the connection is open after the answer
+		send      string
+		want      string
+		staysOpen bool // the connection stays open after the answer
 	}{
 		"body to come":           {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n", want: "401 "},
 		"chunks to come":         {send: "POST /no HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n", want: "401 "},
 		"waits for a go-ahead":   {send: "POST /no HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 9\r\n\r\n", want: "401 "},
-		"body is there":          {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", want: "200 POST /no hi", left: true},
-		"no body":                {send: "GET /no HTTP/1.1\r\nHost: h\r\n\r\n", want: "200 GET /no ", left: true},
-		"allowed, body in parts": {send: "POST /yes HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n|hi", want: "200 POST /yes hi", left: true},
+		"body is there":          {send: "POST /no HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nhi", want: "200 POST /no hi", staysOpen: true},
+		"no body":                {send: "GET /no HTTP/1.1\r\nHost: h\r\n\r\n", want: "200 GET /no ", staysOpen: true},
+		"allowed, body in parts": {send: "POST /yes HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\n|hi", want: "200 POST /yes hi", staysOpen: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			callers := handling(echo)
+			callers := newTestCallers(echo)
 			callers.Early = func(r *Request) *Response {
 				if r.Path == "/no" {
 					return &Response{Status: http.StatusUnauthorized, Header: http.Header{}}
@@ -282,31 +285,31 @@
 			_, dial := serveCallers(t, callers)
 			c := dial()
 			for i, part := range strings.Split(tt.send, "|") {
-				time.Sleep(time.Duration(i) * 20 * time.Millisecond) // the parts come apart
+				time.Sleep(time.Duration(i) * 20 * time.Millisecond) // the parts arrive separately
 				io.WriteString(c, part)
 			}
-			if got := answers(t, c, 1)[0]; got != tt.want {
+			if got := readAnswers(t, c, 1)[0]; got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			_, err := c.Read(make([]byte, 1))
-			if left := err != io.EOF; left != tt.left {
-				t.Errorf("got the connection open: %t, want %t", left, tt.left)
+			if open := err != io.EOF; open != tt.staysOpen {
+				t.Errorf("got the connection open: %t, want %t", open, tt.staysOpen)
 			}
 		})
 	}
 }
 
-// A busy server refuses a request by its head, in its turn, and keeps the connection unless a
-// body is to come.
+// A busy server refuses a request after reading its head, in order with other answers, and
+// keeps the connection open unless part of the body has not been received.
 func TestBusyRefusal(t *testing.T) {
 	const get, busy = "GET /1 HTTP/1.1\r\nHost: h\r\n\r\n", "GET /busy HTTP/1.1\r\nHost: h\r\n\r\n"
 	const post = "POST /busy HTTP/1.1\r\nHost: h\r\n"
 	tests := map[string]struct {
-		send string
-		busy []bool // for each request
-		want []string
-		left bool // the connection is open after the answers
+		send      string
+		busy      []bool // result of Busy for each request
+		want      []string
+		staysOpen bool // the connection stays open after the answers
 	}{
 		"no body":              {busy, []bool{true}, []string{"503 /busy"}, true},
 		"body is there":        {post + "Content-Length: 2\r\n\r\nhi" + get, []bool{true, false}, []string{"503 /busy", "200 GET /1 "}, true},
@@ -320,7 +323,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			callers := handling(echo)
+			callers := newTestCallers(echo)
 			next := 0
 			callers.Busy = func() bool {
 				next++
@@ -332,28 +335,28 @@
 			_, dial := serveCallers(t, callers)
 			c := dial()
 			io.WriteString(c, tt.send)
-			if got := answers(t, c, len(tt.want)); fmt.Sprint(got) != fmt.Sprint(tt.want) {
+			if got := readAnswers(t, c, len(tt.want)); fmt.Sprint(got) != fmt.Sprint(tt.want) {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 			_, err := c.Read(make([]byte, 1))
-			if left := err != io.EOF; left != tt.left {
-				t.Errorf("got the connection open: %t, want %t", left, tt.left)
+			if open := err != io.EOF; open != tt.staysOpen {
+				t.Errorf("got the connection open: %t, want %t", open, tt.staysOpen)
 			}
 		})
 	}
 }
 
-type failing struct{}
+type failingReader struct{}
 
-func (*failing) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
+func (*failingReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 func FuzzServer(f *testing.F) {
 	f.Add("GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 	f.Fuzz(func(t *testing.T, send string) {
 		var seen []string
-		s := NewServer(handling(func(_ context.Context, r *Request) *Response {
+		s := NewServer(newTestCallers(func(_ context.Context, r *Request) *Response {
 			seen = append(seen, r.URI)
 			if strings.ContainsAny(r.URI, " \r\n") || strings.ContainsAny(r.Host, "\r\n") {
 				t.Errorf("got request %q of host %q", r.URI, r.Host)
--- a/internal/http1/serverconn.go
+++ b/internal/http1/serverconn.go
@@ -14,73 +14,75 @@
 )
 
 const (
-	readBuffer = 4 << 10 // of a caller's connection; a request without a body mostly fits
-	// lingerTime is how long a closing connection is read on, so that the last
-	// answer isn't lost by a reset. A caller reads it within a round trip.
+	readBufferSize = 4 << 10 // of a caller's connection; most requests without a body fit
+	// lingerTime is how long a connection is still read after its last answer, as
+	// closing it with unread data would reset it and lose that answer. The caller
+	// reads the answer within a round trip.
 	lingerTime = 500 * time.Millisecond
-	// writeTimeout bounds the writing of one answer to a caller that doesn't read.
+	// writeTimeout bounds the time to write one answer to a caller that doesn't read.
 	writeTimeout = 20 * time.Second
-	headerSlack  = 4 << 10 // what the parser may read beyond a header's end
+	headerSlack  = 4 << 10 // bytes that the parser may read beyond the end of a header
 )
 
-// serverConn is one connection of a caller. One goroutine reads requests; each
-// request has its own, which writes the answer when those before it are written.
+// serverConn is one connection of a caller. One goroutine reads requests. Each request
+// is handled in a goroutine of its own, which writes the answer after the earlier ones
+// are written.
 type serverConn struct {
-	server *Server
-	conn   net.Conn
-	id     uint64
-	limit  *limitedConn
-	read   *bufio.Reader
-	slots  chan struct{} // one for each request that is worked on
-	ctx    context.Context
-	cancel context.CancelFunc
-	work   sync.WaitGroup // requests that are worked on
+	server   *Server
+	conn     net.Conn
+	id       uint64
+	limited  *limitedConn
+	reader   *bufio.Reader
+	slots    chan struct{} // semaphore: one element for each request being handled
+	ctx      context.Context
+	cancel   context.CancelFunc
+	handlers sync.WaitGroup // requests being handled
 
-	mu      sync.Mutex
-	pending int  // requests that were read and not answered; guarded by mu
-	closing bool // no more requests are taken; guarded by mu
-	reading bool // the next request has begun to come; guarded by mu
-	idled   bool // closing, but with no answer that said so: a request that was being read is taken; guarded by mu
+	mu         sync.Mutex
+	pending    int  // requests that were read but not answered; guarded by mu
+	closing    bool // no further requests are accepted; guarded by mu
+	reading    bool // part of the next request was received; guarded by mu
+	closedIdle bool // closing, but not announced in an answer: a partly received request is still accepted; guarded by mu
 }
 
 func newServerConn(s *Server, c net.Conn, id uint64) *serverConn {
 	ctx, cancel := context.WithCancel(context.Background())
-	limit := &limitedConn{conn: c, left: maxUnlimited}
+	limit := &limitedConn{conn: c, remaining: unlimited}
 	return &serverConn{
-		server: s, conn: c, id: id, limit: limit, read: bufio.NewReaderSize(limit, readBuffer),
+		server: s, conn: c, id: id, limited: limit, reader: bufio.NewReaderSize(limit, readBufferSize),
 		slots: make(chan struct{}, maxPipelined), ctx: ctx, cancel: cancel,
 	}
 }
 
-// run reads requests until the connection ends.
+// run serves the connection until it is closed and all its requests are answered.
 func (c *serverConn) run() {
 	defer c.conn.Close()
 	defer c.cancel()
 	previous := make(chan struct{})
 	close(previous)
 	for {
-		in := c.next()
-		if in.ended || !c.begin(in.last) {
+		in := c.readNext()
+		if in.closed || !c.admit(in.last) {
 			break
 		}
 		mine := make(chan struct{})
-		c.work.Add(1)
+		c.handlers.Add(1)
 		c.slots <- struct{}{}
 		if in.refusal != nil && isClosed(previous) {
-			c.answer(in, previous, mine) // spares an overloaded process a goroutine
+			c.handle(in, previous, mine) // saves an overloaded process the goroutine
 		} else {
-			go c.answer(in, previous, mine)
+			go c.handle(in, previous, mine)
 		}
 		previous = mine
 		if in.last {
 			break
 		}
 	}
-	c.watch()
-	c.work.Wait()
+	c.awaitClose()
+	c.handlers.Wait()
 }
 
-// isClosed says whether a channel that nothing is sent on is closed.
+// isClosed reports whether a channel is closed on which nothing is sent.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -90,14 +92,15 @@
 	}
 }
 
-// begin counts a request that was read, unless the connection is closing.
-func (c *serverConn) begin(last bool) bool {
+// admit counts a request that was read. It returns false if the connection is closing and
+// accepts none. last marks the last request of the connection.
+func (c *serverConn) admit(last bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closing && !c.idled {
+	if c.closing && !c.closedIdle {
 		return false
 	}
-	c.idled, c.reading = false, false
+	c.closedIdle, c.reading = false, false
 	c.pending++
 	if last {
 		c.closing = true
@@ -106,9 +109,9 @@
 	return true
 }
 
-// watch waits for the caller to leave or for the last answer to be read. A caller
-// that leaves with answers due ends the work on them.
-func (c *serverConn) watch() {
+// awaitClose waits, on a closing connection, until the caller has closed it or its read
+// deadline ends. If requests are still pending then, it cancels them.
+func (c *serverConn) awaitClose() {
 	if c.isClosing() {
 		io.Copy(io.Discard, c.conn)
 	}
@@ -125,9 +128,10 @@
 	return c.closing
 }
 
-// answer works on one request and writes its answer after those before it.
-func (c *serverConn) answer(in incoming, previous, mine chan struct{}) {
-	defer c.work.Done()
+// handle answers one request. It writes the answer after previous is closed, and closes
+// mine when done.
+func (c *serverConn) handle(in incoming, previous, mine chan struct{}) {
+	defer c.handlers.Done()
 	defer close(mine)
 	defer func() { <-c.slots }()
 	resp := c.respond(in)
@@ -135,14 +139,14 @@
 	if resp.Rest != nil {
 		defer resp.Rest.Close()
 	}
-	closing := c.finish()
+	closing := c.decideClose()
 	head := in.request != nil && in.request.Method == http.MethodHead
 	if err := c.write(resp, head, closing); err != nil {
 		c.cancel()
 		c.conn.Close()
 		return
 	}
-	c.answered(closing)
+	c.answerWritten(closing)
 }
 
 func (c *serverConn) respond(in incoming) *Response {
@@ -155,8 +159,9 @@
 	return c.server.callers.Handle(c.ctx, in.request)
 }
 
-// finish decides whether the connection ends with the answer that comes next.
-func (c *serverConn) finish() bool {
+// decideClose decides whether the connection closes with the answer that is written next,
+// and returns the result. While the server drains, it closes with the last pending one.
+func (c *serverConn) decideClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := c.pending == 1
@@ -166,8 +171,9 @@
 	return last && c.closing
 }
 
-// answered counts an answer that was written.
-func (c *serverConn) answered(closing bool) {
+// answerWritten counts an answer that was written, and sets the read deadline for what
+// follows: lingerTime on a closing connection, or the idle timeout.
+func (c *serverConn) answerWritten(closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pending--
@@ -182,8 +188,9 @@
 	}
 }
 
-// setIdle sets when a connection on which nothing is due ends.
-func (c *serverConn) setIdle(limits Limits) {
+// setIdleDeadline sets the read deadline for the first byte of the next request: now if the
+// connection is closing, the idle timeout if no request is pending, none otherwise.
+func (c *serverConn) setIdleDeadline(limits Limits) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -196,19 +203,21 @@
 	}
 }
 
-// closeIdle ends the connection if no answer is due.
+// closeIdle closes the connection if no request is pending. A request that was received in
+// part is still answered.
 func (c *serverConn) closeIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.pending == 0 && !c.closing {
-		c.closing, c.idled = true, true
+		c.closing, c.closedIdle = true, true
 		if !c.reading {
 			c.conn.SetReadDeadline(time.Now())
 		}
 	}
 }
 
-// setReading notes that a request has begun to come, whose head is due by a time.
+// setReading records that a request has been received in part, and the deadline for the
+// rest of its header.
 func (c *serverConn) setReading(due time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,8 +245,9 @@
 	return c.stream(b, resp, length)
 }
 
-// stream writes an answer whose body is still being read. One that breaks off
-// breaks the connection too, so that it can't look complete.
+// stream writes an answer whose body is still being read. If the body is truncated, it
+// returns an error and the connection is closed, so that the answer can't appear
+// complete.
 func (c *serverConn) stream(b *bytes.Buffer, resp *Response, length int64) error {
 	if _, err := c.conn.Write(b.Bytes()); err != nil {
 		return err
--- a/internal/metrics/edge_test.go
+++ b/internal/metrics/edge_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The gauges of an instance on the users' platform are scraped under their names.
-func TestShowEdge(t *testing.T) {
+// The gauges of an instance on the users' platform are exported under their names.
+func TestEdgeGauges(t *testing.T) {
 	s := New()
 	s.ShowEdge(Edge{
 		Ready: true, Version: 7, Revision: 42, StoreAge: 1500 * time.Millisecond, Instances: 9, Connections: 3, Refusing: 0.25,
 		Services: []EdgeService{{Name: "s", Targets: 4, Usable: 2}},
 	})
-	if err := s.Close(); err != nil { // reports what was set
+	if err := s.Close(); err != nil { // reports the values that were set
 		t.Fatal(err)
 	}
 	w := httptest.NewRecorder()
@@ -29,13 +29,13 @@
 		}
 	}
 	var none *Set
-	none.ShowEdge(Edge{}) // keeps nothing
+	none.ShowEdge(Edge{}) // no effect
 }
 
-// Workspaces beyond a number share a counter.
-func TestAsked(t *testing.T) {
+// Workspaces beyond maxWorkspaces share their counters.
+func TestQuotaCounters(t *testing.T) {
 	s := New()
-	for i := range mostWorkspaces + 50 {
+	for i := range maxWorkspaces + 50 {
 		s.Asked(fmt.Sprint("w", i), i%2 == 0)
 	}
 	if err := s.Close(); err != nil {
@@ -52,9 +52,9 @@
 			t.Errorf("got no %q", want)
 		}
 	}
-	if got, most := strings.Count(text, "firlever_quota_requests{"), 2*(mostWorkspaces+1); got > most {
-		t.Errorf("got %d counters, want %d at most", got, most)
+	if got, limit := strings.Count(text, "firlever_quota_requests{"), 2*(maxWorkspaces+1); got > limit {
+		t.Errorf("got %d counters, want at most %d", got, limit)
 	}
 	var none *Set
-	none.Asked("w", true) // keeps nothing
+	none.Asked("w", true) // no effect
 }
--- a/internal/tcp/listener_test.go
+++ b/internal/tcp/listener_test.go
@@ -11,26 +11,26 @@
 
 func TestListener(t *testing.T) {
 	const (
-		head, idle = 50 * time.Millisecond, 400 * time.Millisecond
-		request    = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
+		headerTimeout, idleTimeout = 50 * time.Millisecond, 400 * time.Millisecond
+		request                    = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	)
 	tests := map[string]struct {
 		silent time.Duration // before anything is sent
 		sent   string
 		served bool
-		from   time.Duration // after which the connection ends
+		from   time.Duration // minimum time from silent to the end of the connection
 	}{
 		"request at once":       {0, request, true, 0},
-		"request after a while": {3 * head, request, true, 0},
-		"half a head":           {3 * head, request[:10], false, head},
-		"nothing":               {0, "", false, idle},
+		"request after a while": {3 * headerTimeout, request, true, 0},
+		"half a head":           {3 * headerTimeout, request[:10], false, headerTimeout},
+		"nothing":               {0, "", false, idleTimeout},
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ReadHeaderTimeout: head, IdleTimeout: idle}
-	go srv.Serve(NewListener(ln, head, idle))
+	srv := &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
+	go srv.Serve(NewListener(ln, headerTimeout, idleTimeout))
 	defer srv.Close()
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			defer c.Close()
-			begun := time.Now()
+			started := time.Now()
 			time.Sleep(tt.silent)
 			if _, err := io.WriteString(c, tt.sent); err != nil {
 				t.Fatal(err)
@@ -51,8 +51,8 @@
 			if got, want := err == nil && resp.StatusCode == http.StatusOK, tt.served; got != want {
 				t.Errorf("got served %t, want %t: %v", got, want, err)
 			}
-			if got, want := time.Since(begun), tt.silent+tt.from; got < want {
-				t.Errorf("got the end after %s, want %s at least", got, want)
+			if got, want := time.Since(started), tt.silent+tt.from; got < want {
+				t.Errorf("got the end after %s, want at least %s", got, want)
 			}
 		})
 	}
