--- a/internal/callers/answer_test.go
+++ b/internal/callers/answer_test.go
@@ -13,7 +13,7 @@
 // TestAnswers sends what a target may write, whole or broken, through an
 // instance: the caller gets it whole, or is told that it did not.
 func TestAnswers(t *testing.T) {
-	long := strings.Repeat("x", maxWhole+1)
+	long := strings.Repeat("x", maxBuffered+1)
 	unknown := func(r core.Reason) string { return OutcomeUnknown + " " + string(r) }
 	tests := map[string]struct {
 		method, answer string
@@ -51,7 +51,7 @@
 					answer = "HTTP/1.1 " + answer
 				}
 				g := newRig(t, "i1", rawTarget(t, answer))
-				c := g.raw(tt.method + " /call/shop/orders/ HTTP/" + proto + "\r\nHost: a\r\n\r\n")
+				c := g.sendRaw(tt.method + " /call/shop/orders/ HTTP/" + proto + "\r\nHost: a\r\n\r\n")
 				resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: tt.method})
 				if err != nil {
 					if tt.broken {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestTargetCannotPose answers with our own headers: none may reach the caller.
-func TestTargetCannotPose(t *testing.T) {
+// TestTargetHeadersNotForwarded answers with our own headers: none may reach the caller.
+func TestTargetHeadersNotForwarded(t *testing.T) {
 	tests := map[string]struct {
 		status  int
 		outcome string
@@ -124,7 +124,7 @@
 		"body":       {201, "done", "answered repeat"},
 		"no content": {204, "", "answered repeat"},
 		"failure":    {500, "no", "answered repeat"},
-		"long":       {200, strings.Repeat("x", maxWhole+1), "unknown answer-not-kept"},
+		"long":       {200, strings.Repeat("x", maxBuffered+1), "unknown answer-not-kept"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/callers/body.go
+++ b/internal/callers/body.go
@@ -10,11 +10,11 @@
 
 // body is a request's body, kept whole if it is short.
 type body struct {
-	start []byte      // read already
-	rest  io.Reader   // nil if start is all of it
+	buffered []byte      // read already
+	remaining  io.Reader   // nil if start is all of it
 	size  int64       // declared length, -1 if it was not declared
-	spent atomic.Bool // something of rest was read: it can't be sent again
-	broke atomic.Bool // the caller broke it off
+	consumed atomic.Bool // something of rest was read: it can't be sent again
+	aborted atomic.Bool // the caller broke it off
 }
 
 // readBody reads the start of a body.
@@ -27,37 +27,37 @@
 	if err != nil {
 		return nil, &BadRequestError{Fault: "body: " + err.Error()}
 	}
-	b.start = start
+	b.buffered = start
 	if len(start) > maxReplay {
-		b.rest = r.Body
+		b.remaining = r.Body
 		return b, nil
 	}
 	b.size = int64(len(start))
 	return b, nil
 }
 
-// part is the body as one attempt sends it. The transport may go on reading
+// attemptBody is the body as one attempt sends it. The transport may go on reading
 // after the attempt has failed, so it has to be stopped before another one.
-type part struct {
+type attemptBody struct {
 	body  *body
-	start *bytes.Reader
+	buffered *bytes.Reader
 	pace  func(n int) error // waits until n more bytes may go out
 
 	mu      sync.Mutex
 	stopped bool // guarded by mu
 }
 
-func (b *body) part(pace func(n int) error) *part {
-	return &part{body: b, start: bytes.NewReader(b.start), pace: pace}
+func (b *body) forAttempt(pace func(n int) error) *attemptBody {
+	return &attemptBody{body: b, buffered: bytes.NewReader(b.buffered), pace: pace}
 }
 
-// StoppedError ends the body of an attempt that is over.
-type StoppedError struct{}
+// AttemptOverError ends the body of an attempt that is over.
+type AttemptOverError struct{}
 
-func (e *StoppedError) Error() string { return "callers: the attempt is over" }
+func (e *AttemptOverError) Error() string { return "callers: the attempt is over" }
 
 // Read gives the start, then what the caller still sends.
-func (p *part) Read(dst []byte) (int, error) {
+func (p *attemptBody) Read(dst []byte) (int, error) {
 	n, err := p.read(dst)
 	if perr := p.pace(n); perr != nil {
 		return 0, perr
@@ -65,39 +65,39 @@
 	return n, err
 }
 
-func (p *part) read(dst []byte) (int, error) {
-	if n, err := p.start.Read(dst); err == nil {
+func (p *attemptBody) read(dst []byte) (int, error) {
+	if n, err := p.buffered.Read(dst); err == nil {
 		return n, nil
 	}
-	if p.body.rest == nil {
+	if p.body.remaining == nil {
 		return 0, io.EOF
 	}
-	if !p.take() {
-		return 0, &StoppedError{}
+	if !p.beginRead() {
+		return 0, &AttemptOverError{}
 	}
-	n, err := p.body.rest.Read(dst)
+	n, err := p.body.remaining.Read(dst)
 	if err != nil && err != io.EOF {
-		p.body.broke.Store(true)
+		p.body.aborted.Store(true)
 	}
 	return n, err
 }
 
-// take notes that the rest is used.
-func (p *part) take() bool {
+// beginRead notes that the rest is used.
+func (p *attemptBody) beginRead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.stopped {
-		p.body.spent.Store(true)
+		p.body.consumed.Store(true)
 	}
 	return !p.stopped
 }
 
 // stop lets the attempt begin no other read of the rest.
-func (p *part) stop() {
+func (p *attemptBody) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopped = true
 }
 
 // Close leaves the caller's body open: another attempt may follow.
-func (*part) Close() error { return nil }
+func (*attemptBody) Close() error { return nil }
--- a/internal/callers/body_test.go
+++ b/internal/callers/body_test.go
@@ -81,7 +81,7 @@
 func TestAnswerBeforeBodyEnds(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
-		w.Write([]byte(strings.Repeat("y", maxWhole+1)))
+		w.Write([]byte(strings.Repeat("y", maxBuffered+1)))
 		http.NewResponseController(w).Flush()
 		b, _ := io.ReadAll(r.Body)
 		io.WriteString(w, itoa(int64(len(b))))
@@ -106,8 +106,8 @@
 	g.idle()
 }
 
-// TestBodyBrokenOff cuts a request's body: nobody else is to blame for that.
-func TestBodyBrokenOff(t *testing.T) {
+// TestAbortedBody cuts a request's body: nobody else is to blame for that.
+func TestAbortedBody(t *testing.T) {
 	tests := map[string]string{
 		"short":         "Content-Length: 9\r\n\r\nabc",
 		"long":          "Content-Length: 99999\r\n\r\n" + strings.Repeat("x", maxReplay+9),
@@ -121,9 +121,9 @@
 				_, err := io.Copy(io.Discard, r.Body)
 				whole <- err == nil
 			}))
-			c := g.raw("PUT /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Key: " + g.key() + "\r\n" + rest)
+			c := g.sendRaw("PUT /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Key: " + g.key() + "\r\n" + rest)
 			if strings.HasPrefix(name, "long") {
-				g.wait("the request at its target", func(st core.Status) bool { return st.Targets[0].InFlight == 1 })
+				g.waitFor("the request at its target", func(st core.Status) bool { return st.Targets[0].InFlight == 1 })
 			}
 			c.Close()
 			g.idle()
@@ -212,7 +212,7 @@
 // TestSlowReaderHoldsNoSlot asks for a short answer and does not read it.
 func TestSlowReaderHoldsNoSlot(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, _ *http.Request) {
-		w.Write(make([]byte, maxWhole))
+		w.Write(make([]byte, maxBuffered))
 	}))
 	w := stuckWriter{httptest.NewRecorder(), make(chan bool, 1), make(chan bool)}
 	done := make(chan bool)
@@ -232,8 +232,8 @@
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Write(make([]byte, 64<<20))
 	}))
-	g.raw("GET /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Timeout: 200\r\n\r\n")
-	g.wait("the request", func(st core.Status) bool { return st.Open == 1 })
+	g.sendRaw("GET /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Timeout: 200\r\n\r\n")
+	g.waitFor("the request", func(st core.Status) bool { return st.Open == 1 })
 	g.idle()
 }
 
--- a/internal/callers/busy_test.go
+++ b/internal/callers/busy_test.go
@@ -68,8 +68,8 @@
 			}
 			ms, err := strconv.Atoi(h.Get(HeaderRetry))
 			again := time.Duration(ms) * time.Millisecond
-			if err != nil || again < againSoonest/2 || again > againSoonest+againBusy+time.Millisecond || h.Get(HeaderReason) != "overloaded" {
-				t.Errorf("got reason %s, %q ms to come back, want overloaded and %s to %s", h.Get(HeaderReason), h.Get(HeaderRetry), againSoonest, againSoonest+againBusy)
+			if err != nil || again < minRetryDelay/2 || again > minRetryDelay+overloadRetrySpread+time.Millisecond || h.Get(HeaderReason) != "overloaded" {
+				t.Errorf("got reason %s, %q ms to come back, want overloaded and %s to %s", h.Get(HeaderReason), h.Get(HeaderRetry), minRetryDelay, minRetryDelay+overloadRetrySpread)
 			}
 		})
 	}
--- a/internal/callers/capacity_test.go
+++ b/internal/callers/capacity_test.go
@@ -99,7 +99,7 @@
 				d.Passed = append(d.Passed, core.Passed{Way: "west", Reason: core.ReasonFull})
 			}
 			for b.Loop() {
-				s.note(core.Request{Name: "0123456789abcdef", Service: id}, d)
+				s.recordDecision(core.Request{Name: "0123456789abcdef", Service: id}, d)
 			}
 		})
 	}
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// tellTimeout bounds a call that tells a peer of targets that ended.
-	tellTimeout = 500 * time.Millisecond
-	// maxNews bounds what is read of such a call, in bytes: all that an instance keeps.
-	maxNews = 1 << 20
+	// crashUpdateTimeout bounds a call that tells a peer of targets that ended.
+	crashUpdateTimeout = 500 * time.Millisecond
+	// maxCrashUpdate bounds what is read of such a call, in bytes: all that an instance keeps.
+	maxCrashUpdate = 1 << 20
 )
 
 // TellCrashes carries a decision out.
 func (s *Server) TellCrashes(ctx context.Context, d core.TellCrashes) {
 	body, err := json.Marshal(d.News)
 	if err != nil {
-		s.noteTell(d, err)
+		s.recordCrashUpdate(d, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, crashUpdateTimeout)
 	defer cancel()
 	told := make(chan error, len(d.Peers))
 	for _, p := range d.Peers {
-		go func() { told <- s.tell(ctx, p, body) }()
+		go func() { told <- s.sendCrashUpdate(ctx, p, body) }()
 	}
 	var failed error
 	for range d.Peers {
@@ -39,11 +39,11 @@
 			failed = err
 		}
 	}
-	s.noteTell(d, failed)
+	s.recordCrashUpdate(d, failed)
 }
 
-// tell tells one peer. It returns a *peerhttp.Error.
-func (s *Server) tell(ctx context.Context, p core.Peer, body []byte) error {
+// sendCrashUpdate tells one peer. It returns a *peerhttp.Error.
+func (s *Server) sendCrashUpdate(ctx context.Context, p core.Peer, body []byte) error {
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+PathCrashes, bytes.NewReader(body))
 	if err != nil {
 		return &peerhttp.Error{Address: p.Address, Err: err}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// noteTell counts what was told and writes its line.
-func (s *Server) noteTell(d core.TellCrashes, err error) {
+// recordCrashUpdate counts what was told and writes its line.
+func (s *Server) recordCrashUpdate(d core.TellCrashes, err error) {
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: "tell-crashes"})
 	if s.cfg.Log == nil {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// crashes takes what a peer tells.
-func (s *Server) crashes(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxNews))
+// receiveCrashes takes what a peer tells.
+func (s *Server) receiveCrashes(w http.ResponseWriter, r *http.Request) {
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxCrashUpdate))
 	var news core.CrashNews
 	if err == nil {
 		err = json.Unmarshal(b, &news)
@@ -86,6 +86,6 @@
 		return
 	}
 	s.dispatcher.Step(core.CrashesHeard{News: news})
-	s.writeBy(w, s.dispatcher.Now().Add(replyTime))
+	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/callers/crash_test.go
+++ b/internal/callers/crash_test.go
@@ -13,13 +13,13 @@
 
 // What one instance tells of a request that ends targets, another one refuses it by; the same
 // request of another caller, and another request, are served.
-func TestTellCrashes(t *testing.T) {
+func TestSendCrashes(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "0")
 	}))
 	defer target.Close()
-	teller := newSide(t, "east", target.Listener.Addr().String())
-	told := newSide(t, "west", target.Listener.Addr().String())
+	teller := newTestInstance(t, "east", target.Listener.Addr().String())
+	told := newTestInstance(t, "west", target.Listener.Addr().String())
 	front := httptest.NewServer(told.server.Callers())
 	defer front.Close()
 	fatal := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Print()
--- a/internal/callers/grant.go
+++ b/internal/callers/grant.go
@@ -15,11 +15,11 @@
 // grantTimeout bounds a call that asks a peer for grants.
 const grantTimeout = 500 * time.Millisecond
 
-// askOf reads what a peer asks for.
-func askOf(h http.Header, service settings.ServiceID) core.Ask {
+// readAsk reads what a peer asks for.
+func readAsk(h http.Header, service settings.ServiceID) core.Ask {
 	return core.Ask{
 		Peer: h.Get(HeaderFrom), Service: service, Home: h.Get(HeaderHome),
-		Want: count(h, HeaderWant), Release: count(h, HeaderRelease),
+		Want: headerCount(h, HeaderWant), Release: headerCount(h, HeaderRelease),
 	}
 }
 
@@ -38,13 +38,13 @@
 	}
 }
 
-// heard reads a peer's offer. began is from before the peer was asked, so that
+// grantReceived reads a peer's offer. began is from before the peer was asked, so that
 // a grant ends here first, however long its answer took.
-func heard(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
-	until := began.Add(time.Duration(count(h, HeaderUntil)) * time.Millisecond)
+func grantReceived(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
+	until := began.Add(time.Duration(headerCount(h, HeaderUntil)) * time.Millisecond)
 	return core.GrantHeard{
 		Peer: p.ID, Incarnation: p.Incarnation, Until: until,
-		Free: count(h, HeaderFree), Grant: count(h, HeaderGrant),
+		Free: headerCount(h, HeaderFree), Grant: headerCount(h, HeaderGrant),
 	}
 }
 
@@ -55,8 +55,8 @@
 		s.badRequest(w, http.StatusBadRequest, err)
 		return
 	}
-	setOffer(w.Header(), s.dispatcher.Now(), s.dispatcher.Offer(askOf(r.Header, id)))
-	s.writeBy(w, s.dispatcher.Now().Add(replyTime))
+	setOffer(w.Header(), s.dispatcher.Now(), s.dispatcher.Offer(readAsk(r.Header, id)))
+	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -67,12 +67,12 @@
 	defer cancel()
 	began := s.dispatcher.Now()
 	resp, err := s.client.Send(ctx, s.grantRequest(d), nil)
-	s.noteAsk(d, err)
+	s.recordAsk(d, err)
 	if err != nil {
 		return
 	}
 	resp.Body.Close()
-	ev := heard(resp.Header, began, d.Peer)
+	ev := grantReceived(resp.Header, began, d.Peer)
 	ev.Service, ev.Home = d.Service, d.Home
 	s.dispatcher.Step(ev)
 }
--- a/internal/callers/grant_test.go
+++ b/internal/callers/grant_test.go
@@ -21,8 +21,8 @@
 
 var orders = settings.ServiceID{Team: "shop", Name: "orders"}
 
-// side is one instance's servers, without membership.
-type side struct {
+// testInstance is one instance's servers, without membership.
+type testInstance struct {
 	dispatcher *dispatch.Dispatcher
 	server     *Server
 	peers      *httptest.Server
@@ -30,10 +30,10 @@
 	bytes      atomic.Int64 // read and written on its connections to others
 }
 
-// newSide makes an instance of a place whose service has targets at address.
-func newSide(t *testing.T, place, address string) *side {
+// newTestInstance makes an instance of a place whose service has targets at address.
+func newTestInstance(t *testing.T, place, address string) *testInstance {
 	t.Helper()
-	s := &side{asks: make(chan core.AskGrant, 64)}
+	s := &testInstance{asks: make(chan core.AskGrant, 64)}
 	clock := time.Now() // stands still, so that no grant runs out however slow the test is
 	n, err := core.New(core.Config{Instance: place, Incarnation: 1, Place: place, Domain: place, Region: place}, clock)
 	if err != nil {
@@ -69,35 +69,35 @@
 	return s
 }
 
-func (s *side) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (s *testInstance) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, address)
-	return &counted{Conn: c, bytes: &s.bytes}, err
+	return &countingConn{Conn: c, bytes: &s.bytes}, err
 }
 
-type counted struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (s *side) meet(other *side, place string) core.Peer {
+func (s *testInstance) addPeer(other *testInstance, place string) core.Peer {
 	p := core.Peer{ID: place, Incarnation: 1, Place: place, Domain: place, Region: place, Address: other.peers.Listener.Addr().String()}
 	s.dispatcher.Step(core.PeersChanged{Peers: []core.Peer{p}})
 	return p
 }
 
-func (s *side) call() *httptest.ResponseRecorder {
+func (s *testInstance) call() *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, PrefixCall+"shop/orders/x", nil)
 	r.RemoteAddr = "192.0.2.1:99"
 	r.Header.Set(HeaderWant, "99") // a caller may not ask
@@ -106,16 +106,16 @@
 	return w
 }
 
-func TestGrantsTravel(t *testing.T) {
+func TestGrantHeaders(t *testing.T) {
 	var saw atomic.Pointer[http.Header]
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		saw.Store(&r.Header)
 		fmt.Fprint(w, "whole")
 	}))
 	defer target.Close()
-	east, west := newSide(t, "east", target.Listener.Addr().String()), newSide(t, "west", target.Listener.Addr().String())
-	peer := east.meet(west, "west")
-	west.meet(east, "east")
+	east, west := newTestInstance(t, "east", target.Listener.Addr().String()), newTestInstance(t, "west", target.Listener.Addr().String())
+	peer := east.addPeer(west, "west")
+	west.addPeer(east, "east")
 
 	w := east.call()
 	if w.Code != http.StatusOK || w.Body.String() != "whole" {
@@ -162,9 +162,9 @@
 	}
 }
 
-// TestGrantIsCountedFromTheAsk keeps a sender from using a grant for longer than
+// TestGrantExpiryCountsFromRequest keeps a sender from using a grant for longer than
 // its granter counts it, however late the answer comes.
-func TestGrantIsCountedFromTheAsk(t *testing.T) {
+func TestGrantExpiryCountsFromRequest(t *testing.T) {
 	began := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
 		until string
@@ -178,7 +178,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := http.Header{HeaderUntil: {tt.until}, HeaderGrant: {"2"}}
-			if got := heard(h, began, core.Peer{}).Until; !got.Equal(tt.want) {
+			if got := grantReceived(h, began, core.Peer{}).Until; !got.Equal(tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
--- a/internal/callers/header.go
+++ b/internal/callers/header.go
@@ -27,7 +27,7 @@
 	// Of targets' answers, those to probes too.
 	HeaderLeaving = "Firlever-Leaving" // "1": the target leaves, and wants no new requests
 	HeaderLimit   = "Firlever-Limit"   // requests a second that it takes, a decimal number
-	headerRest    = "Retry-After"      // seconds for which it wants none, with 503
+	headerRetryAfter    = "Retry-After"      // seconds for which it wants none, with 503
 
 	// Between instances only.
 	HeaderWant    = "Firlever-Want"    // requests that the sender would like to hand off
@@ -44,20 +44,20 @@
 	OutcomeUnknown  = "unknown"
 )
 
-// notices are the headers by which targets say which requests they want.
-var notices = notice.Names{Leaving: HeaderLeaving, Limit: HeaderLimit, Rest: headerRest}
+// noticeHeaders are the headers by which targets say which requests they want.
+var noticeHeaders = notice.Names{Leaving: HeaderLeaving, Limit: HeaderLimit, Rest: headerRetryAfter}
 
 // Noticed is what a target's answer says of the requests that it wants. A success says all,
 // if it can be read.
 func Noticed(target owner.TargetKey, asked time.Time, resp *http.Response) core.Noticed {
-	n, unread := notices.Read(resp.StatusCode, resp.Header)
+	n, unread := noticeHeaders.Read(resp.StatusCode, resp.Header)
 	return core.Noticed{
 		Target: target, Asked: asked, Notice: n, Unread: unread, Whole: resp.StatusCode < http.StatusMultipleChoices && unread == nil,
 	}
 }
 
-// ownPrefix begins the names of our own headers.
-const ownPrefix = "Firlever-"
+// headerPrefix begins the names of our own headers.
+const headerPrefix = "Firlever-"
 
 // hopHeaders concern one connection only and are not passed on. Expect is among
 // them since this instance itself asks its caller for the body.
@@ -70,7 +70,7 @@
 // anew: a caller could pose as a peer by them, and a target as an instance.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
-		if !strings.HasPrefix(name, ownPrefix) {
+		if !strings.HasPrefix(name, headerPrefix) {
 			dst[name] = slices.Clone(values)
 		}
 	}
@@ -84,8 +84,8 @@
 	}
 }
 
-// count reads a header that holds a whole number; 0 if it holds none.
-func count(h http.Header, name string) int {
+// headerCount reads a header that holds a whole number; 0 if it holds none.
+func headerCount(h http.Header, name string) int {
 	n, err := strconv.ParseUint(h.Get(name), 10, 31)
 	if err != nil {
 		return 0
@@ -93,8 +93,8 @@
 	return int(n)
 }
 
-// setLeft writes the time left until a deadline.
-func setLeft(h http.Header, name string, now, deadline time.Time) {
+// setTimeLeft writes the time left until a deadline.
+func setTimeLeft(h http.Header, name string, now, deadline time.Time) {
 	left := max(deadline.Sub(now).Milliseconds(), 0)
 	h.Set(name, strconv.FormatInt(left, 10))
 }
@@ -116,5 +116,5 @@
 	wait := max(at.Sub(now), 0)
 	h.Set(HeaderRetry, strconv.FormatInt(wait.Milliseconds()+1, 10))
 	seconds := (wait + time.Second - 1) / time.Second
-	h.Set(headerRest, strconv.FormatInt(int64(max(seconds, 1)), 10))
+	h.Set(headerRetryAfter, strconv.FormatInt(int64(max(seconds, 1)), 10))
 }
--- a/internal/callers/link.go
+++ b/internal/callers/link.go
@@ -8,9 +8,9 @@
 	"github.com/firlever/firlever/internal/pace"
 )
 
-// link paces the bulk bytes that leave this instance's place. It is safe for
+// linkPacer paces the bulk bytes that leave this instance's place. It is safe for
 // concurrent use.
-type link struct {
+type linkPacer struct {
 	now func() time.Time
 
 	mu   sync.Mutex
@@ -18,7 +18,7 @@
 }
 
 // chunk is how many bytes to send at a time at a rate.
-func (l *link) chunk(rate int64) int {
+func (l *linkPacer) chunk(rate int64) int {
 	if rate == 0 {
 		return chunkSize
 	}
@@ -30,7 +30,7 @@
 
 // wait waits until n bytes may leave. rate is this instance's share in bytes/s;
 // 0 waits for nothing.
-func (l *link) wait(ctx context.Context, rate int64, n int) error {
+func (l *linkPacer) wait(ctx context.Context, rate int64, n int) error {
 	if rate == 0 || n == 0 {
 		return nil
 	}
--- a/internal/callers/link_test.go
+++ b/internal/callers/link_test.go
@@ -22,7 +22,7 @@
 	for _, transfers := range []int{1, 2, 7, 100} {
 		t.Run(fmt.Sprint(transfers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				l := &link{now: time.Now}
+				l := &linkPacer{now: time.Now}
 				size := l.chunk(rate)
 				ctx, cancel := context.WithTimeout(t.Context(), window)
 				defer cancel()
@@ -60,7 +60,7 @@
 
 func TestLinkWaitEndsWithItsAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &link{now: time.Now}
+		l := &linkPacer{now: time.Now}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		l.wait(ctx, 1, 100)
@@ -145,7 +145,7 @@
 // caller is told so.
 func TestShortAnswerBehindFullLink(t *testing.T) {
 	g := bulkRig(t, 1<<10)
-	if n, err := g.get(t.Context(), maxWhole); err != nil || n != maxWhole {
+	if n, err := g.get(t.Context(), maxBuffered); err != nil || n != maxBuffered {
 		t.Fatalf("got %d bytes, %v, want the first at once", n, err)
 	}
 	resp, err := g.download(t.Context(), 9)
@@ -198,7 +198,7 @@
 					got <- n
 				}()
 			}
-			g.wait("all downloads", func(st core.Status) bool { return st.Open >= tt.downloads })
+			g.waitFor("all downloads", func(st core.Status) bool { return st.Open >= tt.downloads })
 			var took []time.Duration
 			began := time.Now()
 			for b.Loop() {
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -17,19 +17,19 @@
 	kindAsk     = "ask-grant"
 )
 
-// note counts a decision and writes its line.
-func (s *Server) note(req core.Request, d core.Decision) {
-	kind, reason := describe(d)
+// recordDecision counts a decision and writes its line.
+func (s *Server) recordDecision(req core.Request, d core.Decision) {
+	kind, reason := kindAndReason(d)
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: kind, Service: req.Service.String(), Reason: string(reason)})
 	if s.cfg.Log == nil {
 		return
 	}
 	fields := []any{"request", req.Name, "service", req.Service, "reason", reason}
-	s.cfg.Log.Info(kind, append(fields, details(d)...)...)
+	s.cfg.Log.Info(kind, append(fields, detailFields(d)...)...)
 }
 
-// noteAsk counts a call that asked for grants and writes its line.
-func (s *Server) noteAsk(d core.AskGrant, err error) {
+// recordAsk counts a call that asked for grants and writes its line.
+func (s *Server) recordAsk(d core.AskGrant, err error) {
 	reason := core.ReasonNoGrant
 	if d.Release > 0 {
 		reason = core.ReasonReleased
@@ -42,8 +42,8 @@
 		"want", d.Want, "release", d.Release, "err", err)
 }
 
-// describe gives a decision's kind and reason.
-func describe(d core.Decision) (string, core.Reason) {
+// kindAndReason gives a decision's kind and reason.
+func kindAndReason(d core.Decision) (string, core.Reason) {
 	switch d := d.(type) {
 	case core.Serve:
 		return kindServe, d.Reason
@@ -64,8 +64,8 @@
 	return "", ""
 }
 
-// details gives the fields that only one kind has, with the ways not taken.
-func details(d core.Decision) []any {
+// detailFields gives the fields that only one kind has, with the ways not taken.
+func detailFields(d core.Decision) []any {
 	switch d := d.(type) {
 	case core.Serve:
 		return []any{"target", d.Target.Name, "attempt", d.Attempt, "home", d.Home, "shifted", d.Shifted, "passed", d.Passed}
--- a/internal/callers/log_test.go
+++ b/internal/callers/log_test.go
@@ -39,7 +39,7 @@
 			s := &Server{cfg: Config{Log: logger, Metrics: set}}
 			b.ReportAllocs()
 			for b.Loop() {
-				s.note(req, d)
+				s.recordDecision(req, d)
 			}
 		})
 	}
--- a/internal/callers/notice_test.go
+++ b/internal/callers/notice_test.go
@@ -21,7 +21,7 @@
 		"success":     {200, http.Header{}, core.Noticed{Whole: true}},
 		"leaving":     {200, http.Header{HeaderLeaving: {"1"}}, core.Noticed{Whole: true, Notice: notice.Notice{Leaving: true}}},
 		"limit":       {200, http.Header{HeaderLimit: {"9.5"}}, core.Noticed{Whole: true, Notice: notice.Notice{Limited: true, Limit: 9.5}}},
-		"rest":        {503, http.Header{headerRest: {"2"}}, core.Noticed{Notice: notice.Notice{Rest: 2 * time.Second}}},
+		"rest":        {503, http.Header{headerRetryAfter: {"2"}}, core.Noticed{Notice: notice.Notice{Rest: 2 * time.Second}}},
 		"failure":     {500, http.Header{}, core.Noticed{}},
 		"not to read": {200, http.Header{HeaderLimit: {"many"}}, core.Noticed{Unread: []string{"Firlever-Limit: many"}}},
 	}
--- a/internal/callers/path.go
+++ b/internal/callers/path.go
@@ -12,7 +12,7 @@
 // route is what a request's URL says.
 type route struct {
 	service settings.ServiceID
-	raw     string // path below the service as it came, escapes and all; starts with "/"
+	rawPath     string // path below the service as it came, escapes and all; starts with "/"
 	path    string // what the rules of idempotency look at
 }
 
@@ -28,18 +28,18 @@
 	if err != nil {
 		return route{}, &BadRequestError{Fault: err.Error()}
 	}
-	r := route{service: id, raw: "/" + rest}
-	if strings.HasPrefix(r.raw, "//") && (&url.URL{Path: unescape(r.raw), RawPath: r.raw}).EscapedPath() != r.raw {
+	r := route{service: id, rawPath: "/" + rest}
+	if strings.HasPrefix(r.rawPath, "//") && (&url.URL{Path: unescape(r.rawPath), RawPath: r.rawPath}).EscapedPath() != r.rawPath {
 		return route{}, &BadRequestError{Fault: "path has characters that a URL can't have"}
 	}
-	r.path = ruled(r.raw)
+	r.path = pathForRules(r.rawPath)
 	return r, nil
 }
 
-// ruled is the decoded path. One with an escaped slash stays as it came, since
+// pathForRules is the decoded path. One with an escaped slash stays as it came, since
 // a target could read it as another path than the rules do; the rules trust no
 // path with an escape in it.
-func ruled(raw string) string {
+func pathForRules(raw string) string {
 	if strings.Contains(strings.ToLower(raw), "%2f") {
 		return raw
 	}
@@ -54,12 +54,12 @@
 	return p
 }
 
-// target is the URL at which another server gets the request, with the path as
+// outgoingURL is the URL at which another server gets the request, with the path as
 // the caller wrote it. Opaque does that, but would be taken for a host's name
 // after two slashes.
-func (r route) target(address, prefix string, from *url.URL) *url.URL {
+func (r route) outgoingURL(address, prefix string, from *url.URL) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address, RawQuery: from.RawQuery, ForceQuery: from.ForceQuery}
-	raw := prefix + r.raw
+	raw := prefix + r.rawPath
 	if strings.HasPrefix(raw, "//") {
 		u.Path, u.RawPath = unescape(raw), raw
 	} else {
--- a/internal/callers/refuse.go
+++ b/internal/callers/refuse.go
@@ -24,7 +24,7 @@
 		outcome = OutcomeUnknown
 	}
 	now := x.s.dispatcher.Now()
-	x.own(outcome, d.Reason)
+	x.setAnswerHeaders(outcome, d.Reason)
 	setRetry(x.w.Header(), now, d.RetryAt)
 	body := refusal{Outcome: outcome, Reason: string(d.Reason), Request: x.req.Name}
 	if !d.RetryAt.IsZero() {
@@ -66,23 +66,23 @@
 
 // writeJSON writes a short answer of ours.
 func (s *Server) writeJSON(w http.ResponseWriter, status int, v any) {
-	s.writeBy(w, s.dispatcher.Now().Add(replyTime))
+	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// writeBy bounds how long a caller may take over its answer. Whoever writes an
+// setWriteDeadline bounds how long a caller may take over its answer. Whoever writes an
 // answer sets it: a kept connection still has that of the answer before.
-func (s *Server) writeBy(w http.ResponseWriter, at time.Time) {
+func (s *Server) setWriteDeadline(w http.ResponseWriter, at time.Time) {
 	http.NewResponseController(w).SetWriteDeadline(boottime.Runtime(at))
 }
 
-func (x *exchange) writeBy(at time.Time) { x.s.writeBy(x.w, at) }
+func (x *exchange) setWriteDeadline(at time.Time) { x.s.setWriteDeadline(x.w, at) }
 
-// readBy bounds how long a caller may take over a body that is not all here.
-func (x *exchange) readBy(at time.Time) {
-	if x.body.rest != nil {
+// setReadDeadline bounds how long a caller may take over a body that is not all here.
+func (x *exchange) setReadDeadline(at time.Time) {
+	if x.body.remaining != nil {
 		http.NewResponseController(x.w).SetReadDeadline(boottime.Runtime(at))
 	}
 }
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -12,45 +12,45 @@
 
 // Sizes of the buffers of an answer.
 const (
-	maxWhole  = 64 << 10 // a shorter answer is read whole before any of it is passed on
+	maxBuffered  = 64 << 10 // a shorter answer is read whole before any of it is passed on
 	chunkSize = 32 << 10 // of a streamed answer
 )
 
-var chunks = sync.Pool{New: func() any { return new([chunkSize]byte) }}
+var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
 // relay passes an answer on. A short one is read whole first: that frees the
 // target's slot early, and an answer cut short can still be replaced.
-func (x *exchange) relay(t try, resp *http.Response) bool {
-	if resp.StatusCode == http.StatusSwitchingProtocols || !x.ends(resp) {
+func (x *exchange) relay(t attempt, resp *http.Response) bool {
+	if resp.StatusCode == http.StatusSwitchingProtocols || !x.delimited(resp) {
 		x.fail(t, core.Finished{Result: core.Failed, Reason: core.ReasonNoEnd})
 		return false
 	}
-	if resp.ContentLength > maxWhole && x.hasBody(resp.StatusCode) {
+	if resp.ContentLength > maxBuffered && x.hasBody(resp.StatusCode) {
 		return x.stream(t, resp, nil)
 	}
 	start, err := readStart(resp)
 	if err != nil {
-		x.fail(t, core.Finished{Result: core.Failed, Broken: broken(t.ctx, err)})
+		x.fail(t, core.Finished{Result: core.Failed, Broken: abortedByRemote(t.ctx, err)})
 		return false
 	}
-	if len(start) > maxWhole {
+	if len(start) > maxBuffered {
 		return x.stream(t, resp, start)
 	}
-	x.checkWhole(resp, len(start))
-	x.finish(t, x.answered(resp, start))
-	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.came))
-	if x.s.link.wait(t.ctx, t.link, len(start)) != nil {
+	x.checkLength(resp, len(start))
+	x.finish(t, x.finishedEvent(resp, start))
+	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
+	if x.s.pacer.wait(t.ctx, t.linkRate, len(start)) != nil {
 		x.refuse(core.Refuse{ID: x.id, Unknown: true, Reason: core.ReasonDeadline})
 		return true
 	}
-	x.own(OutcomeAnswered, core.Reason(peerReason(t, resp)))
-	x.whole(resp.StatusCode, resp.Header, start)
+	x.setAnswerHeaders(OutcomeAnswered, core.Reason(peerReason(t, resp)))
+	x.writeAnswer(resp.StatusCode, resp.Header, start)
 	return true
 }
 
-// ends says whether the answer's end can be told from a broken connection: one
-// without a length that isn't chunked ends the same either way.
-func (x *exchange) ends(resp *http.Response) bool {
+// delimited says whether the answer's end can be told from a broken connection: one
+// without a length that isn't chunked delimited the same either way.
+func (x *exchange) delimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || !x.hasBody(resp.StatusCode)
 }
 
@@ -62,7 +62,7 @@
 // readStart reads an answer up to a byte over maxWhole.
 func readStart(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength < 0 || resp.Body == http.NoBody {
-		return io.ReadAll(io.LimitReader(resp.Body, maxWhole+1))
+		return io.ReadAll(io.LimitReader(resp.Body, maxBuffered+1))
 	}
 	start := make([]byte, resp.ContentLength)
 	_, err := io.ReadFull(resp.Body, start)
@@ -70,15 +70,15 @@
 }
 
 // peerReason is why a peer gave the answer, if it says so; targets have no say.
-func peerReason(t try, resp *http.Response) string {
-	if !t.peer {
+func peerReason(t attempt, resp *http.Response) string {
+	if !t.toPeer {
 		return ""
 	}
 	return resp.Header.Get(HeaderReason)
 }
 
-// answered is the event of a whole answer, with what a key's record needs.
-func (x *exchange) answered(resp *http.Response, whole []byte) core.Finished {
+// finishedEvent is the event of a whole answer, with what a key's record needs.
+func (x *exchange) finishedEvent(resp *http.Response, whole []byte) core.Finished {
 	ev := core.Finished{Result: core.Answered, Status: resp.StatusCode}
 	if x.req.Key != "" {
 		ev.Header = make(http.Header, len(resp.Header))
@@ -88,8 +88,8 @@
 	return ev
 }
 
-// own sets the headers that are always ours.
-func (x *exchange) own(outcome string, reason core.Reason) {
+// setAnswerHeaders sets the headers that are always ours.
+func (x *exchange) setAnswerHeaders(outcome string, reason core.Reason) {
 	h := x.w.Header()
 	h.Set(HeaderOutcome, outcome)
 	h.Set(HeaderRequest, x.req.Name)
@@ -101,8 +101,8 @@
 	}
 }
 
-// whole writes an answer that is all here.
-func (x *exchange) whole(status int, header http.Header, body []byte) {
+// writeAnswer writes an answer that is all here.
+func (x *exchange) writeAnswer(status int, header http.Header, body []byte) {
 	h := x.w.Header()
 	copyHeader(h, header)
 	switch {
@@ -111,7 +111,7 @@
 	case status == http.StatusNoContent:
 		h.Del("Content-Length")
 	}
-	x.writeBy(x.s.dispatcher.Now().Add(replyTime))
+	x.setWriteDeadline(x.s.dispatcher.Now().Add(replyTimeout))
 	x.w.WriteHeader(status)
 	if len(body) > 0 {
 		x.w.Write(body)
@@ -120,31 +120,31 @@
 
 // stream passes a long answer on in constant memory. One that is cut short
 // ends by breaking the connection, never as if it were whole.
-func (x *exchange) stream(t try, resp *http.Response, start []byte) bool {
-	x.own(OutcomeAnswered, core.Reason(peerReason(t, resp)))
+func (x *exchange) stream(t attempt, resp *http.Response, start []byte) bool {
+	x.setAnswerHeaders(OutcomeAnswered, core.Reason(peerReason(t, resp)))
 	copyHeader(x.w.Header(), resp.Header)
-	x.writeBy(t.deadline)
+	x.setWriteDeadline(t.deadline)
 	x.w.WriteHeader(resp.StatusCode)
 	n, err := x.copy(t, io.MultiReader(bytes.NewReader(start), resp.Body), resp.ContentLength < 0)
 	if err != nil {
-		x.fail(t, core.Finished{Result: core.Failed, Final: true, Gone: x.gone, Broken: !x.gone && broken(t.ctx, err)})
+		x.fail(t, core.Finished{Result: core.Failed, Final: true, Gone: x.callerGone, Broken: !x.callerGone && abortedByRemote(t.ctx, err)})
 		x.abort()
 	}
-	x.checkWhole(resp, n)
+	x.checkLength(resp, n)
 	x.finish(t, core.Finished{Result: core.Answered, Status: resp.StatusCode, Dropped: true})
-	if x.gone {
+	if x.callerGone {
 		x.abort()
 	}
-	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.came))
+	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
 	return true
 }
 
 // copy streams r to the caller, and counts the bytes. The length of a steady
 // trickle is unknown, so it goes out as it comes.
-func (x *exchange) copy(t try, r io.Reader, flush bool) (int, error) {
-	buf := chunks.Get().(*[chunkSize]byte)
-	defer chunks.Put(buf)
-	total, size := 0, x.s.link.chunk(t.link)
+func (x *exchange) copy(t attempt, r io.Reader, flush bool) (int, error) {
+	buf := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(buf)
+	total, size := 0, x.s.pacer.chunk(t.linkRate)
 	for {
 		n, err := r.Read(buf[:size])
 		total += n
@@ -162,11 +162,11 @@
 
 // write gives bytes to the caller. A non-idempotent request goes on without
 // its caller, so that its outcome gets recorded.
-func (x *exchange) write(t try, b []byte, flush bool) error {
-	if x.gone || len(b) == 0 {
+func (x *exchange) write(t attempt, b []byte, flush bool) error {
+	if x.callerGone || len(b) == 0 {
 		return nil
 	}
-	err := x.s.link.wait(t.ctx, t.link, len(b))
+	err := x.s.pacer.wait(t.ctx, t.linkRate, len(b))
 	if err == nil {
 		_, err = x.w.Write(b)
 	}
@@ -176,8 +176,8 @@
 	if err == nil {
 		return nil
 	}
-	x.gone = true
-	if t.runOn {
+	x.callerGone = true
+	if t.detached {
 		return nil
 	}
 	return err
@@ -207,7 +207,7 @@
 	c.Close()
 }
 
-func (x *exchange) checkWhole(resp *http.Response, n int) {
+func (x *exchange) checkLength(resp *http.Response, n int) {
 	whole := resp.ContentLength < 0 || resp.ContentLength == int64(n) || !x.hasBody(resp.StatusCode)
 	x.s.cfg.Checks.Check(invariant.WholeAnswer, whole, func() string {
 		return x.req.Name + ": an answer of another length was passed off as whole"
@@ -221,6 +221,6 @@
 		x.refuse(core.Refuse{ID: d.ID, Unknown: true, Reason: core.ReasonNotKept})
 		return
 	}
-	x.own(OutcomeAnswered, core.ReasonRepeat)
-	x.whole(d.Answer.Status, d.Answer.Header, d.Answer.Body)
+	x.setAnswerHeaders(OutcomeAnswered, core.ReasonRepeat)
+	x.writeAnswer(d.Answer.Status, d.Answer.Header, d.Answer.Body)
 }
--- a/internal/callers/request.go
+++ b/internal/callers/request.go
@@ -19,10 +19,10 @@
 	maxReplay  = 64 << 10         // a longer body is streamed and can't be sent again
 	maxKey     = 512              // bytes of an idempotency key
 	maxHeader  = 32 << 10         // bytes of the first line and the headers
-	maxName    = 128              // bytes of a request id
+	maxRequestID    = 128              // bytes of a request id
 	maxTimeout = 10 * time.Minute // a longer timeout is cut to this
-	bodyTime   = 10 * time.Second // for the first maxReplay bytes of a body
-	replyTime  = 5 * time.Second  // for a caller to take an answer that is ready
+	bodyTimeout   = 10 * time.Second // for the first maxReplay bytes of a body
+	replyTimeout  = 5 * time.Second  // for a caller to take an answer that is ready
 )
 
 // BadRequestError says what is wrong with a request. It has not run.
@@ -38,14 +38,14 @@
 		Path:       to.path,
 		Key:        r.Header.Get(HeaderKey),
 		Name:       r.Header.Get(HeaderRequest),
-		Caller:     remote(r.RemoteAddr),
+		Caller:     remoteAddr(r.RemoteAddr),
 		Replayable: true,
 	}
-	if err := check(r, req); err != nil {
+	if err := checkHeaders(r, req); err != nil {
 		return req, err
 	}
 	if req.Name == "" {
-		req.Name = newName()
+		req.Name = newRequestID()
 	}
 	var err error
 	if req.Deadline, err = deadline(r, HeaderTimeout, now); err != nil {
@@ -66,8 +66,8 @@
 	return n
 }
 
-// check refuses headers that can be read in more ways than one, or not at all.
-func check(r *http.Request, req core.Request) error {
+// checkHeaders refuses headers that can be read in more ways than one, or not at all.
+func checkHeaders(r *http.Request, req core.Request) error {
 	for _, name := range []string{HeaderKey, HeaderRequest, HeaderTimeout, HeaderStart} {
 		if len(r.Header.Values(name)) > 1 {
 			return &BadRequestError{Fault: name + " is given more than once"}
@@ -78,7 +78,7 @@
 		return &BadRequestError{Fault: "method " + r.Method + " is not passed on"}
 	case len(req.Key) > maxKey || !printable(req.Key):
 		return &BadRequestError{Fault: HeaderKey + " is too long or not printable"}
-	case len(req.Name) > maxName || !printable(req.Name):
+	case len(req.Name) > maxRequestID || !printable(req.Name):
 		return &BadRequestError{Fault: HeaderRequest + " is too long or not printable"}
 	}
 	return nil
@@ -96,14 +96,14 @@
 
 // fingerprint is the same whichever way the request came by.
 func fingerprint(r *http.Request, to route, b *body) once.Fingerprint {
-	return once.NewFingerprint(r.Method, to.service.String()+to.raw+"?"+r.URL.RawQuery, b.start)
+	return once.NewFingerprint(r.Method, to.service.String()+to.rawPath+"?"+r.URL.RawQuery, b.buffered)
 }
 
-// sent is the fingerprint by which a request is known when its caller sends it again.
-func sent(r *http.Request, to route, b *body) crash.Print {
+// crashFingerprint is the fingerprint by which a request is known when its caller sends it again.
+func crashFingerprint(r *http.Request, to route, b *body) crash.Print {
 	return crash.Request{
-		Method: r.Method, Host: to.service.String(), URI: to.raw + "?" + r.URL.RawQuery,
-		Caller: r.Header.Get("Authorization"), Object: r.Header.Get("Cookie"), Body: b.start,
+		Method: r.Method, Host: to.service.String(), URI: to.rawPath + "?" + r.URL.RawQuery,
+		Caller: r.Header.Get("Authorization"), Object: r.Header.Get("Cookie"), Body: b.buffered,
 	}.Print()
 }
 
@@ -121,7 +121,7 @@
 	return now.Add(left), nil
 }
 
-func remote(addr string) netip.Addr {
+func remoteAddr(addr string) netip.Addr {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return netip.Addr{}
@@ -129,7 +129,7 @@
 	return ap.Addr().Unmap()
 }
 
-func newName() string {
+func newRequestID() string {
 	var b [12]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
--- a/internal/callers/request_test.go
+++ b/internal/callers/request_test.go
@@ -31,7 +31,7 @@
 	}
 	for name, path := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := g.raw("PUT /call/shop/orders" + path + " HTTP/1.1\r\nHost: a.example\r\nFirlever-Key: " + g.key() + "\r\n\r\n")
+			c := g.sendRaw("PUT /call/shop/orders" + path + " HTTP/1.1\r\nHost: a.example\r\nFirlever-Key: " + g.key() + "\r\n\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
 				t.Fatalf("got %v, %v, want an answer", resp, err)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestUncleanPathIsNotIdempotent sends GETs without a key: a path that can be
+// TestAmbiguousPathIsNotIdempotent sends GETs without a key: a path that can be
 // read in two ways needs one.
-func TestUncleanPathIsNotIdempotent(t *testing.T) {
+func TestAmbiguousPathIsNotIdempotent(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(http.ResponseWriter, *http.Request) {}))
 	tests := map[string]string{
 		"/a/b": "answered", "/a%20b": "answered",
@@ -58,7 +58,7 @@
 	}
 	for path, want := range tests {
 		t.Run(path, func(t *testing.T) {
-			c := g.raw("GET /call/shop/orders" + path + " HTTP/1.1\r\nHost: a\r\n\r\n")
+			c := g.sendRaw("GET /call/shop/orders" + path + " HTTP/1.1\r\nHost: a\r\n\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
@@ -102,7 +102,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := g.raw("GET /call/shop/orders/ HTTP/1.1\r\nHost: shop.example\r\n" + tt.sent + "\r\n")
+			c := g.sendRaw("GET /call/shop/orders/ HTTP/1.1\r\nHost: shop.example\r\n" + tt.sent + "\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil || outcome(resp) != OutcomeAnswered {
 				t.Fatalf("got %v, %v, want an answer", resp, err)
@@ -121,7 +121,7 @@
 func TestExpectIsAnsweredHere(t *testing.T) {
 	var got string
 	g := newRig(t, "i1", target(t, func(_ http.ResponseWriter, r *http.Request) { got = r.Header.Get("Expect") }))
-	c := g.raw("PUT /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n" +
+	c := g.sendRaw("PUT /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n" +
 		"Firlever-Key: " + g.key() + "\r\n\r\n")
 	r := bufio.NewReader(c)
 	line, err := r.ReadString('\n')
@@ -169,7 +169,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := g.raw(tt.request + "Host: a\r\nConnection: close\r\n\r\n")
+			c := g.sendRaw(tt.request + "Host: a\r\nConnection: close\r\n\r\n")
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/callers/rig_test.go
+++ b/internal/callers/rig_test.go
@@ -23,8 +23,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// patience is the longest that a test waits for what has to come.
-const patience = 10 * time.Second
+// testTimeout is the longest that a test waits for what has to come.
+const testTimeout = 10 * time.Second
 
 // rig is one instance's shell round a real node, over loopback.
 type rig struct {
@@ -145,15 +145,15 @@
 	return ln.Addr().String()
 }
 
-// raw sends bytes to the callers' address, and returns the connection.
-func (g *rig) raw(request string) net.Conn {
+// sendRaw sends bytes to the callers' address, and returns the connection.
+func (g *rig) sendRaw(request string) net.Conn {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.callers.Listener.Addr().String())
 	if err != nil {
 		g.t.Fatal(err)
 	}
 	g.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(c, request)
 	return c
 }
@@ -197,10 +197,10 @@
 	return l.Keys[0]
 }
 
-// wait waits until the node is as ok wants it.
-func (g *rig) wait(what string, ok func(core.Status) bool) core.Status {
+// waitFor waits until the node is as ok wants it.
+func (g *rig) waitFor(what string, ok func(core.Status) bool) core.Status {
 	g.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var st core.Status
 		g.dispatcher.Step(core.Tick{})
 		g.dispatcher.Read(func(now time.Time, n *core.Node) { st = n.Status(now) })
@@ -215,7 +215,7 @@
 // idle waits until nothing is left of any request.
 func (g *rig) idle() core.Status {
 	g.t.Helper()
-	return g.wait("an idle node", func(st core.Status) bool {
+	return g.waitFor("an idle node", func(st core.Status) bool {
 		for _, s := range st.Targets {
 			if s.InFlight > 0 {
 				return false
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -38,39 +38,39 @@
 	cfg        Config
 	dispatcher *dispatch.Dispatcher
 	client     *targets.Client
-	link       *link
-	refusals   *logs.Limiter // of lines about refusals on overload
+	pacer       *linkPacer
+	refusalLog   *logs.Limiter // of lines about refusals on overload
 }
 
 // New makes a server.
 func New(cfg Config, dispatcher *dispatch.Dispatcher, client *targets.Client) *Server {
-	return &Server{cfg: cfg, dispatcher: dispatcher, client: client, link: &link{now: dispatcher.Now}, refusals: logs.NewLimiter(refusalLines)}
+	return &Server{cfg: cfg, dispatcher: dispatcher, client: client, pacer: &linkPacer{now: dispatcher.Now}, refusalLog: logs.NewLimiter(refusalLinesPerSecond)}
 }
 
 // Callers is the handler of the callers' address.
 func (s *Server) Callers() http.Handler {
 	r := chi.NewRouter()
-	r.NotFound(s.noPath)
-	r.MethodNotAllowed(s.noPath)
-	r.Get(PrefixLookup+"{team}/{service}", s.bounded(s.lookup))
-	r.HandleFunc(PrefixCall+"*", s.bounded(s.handler(PrefixCall, core.FromCaller)))
+	r.NotFound(s.notFound)
+	r.MethodNotAllowed(s.notFound)
+	r.Get(PrefixLookup+"{team}/{service}", s.limitHeaders(s.lookup))
+	r.HandleFunc(PrefixCall+"*", s.limitHeaders(s.handler(PrefixCall, core.FromCaller)))
 	return r
 }
 
 // Peers adds the hand-off paths to the handler of the peers' address.
 func (s *Server) Peers(r chi.Router) {
-	r.HandleFunc(PrefixHand+"*", s.bounded(s.handler(PrefixHand, core.FromPeer)))
-	r.HandleFunc(PrefixForward+"*", s.bounded(s.handler(PrefixForward, core.FromForward)))
-	r.Post(PrefixGrant+"{team}/{service}", s.bounded(s.grant))
-	r.Post(PathCrashes, s.bounded(s.crashes))
+	r.HandleFunc(PrefixHand+"*", s.limitHeaders(s.handler(PrefixHand, core.FromPeer)))
+	r.HandleFunc(PrefixForward+"*", s.limitHeaders(s.handler(PrefixForward, core.FromForward)))
+	r.Post(PrefixGrant+"{team}/{service}", s.limitHeaders(s.grant))
+	r.Post(PathCrashes, s.limitHeaders(s.receiveCrashes))
 }
 
-func (s *Server) noPath(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
 	s.badRequest(w, http.StatusNotFound, &BadRequestError{Fault: "nothing is served under this path and method"})
 }
 
-// bounded refuses requests with large headers, and says that they have not run.
-func (s *Server) bounded(next http.HandlerFunc) http.HandlerFunc {
+// limitHeaders refuses requests with large headers, and says that they have not run.
+func (s *Server) limitHeaders(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if headerSize(r) > maxHeader {
 			s.badRequest(w, http.StatusRequestHeaderFieldsTooLarge, &BadRequestError{Fault: "headers are too large"})
@@ -83,12 +83,12 @@
 // handler serves requests that come in by one way.
 func (s *Server) handler(prefix string, origin core.Origin) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		again := s.busy()
+		again := s.overloadedUntil()
 		if !again.IsZero() && r.Header.Get(HeaderKey) == "" {
-			s.refuseBusy(w, r, again)
+			s.refuseOverloaded(w, r, again)
 			return
 		}
-		x, err := s.take(w, r, prefix)
+		x, err := s.readRequest(w, r, prefix)
 		if err != nil {
 			s.badRequest(w, http.StatusBadRequest, err)
 			return
@@ -99,37 +99,37 @@
 		}
 		if origin == core.FromPeer {
 			x.req.From = r.Header.Get(HeaderFrom)
-			x.ask = askOf(r.Header, x.req.Service)
+			x.ask = readAsk(r.Header, x.req.Service)
 		}
 		s.serve(x, origin)
 	}
 }
 
-// take reads a request, its body up to maxReplay.
-func (s *Server) take(w http.ResponseWriter, r *http.Request, prefix string) (*exchange, error) {
-	x := &exchange{s: s, w: w, r: r, came: s.dispatcher.Now()}
+// readRequest reads a request, its body up to maxReplay.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, prefix string) (*exchange, error) {
+	x := &exchange{s: s, w: w, r: r, arrived: s.dispatcher.Now()}
 	c := http.NewResponseController(w)
 	if r.ContentLength != 0 {
-		c.SetReadDeadline(boottime.Runtime(x.came.Add(bodyTime)))
+		c.SetReadDeadline(boottime.Runtime(x.arrived.Add(bodyTimeout)))
 		// Otherwise the server reads the rest of the body before any answer
 		// goes out: a refusal would wait for it, and a target miss it.
 		c.EnableFullDuplex()
 	}
 	var err error
-	if x.to, err = newRoute(r.URL, prefix); err != nil {
+	if x.route, err = newRoute(r.URL, prefix); err != nil {
 		return nil, err
 	}
-	if x.req, err = parse(r, x.to, x.came); err != nil {
+	if x.req, err = parse(r, x.route, x.arrived); err != nil {
 		return nil, err
 	}
 	if x.body, err = readBody(r); err != nil {
 		return nil, err
 	}
-	if x.body.rest == nil && r.ContentLength != 0 {
+	if x.body.remaining == nil && r.ContentLength != 0 {
 		c.SetReadDeadline(time.Time{})
 	}
-	x.req.Print = fingerprint(r, x.to, x.body)
-	x.req.Sent = sent(r, x.to, x.body)
+	x.req.Print = fingerprint(r, x.route, x.body)
+	x.req.Sent = crashFingerprint(r, x.route, x.body)
 	return x, nil
 }
 
@@ -167,12 +167,12 @@
 		s.badRequest(w, http.StatusBadRequest, &BadRequestError{Fault: "keys is not a count"})
 		return
 	}
-	l, err := s.dispatcher.Lookup(id, remote(r.RemoteAddr), keys)
+	l, err := s.dispatcher.Lookup(id, remoteAddr(r.RemoteAddr), keys)
 	if err != nil {
-		s.noLookup(w, err)
+		s.refuseLookup(w, err)
 		return
 	}
-	s.logLookup(l, remote(r.RemoteAddr))
+	s.logLookup(l, remoteAddr(r.RemoteAddr))
 	s.writeLookup(w, l)
 }
 
@@ -194,8 +194,8 @@
 	return p.Callers
 }
 
-// noLookup refuses a look-up.
-func (s *Server) noLookup(w http.ResponseWriter, err error) {
+// refuseLookup refuses a look-up.
+func (s *Server) refuseLookup(w http.ResponseWriter, err error) {
 	reason, status := core.ReasonNoService, http.StatusNotFound
 	var stopping *core.StoppingError
 	var blank *core.NoSettingsError
--- a/internal/callers/slow_test.go
+++ b/internal/callers/slow_test.go
@@ -12,13 +12,13 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// oneConn is a listener that gives one connection.
-type oneConn struct {
+// singleConnListener is a listener that gives one connection.
+type singleConnListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (l oneConn) Accept() (net.Conn, error) {
+func (l singleConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -27,9 +27,9 @@
 	}
 }
 
-func (l oneConn) Close() error { close(l.done); return nil }
+func (l singleConnListener) Close() error { close(l.done); return nil }
 
-func (oneConn) Addr() net.Addr { return &net.TCPAddr{} }
+func (singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // TestSlowSenders send the start of a body and no more, in virtual time.
 func TestSlowSenders(t *testing.T) {
@@ -37,15 +37,15 @@
 		header string
 		want   time.Duration // until the refusal
 	}{
-		"declared": {"Content-Length: 9\r\n", bodyTime},
-		"chunked":  {"Transfer-Encoding: chunked\r\n", bodyTime},
+		"declared": {"Content-Length: 9\r\n", bodyTimeout},
+		"chunked":  {"Transfer-Encoding: chunked\r\n", bodyTimeout},
 		"refused":  {"Content-Length: 9\r\nFirlever-Timeout: x\r\n", 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := makeRig(t, "i1", rigSettings(t, []string{"127.0.0.1:1"}))
-				ln := oneConn{make(chan net.Conn, 1), make(chan struct{})}
+				ln := singleConnListener{make(chan net.Conn, 1), make(chan struct{})}
 				s := &http.Server{Handler: g.server.Callers()}
 				go s.Serve(ln)
 				defer s.Close()
