--- a/internal/callers/answer_test.go
+++ b/internal/callers/answer_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// TestAnswers sends what a target may write, whole or broken, through an
-// instance: the caller gets it whole, or is told that it did not.
+// TestAnswers passes complete and truncated answers of a target through an instance. The caller
+// must get the whole answer, or an indication that it is incomplete.
 func TestAnswers(t *testing.T) {
 	long := strings.Repeat("x", maxBuffered+1)
 	unknown := func(r core.Reason) string { return OutcomeUnknown + " " + string(r) }
@@ -21,7 +21,7 @@
 		outcome        string
 		length         string // Content-Length
 		body           string
-		broken         bool // the caller must see that the body is cut
+		truncated      bool // the caller must detect that the body is truncated
 	}{
 		"length":           {"GET", "200 OK\r\nContent-Length: 2\r\n\r\nab", 200, OutcomeAnswered, "2", "ab", false},
 		"chunked":          {"GET", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", 200, OutcomeAnswered, "2", "ab", false},
@@ -54,7 +54,7 @@
 				c := g.sendRaw(tt.method + " /call/shop/orders/ HTTP/" + proto + "\r\nHost: a\r\n\r\n")
 				resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: tt.method})
 				if err != nil {
-					if tt.broken {
+					if tt.truncated {
 						return // reset before the first byte was read
 					}
 					t.Fatal(err)
@@ -63,10 +63,10 @@
 				if resp.StatusCode != tt.status || outcome(resp) != tt.outcome {
 					t.Errorf("got %d %q, want %d %q", resp.StatusCode, outcome(resp), tt.status, tt.outcome)
 				}
-				if got := err != nil; got != tt.broken {
-					t.Errorf("got broken %v (%v), want %v", got, err, tt.broken)
+				if got := err != nil; got != tt.truncated {
+					t.Errorf("got truncated %v (%v), want %v", got, err, tt.truncated)
 				}
-				if tt.outcome == OutcomeAnswered && !tt.broken {
+				if tt.outcome == OutcomeAnswered && !tt.truncated {
 					if got := resp.Header.Get("Content-Length"); got != tt.length || string(body) != tt.body {
 						t.Errorf("got length %q and %d bytes, want %q and %d", got, len(body), tt.length, len(tt.body))
 					}
@@ -77,7 +77,8 @@
 	}
 }
 
-// TestTargetHeadersNotForwarded answers with our own headers: none may reach the caller.
+// TestTargetHeadersNotForwarded guards against a target that poses as an instance: none of the
+// Firlever headers in its answer may reach the caller.
 func TestTargetHeadersNotForwarded(t *testing.T) {
 	tests := map[string]struct {
 		status  int
@@ -107,19 +108,20 @@
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 			if r.Header.Get(HeaderRequest) != "mine" || r.Header.Get("Firlever-Else") != "" || r.Header.Get("X-Hop") != "" {
-				t.Errorf("got headers %v, want none of the target's that are ours or its connection's", r.Header)
+				t.Errorf("got headers %v, want none of the target's Firlever and hop-by-hop headers", r.Header)
 			}
 			g.idle()
 		})
 	}
 }
 
-// TestRepeat gives a key's answer again, as it was, by whichever way it is asked.
+// TestRepeat checks that a repeated request with the same key gets the recorded answer, at the
+// key's home instance and through another one, and doesn't run again.
 func TestRepeat(t *testing.T) {
 	tests := map[string]struct {
 		status int
 		body   string
-		want   string // outcome of the repetition
+		want   string // outcome of the repeated request
 	}{
 		"body":       {201, "done", "answered repeat"},
 		"no content": {204, "", "answered repeat"},
@@ -146,15 +148,15 @@
 				t.Fatalf("got %d %v, want the target's answer", first.StatusCode, first.Header)
 			}
 			for way, g := range map[string]*rig{"home": home, "other": other} {
-				again, body := g.ask("POST", "/call/shop/orders/a%2Fb?q=1", "work", HeaderKey, key)
-				if got := outcome(again); got != tt.want {
+				repeated, body := g.ask("POST", "/call/shop/orders/a%2Fb?q=1", "work", HeaderKey, key)
+				if got := outcome(repeated); got != tt.want {
 					t.Errorf("got %q by %s, want %q", got, way, tt.want)
 				}
 				if tt.want != "answered repeat" {
 					continue
 				}
-				if body != tt.body || again.StatusCode != tt.status || again.Header.Get("X-A") != "1" {
-					t.Errorf("got %d %q by %s, want %d %q", again.StatusCode, body, way, tt.status, tt.body)
+				if body != tt.body || repeated.StatusCode != tt.status || repeated.Header.Get("X-A") != "1" {
+					t.Errorf("got %d %q by %s, want %d %q", repeated.StatusCode, body, way, tt.status, tt.body)
 				}
 			}
 			if runs != 1 {
--- a/internal/callers/body.go
+++ b/internal/callers/body.go
@@ -8,16 +8,17 @@
 	"sync/atomic"
 )
 
-// body is a request's body, kept whole if it is short.
+// body is a request's body. A body of up to maxReplay bytes is buffered whole.
 type body struct {
-	buffered []byte      // read already
-	remaining  io.Reader   // nil if start is all of it
-	size  int64       // declared length, -1 if it was not declared
-	consumed atomic.Bool // something of rest was read: it can't be sent again
-	aborted atomic.Bool // the caller broke it off
+	buffered  []byte      // bytes read so far
+	remaining io.Reader   // nil if buffered holds the whole body
+	size      int64       // declared length, -1 if it was not declared
+	consumed  atomic.Bool // some of remaining was read, so the body can't be sent again
+	aborted   atomic.Bool // a read of remaining failed, so the caller aborted the body
 }
 
-// readBody reads the start of a body.
+// readBody reads up to maxReplay bytes of a request's body. It returns a *BadRequestError if the
+// read fails.
 func readBody(r *http.Request) (*body, error) {
 	b := &body{size: r.ContentLength}
 	if r.Body == nil || r.Body == http.NoBody {
@@ -36,12 +37,12 @@
 	return b, nil
 }
 
-// attemptBody is the body as one attempt sends it. The transport may go on reading
-// after the attempt has failed, so it has to be stopped before another one.
+// attemptBody is the body as one attempt sends it. The transport may keep reading after the attempt
+// has failed, so stop must be called before the next attempt.
 type attemptBody struct {
-	body  *body
+	body     *body
 	buffered *bytes.Reader
-	pace  func(n int) error // waits until n more bytes may go out
+	pace     func(n int) error // waits until n more bytes may be sent
 
 	mu      sync.Mutex
 	stopped bool // guarded by mu
@@ -51,12 +52,14 @@
 	return &attemptBody{body: b, buffered: bytes.NewReader(b.buffered), pace: pace}
 }
 
-// AttemptOverError ends the body of an attempt that is over.
+// AttemptOverError is returned by reads of a body after its attempt has ended.
 type AttemptOverError struct{}
 
-func (e *AttemptOverError) Error() string { return "callers: the attempt is over" }
+func (e *AttemptOverError) Error() string {
+	return "callers: request body read after the attempt ended"
+}
 
-// Read gives the start, then what the caller still sends.
+// Read returns the buffered bytes, then what the caller still sends.
 func (p *attemptBody) Read(dst []byte) (int, error) {
 	n, err := p.read(dst)
 	if perr := p.pace(n); perr != nil {
@@ -82,7 +85,7 @@
 	return n, err
 }
 
-// beginRead notes that the rest is used.
+// beginRead marks the body as consumed. It reports false if the attempt was stopped.
 func (p *attemptBody) beginRead() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,12 +95,12 @@
 	return !p.stopped
 }
 
-// stop lets the attempt begin no other read of the rest.
+// stop prevents the attempt from starting another read of the remaining body.
 func (p *attemptBody) stop() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopped = true
 }
 
-// Close leaves the caller's body open: another attempt may follow.
+// Close leaves the caller's body open for another attempt.
 func (*attemptBody) Close() error { return nil }
--- a/internal/callers/body_test.go
+++ b/internal/callers/body_test.go
@@ -14,8 +14,8 @@
 
 const longBody = 20 * maxReplay
 
-// TestLongBody streams a body to a target that reads it, answers early, or
-// can't be reached: it arrives whole or not at all.
+// TestLongBody streams a body to a target that reads it, refuses the request early, or can't be
+// reached. The target must get the whole body or none of it.
 func TestLongBody(t *testing.T) {
 	reads := func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestAnswerBeforeBodyEnds streams both ways at a time: the rest of the body,
-// sent after the answer has begun, reaches the target.
+// TestAnswerBeforeBodyEnds streams in both directions at once. The rest of the body, sent after the
+// answer has begun, must reach the target.
 func TestAnswerBeforeBodyEnds(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, r *http.Request) {
 		http.NewResponseController(w).EnableFullDuplex()
@@ -106,7 +106,8 @@
 	g.idle()
 }
 
-// TestAbortedBody cuts a request's body: nobody else is to blame for that.
+// TestAbortedBody checks that a request whose caller aborts the body ends cleanly, and that the
+// target doesn't see the truncated body as complete.
 func TestAbortedBody(t *testing.T) {
 	tests := map[string]string{
 		"short":         "Content-Length: 9\r\n\r\nabc",
@@ -116,10 +117,10 @@
 	}
 	for name, rest := range tests {
 		t.Run(name, func(t *testing.T) {
-			whole := make(chan bool, 1)
+			complete := make(chan bool, 1)
 			g := newRig(t, "i1", target(t, func(_ http.ResponseWriter, r *http.Request) {
 				_, err := io.Copy(io.Discard, r.Body)
-				whole <- err == nil
+				complete <- err == nil
 			}))
 			c := g.sendRaw("PUT /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Key: " + g.key() + "\r\n" + rest)
 			if strings.HasPrefix(name, "long") {
@@ -128,9 +129,9 @@
 			c.Close()
 			g.idle()
 			select {
-			case got := <-whole:
+			case got := <-complete:
 				if got {
-					t.Error("got a whole body at the target, want it cut")
+					t.Error("got a complete body at the target, want it truncated")
 				}
 			default:
 			}
@@ -138,11 +139,12 @@
 	}
 }
 
-// TestCallerGoesAway leaves a request that the target works on.
+// TestCallerGoesAway disconnects the caller while the target works on its request. An idempotent
+// request must be cancelled; one with a key must continue, and its answer must be recorded.
 func TestCallerGoesAway(t *testing.T) {
 	tests := map[string]struct {
 		keyed     bool
-		cancelled bool // the target's work
+		cancelled bool // the target's request context
 		again     string
 	}{
 		"idempotent": {false, true, ""},
@@ -167,14 +169,14 @@
 				method, header = "POST", []string{HeaderKey, g.key()}
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			gone := make(chan error)
+			callerDone := make(chan error)
 			go func() {
 				_, err := g.do(ctx, method, "/call/shop/orders/", nil, header...)
-				gone <- err
+				callerDone <- err
 			}()
 			<-started
 			cancel()
-			<-gone
+			<-callerDone
 			if !tt.cancelled {
 				close(finish)
 			}
@@ -183,8 +185,8 @@
 				if got != tt.cancelled {
 					t.Errorf("got cancelled %v, want %v", got, tt.cancelled)
 				}
-			case <-time.After(3 * time.Second): // the deadline is later
-				t.Error("got the target still at work, want its end")
+			case <-time.After(3 * time.Second): // before the request's deadline
+				t.Error("got a request still running at the target, want it ended")
 			}
 			g.idle()
 			if tt.again == "" {
@@ -197,7 +199,7 @@
 	}
 }
 
-// stuckWriter is a caller that reads nothing.
+// stuckWriter is the answer writer of a caller that reads nothing.
 type stuckWriter struct {
 	*httptest.ResponseRecorder
 	stuck, release chan bool
@@ -209,7 +211,8 @@
 	return len(b), nil
 }
 
-// TestSlowReaderHoldsNoSlot asks for a short answer and does not read it.
+// TestSlowReaderHoldsNoSlot checks that a caller that doesn't read a short answer doesn't keep the
+// target's slot occupied.
 func TestSlowReaderHoldsNoSlot(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Write(make([]byte, maxBuffered))
@@ -226,8 +229,8 @@
 	<-done
 }
 
-// TestSlowReaderEnds reads nothing of an answer that fits no buffer: the
-// request's deadline ends it.
+// TestSlowReaderEnds checks that the request's deadline ends an answer that is too large for any
+// buffer and that the caller doesn't read.
 func TestSlowReaderEnds(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Write(make([]byte, 64<<20))
@@ -237,7 +240,8 @@
 	g.idle()
 }
 
-// TestDeadline is passed on to the target, and enforced when the target is late.
+// TestDeadline checks that the deadline is passed on to the target, and enforced if the target is
+// late.
 func TestDeadline(t *testing.T) {
 	left := make(chan string, 1)
 	g := newRig(t, "i1", target(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/callers/busy.go
+++ b/internal/callers/busy.go
@@ -9,20 +9,20 @@
 	"github.com/firlever/firlever/internal/metrics"
 )
 
-// Refused callers are told to come back after minRetryDelay, and over a part of overloadRetrySpread that
-// is as large as the share of the requests that are refused.
+// The retry delay of a refused request is minRetryDelay plus a random part of overloadRetrySpread.
+// The upper bound of that part grows with the share of requests that are refused.
 const (
-	minRetryDelay = 50 * time.Millisecond
-	overloadRetrySpread    = time.Second
+	minRetryDelay       = 50 * time.Millisecond
+	overloadRetrySpread = time.Second
 )
 
-// refusalLinesPerSecond bounds the lines a second about refusals by the head alone, which come by the
-// thousand.
+// refusalLinesPerSecond limits the log lines about requests that are refused by their headers
+// alone, because there can be thousands a second.
 const refusalLinesPerSecond = 200
 
-// overloadedUntil says when to come back with a request that this process has no time for; the zero time
-// if it has. A request with a key may have run before: only who keeps the key's record can
-// refuse it truthfully.
+// overloadedUntil returns when a request should be retried if this process is overloaded, and the
+// zero time if it isn't. A request with a key may have run before, so only the instance that keeps
+// the key's record can state whether it ran.
 func (s *Server) overloadedUntil() time.Time {
 	if !s.cfg.Load.Refuse() {
 		return time.Time{}
@@ -30,23 +30,23 @@
 	return s.dispatcher.Now().Add(minRetryDelay + rand.N(time.Duration(s.cfg.Load.Share()*float64(overloadRetrySpread))+1))
 }
 
-// refuseOverloaded refuses a request without a key by its head alone.
-func (s *Server) refuseOverloaded(w http.ResponseWriter, r *http.Request, again time.Time) {
-	name := r.Header.Get(HeaderRequest)
-	if len(name) > maxRequestID || !printable(name) {
-		name = ""
+// refuseOverloaded refuses a request without a key, by its headers alone.
+func (s *Server) refuseOverloaded(w http.ResponseWriter, r *http.Request, retryAt time.Time) {
+	requestID := r.Header.Get(HeaderRequest)
+	if len(requestID) > maxRequestID || !printable(requestID) {
+		requestID = ""
 	}
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: kindRefuse, Reason: string(core.ReasonOverloaded)})
 	if suppressed, ok := s.refusalLog.Allow(s.dispatcher.Now()); ok && s.cfg.Log != nil {
-		s.cfg.Log.Info(kindRefuse, "request", name, "path", r.URL.Path, "reason", core.ReasonOverloaded,
-			"share", s.cfg.Load.Share(), "retry", again, "suppressed", suppressed)
+		s.cfg.Log.Info(kindRefuse, "request", requestID, "path", r.URL.Path, "reason", core.ReasonOverloaded,
+			"share", s.cfg.Load.Share(), "retry", retryAt, "suppressed", suppressed)
 	}
-	w.Header().Set(HeaderRequest, name)
-	setRetry(w.Header(), s.dispatcher.Now(), again)
+	w.Header().Set(HeaderRequest, requestID)
+	setRetry(w.Header(), s.dispatcher.Now(), retryAt)
 	s.refuseEarly(w, http.StatusServiceUnavailable, core.ReasonOverloaded, &OverloadedError{})
 }
 
-// OverloadedError says that this process has more to do than its processors can.
+// OverloadedError means that this process has more work than its processors can handle.
 type OverloadedError struct{}
 
-func (*OverloadedError) Error() string { return "callers: this instance has too much to do" }
+func (*OverloadedError) Error() string { return "callers: this instance is overloaded" }
--- a/internal/callers/busy_test.go
+++ b/internal/callers/busy_test.go
@@ -10,18 +10,19 @@
 	"github.com/firlever/firlever/internal/overload"
 )
 
-// overload lets the server take its process for overloaded.
+// overload makes the server treat its process as overloaded.
 func (g *rig) overload() {
 	g.server.cfg.Load = overload.NewMeter(0)
-	ahead := time.Now().Add(time.Hour) // what is measured meanwhile counts for nothing
+	future := time.Now().Add(time.Hour) // measurements taken meanwhile are ignored, as their times are earlier
 	for range 10 {
-		ahead = ahead.Add(time.Second)
-		g.server.cfg.Load.Note(ahead, time.Minute)
+		future = future.Add(time.Second)
+		g.server.cfg.Load.Note(future, time.Minute)
 	}
 }
 
-// What an overloaded instance has no time for is refused truly, with a time to come back: a
-// request with a key may have run before.
+// TestRefusedOnOverload checks that an overloaded instance refuses requests with a retry time, and
+// claims not-run only for requests that have not run. A request with a key may have run before, so
+// its recorded answer must still be returned.
 func TestRefusedOnOverload(t *testing.T) {
 	runs := 0
 	g := newRig(t, "a", target(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -67,9 +68,9 @@
 				return
 			}
 			ms, err := strconv.Atoi(h.Get(HeaderRetry))
-			again := time.Duration(ms) * time.Millisecond
-			if err != nil || again < minRetryDelay/2 || again > minRetryDelay+overloadRetrySpread+time.Millisecond || h.Get(HeaderReason) != "overloaded" {
-				t.Errorf("got reason %s, %q ms to come back, want overloaded and %s to %s", h.Get(HeaderReason), h.Get(HeaderRetry), minRetryDelay, minRetryDelay+overloadRetrySpread)
+			retryDelay := time.Duration(ms) * time.Millisecond
+			if err != nil || retryDelay < minRetryDelay/2 || retryDelay > minRetryDelay+overloadRetrySpread+time.Millisecond || h.Get(HeaderReason) != "overloaded" {
+				t.Errorf("got reason %s, retry after %q ms, want overloaded and %s to %s", h.Get(HeaderReason), h.Get(HeaderRetry), minRetryDelay, minRetryDelay+overloadRetrySpread)
 			}
 		})
 	}
--- a/internal/callers/capacity_test.go
+++ b/internal/callers/capacity_test.go
@@ -21,7 +21,7 @@
 const capacityService = "class: interactive\ntimeout: 2s\nshift: 10\nplaces:\n  here:\n    limit: 4\n" +
 	"    targets:\n      - {name: one, address: \"127.0.0.1:1\", slots: 4, connections: 100}\n"
 
-// capacityServer serves one service of one place, and knows so many peers of the place.
+// capacityServer serves one service of one place, with the given number of peers in the place.
 func capacityServer(b *testing.B, peers int) *Server {
 	node, err := core.New(core.Config{Instance: "i", Incarnation: 1, Place: "here", Domain: "d", Region: "r"}, time.Now())
 	if err != nil {
@@ -45,8 +45,8 @@
 	return New(Config{Instance: "i", Callers: "127.0.0.1:1"}, dispatcher, targets.New(nil))
 }
 
-// BenchmarkCapacityHTTPLookup is one look-up over a kept loopback connection, the
-// client's part included, with so many instances in the place.
+// BenchmarkCapacityHTTPLookup measures one look-up over a reused loopback connection, including the
+// client, by the number of peers in the place.
 func BenchmarkCapacityHTTPLookup(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkCapacityHandler is the same without sockets: the handler's own part.
+// BenchmarkCapacityHandler measures the handler of a look-up alone, without sockets.
 func BenchmarkCapacityHandler(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// BenchmarkCapacityNote is the line and the count of a decision that names so
-// many ways not taken.
+// BenchmarkCapacityNote measures counting and logging a decision, by the number of alternatives
+// that it names as passed over.
 func BenchmarkCapacityNote(b *testing.B) {
 	id := settings.ServiceID{Team: "shop", Name: "orders"}
 	for _, n := range []int{0, 3, 10} {
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -14,13 +14,15 @@
 )
 
 const (
-	// crashUpdateTimeout bounds a call that tells a peer of targets that ended.
+	// crashUpdateTimeout limits a call that reports crashed targets to a peer.
 	crashUpdateTimeout = 500 * time.Millisecond
-	// maxCrashUpdate bounds what is read of such a call, in bytes: all that an instance keeps.
+	// maxCrashUpdate limits the bytes read of such a call. It is enough for everything that an
+	// instance keeps.
 	maxCrashUpdate = 1 << 20
 )
 
-// TellCrashes carries a decision out.
+// TellCrashes carries out a decision to report crashed targets: it sends the update to all of its
+// peers in parallel.
 func (s *Server) TellCrashes(ctx context.Context, d core.TellCrashes) {
 	body, err := json.Marshal(d.News)
 	if err != nil {
@@ -29,20 +31,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, crashUpdateTimeout)
 	defer cancel()
-	told := make(chan error, len(d.Peers))
+	results := make(chan error, len(d.Peers))
 	for _, p := range d.Peers {
-		go func() { told <- s.sendCrashUpdate(ctx, p, body) }()
+		go func() { results <- s.sendCrashUpdate(ctx, p, body) }()
 	}
 	var failed error
 	for range d.Peers {
-		if err := <-told; err != nil {
+		if err := <-results; err != nil {
 			failed = err
 		}
 	}
 	s.recordCrashUpdate(d, failed)
 }
 
-// sendCrashUpdate tells one peer. It returns a *peerhttp.Error.
+// sendCrashUpdate sends an update to one peer. It returns a *peerhttp.Error.
 func (s *Server) sendCrashUpdate(ctx context.Context, p core.Peer, body []byte) error {
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+p.Address+PathCrashes, bytes.NewReader(body))
 	if err != nil {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// recordCrashUpdate counts what was told and writes its line.
+// recordCrashUpdate counts a sent update and logs its reports.
 func (s *Server) recordCrashUpdate(d core.TellCrashes, err error) {
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: "tell-crashes"})
 	if s.cfg.Log == nil {
@@ -74,18 +76,18 @@
 	}
 }
 
-// receiveCrashes takes what a peer tells.
+// receiveCrashes handles an update about crashed targets from a peer.
 func (s *Server) receiveCrashes(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxCrashUpdate))
-	var news core.CrashNews
+	var update core.CrashNews
 	if err == nil {
-		err = json.Unmarshal(b, &news)
+		err = json.Unmarshal(b, &update)
 	}
 	if err != nil {
 		s.badRequest(w, http.StatusBadRequest, err)
 		return
 	}
-	s.dispatcher.Step(core.CrashesHeard{News: news})
+	s.dispatcher.Step(core.CrashesHeard{News: update})
 	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/callers/crash_test.go
+++ b/internal/callers/crash_test.go
@@ -11,26 +11,26 @@
 	"github.com/firlever/firlever/internal/crash"
 )
 
-// What one instance tells of a request that ends targets, another one refuses it by; the same
-// request of another caller, and another request, are served.
+// TestSendCrashes checks that an instance refuses a poison request that another one reported, and
+// still serves the same request of another caller and other requests.
 func TestSendCrashes(t *testing.T) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "0")
 	}))
 	defer target.Close()
-	teller := newTestInstance(t, "east", target.Listener.Addr().String())
-	told := newTestInstance(t, "west", target.Listener.Addr().String())
-	front := httptest.NewServer(told.server.Callers())
+	sender := newTestInstance(t, "east", target.Listener.Addr().String())
+	receiver := newTestInstance(t, "west", target.Listener.Addr().String())
+	front := httptest.NewServer(receiver.server.Callers())
 	defer front.Close()
-	fatal := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Print()
-	news := core.CrashNews{Place: "west"}
+	poison := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Print()
+	update := core.CrashNews{Place: "west"}
 	for i := range 3 {
-		news.Reports = append(news.Reports, core.CrashReport{
-			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{fatal}},
+		update.Reports = append(update.Reports, core.CrashReport{
+			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{poison}},
 		})
 	}
-	peer := core.Peer{ID: "west", Address: told.peers.Listener.Addr().String()}
-	teller.server.TellCrashes(t.Context(), core.TellCrashes{Peers: []core.Peer{peer}, News: news})
+	peer := core.Peer{ID: "west", Address: receiver.peers.Listener.Addr().String()}
+	sender.server.TellCrashes(t.Context(), core.TellCrashes{Peers: []core.Peer{peer}, News: update})
 	tests := map[string]struct {
 		path, key, reason string
 		status            int
@@ -59,12 +59,12 @@
 			}
 		})
 	}
-	resp, err := http.Post(told.peers.URL+PathCrashes, "application/json", strings.NewReader("no news"))
+	resp, err := http.Post(receiver.peers.URL+PathCrashes, "application/json", strings.NewReader("no news"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusBadRequest {
-		t.Errorf("got %d for what can't be read, want 400", resp.StatusCode)
+		t.Errorf("got %d for an invalid update, want 400", resp.StatusCode)
 	}
 }
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -23,31 +23,31 @@
 	PrefixForward = "/forward/"
 	PrefixLookup  = "/lookup/"
 	PrefixGrant   = "/grant/"
-	PathCrashes   = "/crashes" // by peers alone
+	PathCrashes   = "/crashes" // for peers only
 )
 
-// connEndTimeout is longer than a target may take to end a connection.
+// connEndTimeout is longer than a target may take to close a connection.
 const connEndTimeout = 2 * time.Minute
 
-// maxRefusalBody is how much of a peer's refusal is read, so that its connection
-// can be kept.
+// maxRefusalBody is how many bytes are read of a peer's refusal, so that its connection can be
+// reused.
 const maxRefusalBody = 4 << 10
 
-// exchange carries one request from its arrival to its final answer.
+// exchange handles one request from its arrival to its final answer.
 type exchange struct {
-	s    *Server
-	w    http.ResponseWriter
-	r    *http.Request
-	id   core.ID
-	req  core.Request
-	ask  core.Ask // of the peer that handed it off; Peer is empty otherwise
-	route   route
-	body *body
-	arrived time.Time // when it arrived
-	callerGone bool      // the caller has gone, but the attempt runs on
+	s          *Server
+	w          http.ResponseWriter
+	r          *http.Request
+	id         core.ID
+	req        core.Request
+	ask        core.Ask // by the peer that handed the request off; Peer is empty otherwise
+	route      route
+	body       *body
+	arrived    time.Time
+	callerGone bool // the caller disconnected, but the attempt continues
 }
 
-// run acts on decisions until the request has had its final answer.
+// run carries out decisions until the request has its final answer.
 func (x *exchange) run(box *dispatch.Mailbox) {
 	done := x.r.Context().Done()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// execute carries one decision out. It returns true when the request is over.
+// execute carries out one decision. It reports whether the request is finished.
 func (x *exchange) execute(d core.Decision) bool {
 	x.s.recordDecision(x.req, d)
 	switch d := d.(type) {
@@ -90,23 +90,23 @@
 	return false
 }
 
-// attempt is one attempt.
+// attempt is one attempt to have a request answered by a target or a peer.
 type attempt struct {
-	deadline time.Time
-	detached    bool // it goes on when the caller goes away
-	toPeer     bool // it goes to another instance
-	home     string
-	linkRate     int64 // bytes/s of answers, 0 sets no limit
-	uploadRate   int64 // bytes/s of bodies, 0 sets no limit
-	began    time.Time
-	ctx      context.Context // ends with the attempt
-	reqBody     *attemptBody
+	deadline   time.Time
+	detached   bool // continues after the caller disconnects
+	toPeer     bool // sent to another instance
+	home       string
+	linkRate   int64 // bytes/s of answers; 0 sets no limit
+	uploadRate int64 // bytes/s of bodies; 0 sets no limit
+	began      time.Time
+	ctx        context.Context // done when the attempt ends
+	reqBody    *attemptBody
 
-	target owner.TargetKey  // none of a peer's
-	connEnd  chan targets.End // how the target ended the attempt's connection, if it was broken off; nil for a peer
+	target  owner.TargetKey  // zero for a peer
+	connEnd chan targets.End // how the target closed the connection of an aborted attempt; nil for a peer
 }
 
-// outgoing builds the request for a target, or for a peer that serves prefix.
+// outgoing builds the request for a target, or for a peer if prefix isn't empty.
 func (x *exchange) outgoing(t attempt, address, prefix string) *http.Request {
 	if prefix != "" {
 		prefix += x.route.service.String()
@@ -121,13 +121,13 @@
 	}
 	copyHeader(out.Header, x.r.Header)
 	if out.Header.Get("User-Agent") == "" {
-		out.Header.Set("User-Agent", "") // or the transport adds its own
+		out.Header.Set("User-Agent", "") // otherwise the transport adds its own
 	}
 	x.setRequestHeaders(out.Header, t)
 	return out
 }
 
-// setRequestHeaders sets our own headers of a request.
+// setRequestHeaders sets the Firlever headers of an outgoing request.
 func (x *exchange) setRequestHeaders(h http.Header, t attempt) {
 	h.Set(HeaderRequest, x.req.Name)
 	h.Set(HeaderHome, t.home)
@@ -139,8 +139,8 @@
 	}
 }
 
-// send sends the request and takes in how that went. read takes in an
-// answer whose headers have come, and relays it.
+// send sends the request and processes the result. read handles an answer whose headers have
+// arrived.
 func (x *exchange) send(t attempt, out *http.Request, read answerHandler) bool {
 	ctx := x.r.Context()
 	if t.detached {
@@ -171,7 +171,7 @@
 	return read(t, resp)
 }
 
-// answerHandler takes in an answer. It returns true when the request is over.
+// answerHandler handles an answer. It reports whether the request is finished.
 type answerHandler func(t attempt, resp *http.Response) bool
 
 func sendFailure(err error) core.Finished {
@@ -182,14 +182,14 @@
 	return core.Finished{Result: core.Failed}
 }
 
-// abortedByRemote says whether the other end closed a connection, rather than that the time was over
-// or the attempt was given up.
+// abortedByRemote reports whether the other end closed the connection, as opposed to a timeout or a
+// cancelled attempt.
 func abortedByRemote(ctx context.Context, err error) bool {
 	var network net.Error
 	return ctx.Err() == nil && !(errors.As(err, &network) && network.Timeout())
 }
 
-// fail tells the node of an attempt without an answer, and whose fault it was.
+// fail reports an attempt without an answer to the node, and whether the caller caused the failure.
 func (x *exchange) fail(t attempt, ev core.Finished) {
 	t.reqBody.stop()
 	ev.Spent = x.body.consumed.Load()
@@ -197,7 +197,7 @@
 	x.finish(t, ev)
 }
 
-// finish tells the node how the attempt ended.
+// finish reports the outcome of an attempt to the node.
 func (x *exchange) finish(t attempt, ev core.Finished) {
 	ev.ID = x.id
 	ev.Took = x.s.dispatcher.Now().Sub(t.began)
@@ -207,7 +207,7 @@
 	}
 }
 
-// onConnEnd is who is told how the attempt's connection ended; nil for a peer's.
+// onConnEnd returns the callback that receives how the attempt's connection ended; nil for a peer.
 func (t attempt) onConnEnd() func(end targets.End) {
 	if t.connEnd == nil {
 		return nil
@@ -215,27 +215,27 @@
 	return func(end targets.End) { t.connEnd <- end }
 }
 
-// awaitConnEnd tells the node when the target has ended the connection of a broken attempt.
+// awaitConnEnd reports to the node that the target has closed the connection of an aborted attempt.
 func (s *Server) awaitConnEnd(id core.ID, t attempt) {
 	select {
 	case end := <-t.connEnd:
 		if end != targets.Unnoticed {
 			s.dispatcher.Step(core.Ended{ID: id, Target: t.target, Cut: end == targets.Reset})
 		}
-	case <-time.After(connEndTimeout): // the node has given the slot back by itself
+	case <-time.After(connEndTimeout): // the node has already released the slot
 	}
 }
 
-// handleTargetAnswer takes in a target's answer. Of its headers with our names only the refusal that
-// proves that nothing ran, and what it says of the requests that it wants, are understood.
+// handleTargetAnswer handles a target's answer. Of its Firlever headers, only the refusal that
+// proves that nothing ran and the target's notice are used.
 func (x *exchange) handleTargetAnswer(t attempt, resp *http.Response) bool {
-	said := Noticed(t.target, t.began, resp)
-	x.s.dispatcher.Step(said)
+	received := Noticed(t.target, t.began, resp)
+	x.s.dispatcher.Step(received)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == OutcomeNotRun {
 		now := x.s.dispatcher.Now()
 		ev := core.Finished{Result: core.NotRun, Proof: once.ProofRefusal, Retry: retryAfter(resp.Header, now)}
-		if ev.Retry.IsZero() && said.Notice.Rest > 0 {
-			ev.Retry = now.Add(said.Notice.Rest)
+		if ev.Retry.IsZero() && received.Notice.Rest > 0 {
+			ev.Retry = now.Add(received.Notice.Rest)
 		}
 		x.fail(t, ev)
 		return false
@@ -243,8 +243,8 @@
 	return x.relay(t, resp)
 }
 
-// handleOwnerAnswer takes in the answer of a peer that a request was handed to, and
-// what it offers along with it.
+// handleOwnerAnswer handles the answer of the peer that a request was handed off to, with the grant
+// that it offers.
 func (x *exchange) handleOwnerAnswer(d core.Hand) answerHandler {
 	return func(t attempt, resp *http.Response) bool {
 		ev := grantReceived(resp.Header, t.began, d.Peer)
@@ -254,7 +254,7 @@
 	}
 }
 
-// handlePeerAnswer takes in another instance's answer.
+// handlePeerAnswer handles another instance's answer.
 func (x *exchange) handlePeerAnswer(t attempt, resp *http.Response) bool {
 	ev := core.Finished{
 		Result: core.Failed,
--- a/internal/callers/fuzz_test.go
+++ b/internal/callers/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// FuzzParse reads any request line and headers: what is taken has a service, a
-// path and a name that can be passed on, and no deadline in the past.
+// FuzzParse parses arbitrary request lines and headers. An accepted request must have a valid
+// service, a path and a name that can be passed on, and no deadline in the past.
 func FuzzParse(f *testing.F) {
 	f.Add("GET /call/shop/orders/a?b=c HTTP/1.1\r\nFirlever-Timeout: 10\r\nFirlever-Start: 5\r\n")
 	f.Add("POST /call/shop/orders//a%2Fb HTTP/1.1\r\nFirlever-Key: k\r\nFirlever-Request: r\r\n")
--- a/internal/callers/grant.go
+++ b/internal/callers/grant.go
@@ -12,10 +12,10 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// grantTimeout bounds a call that asks a peer for grants.
+// grantTimeout limits a call that asks a peer for grants.
 const grantTimeout = 500 * time.Millisecond
 
-// readAsk reads what a peer asks for.
+// readAsk reads from the headers what a peer asks for.
 func readAsk(h http.Header, service settings.ServiceID) core.Ask {
 	return core.Ask{
 		Peer: h.Get(HeaderFrom), Service: service, Home: h.Get(HeaderHome),
@@ -23,7 +23,7 @@
 	}
 }
 
-// setOffer writes what this instance offers to a peer.
+// setOffer writes this instance's offer to a peer into the headers.
 func setOffer(h http.Header, now time.Time, o core.Offer) {
 	h.Set(HeaderFree, itoa(int64(o.Free)))
 	if o.Grant > 0 {
@@ -38,8 +38,8 @@
 	}
 }
 
-// grantReceived reads a peer's offer. began is from before the peer was asked, so that
-// a grant ends here first, however long its answer took.
+// grantReceived reads a peer's offer. began is a time before the peer was asked, so that a grant
+// expires at this instance first, however long the answer took.
 func grantReceived(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
 	until := began.Add(time.Duration(headerCount(h, HeaderUntil)) * time.Millisecond)
 	return core.GrantHeard{
@@ -48,7 +48,7 @@
 	}
 }
 
-// grant answers a peer that asks without handing a request off.
+// grant answers a peer that asks for grants without handing a request off.
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
 	id, err := settings.ParseServiceID(chi.URLParam(r, "team") + "/" + chi.URLParam(r, "service"))
 	if err != nil {
@@ -60,8 +60,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// AskGrant carries a decision out. An answer that doesn't come is left at that:
-// the node asks again if it still wants to.
+// AskGrant carries out a decision to ask a peer for grants. A failed call isn't retried here: the
+// node asks again if it still needs to.
 func (s *Server) AskGrant(ctx context.Context, d core.AskGrant) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
--- a/internal/callers/grant_test.go
+++ b/internal/callers/grant_test.go
@@ -30,11 +30,11 @@
 	bytes      atomic.Int64 // read and written on its connections to others
 }
 
-// newTestInstance makes an instance of a place whose service has targets at address.
+// newTestInstance starts an instance of a place. Its service has a target at address.
 func newTestInstance(t *testing.T, place, address string) *testInstance {
 	t.Helper()
 	s := &testInstance{asks: make(chan core.AskGrant, 64)}
-	clock := time.Now() // stands still, so that no grant runs out however slow the test is
+	clock := time.Now() // fixed, so that no grant expires however slow the test is
 	n, err := core.New(core.Config{Instance: place, Incarnation: 1, Place: place, Domain: place, Region: place}, clock)
 	if err != nil {
 		t.Fatal(err)
@@ -100,16 +100,16 @@
 func (s *testInstance) call() *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodGet, PrefixCall+"shop/orders/x", nil)
 	r.RemoteAddr = "192.0.2.1:99"
-	r.Header.Set(HeaderWant, "99") // a caller may not ask
+	r.Header.Set(HeaderWant, "99") // must be ignored: callers may not ask for grants
 	w := httptest.NewRecorder()
 	s.server.Callers().ServeHTTP(w, r)
 	return w
 }
 
 func TestGrantHeaders(t *testing.T) {
-	var saw atomic.Pointer[http.Header]
+	var lastHeader atomic.Pointer[http.Header]
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		saw.Store(&r.Header)
+		lastHeader.Store(&r.Header)
 		fmt.Fprint(w, "whole")
 	}))
 	defer target.Close()
@@ -126,15 +126,15 @@
 			t.Errorf("got %s %q at the caller, want none", name, got)
 		}
 	}
-	if got := saw.Load().Get(HeaderWant); got != "" {
+	if got := lastHeader.Load().Get(HeaderWant); got != "" {
 		t.Errorf("got %s %q at the target, want none", HeaderWant, got)
 	}
 
-	open := func() (n int) {
+	granted := func() (n int) {
 		west.dispatcher.Read(func(now time.Time, node *core.Node) { n = node.Granted(now, orders) })
 		return n
 	}
-	if got := open(); got != 1 {
+	if got := granted(); got != 1 {
 		t.Fatalf("got %d granted with the first hand-off, want 1", got)
 	}
 
@@ -147,23 +147,24 @@
 	} else {
 		t.Logf("one ask takes %d bytes both ways", got)
 	}
-	if got := open(); got != 4 {
+	if got := granted(); got != 4 {
 		t.Fatalf("got %d granted after the ask, want 4", got)
 	}
 	if w := east.call(); w.Code != http.StatusOK {
 		t.Fatalf("got %d, want the target's answer", w.Code)
 	}
-	if got := open(); got != 3 {
+	if got := granted(); got != 3 {
 		t.Errorf("got %d granted after a hand-off, want 3", got)
 	}
 	east.server.AskGrant(t.Context(), core.AskGrant{Peer: peer, Service: orders, Home: "west", Release: 3})
-	if got := open(); got != 0 {
+	if got := granted(); got != 0 {
 		t.Errorf("got %d granted after the release, want 0", got)
 	}
 }
 
-// TestGrantExpiryCountsFromRequest keeps a sender from using a grant for longer than
-// its granter counts it, however late the answer comes.
+// TestGrantExpiryCountsFromRequest checks that the validity of a grant counts from when the peer
+// was asked. Otherwise a late answer would let the sender use the grant longer than its granter
+// counts it.
 func TestGrantExpiryCountsFromRequest(t *testing.T) {
 	began := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
--- a/internal/callers/header.go
+++ b/internal/callers/header.go
@@ -12,29 +12,29 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// Headers of requests and answers, towards callers, peers and targets alike.
+// Headers of requests and answers, used with callers, peers and targets alike.
 const (
 	HeaderKey     = "Firlever-Key"     // idempotency key
-	HeaderTimeout = "Firlever-Timeout" // time left for the request, whole milliseconds
-	HeaderStart   = "Firlever-Start"   // time left until its answer must begin, the same; optional
+	HeaderTimeout = "Firlever-Timeout" // time left for the request, in whole milliseconds
+	HeaderStart   = "Firlever-Start"   // time left until the answer must begin, in whole milliseconds; optional
 	HeaderRequest = "Firlever-Request" // request id
 	HeaderOutcome = "Firlever-Outcome" // one of the outcomes below
 	HeaderReason  = "Firlever-Reason"  // a core.Reason
-	HeaderRetry   = "Firlever-Retry"   // when to come back, milliseconds from now
+	HeaderRetry   = "Firlever-Retry"   // when to retry, in milliseconds from now
 	HeaderHome    = "Firlever-Home"    // the caller's home place
 	HeaderFrom    = "Firlever-From"    // the instance that handed the request off
 
-	// Of targets' answers, those to probes too.
-	HeaderLeaving = "Firlever-Leaving" // "1": the target leaves, and wants no new requests
-	HeaderLimit   = "Firlever-Limit"   // requests a second that it takes, a decimal number
-	headerRetryAfter    = "Retry-After"      // seconds for which it wants none, with 503
+	// In targets' answers, also to probes.
+	HeaderLeaving    = "Firlever-Leaving" // "1": the target is leaving and takes no new requests
+	HeaderLimit      = "Firlever-Limit"   // requests a second that the target takes, a decimal number
+	headerRetryAfter = "Retry-After"      // seconds of back-off, with status 503
 
 	// Between instances only.
 	HeaderWant    = "Firlever-Want"    // requests that the sender would like to hand off
-	HeaderRelease = "Firlever-Release" // requests that it was granted and has no use for
-	HeaderFree    = "Firlever-Free"    // slots of the service that are free at the answerer
-	HeaderGrant   = "Firlever-Grant"   // requests that the sender may hand off beyond its older grants
-	HeaderUntil   = "Firlever-Until"   // how long, in milliseconds from when the sender asked
+	HeaderRelease = "Firlever-Release" // granted requests that the sender no longer needs
+	HeaderFree    = "Firlever-Free"    // free slots of the service at the answering instance
+	HeaderGrant   = "Firlever-Grant"   // requests that the sender may hand off, on top of its earlier grants
+	HeaderUntil   = "Firlever-Until"   // validity of the grant, in milliseconds from when the sender asked
 )
 
 // Outcomes of a request.
@@ -44,11 +44,11 @@
 	OutcomeUnknown  = "unknown"
 )
 
-// noticeHeaders are the headers by which targets say which requests they want.
+// noticeHeaders are the headers of a target's notice.
 var noticeHeaders = notice.Names{Leaving: HeaderLeaving, Limit: HeaderLimit, Rest: headerRetryAfter}
 
-// Noticed is what a target's answer says of the requests that it wants. A success says all,
-// if it can be read.
+// Noticed reads the notice in a target's answer. A successful answer is complete if its
+// headers could be read: what it doesn't state no longer holds.
 func Noticed(target owner.TargetKey, asked time.Time, resp *http.Response) core.Noticed {
 	n, unread := noticeHeaders.Read(resp.StatusCode, resp.Header)
 	return core.Noticed{
@@ -56,18 +56,18 @@
 	}
 }
 
-// headerPrefix begins the names of our own headers.
+// headerPrefix is the prefix of all Firlever headers.
 const headerPrefix = "Firlever-"
 
-// hopHeaders concern one connection only and are not passed on. Expect is among
-// them since this instance itself asks its caller for the body.
+// hopHeaders apply to one connection only and are not passed on. Expect is among them because this
+// instance itself asks its caller for the body.
 var hopHeaders = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyHeader passes end-to-end headers on. Ours are never passed on, only set
-// anew: a caller could pose as a peer by them, and a target as an instance.
+// copyHeader copies end-to-end headers. Firlever headers are never copied, only set anew: otherwise
+// a caller could pose as a peer, and a target as an instance.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		if !strings.HasPrefix(name, headerPrefix) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// headerCount reads a header that holds a whole number; 0 if it holds none.
+// headerCount reads a header that holds a whole number. It returns 0 if there is no valid number.
 func headerCount(h http.Header, name string) int {
 	n, err := strconv.ParseUint(h.Get(name), 10, 31)
 	if err != nil {
@@ -93,13 +93,13 @@
 	return int(n)
 }
 
-// setTimeLeft writes the time left until a deadline.
+// setTimeLeft writes the time left until a deadline, in milliseconds.
 func setTimeLeft(h http.Header, name string, now, deadline time.Time) {
 	left := max(deadline.Sub(now).Milliseconds(), 0)
 	h.Set(name, strconv.FormatInt(left, 10))
 }
 
-// retryAfter reads when a refusal says to come back; zero if it does not.
+// retryAfter returns when a refused request may be retried; zero if the refusal doesn't state it.
 func retryAfter(h http.Header, now time.Time) time.Time {
 	ms, err := strconv.ParseInt(h.Get(HeaderRetry), 10, 32)
 	if err != nil || ms < 0 {
@@ -108,7 +108,7 @@
 	return now.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// setRetry writes when to come back, in our header and in the standard one.
+// setRetry writes when to retry, in the Firlever header and in the standard one.
 func setRetry(h http.Header, now, at time.Time) {
 	if at.IsZero() {
 		return
--- a/internal/callers/link.go
+++ b/internal/callers/link.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/pace"
 )
 
-// linkPacer paces the bulk bytes that leave this instance's place. It is safe for
+// linkPacer limits the rate of bulk bytes that leave this instance's place. It is safe for
 // concurrent use.
 type linkPacer struct {
 	now func() time.Time
@@ -17,7 +17,7 @@
 	pace pace.Link // guarded by mu
 }
 
-// chunk is how many bytes to send at a time at a rate.
+// chunk returns how many bytes to send at a time at a rate in bytes/s.
 func (l *linkPacer) chunk(rate int64) int {
 	if rate == 0 {
 		return chunkSize
@@ -28,8 +28,8 @@
 	return l.pace.Chunk(chunkSize)
 }
 
-// wait waits until n bytes may leave. rate is this instance's share in bytes/s;
-// 0 waits for nothing.
+// wait blocks until n bytes may be sent. rate is this instance's share in bytes/s; with 0 it
+// returns at once. It returns ctx's error if ctx ends first.
 func (l *linkPacer) wait(ctx context.Context, rate int64, n int) error {
 	if rate == 0 || n == 0 {
 		return nil
--- a/internal/callers/link_test.go
+++ b/internal/callers/link_test.go
@@ -15,8 +15,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// TestLinkIsSharedFairly lets transfers use a link for a while: together they
-// get its rate, each alike, and what isn't paced waits for none of them.
+// TestLinkIsSharedFairly runs several transfers over one link. Together they must get its rate, in
+// equal shares, and traffic that isn't paced must not wait for them.
 func TestLinkIsSharedFairly(t *testing.T) {
 	const rate, window = 1 << 20, 10 * time.Second
 	for _, transfers := range []int{1, 2, 7, 100} {
@@ -50,8 +50,9 @@
 					t.Errorf("got %d bytes in %v, want %d", total, window, limit)
 				}
 				if least, most := slices.Min(sent), slices.Max(sent); most-least > 2*size {
-					// The first has a chunk before the others come, and the last turn may end in their midst.
-					t.Errorf("got from %d to %d bytes for each, want two chunks' difference at most", least, most)
+					// The first gets a chunk before the others start, and the window may end in the
+					// middle of a round.
+					t.Errorf("got from %d to %d bytes for each, want a difference of at most two chunks", least, most)
 				}
 			})
 		})
@@ -66,14 +67,13 @@
 		l.wait(ctx, 1, 100)
 		began := time.Now()
 		if err := l.wait(ctx, 1, 100); err == nil || time.Since(began) != time.Second {
-			t.Errorf("got %v after %v, want the deadline's end after 1s", err, time.Since(began))
+			t.Errorf("got %v after %v, want an error after 1s", err, time.Since(began))
 		}
 	})
 }
 
-// bulkRig is an instance with a bulk and an interactive service, in a place
-// with a link of so many bytes/s. The bulk target answers with the number of
-// bytes that the path names.
+// bulkRig is an instance with a bulk and an interactive service, in a place whose link has the
+// given rate in bytes/s. The bulk target answers with the number of bytes that the path names.
 func bulkRig(tb testing.TB, rate int) *rig {
 	tb.Helper()
 	chunk := make([]byte, chunkSize)
@@ -105,7 +105,7 @@
 	return startRig(tb, "i1", s)
 }
 
-// get downloads, and returns how many bytes came.
+// get downloads the given number of bytes and returns how many arrived.
 func (g *rig) get(ctx context.Context, bytes int) (int64, error) {
 	resp, err := g.download(ctx, bytes)
 	if err != nil {
@@ -115,7 +115,7 @@
 	return io.Copy(io.Discard, resp.Body)
 }
 
-// download asks as an instance of another place does.
+// download sends a hand-off request as an instance of another place does.
 func (g *rig) download(ctx context.Context, bytes int) (*http.Response, error) {
 	r, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("%s/hand/shop/maps/%d", g.peers.URL, bytes), nil)
 	if err != nil {
@@ -127,13 +127,13 @@
 	return http.DefaultClient.Do(r)
 }
 
-// TestBulkAnswersArePaced downloads over a link that is too slow for the
-// deadline: the caller must see that the answer is cut.
+// TestBulkAnswersArePaced downloads over a link that is too slow for the deadline. The caller must
+// detect that the answer is truncated, and interactive services must not be slowed down.
 func TestBulkAnswersArePaced(t *testing.T) {
 	g := bulkRig(t, 1<<20)
 	n, err := g.get(t.Context(), 8<<20)
 	if most := int64(1<<20 + 4*chunkSize); err == nil || n > most || n < most/4 {
-		t.Errorf("got %d bytes, %v, want a cut after at most %d", n, err, most)
+		t.Errorf("got %d bytes, %v, want it truncated after at most %d", n, err, most)
 	}
 	g.idle()
 	if _, body := g.ask("GET", "/call/shop/orders/", ""); body != "ok" {
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestShortAnswerBehindFullLink can't be passed on before its deadline: its
-// caller is told so.
+// TestShortAnswerBehindFullLink checks that a short answer that can't be passed on before its
+// deadline is reported to the caller with an unknown outcome.
 func TestShortAnswerBehindFullLink(t *testing.T) {
 	g := bulkRig(t, 1<<10)
 	if n, err := g.get(t.Context(), maxBuffered); err != nil || n != maxBuffered {
@@ -175,8 +175,8 @@
 	}
 }
 
-// BenchmarkBeside measures small requests alone and beside 100 downloads over a
-// link of 16 MB/s, or over one without a limit, in one run.
+// BenchmarkBeside measures small requests alone, and beside 100 downloads over a link of 16 MB/s or
+// over one without a limit.
 func BenchmarkBeside(b *testing.B) {
 	cases := []struct {
 		name      string
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -5,7 +5,7 @@
 	"github.com/firlever/firlever/internal/metrics"
 )
 
-// Kinds of decision, in logs and metrics.
+// Kinds of decisions, in logs and metrics.
 const (
 	kindServe   = "serve"
 	kindHand    = "hand"
@@ -17,7 +17,7 @@
 	kindAsk     = "ask-grant"
 )
 
-// recordDecision counts a decision and writes its line.
+// recordDecision counts a decision and logs it.
 func (s *Server) recordDecision(req core.Request, d core.Decision) {
 	kind, reason := kindAndReason(d)
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: kind, Service: req.Service.String(), Reason: string(reason)})
@@ -28,7 +28,7 @@
 	s.cfg.Log.Info(kind, append(fields, detailFields(d)...)...)
 }
 
-// recordAsk counts a call that asked for grants and writes its line.
+// recordAsk counts a call that asked for grants and logs it.
 func (s *Server) recordAsk(d core.AskGrant, err error) {
 	reason := core.ReasonNoGrant
 	if d.Release > 0 {
@@ -42,7 +42,7 @@
 		"want", d.Want, "release", d.Release, "err", err)
 }
 
-// kindAndReason gives a decision's kind and reason.
+// kindAndReason returns a decision's kind and reason.
 func kindAndReason(d core.Decision) (string, core.Reason) {
 	switch d := d.(type) {
 	case core.Serve:
@@ -64,7 +64,8 @@
 	return "", ""
 }
 
-// detailFields gives the fields that only one kind has, with the ways not taken.
+// detailFields returns the log fields that are specific to a decision's kind. They include the
+// alternatives that were passed over.
 func detailFields(d core.Decision) []any {
 	switch d := d.(type) {
 	case core.Serve:
--- a/internal/callers/log_test.go
+++ b/internal/callers/log_test.go
@@ -12,12 +12,12 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// sink drops what is written; the logger would skip its work for io.Discard.
+// sink discards what is written. The logger would skip its work for io.Discard.
 type sink struct{}
 
 func (sink) Write(b []byte) (int, error) { return len(b), nil }
 
-// BenchmarkCapacityDecision measures what a decision's line and count cost.
+// BenchmarkCapacityDecision measures the cost of counting and logging a decision.
 func BenchmarkCapacityDecision(b *testing.B) {
 	id := settings.ServiceID{Team: "shop", Name: "orders"}
 	req := core.Request{Name: "0123456789abcdef", Service: id}
--- a/internal/callers/lookup_test.go
+++ b/internal/callers/lookup_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/targets"
 )
 
-// TestLookupBeforeSettings: a caller ends at a 404, and goes on to the next
-// instance after a 503.
+// TestLookupBeforeSettings checks that an instance without settings answers look-ups with 503.
+// Callers try the next instance after a 503, but give up after a 404.
 func TestLookupBeforeSettings(t *testing.T) {
 	node, err := core.New(core.Config{
 		Instance: "a", Incarnation: 1, Place: "east", Domain: "east", Region: "coast",
--- a/internal/callers/notice_test.go
+++ b/internal/callers/notice_test.go
@@ -11,7 +11,8 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// A success that can be read says all; others say no more than they name.
+// TestNoticed checks that only a successful answer with readable headers counts as a complete
+// notice.
 func TestNoticed(t *testing.T) {
 	tests := map[string]struct {
 		status int
--- a/internal/callers/path.go
+++ b/internal/callers/path.go
@@ -9,17 +9,17 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// route is what a request's URL says.
+// route is the service and path that a request's URL names.
 type route struct {
 	service settings.ServiceID
-	rawPath     string // path below the service as it came, escapes and all; starts with "/"
-	path    string // what the rules of idempotency look at
+	rawPath string // path below the service as received, still escaped; starts with "/"
+	path    string // path that the idempotency rules match
 }
 
-// newRoute takes /prefix/team/service/rest apart.
+// newRoute parses /prefix/team/service/rest. It returns a *BadRequestError.
 func newRoute(u *url.URL, prefix string) (route, error) {
-	whole := cmp.Or(u.RawPath, u.EscapedPath())
-	team, rest, ok := strings.Cut(strings.TrimPrefix(whole, prefix), "/")
+	escapedPath := cmp.Or(u.RawPath, u.EscapedPath())
+	team, rest, ok := strings.Cut(strings.TrimPrefix(escapedPath, prefix), "/")
 	name, rest, _ := strings.Cut(rest, "/")
 	if !ok || name == "" {
 		return route{}, &BadRequestError{Fault: "path names no service"}
@@ -30,15 +30,15 @@
 	}
 	r := route{service: id, rawPath: "/" + rest}
 	if strings.HasPrefix(r.rawPath, "//") && (&url.URL{Path: unescape(r.rawPath), RawPath: r.rawPath}).EscapedPath() != r.rawPath {
-		return route{}, &BadRequestError{Fault: "path has characters that a URL can't have"}
+		return route{}, &BadRequestError{Fault: "path contains characters that are invalid in a URL"}
 	}
 	r.path = pathForRules(r.rawPath)
 	return r, nil
 }
 
-// pathForRules is the decoded path. One with an escaped slash stays as it came, since
-// a target could read it as another path than the rules do; the rules trust no
-// path with an escape in it.
+// pathForRules returns the decoded path. A path with an escaped slash stays as received, because a
+// target could interpret it as another path than the rules do. The rules treat no path that still
+// contains an escape as idempotent.
 func pathForRules(raw string) string {
 	if strings.Contains(strings.ToLower(raw), "%2f") {
 		return raw
@@ -54,9 +54,9 @@
 	return p
 }
 
-// outgoingURL is the URL at which another server gets the request, with the path as
-// the caller wrote it. Opaque does that, but would be taken for a host's name
-// after two slashes.
+// outgoingURL returns the URL of the request at another server, with the path exactly as the caller
+// wrote it. Opaque preserves the path, but one that begins with two slashes would be parsed as a
+// host name.
 func (r route) outgoingURL(address, prefix string, from *url.URL) *url.URL {
 	u := &url.URL{Scheme: "http", Host: address, RawQuery: from.RawQuery, ForceQuery: from.ForceQuery}
 	raw := prefix + r.rawPath
@@ -68,7 +68,7 @@
 	return u
 }
 
-// refusedMethods make no sense through an entry instance.
+// methodRefused reports whether a method can't be passed on by an entry instance.
 func methodRefused(method string) bool {
 	return method == http.MethodConnect || method == http.MethodTrace
 }
--- a/internal/callers/refuse.go
+++ b/internal/callers/refuse.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// refusal is the body of an answer that is not from a target.
+// refusal is the body of an answer that doesn't come from a target.
 type refusal struct {
 	Outcome string `json:"outcome"`
 	Reason  string `json:"reason"`
@@ -17,7 +17,7 @@
 	Retry   int64  `json:"retry,omitempty"` // milliseconds from now
 }
 
-// refuse gives the final answer of a request that none of the targets answered.
+// refuse writes the final answer of a request that no target answered.
 func (x *exchange) refuse(d core.Refuse) {
 	outcome := OutcomeNotRun
 	if d.Unknown {
@@ -51,12 +51,12 @@
 	return http.StatusServiceUnavailable
 }
 
-// badRequest refuses what can't be understood. It has not run.
+// badRequest refuses an invalid request, which has not run.
 func (s *Server) badRequest(w http.ResponseWriter, status int, err error) {
 	s.refuseEarly(w, status, core.ReasonBadRequest, err)
 }
 
-// refuseEarly refuses what the node never hears of.
+// refuseEarly refuses a request that is never passed to the node.
 func (s *Server) refuseEarly(w http.ResponseWriter, status int, reason core.Reason, err error) {
 	h := w.Header()
 	h.Set(HeaderOutcome, OutcomeNotRun)
@@ -64,7 +64,7 @@
 	s.writeJSON(w, status, refusal{Outcome: OutcomeNotRun, Reason: err.Error()})
 }
 
-// writeJSON writes a short answer of ours.
+// writeJSON writes a short answer of this instance.
 func (s *Server) writeJSON(w http.ResponseWriter, status int, v any) {
 	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.Header().Set("Content-Type", "application/json")
@@ -72,15 +72,15 @@
 	json.NewEncoder(w).Encode(v)
 }
 
-// setWriteDeadline bounds how long a caller may take over its answer. Whoever writes an
-// answer sets it: a kept connection still has that of the answer before.
+// setWriteDeadline limits how long a caller may take to receive its answer. Every writer of an
+// answer must call it, because a reused connection still has the deadline of the previous answer.
 func (s *Server) setWriteDeadline(w http.ResponseWriter, at time.Time) {
 	http.NewResponseController(w).SetWriteDeadline(boottime.Runtime(at))
 }
 
 func (x *exchange) setWriteDeadline(at time.Time) { x.s.setWriteDeadline(x.w, at) }
 
-// setReadDeadline bounds how long a caller may take over a body that is not all here.
+// setReadDeadline limits how long a caller may take to send a body that hasn't arrived completely.
 func (x *exchange) setReadDeadline(at time.Time) {
 	if x.body.remaining != nil {
 		http.NewResponseController(x.w).SetReadDeadline(boottime.Runtime(at))
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -10,16 +10,16 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Sizes of the buffers of an answer.
+// Buffer sizes for answers.
 const (
-	maxBuffered  = 64 << 10 // a shorter answer is read whole before any of it is passed on
-	chunkSize = 32 << 10 // of a streamed answer
+	maxBuffered = 64 << 10 // an answer of up to this size is read whole before any of it is passed on
+	chunkSize   = 32 << 10 // of a streamed answer
 )
 
 var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
-// relay passes an answer on. A short one is read whole first: that frees the
-// target's slot early, and an answer cut short can still be replaced.
+// relay passes an answer on. A short one is read whole first, which frees the target's slot early
+// and allows another attempt if the answer is truncated.
 func (x *exchange) relay(t attempt, resp *http.Response) bool {
 	if resp.StatusCode == http.StatusSwitchingProtocols || !x.delimited(resp) {
 		x.fail(t, core.Finished{Result: core.Failed, Reason: core.ReasonNoEnd})
@@ -48,18 +48,18 @@
 	return true
 }
 
-// delimited says whether the answer's end can be told from a broken connection: one
-// without a length that isn't chunked delimited the same either way.
+// delimited reports whether the end of an answer can be distinguished from an aborted connection.
+// An answer that has no length and isn't chunked ends the same way in both cases.
 func (x *exchange) delimited(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || !x.hasBody(resp.StatusCode)
 }
 
-// hasBody says whether an answer of this status has a body.
+// hasBody reports whether an answer with this status has a body.
 func (x *exchange) hasBody(status int) bool {
 	return x.r.Method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// readStart reads an answer up to a byte over maxWhole.
+// readStart reads an answer up to one byte more than maxBuffered.
 func readStart(resp *http.Response) ([]byte, error) {
 	if resp.ContentLength < 0 || resp.Body == http.NoBody {
 		return io.ReadAll(io.LimitReader(resp.Body, maxBuffered+1))
@@ -69,7 +69,8 @@
 	return start, err
 }
 
-// peerReason is why a peer gave the answer, if it says so; targets have no say.
+// peerReason returns the reason that a peer's answer states, if any. A target's answer has none:
+// that header is ignored.
 func peerReason(t attempt, resp *http.Response) string {
 	if !t.toPeer {
 		return ""
@@ -77,7 +78,8 @@
 	return resp.Header.Get(HeaderReason)
 }
 
-// finishedEvent is the event of a whole answer, with what a key's record needs.
+// finishedEvent returns the event for a complete answer, with the headers and body for the key's
+// record.
 func (x *exchange) finishedEvent(resp *http.Response, whole []byte) core.Finished {
 	ev := core.Finished{Result: core.Answered, Status: resp.StatusCode}
 	if x.req.Key != "" {
@@ -88,7 +90,7 @@
 	return ev
 }
 
-// setAnswerHeaders sets the headers that are always ours.
+// setAnswerHeaders sets the Firlever headers of an answer.
 func (x *exchange) setAnswerHeaders(outcome string, reason core.Reason) {
 	h := x.w.Header()
 	h.Set(HeaderOutcome, outcome)
@@ -101,7 +103,7 @@
 	}
 }
 
-// writeAnswer writes an answer that is all here.
+// writeAnswer writes an answer that has been read completely.
 func (x *exchange) writeAnswer(status int, header http.Header, body []byte) {
 	h := x.w.Header()
 	copyHeader(h, header)
@@ -118,8 +120,8 @@
 	}
 }
 
-// stream passes a long answer on in constant memory. One that is cut short
-// ends by breaking the connection, never as if it were whole.
+// stream passes a long answer on in constant memory. If the answer is truncated, the caller's
+// connection is aborted, so that it never looks complete.
 func (x *exchange) stream(t attempt, resp *http.Response, start []byte) bool {
 	x.setAnswerHeaders(OutcomeAnswered, core.Reason(peerReason(t, resp)))
 	copyHeader(x.w.Header(), resp.Header)
@@ -139,8 +141,8 @@
 	return true
 }
 
-// copy streams r to the caller, and counts the bytes. The length of a steady
-// trickle is unknown, so it goes out as it comes.
+// copy streams r to the caller and returns the number of bytes. An answer of unknown length is
+// flushed after each write, because it may be a slow stream of events.
 func (x *exchange) copy(t attempt, r io.Reader, flush bool) (int, error) {
 	buf := chunkPool.Get().(*[chunkSize]byte)
 	defer chunkPool.Put(buf)
@@ -160,8 +162,8 @@
 	}
 }
 
-// write gives bytes to the caller. A non-idempotent request goes on without
-// its caller, so that its outcome gets recorded.
+// write writes bytes to the caller at the paced rate. The attempt of a non-idempotent request
+// continues after the caller has gone, so that its outcome gets recorded.
 func (x *exchange) write(t attempt, b []byte, flush bool) error {
 	if x.callerGone || len(b) == 0 {
 		return nil
@@ -183,9 +185,8 @@
 	return err
 }
 
-// abort breaks the caller's connection in the midst of an answer. It does not
-// return. HTTP/1.0 takes a closed connection for the end of an answer, so there
-// the connection is reset.
+// abort aborts the caller's connection in the middle of an answer. It does not return. HTTP/1.0
+// treats a closed connection as the end of an answer, so there the connection is reset.
 func (x *exchange) abort() {
 	if !x.r.ProtoAtLeast(1, 1) {
 		reset(x.w)
@@ -193,7 +194,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// resetter is what TCP connections can do.
+// resetter is implemented by TCP connections.
 type resetter interface{ SetLinger(seconds int) error }
 
 func reset(w http.ResponseWriter) {
@@ -208,16 +209,16 @@
 }
 
 func (x *exchange) checkLength(resp *http.Response, n int) {
-	whole := resp.ContentLength < 0 || resp.ContentLength == int64(n) || !x.hasBody(resp.StatusCode)
-	x.s.cfg.Checks.Check(invariant.WholeAnswer, whole, func() string {
-		return x.req.Name + ": an answer of another length was passed off as whole"
+	complete := resp.ContentLength < 0 || resp.ContentLength == int64(n) || !x.hasBody(resp.StatusCode)
+	x.s.cfg.Checks.Check(invariant.WholeAnswer, complete, func() string {
+		return x.req.Name + ": an answer whose length doesn't match Content-Length was passed on as complete"
 	})
 }
 
-// repeat gives a key's recorded answer.
+// repeat writes the recorded answer of a key.
 func (x *exchange) repeat(d core.Repeat) {
 	if d.Answer.Dropped {
-		// The work is done, but its answer was too large to keep.
+		// The request has run, but its answer was too large to keep.
 		x.refuse(core.Refuse{ID: d.ID, Unknown: true, Reason: core.ReasonNotKept})
 		return
 	}
--- a/internal/callers/request.go
+++ b/internal/callers/request.go
@@ -14,23 +14,24 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// Limits of what a caller may send.
+// Limits for callers' requests.
 const (
-	maxReplay  = 64 << 10         // a longer body is streamed and can't be sent again
-	maxKey     = 512              // bytes of an idempotency key
-	maxHeader  = 32 << 10         // bytes of the first line and the headers
-	maxRequestID    = 128              // bytes of a request id
-	maxTimeout = 10 * time.Minute // a longer timeout is cut to this
-	bodyTimeout   = 10 * time.Second // for the first maxReplay bytes of a body
-	replyTimeout  = 5 * time.Second  // for a caller to take an answer that is ready
+	maxReplay    = 64 << 10         // a longer body is streamed and can't be sent again
+	maxKey       = 512              // bytes of an idempotency key
+	maxHeader    = 32 << 10         // bytes of the request line and the headers
+	maxRequestID = 128              // bytes of a request id
+	maxTimeout   = 10 * time.Minute // a longer timeout is reduced to this
+	bodyTimeout  = 10 * time.Second // for the first maxReplay bytes of a body
+	replyTimeout = 5 * time.Second  // for a caller to receive an answer that is ready
 )
 
-// BadRequestError says what is wrong with a request. It has not run.
+// BadRequestError describes what is wrong with a request, which has not run.
 type BadRequestError struct{ Fault string }
 
 func (e *BadRequestError) Error() string { return "callers: bad request: " + e.Fault }
 
-// parse reads what the node must know of a request, but for its body.
+// parse reads everything that the node needs of a request, except its body. It returns a
+// *BadRequestError.
 func parse(r *http.Request, to route, now time.Time) (core.Request, error) {
 	req := core.Request{
 		Service:    to.service,
@@ -55,7 +56,7 @@
 	return req, err
 }
 
-// headerSize is the size of a request's first line and headers, in bytes.
+// headerSize returns the size of a request line and headers, in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI)
 	for name, values := range r.Header {
@@ -66,7 +67,7 @@
 	return n
 }
 
-// checkHeaders refuses headers that can be read in more ways than one, or not at all.
+// checkHeaders rejects headers that are ambiguous or can't be parsed.
 func checkHeaders(r *http.Request, req core.Request) error {
 	for _, name := range []string{HeaderKey, HeaderRequest, HeaderTimeout, HeaderStart} {
 		if len(r.Header.Values(name)) > 1 {
@@ -75,7 +76,7 @@
 	}
 	switch {
 	case methodRefused(r.Method):
-		return &BadRequestError{Fault: "method " + r.Method + " is not passed on"}
+		return &BadRequestError{Fault: "method " + r.Method + " is not supported"}
 	case len(req.Key) > maxKey || !printable(req.Key):
 		return &BadRequestError{Fault: HeaderKey + " is too long or not printable"}
 	case len(req.Name) > maxRequestID || !printable(req.Name):
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// printable says whether s is ASCII without blanks.
+// printable reports whether s consists of printable ASCII without spaces.
 func printable(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c > '~' {
@@ -94,12 +95,14 @@
 	return true
 }
 
-// fingerprint is the same whichever way the request came by.
+// fingerprint returns the fingerprint for the key's record. It is the same whichever way the
+// request arrived.
 func fingerprint(r *http.Request, to route, b *body) once.Fingerprint {
 	return once.NewFingerprint(r.Method, to.service.String()+to.rawPath+"?"+r.URL.RawQuery, b.buffered)
 }
 
-// crashFingerprint is the fingerprint by which a request is known when its caller sends it again.
+// crashFingerprint returns the fingerprint by which a request is recognised when its caller sends
+// it again.
 func crashFingerprint(r *http.Request, to route, b *body) crash.Print {
 	return crash.Request{
 		Method: r.Method, Host: to.service.String(), URI: to.rawPath + "?" + r.URL.RawQuery,
@@ -107,7 +110,7 @@
 	}.Print()
 }
 
-// deadline turns the time left by a header into a deadline; the zero time if none was given.
+// deadline converts the time left in a header into a deadline; zero if the header is missing.
 func deadline(r *http.Request, name string, now time.Time) (time.Time, error) {
 	ms := r.Header.Get(name)
 	if ms == "" {
@@ -115,7 +118,7 @@
 	}
 	n, err := strconv.ParseInt(ms, 10, 64)
 	if err != nil || n < 0 {
-		return time.Time{}, &BadRequestError{Fault: fmt.Sprintf("%s %q is not whole milliseconds", name, ms)}
+		return time.Time{}, &BadRequestError{Fault: fmt.Sprintf("%s %q is not a whole number of milliseconds", name, ms)}
 	}
 	left := time.Duration(min(n, maxTimeout.Milliseconds())) * time.Millisecond
 	return now.Add(left), nil
--- a/internal/callers/request_test.go
+++ b/internal/callers/request_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestAmbiguousPathIsNotIdempotent sends GETs without a key: a path that can be
-// read in two ways needs one.
+// TestAmbiguousPathIsNotIdempotent sends GET requests without a key. A path that can be interpreted
+// in two ways needs one.
 func TestAmbiguousPathIsNotIdempotent(t *testing.T) {
 	g := newRig(t, "i1", target(t, func(http.ResponseWriter, *http.Request) {}))
 	tests := map[string]string{
@@ -78,7 +78,7 @@
 	}))
 	tests := map[string]struct {
 		sent string
-		want map[string]string // "" is a header that must not come
+		want map[string]string // "" means that the header must be missing
 	}{
 		"end to end": {"X-A: 1\r\nX-A: 2\r\nAuthorization: b\r\n", map[string]string{"X-A": "1,2", "Authorization": "b"}},
 		"host":       {"", map[string]string{"Host": "shop.example"}},
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestExpectIsAnsweredHere sends a body only after 100 Continue, which has to
-// come from the instance, and must not be asked of the target again.
+// TestExpectIsAnsweredHere sends a body only after 100 Continue. The instance must send it, and
+// must not pass the Expect header on to the target.
 func TestExpectIsAnsweredHere(t *testing.T) {
 	var got string
 	g := newRig(t, "i1", target(t, func(_ http.ResponseWriter, r *http.Request) { got = r.Header.Get("Expect") }))
--- a/internal/callers/rig_test.go
+++ b/internal/callers/rig_test.go
@@ -23,10 +23,10 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// testTimeout is the longest that a test waits for what has to come.
+// testTimeout limits how long a test waits for a condition.
 const testTimeout = 10 * time.Second
 
-// rig is one instance's shell round a real node, over loopback.
+// rig is one instance's servers around a real node, over loopback.
 type rig struct {
 	t          testing.TB
 	id         string
@@ -36,7 +36,7 @@
 	peers      *httptest.Server
 }
 
-// newRig starts an instance in place east with the given targets' addresses.
+// newRig starts an instance in place east, with targets at the given addresses.
 func newRig(t testing.TB, id string, addresses ...string) *rig {
 	t.Helper()
 	return startRig(t, id, rigSettings(t, addresses))
@@ -55,7 +55,7 @@
 	return g
 }
 
-// makeRig opens no sockets, and lets no time pass for the node.
+// makeRig creates an instance that opens no sockets and doesn't advance the node's time.
 func makeRig(t testing.TB, id string, s *settings.Snapshot) *rig {
 	t.Helper()
 	checks := invariant.New(func(n invariant.Name, d string) { t.Errorf("invariant %s: %s", n, d) })
@@ -78,15 +78,15 @@
 	return g
 }
 
-// control lets targets answer probes, as an instance does: a slot whose attempt was
-// broken off is free once the target was heard.
+// control answers probes of targets, as an instance does: the slot of an aborted attempt is free
+// once the target has answered.
 func (g *rig) control(d core.Decision) {
 	if p, ok := d.(core.Probe); ok {
 		go g.dispatcher.Step(core.Probed{Target: p.Target, Asked: p.Asked, Healthy: true, Slots: 4})
 	}
 }
 
-// tick lets time pass for the node.
+// tick advances the node's time.
 func (g *rig) tick(ctx context.Context) {
 	for t := time.NewTicker(5 * time.Millisecond); ctx.Err() == nil; <-t.C {
 		g.dispatcher.Step(core.Tick{})
@@ -119,7 +119,7 @@
 	return s.Listener.Addr().String()
 }
 
-// rawTarget answers each request with bytes as they are, and closes.
+// rawTarget answers each request with the given bytes and closes the connection.
 func rawTarget(t *testing.T, answer string) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -145,7 +145,7 @@
 	return ln.Addr().String()
 }
 
-// sendRaw sends bytes to the callers' address, and returns the connection.
+// sendRaw sends bytes to the callers' address and returns the connection.
 func (g *rig) sendRaw(request string) net.Conn {
 	g.t.Helper()
 	c, err := net.Dial("tcp", g.callers.Listener.Addr().String())
@@ -171,7 +171,7 @@
 	return http.DefaultClient.Do(r)
 }
 
-// ask is do for a request that has to be answered; it returns the body too.
+// ask sends a request that must be answered, and returns the answer and its body.
 func (g *rig) ask(method, path, body string, header ...string) (*http.Response, string) {
 	g.t.Helper()
 	resp, err := g.do(context.Background(), method, path, strings.NewReader(body), header...)
@@ -186,7 +186,7 @@
 	return resp, string(b)
 }
 
-// key asks for an idempotency key.
+// key requests an idempotency key.
 func (g *rig) key() string {
 	g.t.Helper()
 	_, body := g.ask("GET", "/lookup/shop/orders?keys=1", "")
@@ -197,7 +197,7 @@
 	return l.Keys[0]
 }
 
-// waitFor waits until the node is as ok wants it.
+// waitFor waits until the node's status satisfies ok.
 func (g *rig) waitFor(what string, ok func(core.Status) bool) core.Status {
 	g.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -208,11 +208,11 @@
 			return st
 		}
 	}
-	g.t.Fatalf("waited in vain for %s", what)
+	g.t.Fatalf("timed out waiting for %s", what)
 	return core.Status{}
 }
 
-// idle waits until nothing is left of any request.
+// idle waits until no request is open, queued or in flight.
 func (g *rig) idle() core.Status {
 	g.t.Helper()
 	return g.waitFor("an idle node", func(st core.Status) bool {
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,5 +1,5 @@
-// Package callers serves callers: look-ups and requests. Peers hand requests
-// off over the same protocol.
+// Package callers serves look-ups and requests of callers. Peers hand requests off over the same
+// protocol.
 package callers
 
 import (
@@ -23,14 +23,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Config is what a Server is told at its start.
+// Config configures a Server.
 type Config struct {
 	Instance string
 	Callers  string // this instance's own address for callers
 	Checks   *invariant.Counter
 	Log      *log.Logger     // nil logs nothing
 	Metrics  *metrics.Set    // nil counts nothing
-	Load     *overload.Meter // of this process; nil refuses nothing for it
+	Load     *overload.Meter // of this process; with nil, nothing is refused on overload
 }
 
 // Server serves callers and peers. It is safe for concurrent use.
@@ -38,16 +38,16 @@
 	cfg        Config
 	dispatcher *dispatch.Dispatcher
 	client     *targets.Client
-	pacer       *linkPacer
-	refusalLog   *logs.Limiter // of lines about refusals on overload
+	pacer      *linkPacer
+	refusalLog *logs.Limiter // of log lines about refusals on overload
 }
 
-// New makes a server.
+// New returns a server.
 func New(cfg Config, dispatcher *dispatch.Dispatcher, client *targets.Client) *Server {
 	return &Server{cfg: cfg, dispatcher: dispatcher, client: client, pacer: &linkPacer{now: dispatcher.Now}, refusalLog: logs.NewLimiter(refusalLinesPerSecond)}
 }
 
-// Callers is the handler of the callers' address.
+// Callers returns the handler for the callers' address.
 func (s *Server) Callers() http.Handler {
 	r := chi.NewRouter()
 	r.NotFound(s.notFound)
@@ -57,7 +57,7 @@
 	return r
 }
 
-// Peers adds the hand-off paths to the handler of the peers' address.
+// Peers adds the paths for peers to the handler of the peers' address.
 func (s *Server) Peers(r chi.Router) {
 	r.HandleFunc(PrefixHand+"*", s.limitHeaders(s.handler(PrefixHand, core.FromPeer)))
 	r.HandleFunc(PrefixForward+"*", s.limitHeaders(s.handler(PrefixForward, core.FromForward)))
@@ -66,10 +66,10 @@
 }
 
 func (s *Server) notFound(w http.ResponseWriter, _ *http.Request) {
-	s.badRequest(w, http.StatusNotFound, &BadRequestError{Fault: "nothing is served under this path and method"})
+	s.badRequest(w, http.StatusNotFound, &BadRequestError{Fault: "path and method are not served"})
 }
 
-// limitHeaders refuses requests with large headers, and says that they have not run.
+// limitHeaders refuses requests with too large headers, with an answer that they have not run.
 func (s *Server) limitHeaders(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if headerSize(r) > maxHeader {
@@ -80,12 +80,12 @@
 	}
 }
 
-// handler serves requests that come in by one way.
+// handler serves requests under one prefix. origin is the kind of sender that uses it.
 func (s *Server) handler(prefix string, origin core.Origin) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		again := s.overloadedUntil()
-		if !again.IsZero() && r.Header.Get(HeaderKey) == "" {
-			s.refuseOverloaded(w, r, again)
+		retryAt := s.overloadedUntil()
+		if !retryAt.IsZero() && r.Header.Get(HeaderKey) == "" {
+			s.refuseOverloaded(w, r, retryAt)
 			return
 		}
 		x, err := s.readRequest(w, r, prefix)
@@ -93,7 +93,7 @@
 			s.badRequest(w, http.StatusBadRequest, err)
 			return
 		}
-		x.req.Again = again
+		x.req.Again = retryAt
 		if origin != core.FromCaller {
 			x.req.Home = r.Header.Get(HeaderHome)
 		}
@@ -105,14 +105,14 @@
 	}
 }
 
-// readRequest reads a request, its body up to maxReplay.
+// readRequest reads a request and up to maxReplay bytes of its body. It returns a *BadRequestError.
 func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, prefix string) (*exchange, error) {
 	x := &exchange{s: s, w: w, r: r, arrived: s.dispatcher.Now()}
 	c := http.NewResponseController(w)
 	if r.ContentLength != 0 {
 		c.SetReadDeadline(boottime.Runtime(x.arrived.Add(bodyTimeout)))
-		// Otherwise the server reads the rest of the body before any answer
-		// goes out: a refusal would wait for it, and a target miss it.
+		// Otherwise the server reads the rest of the body before it sends any answer: a refusal
+		// would be delayed, and the target would miss the rest.
 		c.EnableFullDuplex()
 	}
 	var err error
@@ -141,7 +141,7 @@
 	x.run(box)
 }
 
-// lookupAnswer is the answer of a look-up.
+// lookupAnswer is the answer to a look-up.
 type lookupAnswer struct {
 	Service   string           `json:"service"`
 	Place     string           `json:"place"`
@@ -164,7 +164,7 @@
 	}
 	keys, err := strconv.Atoi(or(r.URL.Query().Get("keys"), "0"))
 	if err != nil || keys < 0 {
-		s.badRequest(w, http.StatusBadRequest, &BadRequestError{Fault: "keys is not a count"})
+		s.badRequest(w, http.StatusBadRequest, &BadRequestError{Fault: "keys must be a non-negative integer"})
 		return
 	}
 	l, err := s.dispatcher.Lookup(id, remoteAddr(r.RemoteAddr), keys)
@@ -182,7 +182,8 @@
 		a.Instances = append(a.Instances, lookupInstance{ID: p.ID, Address: s.callersAddress(p), Place: p.Place})
 	}
 	seconds := int64(l.Until.Sub(s.dispatcher.Now()) / time.Second)
-	// An answer is for one caller: it depends on the address, and keys are used once.
+	// An answer is for one caller: it depends on the caller's address, and each key is for one
+	// request.
 	w.Header().Set("Cache-Control", "private, max-age="+itoa(seconds))
 	s.writeJSON(w, http.StatusOK, a)
 }
@@ -194,15 +195,15 @@
 	return p.Callers
 }
 
-// refuseLookup refuses a look-up.
+// refuseLookup answers a look-up that failed.
 func (s *Server) refuseLookup(w http.ResponseWriter, err error) {
 	reason, status := core.ReasonNoService, http.StatusNotFound
 	var stopping *core.StoppingError
-	var blank *core.NoSettingsError
+	var noSettings *core.NoSettingsError
 	switch {
 	case errors.As(err, &stopping):
 		reason, status = core.ReasonStopping, http.StatusServiceUnavailable
-	case errors.As(err, &blank):
+	case errors.As(err, &noSettings):
 		reason, status = core.ReasonNoSettings, http.StatusServiceUnavailable
 	}
 	s.refuseEarly(w, status, reason, err)
--- a/internal/callers/slow_test.go
+++ b/internal/callers/slow_test.go
@@ -12,7 +12,7 @@
 	"github.com/firlever/firlever/internal/core"
 )
 
-// singleConnListener is a listener that gives one connection.
+// singleConnListener is a listener that returns a single connection.
 type singleConnListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -31,7 +31,8 @@
 
 func (singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestSlowSenders send the start of a body and no more, in virtual time.
+// TestSlowSenders checks that a caller that sends the start of a body and no more is refused after
+// bodyTimeout, in virtual time.
 func TestSlowSenders(t *testing.T) {
 	tests := map[string]struct {
 		header string
