--- a/internal/callers/slow_test.go
+++ b/internal/callers/slow_test.go
@@ -32,7 +32,7 @@
 func (singleConnListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // TestSlowSenders checks that a caller that sends the start of a body and no more is refused after
-// bodyTimeout, in virtual time.
+// bodyTimeout, and at once if its headers are invalid. It runs in virtual time.
 func TestSlowSenders(t *testing.T) {
 	tests := map[string]struct {
 		header string
--- a/internal/member/begin_test.go
+++ b/internal/member/begin_test.go
@@ -9,10 +9,10 @@
 	"github.com/firlever/firlever/internal/docstore"
 )
 
-// TestPlaceFindsItself: two instances of a place that begin with others' help
+// TestPlacePeersFindEachOther: two instances of a place that begin with others' help
 // know each other soon, so that a cut of all else a moment later keeps neither
 // from the other.
-func TestPlaceFindsItself(t *testing.T) {
+func TestPlacePeersFindEachOther(t *testing.T) {
 	first, second := instance(2, 2, 1), instance(3, 2, 1)
 	seeds := []string{address(0), address(1), address(2)}
 	tests := map[string]struct {
@@ -31,7 +31,7 @@
 				w := newNetwork(t)
 				w.start(2, 2, 1)
 				w.lists[address(0)].rng = rand.New(rand.NewPCG(seed, 1))
-				beginPlace(t, w, first, second, tt.seeds, tt.knows, tt.lost)
+				startPlace(t, w, first, second, tt.seeds, tt.knows, tt.lost)
 				w.run(tt.most)
 				for _, in := range []int{2, 3} {
 					if got := w.lists[address(in)].Alive(first.Place); len(got) != 1 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// beginPlace starts the two, and cuts the first off all but the second.
-func beginPlace(t *testing.T, w *network, first, second docstore.Instance, seeds []string, knows, lost int) {
+// startPlace starts the two, and cuts the first off all but the second.
+func startPlace(t *testing.T, w *network, first, second docstore.Instance, seeds []string, knows, lost int) {
 	beyond := func(from, to string) bool {
 		return from == first.Address && to != second.Address || to == first.Address && from != second.Address
 	}
@@ -53,7 +53,7 @@
 	}
 	w.add(first, address(0))
 	w.run(time.Second)
-	if got := w.lists[address(0)].places[first.Place]; got != knows {
+	if got := w.lists[address(0)].placeSizes[first.Place]; got != knows {
 		t.Fatalf("got %d instances of the place held beyond it, want %d", got, knows)
 	}
 	w.cut = func(from, to string) bool {
--- a/internal/member/fuzz_test.go
+++ b/internal/member/fuzz_test.go
@@ -22,8 +22,8 @@
 		}
 		f.Add(data)
 	}
-	seed(&wire.Packet{From: peer.in.ID, Incarnation: 5, Kind: wire.Kind_KIND_PING, Known: 1, News: []*wire.News{peer.news(true), far.news(true)}})
-	seed(&wire.Packet{From: peer.in.ID, Incarnation: peer.in.Incarnation, Kind: wire.Kind_KIND_PING_REQ, Target: "x", TargetAddress: "1.2.3.4:5", News: []*wire.News{peer.news(true)}})
+	seed(&wire.Packet{From: peer.in.ID, Incarnation: 5, Kind: wire.Kind_KIND_PING, Known: 1, News: []*wire.News{peer.update(true), far.update(true)}})
+	seed(&wire.Packet{From: peer.in.ID, Incarnation: peer.in.Incarnation, Kind: wire.Kind_KIND_PING_REQ, Target: "x", TargetAddress: "1.2.3.4:5", News: []*wire.News{peer.update(true)}})
 	seed(&wire.Packet{From: peer.in.ID, Incarnation: peer.in.Incarnation, Kind: wire.Kind_KIND_ACK, Sequence: 1, News: []*wire.News{{Id: self.ID, State: 2, Incarnation: self.Incarnation}}})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		p := &wire.Packet{}
--- a/internal/member/indirect.go
+++ b/internal/member/indirect.go
@@ -10,14 +10,14 @@
 // maxRelays bounds the pings for others in flight.
 const maxRelays = 64
 
-// relay is one ping sent for another member.
-type relay struct {
+// relayedPing is one ping sent for another member.
+type relayedPing struct {
 	sequence  uint64
-	from      string
-	asked     uint64 // the asker's sequence
+	asker      string
+	askerSequence     uint64 // the asker's sequence
 	target    string
-	nackBy    time.Time
-	forgetsBy time.Time
+	nackAt    time.Time
+	expiresAt time.Time
 	nacked    bool
 }
 
@@ -25,11 +25,11 @@
 	var sends []Send
 	var left []*probe
 	for _, p := range l.probes {
-		if !now.Before(p.failBy) {
+		if !now.Before(p.failAt) {
 			l.fail(now, p)
 			continue
 		}
-		if p.asked < 0 && !now.Before(p.askBy) {
+		if p.helpersAsked < 0 && !now.Before(p.indirectAt) {
 			sends = append(sends, l.askHelpers(p)...)
 		}
 		left = append(left, p)
@@ -41,13 +41,13 @@
 // askHelpers asks random members to ping the silent one: of the domain, and
 // others only if these are too few.
 func (l *List) askHelpers(p *probe) []Send {
-	p.asked = 0
+	p.helpersAsked = 0
 	target, ok := l.members[p.id]
 	if !ok || target.state == wire.State_STATE_DEAD {
 		return nil
 	}
 	var sends []Send
-	for _, living := range []func() []*member{l.living, l.livingFar} {
+	for _, living := range []func() []*member{l.liveInDomain, l.liveBeyondDomain} {
 		if len(sends) >= l.cfg.Indirect {
 			break
 		}
@@ -59,10 +59,10 @@
 			}
 			req := l.packet(h, wire.Kind_KIND_PING_REQ, p.sequence)
 			req.Target, req.TargetAddress = target.in.ID, target.in.Address
-			sends = append(sends, Send{To: h.in.Address, Packet: l.finish(req, h)})
+			sends = append(sends, Send{To: h.in.Address, Packet: l.addQueued(req, h)})
 		}
 	}
-	p.asked = len(sends)
+	p.helpersAsked = len(sends)
 	return sends
 }
 
@@ -70,14 +70,14 @@
 // no helper answered either, our own link may be at fault: it gets twice the time.
 func (l *List) fail(now time.Time, p *probe) {
 	m, ok := l.members[p.id]
-	if !ok || p.answered || m.state != wire.State_STATE_ALIVE {
+	if !ok || p.ackedIndirectly || m.state != wire.State_STATE_ALIVE {
 		return
 	}
 	if m.in.Incarnation != p.incarnation || m.refutation != p.refutation {
 		return
 	}
 	l.suspect(now, m)
-	if p.asked > 0 && p.nacks == 0 {
+	if p.helpersAsked > 0 && p.nacks == 0 {
 		m.suspectBy = m.suspectBy.Add(l.cfg.Suspect)
 	}
 }
@@ -87,16 +87,16 @@
 	var sends []Send
 	for i := range l.relays {
 		r := &l.relays[i]
-		if r.nacked || now.Before(r.nackBy) {
+		if r.nacked || now.Before(r.nackAt) {
 			continue
 		}
 		r.nacked = true
-		if m, ok := l.members[r.from]; ok {
-			nack := l.packet(m, wire.Kind_KIND_NACK, r.asked)
+		if m, ok := l.members[r.asker]; ok {
+			nack := l.packet(m, wire.Kind_KIND_NACK, r.askerSequence)
 			nack.Target = r.target
-			sends = append(sends, Send{To: m.in.Address, Packet: l.finish(nack, m)})
+			sends = append(sends, Send{To: m.in.Address, Packet: l.addQueued(nack, m)})
 		}
 	}
-	l.relays = slices.DeleteFunc(l.relays, func(r relay) bool { return !now.Before(r.forgetsBy) })
+	l.relays = slices.DeleteFunc(l.relays, func(r relayedPing) bool { return !now.Before(r.expiresAt) })
 	return sends
 }
--- a/internal/member/learn.go
+++ b/internal/member/learn.go
@@ -20,7 +20,7 @@
 	// A random order, so that instances hold different samples of a place.
 	l.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	for _, in := range order {
-		l.learn(now, in)
+		l.mergeInstance(now, in)
 	}
 	for _, m := range l.all {
 		m.listed = named[m.in.ID]
@@ -29,36 +29,36 @@
 			m.forgetBy = time.Time{}
 		case m.state == wire.State_STATE_DEAD && m.forgetBy.IsZero():
 			m.forgetBy = now.Add(l.cfg.Forget)
-			l.expireAt(m.forgetBy)
+			l.scheduleExpiry(m.forgetBy)
 		}
 	}
 }
 
-func (l *List) learn(now time.Time, in docstore.Instance) {
+func (l *List) mergeInstance(now time.Time, in docstore.Instance) {
 	held := &member{in: in}
 	if in.ID == l.self.in.ID {
 		if in.Incarnation > l.self.in.Incarnation {
-			l.replace(now)
+			l.markReplaced(now)
 		}
 		return
 	}
 	_, known := l.members[in.ID]
-	l.apply(now, held.news(true))
+	l.apply(now, held.update(true))
 	if !known {
-		l.news.drop(in.ID) // the others read the list too
+		l.updates.drop(in.ID) // the others read the list too
 	}
 }
 
 // Leave announces this instance's planned stop to all members that are held, as
 // far as so many pings may be in flight; it goes on answering pings until it stops.
 func (l *List) Leave(now time.Time) []Send {
-	sends := l.observe(now)
+	sends := l.detectPause(now)
 	if l.self.in.Leaving {
 		return sends
 	}
 	l.self.in.Leaving = true
-	l.pass(l.self, false)
-	members := append(l.living(), l.livingFar()...)
+	l.enqueue(l.self, false)
+	members := append(l.liveInDomain(), l.liveBeyondDomain()...)
 	for _, m := range members[:min(len(members), maxProbes/2)] {
 		sends = append(sends, l.probe(now, m))
 	}
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -16,30 +16,30 @@
 	self    *member // never in members
 	members map[string]*member
 	all     []*member      // the values of members, sorted by id
-	local   []*member      // those of the own domain, sorted by id
-	place   int            // members of the own place
-	places  map[string]int // members held of each place beyond the domain
+	domainMembers   []*member      // those of the own domain, sorted by id
+	placeSize   int            // members of the own place
+	placeSizes  map[string]int // members held of each place beyond the domain
 	changes []Change
-	news    queue
+	updates    updateQueue
 
-	last     time.Time // latest time that a call passed in
-	expireBy time.Time // no suspicion or memory of a dead member ends before; zero: none does
+	lastCall     time.Time // latest time that a call passed in
+	nextExpiry time.Time // no suspicion or memory of a dead member ends before; zero: none does
 	sequence uint64    // of the latest ping; never goes down
 	probes   []*probe  // in flight, by sequence
-	relays   []relay   // pings sent for others, by sequence
+	relays   []relayedPing   // pings sent for others, by sequence
 
 	placeDue, domainDue, remoteDue, deadDue, seedDue time.Time
 
-	placeAt             string // id of the place peer pinged last
+	lastPlacePing             string // id of the place peer pinged last
 	domainRing, farRing ring
-	deadAt              string // id of the dead member pinged last
-	seedAt              int
+	lastDeadPing              string // id of the dead member pinged last
+	seedPings              int
 
 	replaced    bool // a newer incarnation of this instance was seen
-	roster      uint64
+	rosterVersion      uint64
 	rosterNames map[string]bool
 	root        uint64
-	rooms       []*wire.Room
+	freeSlots       []*wire.Room
 	releases    []*wire.Release
 }
 
@@ -54,8 +54,8 @@
 		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Self.Incarnation)),
 		self:    &member{in: cfg.Self, since: now},
 		members: map[string]*member{},
-		places:  map[string]int{},
-		last:    now,
+		placeSizes:  map[string]int{},
+		lastCall:    now,
 
 		placeDue: now, domainDue: now, remoteDue: now, deadDue: now, seedDue: now,
 	}
@@ -95,13 +95,13 @@
 
 func (l *List) views(want func(*member) bool) []Member {
 	var views []Member
-	for _, m := range where(l.all, want) {
+	for _, m := range filter(l.all, want) {
 		views = append(views, m.view())
 	}
 	return views
 }
 
-func where(members []*member, want func(*member) bool) []*member {
+func filter(members []*member, want func(*member) bool) []*member {
 	var found []*member
 	for _, m := range members {
 		if want(m) {
@@ -140,7 +140,7 @@
 // SetRoster tells the version of the place's roster in force here, and whom it
 // names. Acks promise only to those.
 func (l *List) SetRoster(version uint64, ids []string) {
-	l.roster = version
+	l.rosterVersion = version
 	l.rosterNames = make(map[string]bool, len(ids))
 	for _, id := range ids {
 		l.rosterNames[id] = true
@@ -150,7 +150,7 @@
 // SetRoot sets the documents' hash that goes out with each packet.
 func (l *List) SetRoot(root uint64) { l.root = root }
 
-func (l *List) change(now time.Time, kind ChangeKind, m *member) {
+func (l *List) addChange(now time.Time, kind ChangeKind, m *member) {
 	l.changes = append(l.changes, Change{Kind: kind, At: now, Member: m.view()})
 	if len(l.changes) > maxChanges {
 		l.changes = slices.Delete(l.changes, 0, 1)
@@ -160,19 +160,19 @@
 // maxChanges bounds what is kept for a caller that does not drain Changes.
 const maxChanges = 4096
 
-// near tells if the member is in the own place, and local if in the own domain.
-func (l *List) near(m *member) bool {
-	return m.in.Place == l.self.in.Place && l.isLocal(m)
+// samePlace tells if the member is in the own place, and local if in the own domain.
+func (l *List) samePlace(m *member) bool {
+	return m.in.Place == l.self.in.Place && l.sameDomain(m)
 }
 
-func (l *List) isLocal(m *member) bool { return m.in.Domain == l.self.in.Domain }
+func (l *List) sameDomain(m *member) bool { return m.in.Domain == l.self.in.Domain }
 
-// living returns the members of the domain that are not dead.
-func (l *List) living() []*member {
-	return where(l.local, func(m *member) bool { return m.state != wire.State_STATE_DEAD })
+// liveInDomain returns the members of the domain that are not dead.
+func (l *List) liveInDomain() []*member {
+	return filter(l.domainMembers, func(m *member) bool { return m.state != wire.State_STATE_DEAD })
 }
 
-// livingFar returns the members beyond the domain that are not dead.
-func (l *List) livingFar() []*member {
-	return where(l.all, func(m *member) bool { return m.state != wire.State_STATE_DEAD && !l.isLocal(m) })
+// liveBeyondDomain returns the members beyond the domain that are not dead.
+func (l *List) liveBeyondDomain() []*member {
+	return filter(l.all, func(m *member) bool { return m.state != wire.State_STATE_DEAD && !l.sameDomain(m) })
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -29,19 +29,19 @@
 			}
 			in := instance(1, perPlace, placesPerDomain)
 			w.lists[in.Address] = nil
-			took := w.until(tt.most, func() bool { return w.all(in.ID, Dead) })
+			took := w.runUntil(tt.most, func() bool { return w.allHold(in.ID, Dead) })
 			t.Logf("dead everywhere after %s", took)
-			if !w.all(in.ID, Dead) {
+			if !w.allHold(in.ID, Dead) {
 				t.Errorf("not dead everywhere after %s", tt.most)
 			}
 			in.Incarnation++
 			w.add(in, address(0))
-			took = w.until(tt.most, func() bool {
-				return w.all(in.ID, Alive) && len(w.lists[in.Address].Members()) == tt.n-1
+			took = w.runUntil(tt.most, func() bool {
+				return w.allHold(in.ID, Alive) && len(w.lists[in.Address].Members()) == tt.n-1
 			})
 			t.Logf("back everywhere, and knows all, after %s", took)
-			if !w.all(in.ID, Alive) || w.count(Back) != tt.n-1 {
-				t.Errorf("got %d back after %s, want %d", w.count(Back), took, tt.n-1)
+			if !w.allHold(in.ID, Alive) || w.count(Restarted) != tt.n-1 {
+				t.Errorf("got %d back after %s, want %d", w.count(Restarted), took, tt.n-1)
 			}
 			if got := len(w.lists[in.Address].Members()); got != tt.n-1 {
 				t.Errorf("got %d members at the new incarnation, want %d", got, tt.n-1)
@@ -50,35 +50,35 @@
 	}
 }
 
-func TestPausedWakesAndRefutes(t *testing.T) {
+func TestPausedInstanceRefutes(t *testing.T) {
 	w := newNetwork(t)
 	w.start(10, perPlace, placesPerDomain)
 	w.run(5 * time.Second)
 	in := instance(4, perPlace, placesPerDomain)
 	w.paused[in.Address] = true
 	w.run(10 * time.Second)
-	if !w.all(in.ID, Dead) {
+	if !w.allHold(in.ID, Dead) {
 		t.Error("got a paused instance held alive, want dead")
 	}
 	w.paused[in.Address] = false
-	took := w.until(6*time.Second, func() bool { return w.all(in.ID, Alive) })
+	took := w.runUntil(6*time.Second, func() bool { return w.allHold(in.ID, Alive) })
 	t.Logf("alive everywhere %s after it woke", took)
-	if !w.all(in.ID, Alive) {
+	if !w.allHold(in.ID, Alive) {
 		t.Error("got the woken instance not alive everywhere, want alive")
 	}
 	kinds := map[ChangeKind]int{}
 	for i, c := range w.changes[in.Address] {
-		if c.Kind == Woke && kinds[Accused] > 0 {
+		if c.Kind == Resumed && kinds[Refuted] > 0 {
 			t.Errorf("got an accusation before change %d, want the waking first", i)
 		}
 		kinds[c.Kind]++
 	}
-	if kinds[Woke] != 1 || kinds[Accused] == 0 || kinds[BecameDead] != 0 {
+	if kinds[Resumed] != 1 || kinds[Refuted] == 0 || kinds[BecameDead] != 0 {
 		t.Errorf("got changes %v, want one woke, an accused and none dead", kinds)
 	}
 }
 
-func TestFaultyLinksKillNobody(t *testing.T) {
+func TestFaultyLinksCauseNoDeaths(t *testing.T) {
 	one, two := address(1), address(2)
 	tests := map[string]func(w *network){
 		"one way": func(w *network) {
@@ -88,8 +88,8 @@
 			w.cut = func(from, to string) bool { return from == one && to == two || from == two && to == one }
 		},
 		"duplicates and reordering": func(w *network) {
-			w.double = true
-			w.spread = 100 * time.Millisecond
+			w.duplicate = true
+			w.jitter = 100 * time.Millisecond
 		},
 		"a tenth lost": func(w *network) {
 			w.cut = func(string, string) bool { return w.rng.IntN(10) == 0 }
@@ -140,7 +140,7 @@
 		}
 		return true
 	}
-	took := w.until(20*time.Second, healed)
+	took := w.runUntil(20*time.Second, healed)
 	t.Logf("healed after %s", took)
 	if !healed() {
 		t.Error("got members not alive 20 s after the partition, want all alive")
@@ -153,9 +153,9 @@
 	w.run(5 * time.Second)
 	in := instance(7, perPlace, placesPerDomain)
 	w.send(in.Address, w.lists[in.Address].Leave(w.now))
-	took := w.until(5*time.Second, func() bool { return w.all(in.ID, Leaving) })
+	took := w.runUntil(5*time.Second, func() bool { return w.allHold(in.ID, Leaving) })
 	t.Logf("leaving everywhere after %s", took)
-	if !w.all(in.ID, Leaving) {
+	if !w.allHold(in.ID, Leaving) {
 		t.Error("got an instance that missed the leave, want leaving everywhere")
 	}
 	for _, m := range w.lists[address(0)].Alive(in.Place) {
@@ -169,7 +169,7 @@
 	w := newNetwork(t)
 	w.start(9, 9, 1)
 	var ids []string
-	for _, in := range world(8, 9, 1) { // all but the last
+	for _, in := range cluster(8, 9, 1) { // all but the last
 		ids = append(ids, in.ID)
 	}
 	for _, l := range w.lists {
@@ -177,7 +177,7 @@
 	}
 	w.run(5 * time.Second)
 	l := w.lists[address(0)]
-	w.until(20*time.Second, func() bool {
+	w.runUntil(20*time.Second, func() bool {
 		for _, m := range l.Members() {
 			if ack := l.Acked(m.ID); w.now.Sub(ack.Promised) > 2*time.Second || ack.Roster != 7 {
 				t.Errorf("got ack %+v of %s at %s, want one of roster 7 within 2 s", ack, m.ID, w.now)
@@ -248,21 +248,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Learn(start, world(2100, 9, 11))
+	l.Learn(start, cluster(2100, 9, 11))
 	if got, want := len(l.Domain(cfg.Self.Domain)), 98; got != want {
 		t.Errorf("got %d of the domain, want %d", got, want)
 	}
 	if got, most := len(l.Members()), 98+3*230; got > most {
 		t.Errorf("got %d members, want at most %d", got, most)
 	}
-	for place, n := range l.places {
+	for place, n := range l.placeSizes {
 		if n > 3 {
 			t.Errorf("got %d members of %s, want at most 3", n, place)
 		}
 	}
 }
 
-func TestLearnNeverKills(t *testing.T) {
+func TestListingNeverMarksDead(t *testing.T) {
 	w := newNetwork(t)
 	w.start(3, 3, 1)
 	w.run(3 * time.Second)
@@ -302,9 +302,9 @@
 		l.Learn(start, list)
 	}
 	m := member{in: old}
-	l.apply(start, m.news(true))
+	l.apply(start, m.update(true))
 	m.state = wire.State_STATE_DEAD
-	l.apply(start, m.news(false))
+	l.apply(start, m.update(false))
 	if got, _ := l.Get(in.ID); got.Incarnation != in.Incarnation || got.State != Alive {
 		t.Errorf("got %+v, want incarnation %d alive", got, in.Incarnation)
 	}
@@ -315,7 +315,7 @@
 	hello := func() *wire.Packet {
 		peer := instance(1, 3, 1)
 		m := member{in: peer}
-		return &wire.Packet{From: peer.ID, Incarnation: peer.Incarnation, Kind: wire.Kind_KIND_PING, Known: 1, News: []*wire.News{m.news(true)}}
+		return &wire.Packet{From: peer.ID, Incarnation: peer.Incarnation, Kind: wire.Kind_KIND_PING, Known: 1, News: []*wire.News{m.update(true)}}
 	}
 	tests := map[string]struct {
 		change func(*wire.Packet)
@@ -325,12 +325,12 @@
 		"no sender":     {func(p *wire.Packet) { p.From = "" }, Malformed},
 		"no kind":       {func(p *wire.Packet) { p.Kind = 0 }, Malformed},
 		"wrapped":       {func(p *wire.Packet) { p.Refutation = 1 << 63 }, Malformed},
-		"own":           {func(p *wire.Packet) { p.From = self.ID }, Misled},
-		"not to me":     {func(p *wire.Packet) { p.To = "other" }, Misled},
-		"to my past":    {func(p *wire.Packet) { p.ToIncarnation = 1 }, Misled},
-		"unknown":       {func(p *wire.Packet) { p.News = nil }, Stranger},
+		"own":           {func(p *wire.Packet) { p.From = self.ID }, Misaddressed},
+		"not to me":     {func(p *wire.Packet) { p.To = "other" }, Misaddressed},
+		"to my past":    {func(p *wire.Packet) { p.ToIncarnation = 1 }, Misaddressed},
+		"unknown":       {func(p *wire.Packet) { p.News = nil }, UnknownSender},
 		"from the past": {func(p *wire.Packet) { p.Incarnation-- }, Outdated},
-		"unasked ack":   {func(p *wire.Packet) { p.Kind = wire.Kind_KIND_ACK }, Unasked},
+		"unasked ack":   {func(p *wire.Packet) { p.Kind = wire.Kind_KIND_ACK }, Unsolicited},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -39,10 +39,10 @@
 	BecameLeaving                   // announced its planned stop
 	BecameSuspect                   // does not answer; may yet refute
 	BecameDead                      // did not refute in time
-	Back                            // runs under a new incarnation
+	Restarted                            // runs under a new incarnation
 	Forgotten                       // no longer held
-	Accused                         // others suspect this instance, or hold it dead; it refuted
-	Woke                            // this process was paused: its rights are to be confirmed again
+	Refuted                         // others suspect this instance, or hold it dead; it refuted
+	Resumed                            // this process was paused: its rights are to be confirmed again
 	Replaced                        // a newer incarnation of this very instance runs: this one must stop
 )
 
@@ -102,8 +102,8 @@
 	return Alive
 }
 
-// news tells of the member; full adds its addresses and place.
-func (m *member) news(full bool) *wire.News {
+// update tells of the member; full adds its addresses and place.
+func (m *member) update(full bool) *wire.News {
 	n := &wire.News{
 		Id: m.in.ID, Incarnation: m.in.Incarnation, Refutation: m.refutation,
 		State: m.state, Leaving: m.in.Leaving,
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -51,18 +51,18 @@
 	ticks   map[string]time.Time
 	paused  map[string]bool
 	cut     func(from, to string) bool
-	spread  time.Duration // random delay on top of the link's
-	double  bool
+	jitter  time.Duration // random delay on top of the link's
+	duplicate  bool
 	bytes   map[string]int
 	packets int
 	changes map[string][]Change
-	seen    map[string][2]uint64 // greatest incarnation and refutation seen, by holder and member
+	highest    map[string][2]uint64 // greatest incarnation and refutation seen, by holder and member
 }
 
 func newNetwork(t testing.TB) *network {
 	return &network{
 		t: t, rng: rand.New(rand.NewPCG(1, 2)), now: start, lists: map[string]*List{}, ticks: map[string]time.Time{},
-		paused: map[string]bool{}, bytes: map[string]int{}, changes: map[string][]Change{}, seen: map[string][2]uint64{},
+		paused: map[string]bool{}, bytes: map[string]int{}, changes: map[string][]Change{}, highest: map[string][2]uint64{},
 		cut: func(string, string) bool { return false },
 	}
 }
@@ -79,7 +79,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-func world(n, perPlace, placesPerDomain int) []docstore.Instance {
+func cluster(n, perPlace, placesPerDomain int) []docstore.Instance {
 	var all []docstore.Instance
 	for i := range n {
 		all = append(all, instance(i, perPlace, placesPerDomain))
@@ -103,7 +103,7 @@
 
 // start makes n instances that learn each other from the platform's list.
 func (w *network) start(n, perPlace, placesPerDomain int) {
-	all := world(n, perPlace, placesPerDomain)
+	all := cluster(n, perPlace, placesPerDomain)
 	for _, in := range all {
 		w.add(in).Learn(w.now, all)
 	}
@@ -128,7 +128,7 @@
 		w.bytes[from] += len(data)
 		w.packets++
 		for range w.copies() {
-			delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(w.spread)+1))
+			delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(w.jitter)+1))
 			if !w.cut(from, s.To) {
 				w.push(w.now.Add(delay), s.To, data)
 			}
@@ -137,18 +137,18 @@
 }
 
 func (w *network) copies() int {
-	if w.double {
+	if w.duplicate {
 		return 1 + w.rng.IntN(3)
 	}
 	return 1
 }
 
 func (w *network) run(d time.Duration) {
-	w.until(d, func() bool { return false })
+	w.runUntil(d, func() bool { return false })
 }
 
-// until runs until done, asked twice a virtual second, and returns the time taken.
-func (w *network) until(most time.Duration, done func() bool) time.Duration {
+// runUntil runs runUntil done, asked twice a virtual second, and returns the time taken.
+func (w *network) runUntil(most time.Duration, done func() bool) time.Duration {
 	begin, end := w.now, w.now.Add(most)
 	check := w.now.Add(500 * time.Millisecond)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
@@ -185,7 +185,7 @@
 		sends, _ := l.Receive(w.now, p)
 		w.send(e.to, sends)
 	}
-	w.note(e.to, l)
+	w.recordChanges(e.to, l)
 	if next := l.Next(); e.data == nil || next.Before(w.ticks[e.to]) {
 		if !next.After(w.now) {
 			next = w.now.Add(time.Millisecond)
@@ -204,8 +204,8 @@
 	w.push(at, e.to, e.data)
 }
 
-// note keeps the changes, and fails the test if an incarnation went back.
-func (w *network) note(addr string, l *List) {
+// recordChanges keeps the changes, and fails the test if an incarnation went back.
+func (w *network) recordChanges(addr string, l *List) {
 	for _, c := range l.Changes() {
 		w.changes[addr] = append(w.changes[addr], c)
 		m, held := l.members[c.Member.ID]
@@ -213,16 +213,16 @@
 			continue
 		}
 		key := addr + " " + c.Member.ID
-		was, now := w.seen[key], [2]uint64{m.in.Incarnation, m.refutation}
+		was, now := w.highest[key], [2]uint64{m.in.Incarnation, m.refutation}
 		if now[0] < was[0] || now[0] == was[0] && now[1] < was[1] {
 			w.t.Fatalf("%s: got incarnation %v after %v", key, now, was)
 		}
-		w.seen[key] = now
+		w.highest[key] = now
 	}
 }
 
-// all tells if each running list but those excepted holds id in the state.
-func (w *network) all(id string, want State, except ...string) bool {
+// allHold tells if each running list but those excepted holds id in the state.
+func (w *network) allHold(id string, want State, except ...string) bool {
 	for _, addr := range w.order {
 		l := w.lists[addr]
 		if l == nil || l.self.in.ID == id || contains(except, addr) {
--- a/internal/member/news.go
+++ b/internal/member/news.go
@@ -10,80 +10,80 @@
 )
 
 const (
-	maxQueue     = 256 // members that there is news of at once
-	maxNewsBytes = 200 // of queued news in one packet
-	spread       = 2   // an item is sent this many times log2 of the domain's size
+	maxQueued     = 256 // members that there is news of at once
+	maxUpdateBytes = 200 // of queued news in one packet
+	spreadFactor       = 2   // an item is sent this many times log2 of the domain's size
 )
 
-// item is news of one member that is still to be passed on.
-type item struct {
+// queuedUpdate is news of one member that is still to be passed on.
+type queuedUpdate struct {
 	id   string
-	near int  // times sent within the place
-	far  int  // times sent to the rest of the domain
-	full bool // with addresses
+	sentInPlace int  // times sent within the place
+	sentInDomain  int  // times sent to the rest of the domain
+	withAddresses bool // with addresses
 }
 
-// queue holds news to pass on, at most one item for each member.
-type queue struct{ items []*item }
+// updateQueue holds news to pass on, at most one item for each member.
+type updateQueue struct{ items []*queuedUpdate }
 
-// add puts news of a member in, in place of older news of it. A full queue
+// put puts news of a member in, in place of older news of it. A full queue
 // drops the item that was sent most often.
-func (q *queue) add(id string, full bool) {
+func (q *updateQueue) put(id string, full bool) {
 	q.drop(id)
-	if len(q.items) >= maxQueue {
+	if len(q.items) >= maxQueued {
 		q.items = slices.Delete(q.items, len(q.items)-1, len(q.items))
 	}
-	q.items = slices.Insert(q.items, 0, &item{id: id, full: full})
+	q.items = slices.Insert(q.items, 0, &queuedUpdate{id: id, withAddresses: full})
 }
 
-func (q *queue) drop(id string) {
-	q.items = slices.DeleteFunc(q.items, func(i *item) bool { return i.id == id })
+func (q *updateQueue) drop(id string) {
+	q.items = slices.DeleteFunc(q.items, func(i *queuedUpdate) bool { return i.id == id })
 }
 
-// take picks items for one packet, least sent first, and counts the sending.
-func (q *queue) take(l *List, near bool) []*wire.News {
-	limit := spread * bits.Len(uint(len(l.local)+1))
-	slices.SortStableFunc(q.items, func(a, b *item) int { return a.sent(near) - b.sent(near) })
+// next picks items for one packet, least sent first, and counts the sending.
+func (q *updateQueue) next(l *List, near bool) []*wire.News {
+	limit := spreadFactor * bits.Len(uint(len(l.domainMembers)+1))
+	slices.SortStableFunc(q.items, func(a, b *queuedUpdate) int { return a.timesSent(near) - b.timesSent(near) })
 	var picked []*wire.News
 	size := 0
 	for _, i := range q.items {
-		if i.sent(near) >= limit {
+		if i.timesSent(near) >= limit {
 			continue
 		}
-		n := i.news(l)
-		if size += proto.Size(n) + newsOverhead; size > maxNewsBytes {
+		n := i.message(l)
+		if size += proto.Size(n) + updateOverhead; size > maxUpdateBytes {
 			break
 		}
 		picked = append(picked, n)
-		i.count(near)
+		i.countSent(near)
 	}
-	q.items = slices.DeleteFunc(q.items, func(i *item) bool {
-		return (i.near >= limit || l.place == 0) && (i.far >= limit || len(l.local) == l.place)
+	q.items = slices.DeleteFunc(q.items, func(i *queuedUpdate) bool {
+		return (i.sentInPlace >= limit || l.placeSize == 0) && (i.sentInDomain >= limit || len(l.domainMembers) == l.placeSize)
 	})
 	return picked
 }
 
-// newsOverhead is the field's tag and length, in bytes.
-const newsOverhead = 3
+// updateOverhead is the field's tag and length, in bytes.
+const updateOverhead = 3
 
-func (i *item) sent(near bool) int {
+func (i *queuedUpdate) timesSent(near bool) int {
 	if near {
-		return i.near
+		return i.sentInPlace
 	}
-	return i.far
+	return i.sentInDomain
 }
 
-func (i *item) count(near bool) {
+func (i *queuedUpdate) countSent(near bool) {
 	if near {
-		i.near++
+		i.sentInPlace++
 		return
 	}
-	i.far++
+	i.sentInDomain++
 }
 
-func (i *item) news(l *List) *wire.News {
+func (i *queuedUpdate) message(l *List) *wire.News {
 	if m, ok := l.members[i.id]; ok {
-		return m.news(i.full)
+		return m.update(i.withAddresses)
 	}
-	return l.self.news(i.full)
+	return l.self.update(i.withAddresses)
 }
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -31,7 +31,7 @@
 	if size > maxReport {
 		return &ReportError{Size: size}
 	}
-	l.rooms, l.releases = rooms, releases
+	l.freeSlots, l.releases = rooms, releases
 	return nil
 }
 
@@ -40,28 +40,28 @@
 	p := &wire.Packet{
 		From: l.self.in.ID, Incarnation: l.self.in.Incarnation,
 		Refutation: l.self.refutation, Leaving: l.self.in.Leaving,
-		Kind: kind, Sequence: sequence, Roster: l.roster, Root: l.root,
+		Kind: kind, Sequence: sequence, Roster: l.rosterVersion, Root: l.root,
 	}
 	if m != nil {
 		p.To, p.ToIncarnation = m.in.ID, m.in.Incarnation
-		l.accuse(p, m)
+		l.addSuspicion(p, m)
 	}
 	return p
 }
 
-// accuse tells a suspected or dead member so, that it may refute.
-func (l *List) accuse(p *wire.Packet, m *member) {
+// addSuspicion tells a suspected or dead member so, that it may refute.
+func (l *List) addSuspicion(p *wire.Packet, m *member) {
 	if m.state != wire.State_STATE_ALIVE {
-		p.News = append(p.News, m.news(false))
+		p.News = append(p.News, m.update(false))
 	}
 }
 
-// finish adds the news that still fits. News of the domain stays in it.
-func (l *List) finish(p *wire.Packet, m *member) *wire.Packet {
-	if m == nil || !l.isLocal(m) {
+// addQueued adds the news that still fits. News of the domain stays in it.
+func (l *List) addQueued(p *wire.Packet, m *member) *wire.Packet {
+	if m == nil || !l.sameDomain(m) {
 		return p
 	}
-	p.News = append(p.News, l.news.take(l, l.near(m))...)
+	p.News = append(p.News, l.updates.next(l, l.samePlace(m))...)
 	return p
 }
 
@@ -69,20 +69,20 @@
 // domain and acked lately: a peer beyond it may not hold this instance.
 func (l *List) ping(now time.Time, m *member, sequence uint64) *wire.Packet {
 	p := l.packet(m, wire.Kind_KIND_PING, sequence)
-	if m == nil || !l.isLocal(m) || now.Sub(m.ack.Sent) > introduceAfter*l.cfg.Probe {
+	if m == nil || !l.sameDomain(m) || now.Sub(m.ack.Sent) > introduceAfter*l.cfg.Probe {
 		l.introduce(p)
 	}
-	if m != nil && l.isLocal(m) {
-		p.Known = uint32(len(l.living()) + 1)
+	if m != nil && l.sameDomain(m) {
+		p.Known = uint32(len(l.liveInDomain()) + 1)
 	}
-	if m != nil && l.near(m) {
-		p.Rooms, p.Releases = l.rooms, l.releases
+	if m != nil && l.samePlace(m) {
+		p.Rooms, p.Releases = l.freeSlots, l.releases
 	}
-	return l.finish(p, m)
+	return l.addQueued(p, m)
 }
 
 func (l *List) introduce(p *wire.Packet) {
-	p.News = append(p.News, l.self.news(true))
+	p.News = append(p.News, l.self.update(true))
 }
 
 // ack answers a ping. It tells a peer that introduced itself of one member, a
@@ -90,22 +90,22 @@
 // that has only begun of its own place.
 func (l *List) ack(now time.Time, m *member, ping *wire.Packet) *wire.Packet {
 	p := l.packet(m, wire.Kind_KIND_ACK, ping.GetSequence())
-	if l.members[m.in.ID] == m && l.near(m) && l.rosterNames[m.in.ID] {
+	if l.members[m.in.ID] == m && l.samePlace(m) && l.rosterNames[m.in.ID] {
 		p.Promise = true
 		m.promised = now
 	}
 	if ping.GetTo() == "" {
 		l.introduce(p)
 	}
-	p = l.finish(p, m)
-	fewer := ping.GetKnown() > 0 && int(ping.GetKnown()) < len(l.living())+1
-	if fewer && l.isLocal(m) {
-		l.tell(p, l.living(), true)
+	p = l.addQueued(p, m)
+	fewer := ping.GetKnown() > 0 && int(ping.GetKnown()) < len(l.liveInDomain())+1
+	if fewer && l.sameDomain(m) {
+		l.addUpdates(p, l.liveInDomain(), true)
 	} else if introduced(ping) {
-		if ping.GetTo() == "" && !l.isLocal(m) {
-			l.tell(p, l.homeOf(m), true)
+		if ping.GetTo() == "" && !l.sameDomain(m) {
+			l.addUpdates(p, l.peersNear(m), true)
 		}
-		l.tell(p, l.known(m), false)
+		l.addUpdates(p, l.updateCandidates(m), false)
 	}
 	return p
 }
@@ -114,13 +114,13 @@
 	return slices.ContainsFunc(p.GetNews(), func(n *wire.News) bool { return n.GetId() == p.GetFrom() })
 }
 
-// tell adds random ones of the members to p: one, or as many as fit.
-func (l *List) tell(p *wire.Packet, known []*member, many bool) {
+// addUpdates adds random ones of the members to p: one, or as many as fit.
+func (l *List) addUpdates(p *wire.Packet, known []*member, many bool) {
 	l.rng.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
 	size := proto.Size(p)
 	for _, m := range known {
-		n := m.news(true)
-		if size += proto.Size(n) + newsOverhead; size > wire.MaxPacket {
+		n := m.update(true)
+		if size += proto.Size(n) + updateOverhead; size > wire.MaxPacket {
 			return
 		}
 		p.News = append(p.News, n)
@@ -130,34 +130,34 @@
 	}
 }
 
-// known picks the members that a peer may be told of: of the domain, or half
+// updateCandidates picks the members that a peer may be told of: of the domain, or half
 // of the time those beyond it. A peer beyond it is told of this instance's place
 // only, or half of the time of its own.
-func (l *List) known(to *member) []*member {
+func (l *List) updateCandidates(to *member) []*member {
 	if l.rng.IntN(2) == 0 {
-		if found := l.beyond(to); len(found) > 0 {
+		if found := l.beyondDomain(to); len(found) > 0 {
 			return found
 		}
 	}
-	return where(l.local, func(m *member) bool {
-		return m != to && m.state == wire.State_STATE_ALIVE && (l.isLocal(to) || l.near(m))
+	return filter(l.domainMembers, func(m *member) bool {
+		return m != to && m.state == wire.State_STATE_ALIVE && (l.sameDomain(to) || l.samePlace(m))
 	})
 }
 
-func (l *List) beyond(to *member) []*member {
-	if l.isLocal(to) {
-		return l.livingFar()
+func (l *List) beyondDomain(to *member) []*member {
+	if l.sameDomain(to) {
+		return l.liveBeyondDomain()
 	}
-	return l.homeOf(to)
+	return l.peersNear(to)
 }
 
-// homeOf returns the members that are held of the own place of a peer beyond the
+// peersNear returns the members that are held of the own place of a peer beyond the
 // domain, or else of its domain. It may know none of them yet, and they not it.
-func (l *List) homeOf(to *member) []*member {
-	domain := where(l.all, func(m *member) bool {
+func (l *List) peersNear(to *member) []*member {
+	domain := filter(l.all, func(m *member) bool {
 		return m.in.Domain == to.in.Domain && m.in.ID != to.in.ID && m.state == wire.State_STATE_ALIVE
 	})
-	place := where(domain, func(m *member) bool { return m.in.Place == to.in.Place })
+	place := filter(domain, func(m *member) bool { return m.in.Place == to.in.Place })
 	if len(place) > 0 {
 		return place
 	}
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -8,13 +8,13 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// seedEvery is how many Probes pass between pings to seeds once a member is alive.
-const seedEvery = 10
+// seedInterval is how many Probes pass between pings to seeds once a member is alive.
+const seedInterval = 10
 
 // How seeds are asked at the beginning.
 const (
-	beginShare  = 4 // pings in one Probe
-	beginRounds = 2 // pings to each seed
+	startPingsPerProbe  = 4 // pings in one Probe
+	startRounds = 2 // pings to each seed
 )
 
 // maxProbes bounds the pings in flight.
@@ -27,16 +27,16 @@
 	incarnation uint64
 	refutation  uint64
 	sent        time.Time
-	askBy       time.Time // no ack by then: ask helpers
-	failBy      time.Time // no answer by then: suspect
-	asked       int       // helpers asked; -1 before askBy
+	indirectAt       time.Time // no ack by then: ask helpers
+	failAt      time.Time // no answer by then: suspect
+	helpersAsked       int       // helpers asked; -1 before askBy
 	nacks       int       // helpers that answered in vain
-	answered    bool      // by a helper on the member's behalf
+	ackedIndirectly    bool      // by a helper on the member's behalf
 }
 
 // Next returns when Tick is due at the latest.
 func (l *List) Next() time.Time {
-	next := l.last.Add(l.cfg.Probe)
+	next := l.lastCall.Add(l.cfg.Probe)
 	sooner := func(t time.Time) {
 		if t.Before(next) {
 			next = t
@@ -45,18 +45,18 @@
 	sooner(l.placeDue)
 	sooner(l.domainDue)
 	sooner(l.remoteDue)
-	if l.begins() {
+	if l.starting() {
 		sooner(l.seedDue)
 	}
 	for _, p := range l.probes {
-		if p.asked < 0 {
-			sooner(p.askBy)
+		if p.helpersAsked < 0 {
+			sooner(p.indirectAt)
 		}
-		sooner(p.failBy)
+		sooner(p.failAt)
 	}
 	for _, r := range l.relays {
 		if !r.nacked {
-			sooner(r.nackBy)
+			sooner(r.nackAt)
 		}
 	}
 	return next
@@ -64,7 +64,7 @@
 
 // Tick does what is due: pings, indirect probes, suspicion, death, forgetting.
 func (l *List) Tick(now time.Time) []Send {
-	sends := l.observe(now)
+	sends := l.detectPause(now)
 	sends = append(sends, l.expireProbes(now)...)
 	sends = append(sends, l.expireRelays(now)...)
 	l.expireMembers(now)
@@ -75,22 +75,22 @@
 	return append(sends, l.pingSeed(now)...)
 }
 
-// observe notices a pause of this process. Silence during it was our own, so
+// detectPause notices a pause of this process. Silence during it was our own, so
 // deadlines of others start anew, and all place peers are asked at once.
-func (l *List) observe(now time.Time) []Send {
-	gap := now.Sub(l.last)
+func (l *List) detectPause(now time.Time) []Send {
+	gap := now.Sub(l.lastCall)
 	if gap > 0 {
-		l.last = now
+		l.lastCall = now
 	}
 	if gap <= l.cfg.Pause {
 		return nil
 	}
-	l.change(now, Woke, l.self)
+	l.addChange(now, Resumed, l.self)
 	l.probes, l.relays = nil, nil
 	for _, m := range l.all {
 		if m.state == wire.State_STATE_SUSPECT {
 			m.suspectBy = now.Add(l.cfg.Suspect)
-			l.expireAt(m.suspectBy)
+			l.scheduleExpiry(m.suspectBy)
 		}
 	}
 	var sends []Send
@@ -101,15 +101,15 @@
 }
 
 func (l *List) placePeers() []*member {
-	peers := where(l.local, func(m *member) bool { return l.near(m) && m.state != wire.State_STATE_DEAD })
+	peers := filter(l.domainMembers, func(m *member) bool { return l.samePlace(m) && m.state != wire.State_STATE_DEAD })
 	if len(peers) > l.cfg.PlaceProbes {
-		return l.after(peers, l.placeAt)[:l.cfg.PlaceProbes]
+		return l.rotateAfter(peers, l.lastPlacePing)[:l.cfg.PlaceProbes]
 	}
 	return peers
 }
 
-// after turns members, sorted by id, so that those past id come first.
-func (l *List) after(members []*member, id string) []*member {
+// rotateAfter turns members, sorted by id, so that those past id come first.
+func (l *List) rotateAfter(members []*member, id string) []*member {
 	at := sort.Search(len(members), func(i int) bool { return members[i].in.ID > id })
 	return append(slices.Clone(members[at:]), members[:at]...)
 }
@@ -132,8 +132,8 @@
 	if !l.due(now, &l.placeDue, max(1, len(peers))) || len(peers) == 0 {
 		return nil
 	}
-	m := l.after(peers, l.placeAt)[0]
-	l.placeAt = m.in.ID
+	m := l.rotateAfter(peers, l.lastPlacePing)[0]
+	l.lastPlacePing = m.in.ID
 	return []Send{l.probe(now, m)}
 }
 
@@ -142,7 +142,7 @@
 		return nil
 	}
 	return l.pingRing(now, &l.domainRing, func(m *member) bool {
-		return l.isLocal(m) && !l.near(m) && m.state != wire.State_STATE_DEAD
+		return l.sameDomain(m) && !l.samePlace(m) && m.state != wire.State_STATE_DEAD
 	})
 }
 
@@ -151,7 +151,7 @@
 	if !l.due(now, &l.remoteDue, l.cfg.RemoteProbes) {
 		return nil
 	}
-	return l.pingRing(now, &l.farRing, func(m *member) bool { return !l.isLocal(m) })
+	return l.pingRing(now, &l.farRing, func(m *member) bool { return !l.sameDomain(m) })
 }
 
 func (l *List) pingRing(now time.Time, r *ring, want func(*member) bool) []Send {
@@ -161,7 +161,7 @@
 	}
 	refill := func() []string {
 		var ids []string
-		for _, m := range where(l.all, want) {
+		for _, m := range filter(l.all, want) {
 			ids = append(ids, m.in.ID)
 		}
 		return ids
@@ -178,54 +178,54 @@
 	if !l.due(now, &l.deadDue, 1) {
 		return nil
 	}
-	dead := where(l.local, func(m *member) bool { return m.state == wire.State_STATE_DEAD })
+	dead := filter(l.domainMembers, func(m *member) bool { return m.state == wire.State_STATE_DEAD })
 	if len(dead) == 0 {
 		return nil
 	}
-	m := l.after(dead, l.deadAt)[0]
-	l.deadAt = m.in.ID
+	m := l.rotateAfter(dead, l.lastDeadPing)[0]
+	l.lastDeadPing = m.in.ID
 	return []Send{l.probe(now, m)}
 }
 
 // pingSeed asks the addresses to begin with: often while nobody else is alive.
 func (l *List) pingSeed(now time.Time) []Send {
-	begins := l.begins()
+	begins := l.starting()
 	share := 1
 	if begins {
-		share = beginShare
+		share = startPingsPerProbe
 	}
 	if len(l.cfg.Seeds) == 0 || !l.due(now, &l.seedDue, share) {
 		return nil
 	}
-	if !begins && len(l.living())+len(l.livingFar()) > 0 {
-		l.seedDue = now.Add(seedEvery * l.cfg.Probe)
+	if !begins && len(l.liveInDomain())+len(l.liveBeyondDomain()) > 0 {
+		l.seedDue = now.Add(seedInterval * l.cfg.Probe)
 	}
-	to := l.cfg.Seeds[l.seedAt%len(l.cfg.Seeds)]
-	l.seedAt++
+	to := l.cfg.Seeds[l.seedPings%len(l.cfg.Seeds)]
+	l.seedPings++
 	if to == l.self.in.Address {
 		return nil
 	}
-	p := l.begin(now, nil)
+	p := l.newProbe(now, nil)
 	return []Send{{To: to, Packet: l.ping(now, nil, p.sequence)}}
 }
 
-// begins says whether this instance still looks for the others of its place.
+// starting says whether this instance still looks for the others of its place.
 // Until it knows them it can take no work off them, and they none off it; one
 // seed may know none of them, and one packet may get lost.
-func (l *List) begins() bool {
-	return l.place == 0 && l.seedAt < beginRounds*len(l.cfg.Seeds)
+func (l *List) starting() bool {
+	return l.placeSize == 0 && l.seedPings < startRounds*len(l.cfg.Seeds)
 }
 
 func (l *List) probe(now time.Time, m *member) Send {
-	p := l.begin(now, m)
+	p := l.newProbe(now, m)
 	return Send{To: m.in.Address, Packet: l.ping(now, m, p.sequence)}
 }
 
-func (l *List) begin(now time.Time, m *member) *probe {
+func (l *List) newProbe(now time.Time, m *member) *probe {
 	l.sequence++
 	p := &probe{
-		sequence: l.sequence, sent: now, asked: -1,
-		askBy: now.Add(l.cfg.Timeout), failBy: now.Add(l.cfg.Probe),
+		sequence: l.sequence, sent: now, helpersAsked: -1,
+		indirectAt: now.Add(l.cfg.Timeout), failAt: now.Add(l.cfg.Probe),
 	}
 	if m != nil {
 		p.id, p.incarnation, p.refutation = m.in.ID, m.in.Incarnation, m.refutation
--- a/internal/member/receive.go
+++ b/internal/member/receive.go
@@ -14,10 +14,10 @@
 // The reasons to pass a packet over.
 const (
 	Malformed Reason = "malformed" // breaks a rule of the wire
-	Misled    Reason = "misled"    // meant for another instance or incarnation
+	Misaddressed    Reason = "misled"    // meant for another instance or incarnation
 	Outdated  Reason = "outdated"  // from an earlier incarnation
-	Stranger  Reason = "stranger"  // from a member that is not held and did not introduce itself
-	Unasked   Reason = "unasked"   // an answer to nothing in flight: late, or a duplicate
+	UnknownSender  Reason = "stranger"  // from a member that is not held and did not introduce itself
+	Unsolicited   Reason = "unasked"   // an answer to nothing in flight: late, or a duplicate
 )
 
 // PacketError says that a packet was passed over.
@@ -33,14 +33,14 @@
 // maxRefutation keeps a forged refutation from wrapping round.
 const maxRefutation = 1 << 62
 
-// maxNews bounds the news in one packet.
-const maxNews = 128
+// maxUpdates bounds the news in one packet.
+const maxUpdates = 128
 
 // Receive takes one packet in and returns the answers. The error is a
 // *PacketError; the packet's news may have been taken in if the reason is Unasked.
 func (l *List) Receive(now time.Time, p *wire.Packet) ([]Send, error) {
-	sends := l.observe(now)
-	if reason := l.check(p); reason != "" {
+	sends := l.detectPause(now)
+	if reason := l.validate(p); reason != "" {
 		return sends, &PacketError{From: p.GetFrom(), Reason: reason}
 	}
 	for _, n := range p.GetNews() {
@@ -49,35 +49,35 @@
 	m, ok := l.members[p.GetFrom()]
 	switch {
 	case !ok:
-		answers, err := l.answerStranger(now, p)
+		answers, err := l.handleUnknownSender(now, p)
 		return append(sends, answers...), err
 	case p.GetIncarnation() > m.in.Incarnation:
-		return sends, &PacketError{From: p.GetFrom(), Reason: Stranger}
+		return sends, &PacketError{From: p.GetFrom(), Reason: UnknownSender}
 	case p.GetIncarnation() < m.in.Incarnation:
 		return sends, &PacketError{From: p.GetFrom(), Reason: Outdated}
 	}
-	l.applySame(now, m, &wire.News{Refutation: p.GetRefutation(), Leaving: p.GetLeaving()})
-	answers, err := l.answer(now, m, p)
+	l.applySameIncarnation(now, m, &wire.News{Refutation: p.GetRefutation(), Leaving: p.GetLeaving()})
+	answers, err := l.handle(now, m, p)
 	return append(sends, answers...), err
 }
 
-// answerStranger answers an instance that is not held because its place's sample
+// handleUnknownSender answers an instance that is not held because its place's sample
 // is full: its introduced ping, and its ack to be passed on.
-func (l *List) answerStranger(now time.Time, p *wire.Packet) ([]Send, error) {
+func (l *List) handleUnknownSender(now time.Time, p *wire.Packet) ([]Send, error) {
 	if p.GetKind() == wire.Kind_KIND_ACK {
-		return l.passOn(p)
+		return l.relayAck(p)
 	}
 	for _, n := range p.GetNews() {
 		m := &member{in: instanceOf(n)}
 		if p.GetKind() == wire.Kind_KIND_PING && n.GetId() == p.GetFrom() && validInstance(m.in) {
-			return l.answer(now, m, p)
+			return l.handle(now, m, p)
 		}
 	}
-	return nil, &PacketError{From: p.GetFrom(), Reason: Stranger}
+	return nil, &PacketError{From: p.GetFrom(), Reason: UnknownSender}
 }
 
-func (l *List) check(p *wire.Packet) Reason {
-	if p.GetFrom() == "" || len(p.GetFrom()) > maxName || len(p.GetNews()) > maxNews {
+func (l *List) validate(p *wire.Packet) Reason {
+	if p.GetFrom() == "" || len(p.GetFrom()) > maxName || len(p.GetNews()) > maxUpdates {
 		return Malformed
 	}
 	if len(p.GetTarget()) > maxName || p.GetRefutation() > maxRefutation {
@@ -90,29 +90,29 @@
 	}
 	switch {
 	case p.GetFrom() == l.self.in.ID:
-		return Misled
+		return Misaddressed
 	case p.GetTo() != "" && p.GetTo() != l.self.in.ID:
-		return Misled
+		return Misaddressed
 	case p.GetToIncarnation() != 0 && p.GetToIncarnation() != l.self.in.Incarnation:
-		return Misled
+		return Misaddressed
 	}
 	return ""
 }
 
-func (l *List) answer(now time.Time, m *member, p *wire.Packet) ([]Send, error) {
+func (l *List) handle(now time.Time, m *member, p *wire.Packet) ([]Send, error) {
 	switch p.GetKind() {
 	case wire.Kind_KIND_PING:
 		return []Send{{To: m.in.Address, Packet: l.ack(now, m, p)}}, nil
 	case wire.Kind_KIND_PING_REQ:
-		return l.pingFor(now, m, p)
+		return l.pingOnBehalf(now, m, p)
 	case wire.Kind_KIND_ACK:
-		return l.acked(m, p)
+		return l.handleAck(m, p)
 	case wire.Kind_KIND_NACK:
 		if pr := l.inFlight(p.GetSequence()); pr != nil && pr.id == p.GetTarget() {
 			pr.nacks++
 			return nil, nil
 		}
-		return nil, &PacketError{From: m.in.ID, Reason: Unasked}
+		return nil, &PacketError{From: m.in.ID, Reason: Unsolicited}
 	}
 	return nil, &PacketError{From: m.in.ID, Reason: Malformed}
 }
@@ -125,28 +125,28 @@
 	return l.probes[at]
 }
 
-// acked takes an ack: of an own ping, passed on by a helper, or to be passed on.
-func (l *List) acked(m *member, p *wire.Packet) ([]Send, error) {
+// handleAck takes an ack: of an own ping, passed on by a helper, or to be passed on.
+func (l *List) handleAck(m *member, p *wire.Packet) ([]Send, error) {
 	pr := l.inFlight(p.GetSequence())
 	if pr == nil {
-		return l.passOn(p)
+		return l.relayAck(p)
 	}
 	if p.GetTarget() != "" {
-		pr.answered = pr.answered || pr.id == p.GetTarget()
+		pr.ackedIndirectly = pr.ackedIndirectly || pr.id == p.GetTarget()
 		return nil, nil
 	}
 	if pr.id != "" && pr.id != m.in.ID {
-		return nil, &PacketError{From: m.in.ID, Reason: Unasked}
+		return nil, &PacketError{From: m.in.ID, Reason: Unsolicited}
 	}
 	l.probes = slices.DeleteFunc(l.probes, func(o *probe) bool { return o == pr })
 	// A ping sent to an earlier incarnation proves nothing about this one.
 	if pr.id == "" || pr.incarnation == m.in.Incarnation {
-		m.ack.take(pr.sent, p)
+		m.ack.record(pr.sent, p)
 	}
 	return nil, nil
 }
 
-func (a *Ack) take(sent time.Time, p *wire.Packet) {
+func (a *Ack) record(sent time.Time, p *wire.Packet) {
 	if sent.After(a.Sent) {
 		a.Sent = sent
 	}
@@ -156,8 +156,8 @@
 	}
 }
 
-// pingFor pings the target of a ping-req.
-func (l *List) pingFor(now time.Time, asker *member, p *wire.Packet) ([]Send, error) {
+// pingOnBehalf pings the target of a ping-req.
+func (l *List) pingOnBehalf(now time.Time, asker *member, p *wire.Packet) ([]Send, error) {
 	target, ok := l.members[p.GetTarget()]
 	to := p.GetTargetAddress()
 	if ok {
@@ -170,30 +170,30 @@
 		l.relays = slices.Delete(l.relays, 0, 1)
 	}
 	l.sequence++
-	l.relays = append(l.relays, relay{
-		sequence: l.sequence, from: asker.in.ID, asked: p.GetSequence(), target: p.GetTarget(),
-		nackBy: now.Add(l.cfg.Timeout), forgetsBy: now.Add(l.cfg.Probe),
+	l.relays = append(l.relays, relayedPing{
+		sequence: l.sequence, asker: asker.in.ID, askerSequence: p.GetSequence(), target: p.GetTarget(),
+		nackAt: now.Add(l.cfg.Timeout), expiresAt: now.Add(l.cfg.Probe),
 	})
 	ping := l.ping(now, target, l.sequence)
 	ping.To = p.GetTarget()
 	return []Send{{To: to, Packet: ping}}, nil
 }
 
-// passOn tells the asker of a ping-req that the target acked.
-func (l *List) passOn(p *wire.Packet) ([]Send, error) {
-	at := slices.IndexFunc(l.relays, func(r relay) bool {
+// relayAck tells the asker of a ping-req that the target acked.
+func (l *List) relayAck(p *wire.Packet) ([]Send, error) {
+	at := slices.IndexFunc(l.relays, func(r relayedPing) bool {
 		return r.sequence == p.GetSequence() && r.target == p.GetFrom()
 	})
 	if at < 0 {
-		return nil, &PacketError{From: p.GetFrom(), Reason: Unasked}
+		return nil, &PacketError{From: p.GetFrom(), Reason: Unsolicited}
 	}
 	r := l.relays[at]
 	l.relays = slices.Delete(l.relays, at, at+1)
-	asker, ok := l.members[r.from]
+	asker, ok := l.members[r.asker]
 	if !ok {
 		return nil, nil
 	}
-	ack := l.packet(asker, wire.Kind_KIND_ACK, r.asked)
+	ack := l.packet(asker, wire.Kind_KIND_ACK, r.askerSequence)
 	ack.Target = r.target
-	return []Send{{To: asker.in.Address, Packet: l.finish(ack, asker)}}, nil
+	return []Send{{To: asker.in.Address, Packet: l.addQueued(ack, asker)}}, nil
 }
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -12,48 +12,48 @@
 // admit adds a member, if the bounds leave room for it.
 func (l *List) admit(now time.Time, n *wire.News) *member {
 	in := instanceOf(n)
-	if in.ID == l.self.in.ID || !validInstance(in) || !l.room(now, in) {
+	if in.ID == l.self.in.ID || !validInstance(in) || !l.makeRoom(now, in) {
 		return nil
 	}
 	m := &member{in: in, refutation: n.GetRefutation(), since: now}
 	l.members[in.ID] = m
 	l.all = insert(l.all, m)
-	if l.isLocal(m) {
-		l.local = insert(l.local, m)
-		l.place += l.countNear(m)
-		l.greet(now, m)
-		l.news.add(in.ID, true)
+	if l.sameDomain(m) {
+		l.domainMembers = insert(l.domainMembers, m)
+		l.placeSize += l.countInPlace(m)
+		l.pingFirstPeer(now, m)
+		l.updates.put(in.ID, true)
 	} else {
-		l.places[in.Place]++
+		l.placeSizes[in.Place]++
 	}
-	l.change(now, BecameAlive, m)
+	l.addChange(now, BecameAlive, m)
 	if in.Leaving {
-		l.change(now, BecameLeaving, m)
+		l.addChange(now, BecameLeaving, m)
 	}
 	return m
 }
 
-// greet has the first peer of the place pinged at once: until it knows this
+// pingFirstPeer has the first peer of the place pinged at once: until it knows this
 // instance, neither can take work off the other.
-func (l *List) greet(now time.Time, m *member) {
-	if l.near(m) && l.place == 1 && now.Before(l.placeDue) {
+func (l *List) pingFirstPeer(now time.Time, m *member) {
+	if l.samePlace(m) && l.placeSize == 1 && now.Before(l.placeDue) {
 		l.placeDue = now
 	}
 }
 
-// room tells if one more member can be held; it forgets a dead one for it.
-func (l *List) room(now time.Time, in docstore.Instance) bool {
+// makeRoom tells if one more member can be held; it forgets a dead one for it.
+func (l *List) makeRoom(now time.Time, in docstore.Instance) bool {
 	local := in.Domain == l.self.in.Domain
-	full := len(l.local) >= l.cfg.MaxDomain
+	full := len(l.domainMembers) >= l.cfg.MaxDomain
 	if !local {
-		held := l.places[in.Place]
-		full = held >= l.cfg.Sample || held == 0 && len(l.places) >= l.cfg.MaxPlaces
+		held := l.placeSizes[in.Place]
+		full = held >= l.cfg.Sample || held == 0 && len(l.placeSizes) >= l.cfg.MaxPlaces
 	}
 	if !full {
 		return true
 	}
-	dead := where(l.all, func(m *member) bool {
-		return m.state == wire.State_STATE_DEAD && l.isLocal(m) == local && (local || m.in.Place == in.Place)
+	dead := filter(l.all, func(m *member) bool {
+		return m.state == wire.State_STATE_DEAD && l.sameDomain(m) == local && (local || m.in.Place == in.Place)
 	})
 	if len(dead) == 0 {
 		return false
@@ -63,8 +63,8 @@
 	return true
 }
 
-func (l *List) countNear(m *member) int {
-	if l.near(m) {
+func (l *List) countInPlace(m *member) int {
+	if l.samePlace(m) {
 		return 1
 	}
 	return 0
@@ -74,16 +74,16 @@
 	id := m.in.ID
 	delete(l.members, id)
 	l.all = remove(l.all, m)
-	l.news.drop(id)
-	l.change(now, Forgotten, m)
-	if l.isLocal(m) {
-		l.local = remove(l.local, m)
-		l.place -= l.countNear(m)
+	l.updates.drop(id)
+	l.addChange(now, Forgotten, m)
+	if l.sameDomain(m) {
+		l.domainMembers = remove(l.domainMembers, m)
+		l.placeSize -= l.countInPlace(m)
 		return
 	}
-	l.places[m.in.Place]--
-	if l.places[m.in.Place] == 0 {
-		delete(l.places, m.in.Place)
+	l.placeSizes[m.in.Place]--
+	if l.placeSizes[m.in.Place] == 0 {
+		delete(l.placeSizes, m.in.Place)
 	}
 }
 
@@ -101,14 +101,14 @@
 			l.admit(now, n)
 		}
 	case n.GetIncarnation() > m.in.Incarnation:
-		l.renew(now, m, n)
+		l.replaceIncarnation(now, m, n)
 	case n.GetIncarnation() == m.in.Incarnation:
-		l.applySame(now, m, n)
+		l.applySameIncarnation(now, m, n)
 	}
 }
 
-// renew replaces a member by its newer incarnation, once its addresses are told.
-func (l *List) renew(now time.Time, m *member, n *wire.News) {
+// replaceIncarnation replaces a member by its newer incarnation, once its addresses are told.
+func (l *List) replaceIncarnation(now time.Time, m *member, n *wire.News) {
 	in := instanceOf(n)
 	if n.GetState() != wire.State_STATE_ALIVE || !validInstance(in) {
 		return
@@ -120,19 +120,19 @@
 	}
 	promised := m.promised
 	*m = member{in: in, refutation: n.GetRefutation(), since: now, listed: m.listed, promised: promised}
-	l.change(now, Back, m)
+	l.addChange(now, Restarted, m)
 	if in.Leaving {
-		l.change(now, BecameLeaving, m)
+		l.addChange(now, BecameLeaving, m)
 	}
-	l.pass(m, true)
+	l.enqueue(m, true)
 }
 
-func (l *List) applySame(now time.Time, m *member, n *wire.News) {
+func (l *List) applySameIncarnation(now time.Time, m *member, n *wire.News) {
 	if n.GetLeaving() && !m.in.Leaving {
 		m.in.Leaving = true
 		m.since = now
-		l.change(now, BecameLeaving, m)
-		l.pass(m, false)
+		l.addChange(now, BecameLeaving, m)
+		l.enqueue(m, false)
 	}
 	if n.GetRefutation() < m.refutation {
 		return
@@ -142,38 +142,38 @@
 		return
 	}
 	m.refutation = n.GetRefutation()
-	l.enter(now, m, n.GetState())
+	l.setState(now, m, n.GetState())
 }
 
-// enter puts a member in a state, and passes the news on.
-func (l *List) enter(now time.Time, m *member, s wire.State) {
+// setState puts a member in a state, and passes the news on.
+func (l *List) setState(now time.Time, m *member, s wire.State) {
 	was := m.state
 	if s == wire.State_STATE_SUSPECT {
 		m.suspectBy = now.Add(l.cfg.Suspect)
-		l.expireAt(m.suspectBy)
+		l.scheduleExpiry(m.suspectBy)
 	}
 	m.forgetBy = time.Time{}
 	if s == wire.State_STATE_DEAD && !m.listed {
 		m.forgetBy = now.Add(l.cfg.Forget)
-		l.expireAt(m.forgetBy)
+		l.scheduleExpiry(m.forgetBy)
 	}
 	m.state = s
 	if was != s {
 		m.since = now
-		l.change(now, [...]ChangeKind{BecameAlive, BecameSuspect, BecameDead}[s], m)
+		l.addChange(now, [...]ChangeKind{BecameAlive, BecameSuspect, BecameDead}[s], m)
 	}
-	l.pass(m, was == wire.State_STATE_DEAD)
+	l.enqueue(m, was == wire.State_STATE_DEAD)
 }
 
-func (l *List) suspect(now time.Time, m *member) { l.enter(now, m, wire.State_STATE_SUSPECT) }
+func (l *List) suspect(now time.Time, m *member) { l.setState(now, m, wire.State_STATE_SUSPECT) }
 
-// pass puts news of a member in the queue.
-func (l *List) pass(m *member, full bool) { l.news.add(m.in.ID, full) }
+// enqueue puts news of a member in the queue.
+func (l *List) enqueue(m *member, full bool) { l.updates.put(m.in.ID, full) }
 
 // applySelf refutes what others hold of this instance.
 func (l *List) applySelf(now time.Time, n *wire.News) {
 	if n.GetIncarnation() > l.self.in.Incarnation {
-		l.replace(now)
+		l.markReplaced(now)
 		return
 	}
 	if n.GetIncarnation() < l.self.in.Incarnation || n.GetRefutation() < l.self.refutation {
@@ -183,40 +183,40 @@
 		return
 	}
 	l.self.refutation = n.GetRefutation() + 1
-	l.change(now, Accused, l.self)
-	l.pass(l.self, false)
+	l.addChange(now, Refuted, l.self)
+	l.enqueue(l.self, false)
 }
 
-func (l *List) replace(now time.Time) {
+func (l *List) markReplaced(now time.Time) {
 	if !l.replaced {
 		l.replaced = true
-		l.change(now, Replaced, l.self)
+		l.addChange(now, Replaced, l.self)
 	}
 }
 
-// expireAt has expireMembers look again at the deadline.
-func (l *List) expireAt(deadline time.Time) {
-	if l.expireBy.IsZero() || deadline.Before(l.expireBy) {
-		l.expireBy = deadline
+// scheduleExpiry has expireMembers look again at the deadline.
+func (l *List) scheduleExpiry(deadline time.Time) {
+	if l.nextExpiry.IsZero() || deadline.Before(l.nextExpiry) {
+		l.nextExpiry = deadline
 	}
 }
 
 // expireMembers ends suspicion by death, and forgets the long dead.
 func (l *List) expireMembers(now time.Time) {
-	if l.expireBy.IsZero() || now.Before(l.expireBy) {
+	if l.nextExpiry.IsZero() || now.Before(l.nextExpiry) {
 		return
 	}
-	l.expireBy = time.Time{}
+	l.nextExpiry = time.Time{}
 	for _, m := range slices.Clone(l.all) {
 		switch {
 		case m.state == wire.State_STATE_SUSPECT && !now.Before(m.suspectBy):
-			l.enter(now, m, wire.State_STATE_DEAD)
+			l.setState(now, m, wire.State_STATE_DEAD)
 		case m.state == wire.State_STATE_SUSPECT:
-			l.expireAt(m.suspectBy)
+			l.scheduleExpiry(m.suspectBy)
 		case !m.forgetBy.IsZero() && !now.Before(m.forgetBy):
 			l.forget(now, m)
 		case !m.forgetBy.IsZero():
-			l.expireAt(m.forgetBy)
+			l.scheduleExpiry(m.forgetBy)
 		}
 	}
 }
