--- a/internal/member/capacity_test.go
+++ b/internal/member/capacity_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkCapacityDomain counts the bytes a member sends each second, by the
-// size of its failure domain, in virtual time.
+// BenchmarkCapacityDomain reports the bytes that a member sends per second, by the size of its
+// failure domain, in virtual time.
 func BenchmarkCapacityDomain(b *testing.B) {
 	for _, n := range []int{10, 30, 95} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -19,8 +19,8 @@
 	}
 }
 
-// BenchmarkCapacityWorld does the same by the size of the world; a failure
-// domain has 99 of it.
+// BenchmarkCapacityWorld reports the same by the size of the cluster, of which a failure domain has
+// 99.
 func BenchmarkCapacityWorld(b *testing.B) {
 	for _, n := range []int{99, 300, 600, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// BenchmarkCapacityHeld reports how many members one holds in a world of so many.
+// BenchmarkCapacityHeld reports how many members an instance holds, by the size of the cluster.
 func BenchmarkCapacityHeld(b *testing.B) {
 	for _, n := range []int{99, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -53,8 +53,8 @@
 	return l
 }
 
-// BenchmarkCapacityMemberTick is the processor time of one Tick, twenty a
-// second, in a world of so many.
+// BenchmarkCapacityMemberTick measures the processor time of one Tick, of which there are twenty a
+// second, by the size of the cluster.
 func BenchmarkCapacityMemberTick(b *testing.B) {
 	for _, n := range []int{99, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -64,14 +64,15 @@
 				now = now.Add(50 * time.Millisecond)
 				l.Tick(now)
 				for _, m := range l.members {
-					m.state, m.suspectBy = 0, time.Time{} // nobody answers here
+					m.state, m.suspectBy = 0, time.Time{} // no member answers in this benchmark
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkCapacityReceive is the processor time of one ping from a peer.
+// BenchmarkCapacityReceive measures the processor time of one ping from a peer, by the size of the
+// cluster.
 func BenchmarkCapacityReceive(b *testing.B) {
 	for _, n := range []int{99, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/member/config.go
+++ b/internal/member/config.go
@@ -1,9 +1,9 @@
-// Package member holds which instances are alive, leaving, dead or back under
-// a new incarnation. It follows SWIM: random probes, indirect probes, suspicion
-// that the suspected refutes, and news that rides on the probes.
+// Package member tracks which instances are alive, leaving, dead or restarted under a new
+// incarnation. It follows SWIM: random probes, indirect probes, suspicion that the suspected member
+// refutes, and updates that are piggybacked on the probes.
 //
-// The package does no I/O: the caller passes the time and the packets in, and
-// sends the packets that come out. It is not safe for concurrent use.
+// The package does no I/O: the caller passes in the time and the received packets, and sends the
+// packets that are returned. It is not safe for concurrent use.
 package member
 
 import (
@@ -18,26 +18,26 @@
 // Config is fixed for the life of a List.
 type Config struct {
 	Self  docstore.Instance
-	Seeds []string // addresses to begin with, IP:port
+	Seeds []string // addresses to contact at the start, IP:port
 
-	Probe    time.Duration // each place peer is pinged once in this time
-	Timeout  time.Duration // an ack later than this starts indirect probes
-	Suspect  time.Duration // how long a suspected member has to refute
+	Probe    time.Duration // period in which each place peer is pinged once
+	Timeout  time.Duration // time to wait for an ack before indirect probes
+	Suspect  time.Duration // time for a suspected member to refute
 	Pause    time.Duration // a longer gap between two calls means that the process was paused
-	Forget   time.Duration // how long a dead and unlisted member is remembered
-	Indirect int           // helpers asked to ping a silent member
+	Forget   time.Duration // how long a dead and unlisted member is kept
+	Indirect int           // number of helpers asked to ping a silent member
 
-	PlaceProbes  int // most place peers pinged in one Probe
-	DomainProbes int // pings to random members of the domain in one Probe
-	RemoteProbes int // pings beyond the domain in one Probe
-	Sample       int // members held of each place beyond the domain
-	MaxDomain    int // members held of the domain
-	MaxPlaces    int // places beyond the domain of which members are held
+	PlaceProbes  int // maximum place peers pinged per Probe
+	DomainProbes int // pings to random members of the domain per Probe
+	RemoteProbes int // pings beyond the domain per Probe
+	Sample       int // maximum members held of each place beyond the domain
+	MaxDomain    int // maximum members held of the domain
+	MaxPlaces    int // maximum places beyond the domain of which members are held
 
-	Seed uint64 // of the random choices
+	Seed uint64 // seeds the random choices
 }
 
-// Defaults fills in what is zero.
+// Defaults sets the default for each field that is zero.
 func (c *Config) Defaults() {
 	orDefault(&c.Probe, time.Second)
 	orDefault(&c.Timeout, 300*time.Millisecond)
@@ -60,14 +60,14 @@
 	}
 }
 
-// ConfigError names every fault of a Config.
+// ConfigError lists every fault of a Config.
 type ConfigError struct{ Faults []string }
 
 func (e *ConfigError) Error() string {
 	return "member: " + strings.Join(e.Faults, "; ")
 }
 
-// Validate returns a *ConfigError that names every fault, or nil.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	fault := func(bad bool, format string, args ...any) {
@@ -77,12 +77,12 @@
 	}
 	fault(!validInstance(c.Self), "self: id, address, place and domain are needed, at most %d bytes each", maxName)
 	for _, s := range c.Seeds {
-		fault(!validAddress(s), "seeds: %q is no IP:port", s)
+		fault(!validAddress(s), "seeds: %q is not IP:port", s)
 	}
 	fault(c.Timeout <= 0 || c.Probe < 2*c.Timeout, "probe: %s is less than twice the timeout of %s", c.Probe, c.Timeout)
 	fault(c.Suspect < c.Probe, "suspect: %s is less than probe, %s", c.Suspect, c.Probe)
-	fault(c.Pause <= c.Probe, "pause: %s is no more than probe, %s", c.Pause, c.Probe)
-	fault(c.Forget <= 2*c.Suspect, "forget: %s is no more than twice suspect, %s", c.Forget, c.Suspect)
+	fault(c.Pause <= c.Probe, "pause: %s is not longer than probe, %s", c.Pause, c.Probe)
+	fault(c.Forget <= 2*c.Suspect, "forget: %s is not longer than twice suspect, %s", c.Forget, c.Suspect)
 	fault(c.Indirect < 0, "indirect: %d is negative", c.Indirect)
 	for _, n := range c.counts() {
 		fault(n.n < 1, "%s: %d is less than 1", n.name, n.n)
@@ -109,7 +109,7 @@
 	}
 }
 
-// maxName bounds each string that a packet may make us keep, in bytes.
+// maxName limits each string that is kept from a packet, in bytes.
 const maxName = 64
 
 func validInstance(in docstore.Instance) bool {
--- a/internal/member/fuzz_test.go
+++ b/internal/member/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// FuzzReceive gives a list any packet, many times over: it may not panic, may
-// not outgrow its bounds, and may not send more than a packet holds.
+// FuzzReceive passes an arbitrary packet to a list several times. The list must not panic, must not
+// exceed its limits, and must not send packets that are too large.
 func FuzzReceive(f *testing.F) {
 	self, peer := instance(0, 3, 1), member{in: instance(1, 3, 1)}
 	far := member{in: instance(7, 3, 1)}
--- a/internal/member/indirect.go
+++ b/internal/member/indirect.go
@@ -7,18 +7,18 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// maxRelays bounds the pings for others in flight.
+// maxRelays limits the relayed pings in flight.
 const maxRelays = 64
 
-// relayedPing is one ping sent for another member.
+// relayedPing is one ping sent on behalf of another member.
 type relayedPing struct {
-	sequence  uint64
-	asker      string
-	askerSequence     uint64 // the asker's sequence
-	target    string
-	nackAt    time.Time
-	expiresAt time.Time
-	nacked    bool
+	sequence      uint64
+	asker         string
+	askerSequence uint64 // sequence number of the asker's ping
+	target        string
+	nackAt        time.Time
+	expiresAt     time.Time
+	nacked        bool
 }
 
 func (l *List) expireProbes(now time.Time) []Send {
@@ -38,8 +38,8 @@
 	return sends
 }
 
-// askHelpers asks random members to ping the silent one: of the domain, and
-// others only if these are too few.
+// askHelpers asks random members to ping the silent one. It asks members of the domain, and others
+// only if there are too few of these.
 func (l *List) askHelpers(p *probe) []Send {
 	p.helpersAsked = 0
 	target, ok := l.members[p.id]
@@ -47,11 +47,11 @@
 		return nil
 	}
 	var sends []Send
-	for _, living := range []func() []*member{l.liveInDomain, l.liveBeyondDomain} {
+	for _, candidates := range []func() []*member{l.liveInDomain, l.liveBeyondDomain} {
 		if len(sends) >= l.cfg.Indirect {
 			break
 		}
-		helpers := living()
+		helpers := candidates()
 		l.rng.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
 		for _, h := range helpers {
 			if h == target || len(sends) >= l.cfg.Indirect {
@@ -66,8 +66,9 @@
 	return sends
 }
 
-// fail suspects a member that did not answer, unless it refuted meanwhile. If
-// no helper answered either, our own link may be at fault: it gets twice the time.
+// fail marks a member that did not answer as suspect, unless it has refuted since. If no helper
+// answered either, this instance's own link may be faulty, so the member gets twice the time to
+// refute.
 func (l *List) fail(now time.Time, p *probe) {
 	m, ok := l.members[p.id]
 	if !ok || p.ackedIndirectly || m.state != wire.State_STATE_ALIVE {
@@ -82,7 +83,7 @@
 	}
 }
 
-// expireRelays tells the askers of pings that were not acked in time.
+// expireRelays sends a nack to the asker of each relayed ping that was not acked in time.
 func (l *List) expireRelays(now time.Time) []Send {
 	var sends []Send
 	for i := range l.relays {
--- a/internal/member/learn.go
+++ b/internal/member/learn.go
@@ -8,9 +8,8 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// Learn takes the platform's list in. It lags, so it only adds members and
-// newer incarnations, and lets go of the dead that it no longer names; it never
-// makes a member dead.
+// Learn merges the platform's list. The list lags, so it only adds members and newer incarnations,
+// and starts the expiry of dead members that it no longer names. It never marks a member dead.
 func (l *List) Learn(now time.Time, list []docstore.Instance) {
 	named := make(map[string]bool, len(list))
 	for _, in := range list {
@@ -45,12 +44,12 @@
 	_, known := l.members[in.ID]
 	l.apply(now, held.update(true))
 	if !known {
-		l.updates.drop(in.ID) // the others read the list too
+		l.updates.drop(in.ID) // other instances read the list too
 	}
 }
 
-// Leave announces this instance's planned stop to all members that are held, as
-// far as so many pings may be in flight; it goes on answering pings until it stops.
+// Leave announces this instance's planned stop to all members held, limited by the number of pings
+// that may be in flight. The instance continues to answer pings until it stops.
 func (l *List) Leave(now time.Time) []Send {
 	sends := l.detectPause(now)
 	if l.self.in.Leaving {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -8,54 +8,54 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// List holds the members that one instance knows: all of its domain, and a
-// sample of each other place.
+// List holds the members that one instance tracks: all members of its domain, and a sample of each
+// other place.
 type List struct {
-	cfg     Config
-	rng     *rand.Rand
-	self    *member // never in members
-	members map[string]*member
-	all     []*member      // the values of members, sorted by id
-	domainMembers   []*member      // those of the own domain, sorted by id
-	placeSize   int            // members of the own place
-	placeSizes  map[string]int // members held of each place beyond the domain
-	changes []Change
-	updates    updateQueue
-
-	lastCall     time.Time // latest time that a call passed in
-	nextExpiry time.Time // no suspicion or memory of a dead member ends before; zero: none does
-	sequence uint64    // of the latest ping; never goes down
-	probes   []*probe  // in flight, by sequence
-	relays   []relayedPing   // pings sent for others, by sequence
+	cfg           Config
+	rng           *rand.Rand
+	self          *member // never in members
+	members       map[string]*member
+	all           []*member      // the values of members, sorted by id
+	domainMembers []*member      // members of the own domain, sorted by id
+	placeSize     int            // number of members of the own place
+	placeSizes    map[string]int // number of members held of each place beyond the domain
+	changes       []Change
+	updates       updateQueue
+
+	lastCall   time.Time     // latest time passed to a call
+	nextExpiry time.Time     // no suspicion or dead member expires earlier; zero: none does
+	sequence   uint64        // of the latest ping; never decreases
+	probes     []*probe      // in flight, by sequence
+	relays     []relayedPing // pings sent on behalf of others, by sequence
 
 	placeDue, domainDue, remoteDue, deadDue, seedDue time.Time
 
-	lastPlacePing             string // id of the place peer pinged last
+	lastPlacePing       string // id of the place peer pinged last
 	domainRing, farRing ring
-	lastDeadPing              string // id of the dead member pinged last
-	seedPings              int
+	lastDeadPing        string // id of the dead member pinged last
+	seedPings           int
 
-	replaced    bool // a newer incarnation of this instance was seen
-	rosterVersion      uint64
-	rosterNames map[string]bool
-	root        uint64
-	freeSlots       []*wire.Room
-	releases    []*wire.Release
+	replaced      bool // a newer incarnation of this instance was observed
+	rosterVersion uint64
+	rosterNames   map[string]bool
+	root          uint64
+	freeSlots     []*wire.Room
+	releases      []*wire.Release
 }
 
-// New makes a list that knows nobody but itself. The error is a *ConfigError.
+// New returns a list that holds only this instance. The error is a *ConfigError.
 func New(cfg Config, now time.Time) (*List, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
 		return nil, err
 	}
 	l := &List{
-		cfg:     cfg,
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Self.Incarnation)),
-		self:    &member{in: cfg.Self, since: now},
-		members: map[string]*member{},
-		placeSizes:  map[string]int{},
-		lastCall:    now,
+		cfg:        cfg,
+		rng:        rand.New(rand.NewPCG(cfg.Seed, cfg.Self.Incarnation)),
+		self:       &member{in: cfg.Self, since: now},
+		members:    map[string]*member{},
+		placeSizes: map[string]int{},
+		lastCall:   now,
 
 		placeDue: now, domainDue: now, remoteDue: now, deadDue: now, seedDue: now,
 	}
@@ -75,13 +75,13 @@
 	return m.view(), true
 }
 
-// Members returns all that is held, without this instance, sorted by id.
+// Members returns all members held, without this instance, sorted by id.
 func (l *List) Members() []Member {
 	return l.views(func(*member) bool { return true })
 }
 
-// Alive returns the members of a place that are alive or suspected, and not
-// leaving, sorted by id. Like Members, it leaves this instance out.
+// Alive returns the members of a place that are alive or suspected, and not leaving, sorted by id.
+// Like Members, it excludes this instance.
 func (l *List) Alive(place string) []Member {
 	return l.views(func(m *member) bool {
 		return m.in.Place == place && m.state != wire.State_STATE_DEAD && !m.in.Leaving
@@ -111,15 +111,15 @@
 	return found
 }
 
-// Changes returns what happened since the last call, oldest first.
+// Changes returns the changes since the last call, oldest first.
 func (l *List) Changes() []Change {
 	changes := l.changes
 	l.changes = nil
 	return changes
 }
 
-// Acked tells what the acks of one peer prove. Acks of an earlier incarnation
-// of the peer, and acks passed on by others, don't count.
+// Acked returns what the acks of one peer prove. Acks of an earlier incarnation of the peer, and
+// acks relayed by others, don't count.
 func (l *List) Acked(id string) Ack {
 	if m, ok := l.members[id]; ok {
 		return m.ack
@@ -127,9 +127,8 @@
 	return Ack{}
 }
 
-// Promised returns when this instance last acked a ping of the peer with a
-// promise not to remove it from the roster; zero if never. A later removal has
-// to wait from then on for the whole term.
+// Promised returns when this instance last acked a ping of the peer with a promise not to remove it
+// from the roster; zero if never. A later removal must wait for the whole term from that time on.
 func (l *List) Promised(id string) time.Time {
 	if m, ok := l.members[id]; ok {
 		return m.promised
@@ -137,8 +136,8 @@
 	return time.Time{}
 }
 
-// SetRoster tells the version of the place's roster in force here, and whom it
-// names. Acks promise only to those.
+// SetRoster sets the version and the members of the place's roster in force at this instance. Acks
+// contain a promise only for those members.
 func (l *List) SetRoster(version uint64, ids []string) {
 	l.rosterVersion = version
 	l.rosterNames = make(map[string]bool, len(ids))
@@ -147,7 +146,7 @@
 	}
 }
 
-// SetRoot sets the documents' hash that goes out with each packet.
+// SetRoot sets the documents' hash that is sent with each packet.
 func (l *List) SetRoot(root uint64) { l.root = root }
 
 func (l *List) addChange(now time.Time, kind ChangeKind, m *member) {
@@ -157,10 +156,11 @@
 	}
 }
 
-// maxChanges bounds what is kept for a caller that does not drain Changes.
+// maxChanges limits the changes kept for a caller that does not drain Changes.
 const maxChanges = 4096
 
-// samePlace tells if the member is in the own place, and local if in the own domain.
+// samePlace reports whether the member is in the own place. sameDomain reports the same for the own
+// domain.
 func (l *List) samePlace(m *member) bool {
 	return m.in.Place == l.self.in.Place && l.sameDomain(m)
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -39,9 +39,9 @@
 			took = w.runUntil(tt.most, func() bool {
 				return w.allHold(in.ID, Alive) && len(w.lists[in.Address].Members()) == tt.n-1
 			})
-			t.Logf("back everywhere, and knows all, after %s", took)
+			t.Logf("restart known everywhere, and all members held, after %s", took)
 			if !w.allHold(in.ID, Alive) || w.count(Restarted) != tt.n-1 {
-				t.Errorf("got %d back after %s, want %d", w.count(Restarted), took, tt.n-1)
+				t.Errorf("got %d restarts after %s, want %d", w.count(Restarted), took, tt.n-1)
 			}
 			if got := len(w.lists[in.Address].Members()); got != tt.n-1 {
 				t.Errorf("got %d members at the new incarnation, want %d", got, tt.n-1)
@@ -62,19 +62,19 @@
 	}
 	w.paused[in.Address] = false
 	took := w.runUntil(6*time.Second, func() bool { return w.allHold(in.ID, Alive) })
-	t.Logf("alive everywhere %s after it woke", took)
+	t.Logf("alive everywhere %s after it resumed", took)
 	if !w.allHold(in.ID, Alive) {
-		t.Error("got the woken instance not alive everywhere, want alive")
+		t.Error("got the resumed instance not alive everywhere, want alive")
 	}
 	kinds := map[ChangeKind]int{}
 	for i, c := range w.changes[in.Address] {
 		if c.Kind == Resumed && kinds[Refuted] > 0 {
-			t.Errorf("got an accusation before change %d, want the waking first", i)
+			t.Errorf("got a refutation before change %d, want the resumption first", i)
 		}
 		kinds[c.Kind]++
 	}
 	if kinds[Resumed] != 1 || kinds[Refuted] == 0 || kinds[BecameDead] != 0 {
-		t.Errorf("got changes %v, want one woke, an accused and none dead", kinds)
+		t.Errorf("got changes %v, want one resumed, at least one refuted and none dead", kinds)
 	}
 }
 
@@ -82,17 +82,17 @@
 	one, two := address(1), address(2)
 	tests := map[string]func(w *network){
 		"one way": func(w *network) {
-			w.cut = func(from, to string) bool { return from == one && to == two }
+			w.drop = func(from, to string) bool { return from == one && to == two }
 		},
 		"both ways": func(w *network) {
-			w.cut = func(from, to string) bool { return from == one && to == two || from == two && to == one }
+			w.drop = func(from, to string) bool { return from == one && to == two || from == two && to == one }
 		},
 		"duplicates and reordering": func(w *network) {
 			w.duplicate = true
 			w.jitter = 100 * time.Millisecond
 		},
 		"a tenth lost": func(w *network) {
-			w.cut = func(string, string) bool { return w.rng.IntN(10) == 0 }
+			w.drop = func(string, string) bool { return w.rng.IntN(10) == 0 }
 		},
 	}
 	for name, fault := range tests {
@@ -104,7 +104,7 @@
 			if got := w.count(BecameDead); got != 0 {
 				t.Errorf("got %d deaths, want 0", got)
 			}
-			// One bad link between two: helpers answer for each, so nobody is even suspected.
+			// With one bad link, helpers answer for both ends, so no member is even suspected.
 			if got := w.count(BecameSuspect); got != 0 && (name == "one way" || name == "both ways") {
 				t.Errorf("got %d suspicions, want 0", got)
 			}
@@ -116,11 +116,11 @@
 	w := newNetwork(t)
 	w.start(20, 5, 2) // two domains of two places
 	w.run(5 * time.Second)
-	side := map[string]bool{}
+	partitioned := map[string]bool{}
 	for i := range 5 {
-		side[address(i)] = true // one place of the first domain
+		partitioned[address(i)] = true // one place of the first domain
 	}
-	w.cut = func(from, to string) bool { return side[from] != side[to] }
+	w.drop = func(from, to string) bool { return partitioned[from] != partitioned[to] }
 	w.run(20 * time.Second)
 	in := instance(0, 5, 2)
 	if m, _ := w.lists[address(9)].Get(in.ID); m.State != Dead {
@@ -129,7 +129,7 @@
 	if m, _ := w.lists[address(1)].Get(in.ID); m.State != Alive {
 		t.Errorf("got %s on the same side, want alive", m.State)
 	}
-	w.cut = func(string, string) bool { return false }
+	w.drop = func(string, string) bool { return false }
 	healed := func() bool {
 		for _, addr := range w.order {
 			for _, m := range w.lists[addr].Members() {
@@ -188,24 +188,24 @@
 	last := w.lists[address(8)]
 	ack := last.Acked(ids[0])
 	if ack.Sent.IsZero() || !ack.Promised.IsZero() {
-		t.Errorf("got %+v for one whom the roster does not name, want acks without a promise", ack)
+		t.Errorf("got %+v for an instance that the roster does not name, want acks without a promise", ack)
 	}
 	if got := l.Promised(last.Self().ID); !got.IsZero() {
-		t.Errorf("got a promise at %s to one whom the roster does not name", got)
+		t.Errorf("got a promise at %s to an instance that the roster does not name", got)
 	}
 	if got, want := l.Promised(ids[1]), w.lists[address(1)].Acked(ids[0]).Promised; got.Before(want) {
 		t.Errorf("got promise given at %s, want no earlier than its ping, %s", got, want)
 	}
-	cutAt := w.now
-	w.cut = func(from, to string) bool { return to == address(0) || from == address(0) }
+	partitionedAt := w.now
+	w.drop = func(from, to string) bool { return to == address(0) || from == address(0) }
 	w.run(4 * time.Second)
-	if got := l.Acked(ids[1]).Promised; got.After(cutAt) {
-		t.Errorf("got a promise of a ping at %s, after the cut at %s", got, cutAt)
+	if got := l.Acked(ids[1]).Promised; got.After(partitionedAt) {
+		t.Errorf("got a promise of a ping at %s, after the partition at %s", got, partitionedAt)
 	}
 }
 
 func TestBytes(t *testing.T) {
-	const budget = 8000 // bytes a second for all control; membership gets half
+	const budget = 8000 // bytes per second for all control traffic; membership may use half
 	rates := map[string]float64{}
 	tests := map[string]int{"10": 10, "30": 30, "95": 95, "95 of 200": 200}
 	for name, n := range tests {
@@ -216,7 +216,8 @@
 			}
 		})
 	}
-	// Beyond the domain come two pings and two acks a second, whatever the world's size.
+	// Beyond the domain, two pings and two acks per second are added, whatever the size of the
+	// cluster.
 	if got, most := rates["95 of 200"], rates["95"]+1200; got > most {
 		t.Errorf("got %.0f bytes/s in a larger world, want at most %.0f", got, most)
 	}
@@ -267,19 +268,19 @@
 	w.start(3, 3, 1)
 	w.run(3 * time.Second)
 	l := w.lists[address(0)]
-	gone := instance(2, 3, 1)
+	departed := instance(2, 3, 1)
 	l.Learn(w.now, []docstore.Instance{instance(0, 3, 1), instance(1, 3, 1)})
 	w.run(20 * time.Second)
-	if m, _ := l.Get(gone.ID); m.State != Alive {
-		t.Errorf("got %s for one that the list lost, want alive", m.State)
+	if m, _ := l.Get(departed.ID); m.State != Alive {
+		t.Errorf("got %s for an instance missing in the list, want alive", m.State)
 	}
-	w.lists[gone.Address] = nil
+	w.lists[departed.Address] = nil
 	w.run(15 * time.Second)
-	if m, _ := l.Get(gone.ID); m.State != Dead {
+	if m, _ := l.Get(departed.ID); m.State != Dead {
 		t.Errorf("got %s, want dead", m.State)
 	}
 	w.run(11 * time.Minute)
-	if _, ok := l.Get(gone.ID); ok {
+	if _, ok := l.Get(departed.ID); ok {
 		t.Error("got a dead, unlisted member still held after the deadline")
 	}
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -7,7 +7,7 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// State is how a member stands.
+// State is the state of a member.
 type State int
 
 // The states of a member.
@@ -18,72 +18,72 @@
 	Dead
 )
 
-// String names the state in one word.
+// String returns the state as one word.
 func (s State) String() string {
 	return [...]string{"alive", "leaving", "suspect", "dead"}[s]
 }
 
-// Member is a copy of what is held of one member.
+// Member is a copy of the state held of one member.
 type Member struct {
 	docstore.Instance
 	State State
 	Since time.Time // when the state was entered, by the own clock
 }
 
-// ChangeKind is what happened to a member.
+// ChangeKind is the kind of a change of a member.
 type ChangeKind int
 
-// The kinds of change.
+// The kinds of changes.
 const (
 	BecameAlive   ChangeKind = iota // new, or no longer suspected or dead
 	BecameLeaving                   // announced its planned stop
-	BecameSuspect                   // does not answer; may yet refute
+	BecameSuspect                   // does not answer; may still refute
 	BecameDead                      // did not refute in time
-	Restarted                            // runs under a new incarnation
+	Restarted                       // runs under a new incarnation
 	Forgotten                       // no longer held
-	Refuted                         // others suspect this instance, or hold it dead; it refuted
-	Resumed                            // this process was paused: its rights are to be confirmed again
-	Replaced                        // a newer incarnation of this very instance runs: this one must stop
+	Refuted                         // others hold this instance as suspect or dead, and it refuted
+	Resumed                         // this process was paused: its rights must be confirmed again
+	Replaced                        // a newer incarnation of this instance runs: this process must stop
 )
 
-// String names the change in one word.
+// String returns the kind as one word.
 func (k ChangeKind) String() string {
 	return [...]string{
 		"alive", "leaving", "suspect", "dead", "back", "forgotten", "accused", "woke", "replaced",
 	}[k]
 }
 
-// Change is one event. For Accused, Woke and Replaced the member is this instance.
+// Change is one event. For Refuted, Resumed and Replaced the member is this instance.
 type Change struct {
 	Kind   ChangeKind
 	At     time.Time
 	Member Member
 }
 
-// Ack is what a peer's own acks prove, by the own clock.
+// Ack holds what a peer's own acks prove, by the own clock.
 type Ack struct {
 	Sent     time.Time // when the latest ping was sent that the peer acked; zero if none was
-	Promised time.Time // the same, of acks that promise to the roster; zero if none did
+	Promised time.Time // the same for acks with a roster promise; zero if there was none
 	Roster   uint64    // the roster version in the latest promise
 }
 
-// Send is a packet to be sent.
+// Send is a packet to send.
 type Send struct {
 	To     string // IP:port
 	Packet *wire.Packet
 }
 
-// member is what is held of one member.
+// member is the state held of one member.
 type member struct {
-	in         docstore.Instance // Incarnation never goes down while the member is held
-	refutation uint64            // never goes down within an incarnation
+	in         docstore.Instance // Incarnation never decreases while the member is held
+	refutation uint64            // never decreases within an incarnation
 	state      wire.State
 	since      time.Time
 	suspectBy  time.Time // set while suspect: dead from then on
 	forgetBy   time.Time // set while dead and unlisted
 	listed     bool      // the platform's list named it when last read
 	ack        Ack       // of this incarnation
-	promised   time.Time // when this instance last promised to it
+	promised   time.Time // when this instance last sent it a promise
 }
 
 func (m *member) view() Member {
@@ -102,7 +102,7 @@
 	return Alive
 }
 
-// update tells of the member; full adds its addresses and place.
+// update returns an update about the member. With full, it includes the addresses and place.
 func (m *member) update(full bool) *wire.News {
 	n := &wire.News{
 		Id: m.in.ID, Incarnation: m.in.Incarnation, Refutation: m.refutation,
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is one packet on its way, or a Tick if data is nil.
+// event is the arrival of a packet, or a Tick if data is nil.
 type event struct {
 	at   time.Time
 	n    uint64 // order of events at the same time
@@ -41,33 +41,34 @@
 
 // network is an in-memory network in virtual time.
 type network struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     time.Time
-	n       uint64
-	queue   events
-	lists   map[string]*List // by address
-	order   []string
-	ticks   map[string]time.Time
-	paused  map[string]bool
-	cut     func(from, to string) bool
-	jitter  time.Duration // random delay on top of the link's
-	duplicate  bool
-	bytes   map[string]int
-	packets int
-	changes map[string][]Change
-	highest    map[string][2]uint64 // greatest incarnation and refutation seen, by holder and member
+	t         testing.TB
+	rng       *rand.Rand
+	now       time.Time
+	n         uint64
+	queue     events
+	lists     map[string]*List // by address
+	order     []string
+	ticks     map[string]time.Time
+	paused    map[string]bool
+	drop      func(from, to string) bool
+	jitter    time.Duration // maximum random delay in addition to the link's
+	duplicate bool
+	bytes     map[string]int
+	packets   int
+	changes   map[string][]Change
+	highest   map[string][2]uint64 // highest incarnation and refutation, by holder and member
 }
 
 func newNetwork(t testing.TB) *network {
 	return &network{
 		t: t, rng: rand.New(rand.NewPCG(1, 2)), now: start, lists: map[string]*List{}, ticks: map[string]time.Time{},
 		paused: map[string]bool{}, bytes: map[string]int{}, changes: map[string][]Change{}, highest: map[string][2]uint64{},
-		cut: func(string, string) bool { return false },
+		drop: func(string, string) bool { return false },
 	}
 }
 
-// instance is the i'th of a world with so many per place and places per domain.
+// instance returns the i'th instance of a cluster with so many instances per place and places per
+// domain.
 func instance(i, perPlace, placesPerDomain int) docstore.Instance {
 	place := i / perPlace
 	return docstore.Instance{
@@ -101,7 +102,7 @@
 	return l
 }
 
-// start makes n instances that learn each other from the platform's list.
+// start starts n instances that get each other from the platform's list.
 func (w *network) start(n, perPlace, placesPerDomain int) {
 	all := cluster(n, perPlace, placesPerDomain)
 	for _, in := range all {
@@ -129,7 +130,7 @@
 		w.packets++
 		for range w.copies() {
 			delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(w.jitter)+1))
-			if !w.cut(from, s.To) {
+			if !w.drop(from, s.To) {
 				w.push(w.now.Add(delay), s.To, data)
 			}
 		}
@@ -147,7 +148,8 @@
 	w.runUntil(d, func() bool { return false })
 }
 
-// runUntil runs runUntil done, asked twice a virtual second, and returns the time taken.
+// runUntil runs until done returns true, which is checked twice per virtual second, and returns the
+// time taken.
 func (w *network) runUntil(most time.Duration, done func() bool) time.Duration {
 	begin, end := w.now, w.now.Add(most)
 	check := w.now.Add(500 * time.Millisecond)
@@ -169,7 +171,7 @@
 func (w *network) handle(e event) {
 	l := w.lists[e.to]
 	if l == nil || e.data == nil && !e.at.Equal(w.ticks[e.to]) {
-		return // crashed, or a Tick that was moved
+		return // crashed, or a Tick that was rescheduled
 	}
 	if w.paused[e.to] {
 		w.delay(e)
@@ -194,7 +196,7 @@
 	}
 }
 
-// delay puts an event off while its receiver is paused.
+// delay reschedules an event while its receiver is paused.
 func (w *network) delay(e event) {
 	at := w.now.Add(50 * time.Millisecond)
 	if e.data == nil {
@@ -204,7 +206,7 @@
 	w.push(at, e.to, e.data)
 }
 
-// recordChanges keeps the changes, and fails the test if an incarnation went back.
+// recordChanges records the changes, and fails the test if an incarnation or refutation decreased.
 func (w *network) recordChanges(addr string, l *List) {
 	for _, c := range l.Changes() {
 		w.changes[addr] = append(w.changes[addr], c)
@@ -221,7 +223,7 @@
 	}
 }
 
-// allHold tells if each running list but those excepted holds id in the state.
+// allHold reports whether each running list, except those given, holds id in the state.
 func (w *network) allHold(id string, want State, except ...string) bool {
 	for _, addr := range w.order {
 		l := w.lists[addr]
@@ -244,7 +246,7 @@
 	return false
 }
 
-// count counts the changes of a kind that running lists saw, but those excepted.
+// count returns the number of changes of a kind that all lists have reported.
 func (w *network) count(kind ChangeKind) int {
 	n := 0
 	for _, changes := range w.changes {
--- a/internal/member/news.go
+++ b/internal/member/news.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	maxQueued     = 256 // members that there is news of at once
-	maxUpdateBytes = 200 // of queued news in one packet
-	spreadFactor       = 2   // an item is sent this many times log2 of the domain's size
+	maxQueued      = 256 // members with a queued update
+	maxUpdateBytes = 200 // bytes of queued updates in one packet
+	spreadFactor   = 2   // an update is sent this many times log2 of the domain's size
 )
 
-// queuedUpdate is news of one member that is still to be passed on.
+// queuedUpdate is an update about one member that is still being disseminated.
 type queuedUpdate struct {
-	id   string
-	sentInPlace int  // times sent within the place
-	sentInDomain  int  // times sent to the rest of the domain
-	withAddresses bool // with addresses
+	id            string
+	sentInPlace   int // times sent within the place
+	sentInDomain  int // times sent to the rest of the domain
+	withAddresses bool
 }
 
-// updateQueue holds news to pass on, at most one item for each member.
+// updateQueue holds the updates to disseminate, at most one per member.
 type updateQueue struct{ items []*queuedUpdate }
 
-// put puts news of a member in, in place of older news of it. A full queue
-// drops the item that was sent most often.
+// put queues an update about a member and replaces an older one. A full queue drops the update that
+// was sent most often.
 func (q *updateQueue) put(id string, full bool) {
 	q.drop(id)
 	if len(q.items) >= maxQueued {
@@ -40,7 +40,7 @@
 	q.items = slices.DeleteFunc(q.items, func(i *queuedUpdate) bool { return i.id == id })
 }
 
-// next picks items for one packet, least sent first, and counts the sending.
+// next returns the updates for one packet, least sent first, and counts them as sent.
 func (q *updateQueue) next(l *List, near bool) []*wire.News {
 	limit := spreadFactor * bits.Len(uint(len(l.domainMembers)+1))
 	slices.SortStableFunc(q.items, func(a, b *queuedUpdate) int { return a.timesSent(near) - b.timesSent(near) })
@@ -63,7 +63,7 @@
 	return picked
 }
 
-// updateOverhead is the field's tag and length, in bytes.
+// updateOverhead is the size of the field's tag and length, in bytes.
 const updateOverhead = 3
 
 func (i *queuedUpdate) timesSent(near bool) int {
--- a/internal/member/packet.go
+++ b/internal/member/packet.go
@@ -10,22 +10,22 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// maxReport bounds what SetReport takes, in bytes: it leaves room for news.
+// maxReport limits the argument of SetReport, in bytes. It leaves space for updates.
 const maxReport = 600
 
-// introduceAfter is how many Probes without an ack it takes until pings carry
-// this instance's addresses again.
+// introduceAfter is the number of Probe periods without an ack after which pings carry this
+// instance's addresses again.
 const introduceAfter = 5
 
-// ReportError says that a report is too large for a packet.
+// ReportError means that a report is too large for a packet.
 type ReportError struct{ Size int }
 
 func (e *ReportError) Error() string {
-	return fmt.Sprintf("member: report of %d bytes, at most %d", e.Size, maxReport)
+	return fmt.Sprintf("member: report of %d bytes exceeds the maximum of %d", e.Size, maxReport)
 }
 
-// SetReport sets what pings tell the place's peers. The error is a *ReportError,
-// and the report before stays.
+// SetReport sets the free slots and releases that pings carry to the place's peers. The error is a
+// *ReportError; the previous report then stays.
 func (l *List) SetReport(rooms []*wire.Room, releases []*wire.Release) error {
 	size := proto.Size(&wire.Packet{Rooms: rooms, Releases: releases})
 	if size > maxReport {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// packet makes a packet to a member, or to an unknown listener if m is nil.
+// packet returns a packet to a member, or to an unknown receiver if m is nil.
 func (l *List) packet(m *member, kind wire.Kind, sequence uint64) *wire.Packet {
 	p := &wire.Packet{
 		From: l.self.in.ID, Incarnation: l.self.in.Incarnation,
@@ -49,14 +49,15 @@
 	return p
 }
 
-// addSuspicion tells a suspected or dead member so, that it may refute.
+// addSuspicion adds the state of a suspected or dead member to a packet to it, so that it can
+// refute.
 func (l *List) addSuspicion(p *wire.Packet, m *member) {
 	if m.state != wire.State_STATE_ALIVE {
 		p.News = append(p.News, m.update(false))
 	}
 }
 
-// addQueued adds the news that still fits. News of the domain stays in it.
+// addQueued adds the queued updates that fit. Updates about the domain are sent only within it.
 func (l *List) addQueued(p *wire.Packet, m *member) *wire.Packet {
 	if m == nil || !l.sameDomain(m) {
 		return p
@@ -65,8 +66,8 @@
 	return p
 }
 
-// ping makes a ping. It carries the own addresses unless the peer is of the
-// domain and acked lately: a peer beyond it may not hold this instance.
+// ping returns a ping. It carries the own addresses unless the peer is in the domain and acked
+// recently: a peer beyond the domain may not hold this instance.
 func (l *List) ping(now time.Time, m *member, sequence uint64) *wire.Packet {
 	p := l.packet(m, wire.Kind_KIND_PING, sequence)
 	if m == nil || !l.sameDomain(m) || now.Sub(m.ack.Sent) > introduceAfter*l.cfg.Probe {
@@ -85,9 +86,9 @@
 	p.News = append(p.News, l.self.update(true))
 }
 
-// ack answers a ping. It tells a peer that introduced itself of one member, a
-// peer that knows fewer of the domain of as many as fit, and one from beyond it
-// that has only begun of its own place.
+// ack answers a ping. The ack carries an update about one member to a peer that introduced itself,
+// and as many as fit to a peer that holds fewer members of the domain. A peer from beyond the
+// domain that has just started gets as many as fit about its own place.
 func (l *List) ack(now time.Time, m *member, ping *wire.Packet) *wire.Packet {
 	p := l.packet(m, wire.Kind_KIND_ACK, ping.GetSequence())
 	if l.members[m.in.ID] == m && l.samePlace(m) && l.rosterNames[m.in.ID] {
@@ -114,11 +115,11 @@
 	return slices.ContainsFunc(p.GetNews(), func(n *wire.News) bool { return n.GetId() == p.GetFrom() })
 }
 
-// addUpdates adds random ones of the members to p: one, or as many as fit.
-func (l *List) addUpdates(p *wire.Packet, known []*member, many bool) {
-	l.rng.Shuffle(len(known), func(i, j int) { known[i], known[j] = known[j], known[i] })
+// addUpdates adds updates about random ones of the members to p: one, or as many as fit.
+func (l *List) addUpdates(p *wire.Packet, members []*member, many bool) {
+	l.rng.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	size := proto.Size(p)
-	for _, m := range known {
+	for _, m := range members {
 		n := m.update(true)
 		if size += proto.Size(n) + updateOverhead; size > wire.MaxPacket {
 			return
@@ -130,9 +131,9 @@
 	}
 }
 
-// updateCandidates picks the members that a peer may be told of: of the domain, or half
-// of the time those beyond it. A peer beyond it is told of this instance's place
-// only, or half of the time of its own.
+// updateCandidates returns the members that updates to a peer may be about: those of the domain, or
+// half of the time those beyond it. For a peer beyond the domain these are the members of this
+// instance's place, or half of the time those of the peer's own.
 func (l *List) updateCandidates(to *member) []*member {
 	if l.rng.IntN(2) == 0 {
 		if found := l.beyondDomain(to); len(found) > 0 {
@@ -151,8 +152,8 @@
 	return l.peersNear(to)
 }
 
-// peersNear returns the members that are held of the own place of a peer beyond the
-// domain, or else of its domain. It may know none of them yet, and they not it.
+// peersNear returns the members held of the own place of a peer beyond the domain, or else of its
+// domain. The peer and these members may not hold each other yet.
 func (l *List) peersNear(to *member) []*member {
 	domain := filter(l.all, func(m *member) bool {
 		return m.in.Domain == to.in.Domain && m.in.ID != to.in.ID && m.state == wire.State_STATE_ALIVE
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -8,61 +8,62 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// seedInterval is how many Probes pass between pings to seeds once a member is alive.
+// seedInterval is the number of Probe periods between pings to seeds once a member is alive.
 const seedInterval = 10
 
-// How seeds are asked at the beginning.
+// Limits for pings to seeds at the start.
 const (
-	startPingsPerProbe  = 4 // pings in one Probe
-	startRounds = 2 // pings to each seed
+	startPingsPerProbe = 4 // pings in one Probe period
+	startRounds        = 2 // pings to each seed
 )
 
-// maxProbes bounds the pings in flight.
+// maxProbes limits the pings in flight.
 const maxProbes = 256
 
 // probe is one ping in flight.
 type probe struct {
-	sequence    uint64
-	id          string // empty for a seed
-	incarnation uint64
-	refutation  uint64
-	sent        time.Time
-	indirectAt       time.Time // no ack by then: ask helpers
-	failAt      time.Time // no answer by then: suspect
-	helpersAsked       int       // helpers asked; -1 before askBy
-	nacks       int       // helpers that answered in vain
-	ackedIndirectly    bool      // by a helper on the member's behalf
-}
-
-// Next returns when Tick is due at the latest.
+	sequence        uint64
+	id              string // empty for a seed
+	incarnation     uint64
+	refutation      uint64
+	sent            time.Time
+	indirectAt      time.Time // without an ack by then, helpers are asked
+	failAt          time.Time // without an answer by then, the member is suspected
+	helpersAsked    int       // number of helpers asked; -1 before indirectAt
+	nacks           int       // number of helpers that got no ack either
+	ackedIndirectly bool      // a helper relayed the member's ack
+}
+
+// Next returns the latest time for the next call of Tick.
 func (l *List) Next() time.Time {
 	next := l.lastCall.Add(l.cfg.Probe)
-	sooner := func(t time.Time) {
+	atMost := func(t time.Time) {
 		if t.Before(next) {
 			next = t
 		}
 	}
-	sooner(l.placeDue)
-	sooner(l.domainDue)
-	sooner(l.remoteDue)
+	atMost(l.placeDue)
+	atMost(l.domainDue)
+	atMost(l.remoteDue)
 	if l.starting() {
-		sooner(l.seedDue)
+		atMost(l.seedDue)
 	}
 	for _, p := range l.probes {
 		if p.helpersAsked < 0 {
-			sooner(p.indirectAt)
+			atMost(p.indirectAt)
 		}
-		sooner(p.failAt)
+		atMost(p.failAt)
 	}
 	for _, r := range l.relays {
 		if !r.nacked {
-			sooner(r.nackAt)
+			atMost(r.nackAt)
 		}
 	}
 	return next
 }
 
-// Tick does what is due: pings, indirect probes, suspicion, death, forgetting.
+// Tick does everything that is due: pings, indirect probes, and the expiry of suspicions and of
+// dead members.
 func (l *List) Tick(now time.Time) []Send {
 	sends := l.detectPause(now)
 	sends = append(sends, l.expireProbes(now)...)
@@ -75,8 +76,8 @@
 	return append(sends, l.pingSeed(now)...)
 }
 
-// detectPause notices a pause of this process. Silence during it was our own, so
-// deadlines of others start anew, and all place peers are asked at once.
+// detectPause detects a pause of this process. Any silence in that time was its own, so the
+// deadlines of other members start anew, and all place peers are pinged at once.
 func (l *List) detectPause(now time.Time) []Send {
 	gap := now.Sub(l.lastCall)
 	if gap > 0 {
@@ -108,13 +109,13 @@
 	return peers
 }
 
-// rotateAfter turns members, sorted by id, so that those past id come first.
+// rotateAfter rotates members, sorted by id, so that those after id come first.
 func (l *List) rotateAfter(members []*member, id string) []*member {
 	at := sort.Search(len(members), func(i int) bool { return members[i].in.ID > id })
 	return append(slices.Clone(members[at:]), members[:at]...)
 }
 
-// due tells if the deadline is past, and moves it on by a share of Probe.
+// due reports whether the deadline has passed, and advances it by a share of Probe.
 func (l *List) due(now time.Time, at *time.Time, share int) bool {
 	if now.Before(*at) {
 		return false
@@ -146,7 +147,7 @@
 	})
 }
 
-// pingRemote pings dead members too: nobody else tells us that they are back.
+// pingRemote also pings dead members: no other instance reports that they are back.
 func (l *List) pingRemote(now time.Time) []Send {
 	if !l.due(now, &l.remoteDue, l.cfg.RemoteProbes) {
 		return nil
@@ -173,7 +174,7 @@
 	return []Send{l.probe(now, l.members[id])}
 }
 
-// pingDead asks one dead member of the domain, which may be back after a partition.
+// pingDead pings one dead member of the domain, which may be back after a partition.
 func (l *List) pingDead(now time.Time) []Send {
 	if !l.due(now, &l.deadDue, 1) {
 		return nil
@@ -187,17 +188,18 @@
 	return []Send{l.probe(now, m)}
 }
 
-// pingSeed asks the addresses to begin with: often while nobody else is alive.
+// pingSeed pings one of the seeds: several times per Probe at the start, then once per Probe, and
+// every seedInterval once another member is alive.
 func (l *List) pingSeed(now time.Time) []Send {
-	begins := l.starting()
+	isStarting := l.starting()
 	share := 1
-	if begins {
+	if isStarting {
 		share = startPingsPerProbe
 	}
 	if len(l.cfg.Seeds) == 0 || !l.due(now, &l.seedDue, share) {
 		return nil
 	}
-	if !begins && len(l.liveInDomain())+len(l.liveBeyondDomain()) > 0 {
+	if !isStarting && len(l.liveInDomain())+len(l.liveBeyondDomain()) > 0 {
 		l.seedDue = now.Add(seedInterval * l.cfg.Probe)
 	}
 	to := l.cfg.Seeds[l.seedPings%len(l.cfg.Seeds)]
@@ -209,9 +211,9 @@
 	return []Send{{To: to, Packet: l.ping(now, nil, p.sequence)}}
 }
 
-// starting says whether this instance still looks for the others of its place.
-// Until it knows them it can take no work off them, and they none off it; one
-// seed may know none of them, and one packet may get lost.
+// starting reports whether this instance still looks for the others of its place. Until they hold
+// each other, neither can take work off the other. One seed may know none of them, and one packet
+// may be lost.
 func (l *List) starting() bool {
 	return l.placeSize == 0 && l.seedPings < startRounds*len(l.cfg.Seeds)
 }
--- a/internal/member/receive.go
+++ b/internal/member/receive.go
@@ -8,36 +8,36 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// Reason says why a packet was passed over.
+// Reason states why a packet was rejected.
 type Reason string
 
-// The reasons to pass a packet over.
+// The reasons to reject a packet.
 const (
-	Malformed Reason = "malformed" // breaks a rule of the wire
-	Misaddressed    Reason = "misled"    // meant for another instance or incarnation
-	Outdated  Reason = "outdated"  // from an earlier incarnation
-	UnknownSender  Reason = "stranger"  // from a member that is not held and did not introduce itself
-	Unsolicited   Reason = "unasked"   // an answer to nothing in flight: late, or a duplicate
+	Malformed     Reason = "malformed" // violates the packet format
+	Misaddressed  Reason = "misled"    // addressed to another instance or incarnation
+	Outdated      Reason = "outdated"  // from an earlier incarnation
+	UnknownSender Reason = "stranger"  // from a member that is not held and did not introduce itself
+	Unsolicited   Reason = "unasked"   // matches no ping in flight: late, or a duplicate
 )
 
-// PacketError says that a packet was passed over.
+// PacketError means that a packet was rejected.
 type PacketError struct {
 	From   string
 	Reason Reason
 }
 
 func (e *PacketError) Error() string {
-	return fmt.Sprintf("member: packet from %q passed over: %s", e.From, e.Reason)
+	return fmt.Sprintf("member: packet from %q rejected: %s", e.From, e.Reason)
 }
 
-// maxRefutation keeps a forged refutation from wrapping round.
+// maxRefutation prevents a forged refutation number from overflowing.
 const maxRefutation = 1 << 62
 
-// maxUpdates bounds the news in one packet.
+// maxUpdates limits the updates in one packet.
 const maxUpdates = 128
 
-// Receive takes one packet in and returns the answers. The error is a
-// *PacketError; the packet's news may have been taken in if the reason is Unasked.
+// Receive processes one packet and returns the answers. The error is a *PacketError. With the
+// reason Unsolicited, the packet's updates may have been applied.
 func (l *List) Receive(now time.Time, p *wire.Packet) ([]Send, error) {
 	sends := l.detectPause(now)
 	if reason := l.validate(p); reason != "" {
@@ -61,8 +61,8 @@
 	return append(sends, answers...), err
 }
 
-// handleUnknownSender answers an instance that is not held because its place's sample
-// is full: its introduced ping, and its ack to be passed on.
+// handleUnknownSender answers an instance that is not held because the sample of its place is full.
+// It answers a ping with an introduction, and relays an ack.
 func (l *List) handleUnknownSender(now time.Time, p *wire.Packet) ([]Send, error) {
 	if p.GetKind() == wire.Kind_KIND_ACK {
 		return l.relayAck(p)
@@ -125,7 +125,7 @@
 	return l.probes[at]
 }
 
-// handleAck takes an ack: of an own ping, passed on by a helper, or to be passed on.
+// handleAck handles an ack of an own ping, an ack relayed by a helper, or an ack to relay.
 func (l *List) handleAck(m *member, p *wire.Packet) ([]Send, error) {
 	pr := l.inFlight(p.GetSequence())
 	if pr == nil {
@@ -179,7 +179,7 @@
 	return []Send{{To: to, Packet: ping}}, nil
 }
 
-// relayAck tells the asker of a ping-req that the target acked.
+// relayAck sends the asker of a ping-req the target's ack.
 func (l *List) relayAck(p *wire.Packet) ([]Send, error) {
 	at := slices.IndexFunc(l.relays, func(r relayedPing) bool {
 		return r.sequence == p.GetSequence() && r.target == p.GetFrom()
--- a/internal/member/ring.go
+++ b/internal/member/ring.go
@@ -2,11 +2,10 @@
 
 import "math/rand/v2"
 
-// ring goes through ids in a random order that is new in each round, so that
-// each is met once a round.
+// ring iterates over ids in random order, each once per round. Each round has a new order.
 type ring struct{ remaining []string }
 
-// next returns the next id that is still good; refill names those of a new round.
+// next returns the next id that still satisfies good. refill returns the ids of a new round.
 func (r *ring) next(rng *rand.Rand, good func(string) bool, refill func() []string) (string, bool) {
 	for range 2 {
 		for len(r.remaining) > 0 {
--- a/internal/member/state.go
+++ b/internal/member/state.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// admit adds a member, if the bounds leave room for it.
+// admit adds a member if the limits allow it. It returns nil if they don't.
 func (l *List) admit(now time.Time, n *wire.News) *member {
 	in := instanceOf(n)
 	if in.ID == l.self.in.ID || !validInstance(in) || !l.makeRoom(now, in) {
@@ -33,15 +33,15 @@
 	return m
 }
 
-// pingFirstPeer has the first peer of the place pinged at once: until it knows this
-// instance, neither can take work off the other.
+// pingFirstPeer makes the ping to the first peer of the place due at once: until that peer holds
+// this instance, neither can take work off the other.
 func (l *List) pingFirstPeer(now time.Time, m *member) {
 	if l.samePlace(m) && l.placeSize == 1 && now.Before(l.placeDue) {
 		l.placeDue = now
 	}
 }
 
-// makeRoom tells if one more member can be held; it forgets a dead one for it.
+// makeRoom reports whether one more member can be held. It removes a dead one if necessary.
 func (l *List) makeRoom(now time.Time, in docstore.Instance) bool {
 	local := in.Domain == l.self.in.Domain
 	full := len(l.domainMembers) >= l.cfg.MaxDomain
@@ -87,8 +87,8 @@
 	}
 }
 
-// apply takes news of a member in: newer incarnations win, then newer
-// refutations, then the graver state.
+// apply merges an update about a member. A newer incarnation wins, then a newer refutation, then
+// the more severe state.
 func (l *List) apply(now time.Time, n *wire.News) {
 	if n.GetId() == l.self.in.ID {
 		l.applySelf(now, n)
@@ -107,7 +107,7 @@
 	}
 }
 
-// replaceIncarnation replaces a member by its newer incarnation, once its addresses are told.
+// replaceIncarnation replaces a member by its newer incarnation once its addresses are known.
 func (l *List) replaceIncarnation(now time.Time, m *member, n *wire.News) {
 	in := instanceOf(n)
 	if n.GetState() != wire.State_STATE_ALIVE || !validInstance(in) {
@@ -145,7 +145,7 @@
 	l.setState(now, m, n.GetState())
 }
 
-// setState puts a member in a state, and passes the news on.
+// setState sets a member's state and queues an update about it.
 func (l *List) setState(now time.Time, m *member, s wire.State) {
 	was := m.state
 	if s == wire.State_STATE_SUSPECT {
@@ -167,10 +167,10 @@
 
 func (l *List) suspect(now time.Time, m *member) { l.setState(now, m, wire.State_STATE_SUSPECT) }
 
-// enqueue puts news of a member in the queue.
+// enqueue queues an update about a member.
 func (l *List) enqueue(m *member, full bool) { l.updates.put(m.in.ID, full) }
 
-// applySelf refutes what others hold of this instance.
+// applySelf refutes a suspicion or death of this instance.
 func (l *List) applySelf(now time.Time, n *wire.News) {
 	if n.GetIncarnation() > l.self.in.Incarnation {
 		l.markReplaced(now)
@@ -194,14 +194,15 @@
 	}
 }
 
-// scheduleExpiry has expireMembers look again at the deadline.
+// scheduleExpiry makes expireMembers check the members at the deadline.
 func (l *List) scheduleExpiry(deadline time.Time) {
 	if l.nextExpiry.IsZero() || deadline.Before(l.nextExpiry) {
 		l.nextExpiry = deadline
 	}
 }
 
-// expireMembers ends suspicion by death, and forgets the long dead.
+// expireMembers marks members dead whose suspicion has expired, and removes those that have been
+// dead for long.
 func (l *List) expireMembers(now time.Time) {
 	if l.nextExpiry.IsZero() || now.Before(l.nextExpiry) {
 		return
