--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -212,8 +212,8 @@
 }
 
 // starting reports whether this instance still looks for the others of its place. Until they hold
-// each other, neither can take work off the other. One seed may know none of them, and one packet
-// may be lost.
+// each other, neither can take work off the other. Each seed is pinged startRounds times, because a
+// seed may hold none of them and a packet may be lost.
 func (l *List) starting() bool {
 	return l.placeSize == 0 && l.seedPings < startRounds*len(l.cfg.Seeds)
 }
--- a/internal/peer/udp.go
+++ b/internal/peer/udp.go
@@ -43,12 +43,12 @@
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
 	Unsent                  uint64 // sends that the socket refused
-	Garbage                 uint64 // datagrams that are no packet
-	Passed                  uint64 // packets that the list passed over
+	Undecodable                 uint64 // datagrams that are no packet
+	Rejected                  uint64 // packets that the list passed over
 }
 
-type tallies struct {
-	sent, sentBytes, received, receivedBytes, unsent, garbage, passed atomic.Uint64
+type counters struct {
+	sent, sentBytes, received, receivedBytes, unsent, undecodable, rejected atomic.Uint64
 }
 
 // Hooks are what a UDP calls, never under its lock. Each may be nil.
@@ -69,12 +69,12 @@
 	conn    net.PacketConn
 	hooks   Hooks
 	wake    chan struct{} // holds one token when the timer is to be set anew
-	tallies tallies
+	counters counters
 
 	mu      sync.Mutex // guards what follows
 	list    *member.List
 	changes []member.Change // not yet handed on, oldest first
-	handing bool            // a goroutine is calling changed
+	delivering bool            // a goroutine is calling changed
 }
 
 // NewUDP makes a shell round list.
@@ -91,7 +91,7 @@
 		<-ctx.Done()
 		_ = u.conn.Close() // ends the read loop; nothing is buffered
 	})
-	wg.Go(func() { u.tick(ctx) })
+	wg.Go(func() { u.runTicks(ctx) })
 	err := u.read(ctx)
 	cancel()
 	wg.Wait()
@@ -108,7 +108,7 @@
 	sends := f(boottime.Now(), u.list)
 	u.changes = append(u.changes, u.list.Changes()...)
 	u.mu.Unlock()
-	u.hand() // first: an ack tells that what it answers is known
+	u.deliverChanges() // first: an ack tells that what it answers is known
 	for _, s := range sends {
 		u.prepare(s.Packet, cause)
 		u.send(s)
@@ -119,36 +119,36 @@
 	}
 }
 
-// hand calls changed with what happened, by one goroutine at a time and in order.
-func (u *UDP) hand() {
+// deliverChanges calls changed with what happened, by one goroutine at a time and in order.
+func (u *UDP) deliverChanges() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for !u.handing && len(u.changes) > 0 {
+	for !u.delivering && len(u.changes) > 0 {
 		changes := u.changes
 		u.changes = nil
 		if u.hooks.Changed == nil {
 			return
 		}
-		u.handing = true
+		u.delivering = true
 		u.mu.Unlock()
 		u.hooks.Changed(changes)
 		u.mu.Lock()
-		u.handing = false
+		u.delivering = false
 	}
 }
 
 // Counts returns what was sent, taken in and passed over so far.
 func (u *UDP) Counts() Counts {
-	t := &u.tallies
+	t := &u.counters
 	return Counts{
 		Sent: t.sent.Load(), SentBytes: t.sentBytes.Load(),
 		Received: t.received.Load(), ReceivedBytes: t.receivedBytes.Load(),
-		Unsent: t.unsent.Load(), Garbage: t.garbage.Load(), Passed: t.passed.Load(),
+		Unsent: t.unsent.Load(), Undecodable: t.undecodable.Load(), Rejected: t.rejected.Load(),
 	}
 }
 
-// tick calls Tick when it is due.
-func (u *UDP) tick(ctx context.Context) {
+// runTicks calls Tick when it is due.
+func (u *UDP) runTicks(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -178,8 +178,8 @@
 		case errors.Is(err, net.ErrClosed):
 			return errors.Annotate(err, "UDP.Run")
 		case err != nil:
-			u.tallies.garbage.Add(1) // a refused send shows here on some systems
-			if !pause(ctx) {
+			u.counters.undecodable.Add(1) // a refused send shows here on some systems
+			if !waitAfterError(ctx) {
 				return nil
 			}
 		default:
@@ -188,28 +188,28 @@
 	}
 }
 
-// readPause keeps a socket that only fails from taking a whole core.
-const readPause = 5 * time.Millisecond
+// readErrorDelay keeps a socket that only fails from taking a whole core.
+const readErrorDelay = 5 * time.Millisecond
 
-func pause(ctx context.Context) bool {
+func waitAfterError(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(readPause):
+	case <-time.After(readErrorDelay):
 		return true
 	}
 }
 
 func (u *UDP) receive(data []byte) {
-	u.tallies.received.Add(1)
-	u.tallies.receivedBytes.Add(uint64(len(data)))
+	u.counters.received.Add(1)
+	u.counters.receivedBytes.Add(uint64(len(data)))
 	p, err := Decode(data)
 	if err != nil {
-		u.tallies.garbage.Add(1)
+		u.counters.undecodable.Add(1)
 		return
 	}
 	if p.GetKind() == wire.Kind_KIND_UNSPECIFIED {
-		u.rooms(p)
+		u.receiveFreeSlots(p)
 		return
 	}
 	var at time.Time
@@ -220,7 +220,7 @@
 		return sends
 	})
 	if err != nil {
-		u.tallies.passed.Add(1)
+		u.counters.rejected.Add(1)
 		return
 	}
 	if u.hooks.Heard != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-func (u *UDP) rooms(p *wire.Packet) {
+func (u *UDP) receiveFreeSlots(p *wire.Packet) {
 	if u.hooks.Rooms != nil {
 		u.hooks.Rooms(p)
 	}
@@ -258,18 +258,18 @@
 func (u *UDP) send(s member.Send) {
 	data, err := proto.Marshal(s.Packet)
 	if err != nil || len(data) > wire.MaxPacket {
-		u.tallies.unsent.Add(1)
+		u.counters.unsent.Add(1)
 		return
 	}
 	to, err := netip.ParseAddrPort(s.To)
 	if err != nil {
-		u.tallies.unsent.Add(1)
+		u.counters.unsent.Add(1)
 		return
 	}
 	if _, err := u.conn.WriteTo(data, net.UDPAddrFromAddrPort(to)); err != nil {
-		u.tallies.unsent.Add(1) // as good as lost on the way: the list probes again
+		u.counters.unsent.Add(1) // as good as lost on the way: the list probes again
 		return
 	}
-	u.tallies.sent.Add(1)
-	u.tallies.sentBytes.Add(uint64(len(data)))
+	u.counters.sent.Add(1)
+	u.counters.sentBytes.Add(uint64(len(data)))
 }
--- a/internal/peer/udp_test.go
+++ b/internal/peer/udp_test.go
@@ -117,7 +117,7 @@
 		if len(kinds) != 3 || kinds[0] != want[0] || kinds[1] != want[1] || kinds[2] != want[2] {
 			t.Errorf("got changes %v, want %v", kinds, want)
 		}
-		if got := a.Counts(); got.Garbage != 4 || heard == 0 || got.Sent == 0 {
+		if got := a.Counts(); got.Undecodable != 4 || heard == 0 || got.Sent == 0 {
 			t.Errorf("got %+v and %d heard, want 4 garbage, some sent and heard", got, heard)
 		}
 	})
--- a/internal/peerhttp/client.go
+++ b/internal/peerhttp/client.go
@@ -18,14 +18,14 @@
 // Client calls instances. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	most int64 // of an answer, in bytes
+	maxAnswer int64 // of an answer, in bytes
 }
 
 // New makes a client that reads answers of up to most bytes and keeps idle connections to
 // each instance. Its calls come from ip; "" lets the system choose.
 func New(ip string, idle int, most int64) *Client {
 	transport := &http.Transport{DialContext: tcp.NewDialer(ip).DialContext, MaxIdleConnsPerHost: idle}
-	return &Client{http: &http.Client{Transport: transport}, most: most}
+	return &Client{http: &http.Client{Transport: transport}, maxAnswer: most}
 }
 
 // Error says that an instance gave no good answer.
@@ -54,7 +54,7 @@
 		return nil, errors.Trace(&Error{Address: address, Err: err})
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, c.most))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, c.maxAnswer))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return nil, errors.Trace(&Error{Address: address, Status: resp.StatusCode, Err: err})
 	}
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -54,14 +54,14 @@
 		return true
 	}
 	if ok && doc.Version == held.Version {
-		s.checks.Check(invariant.ConfigForward, same(doc, held), func() string {
+		s.checks.Check(invariant.ConfigForward, sameContent(doc, held), func() string {
 			return fmt.Sprintf("%s has two bodies at version %d", doc.Path, doc.Version)
 		})
 	}
 	return false
 }
 
-func same(a, b settings.Document) bool {
+func sameContent(a, b settings.Document) bool {
 	return a.Deleted == b.Deleted && bytes.Equal(a.Body, b.Body)
 }
 
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// exchange lets a and b find their difference as two instances do. Each message
+// reconcile lets a and b find their difference as two instances do. Each message
 // is lost if lose says so. It returns the versions and documents sent.
-func exchange(a, b *Set, lose func() bool) (sent int) {
+func reconcile(a, b *Set, lose func() bool) (sent int) {
 	if a.Root() == b.Root() || lose() {
 		return 0
 	}
@@ -97,21 +97,21 @@
 			case 1: // a late or repeated message
 				a.Apply(document(path, rapid.Uint64Range(0, newest[path]).Draw(t, "version")))
 			default:
-				exchange(a, b, lossy)
+				reconcile(a, b, lossy)
 			}
 		}
-		checkConverges(t, sets, newest)
+		checkConvergence(t, sets, newest)
 	})
 }
 
-// checkConverges lets a chain of instances exchange there and back without loss.
-func checkConverges(t *rapid.T, sets []*Set, newest map[string]uint64) {
+// checkConvergence lets a chain of instances exchange there and back without loss.
+func checkConvergence(t *rapid.T, sets []*Set, newest map[string]uint64) {
 	never := func() bool { return false }
 	for i := 1; i < len(sets); i++ {
-		exchange(sets[i-1], sets[i], never)
+		reconcile(sets[i-1], sets[i], never)
 	}
 	for i := len(sets) - 1; i > 0; i-- {
-		exchange(sets[i-1], sets[i], never)
+		reconcile(sets[i-1], sets[i], never)
 	}
 	want := New(nil)
 	for path, version := range newest {
@@ -121,7 +121,7 @@
 		if s.Root() != want.Root() || !reflect.DeepEqual(s.Documents(), want.Documents()) {
 			t.Errorf("instance %d: got %v, want %v", i, s.Documents(), want.Documents())
 		}
-		if got := exchange(s, want, never); got != 0 {
+		if got := reconcile(s, want, never); got != 0 {
 			t.Errorf("instance %d: got %d sent between equals, want 0", i, got)
 		}
 	}
@@ -140,7 +140,7 @@
 		t.Fatalf("got %d buckets, want 1", len(got))
 	}
 	never := func() bool { return false }
-	if got, want := exchange(a, b, never), 4*count/BucketCount; got > want {
+	if got, want := reconcile(a, b, never), 4*count/BucketCount; got > want {
 		t.Errorf("got %d versions and documents sent, want at most %d", got, want)
 	}
 	if a.Root() != b.Root() {
