--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -9,7 +9,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// SetRooms writes rooms into a packet.
+// SetRooms writes the free slots of services into a packet.
 func SetRooms(p *wire.Packet, rooms []core.Room) {
 	p.Rooms = make([]*wire.Room, 0, len(rooms))
 	for _, r := range rooms {
@@ -17,7 +17,7 @@
 	}
 }
 
-// RoomsOf reads a packet's rooms; those that can't be read are left out.
+// RoomsOf reads the free slots of services from a packet. Entries that can't be parsed are omitted.
 func RoomsOf(p *wire.Packet) []core.Room {
 	rooms := make([]core.Room, 0, len(p.Rooms))
 	for _, r := range p.Rooms {
@@ -28,8 +28,7 @@
 	return rooms
 }
 
-// SetRelease writes a release into a packet, together with the roster's version
-// that it holds for.
+// SetRelease writes a release into a packet, with the version of the roster that it applies to.
 func SetRelease(p *wire.Packet, r owner.Release) {
 	p.Roster, p.Release = r.Version, r.Seq
 	p.Releases = make([]*wire.Release, 0, len(r.Held))
@@ -39,13 +38,13 @@
 		})
 	}
 	if proto.Size(p) > wire.MaxPacket {
-		// Better to tell nothing than to lose the heartbeat.
+		// Too large for a packet: the heartbeat is sent without the release rather than lost.
 		p.Release, p.Releases = 0, nil
 	}
 }
 
-// ReleaseOf reads a packet's release. One that can't be read whole is an error,
-// since it would say that the peer holds less than it does.
+// ReleaseOf reads a packet's release. It returns an error if any entry can't be parsed, since the
+// rest would state that the peer holds less than it does.
 func ReleaseOf(p *wire.Packet) (owner.Release, error) {
 	r := owner.Release{From: p.From, Incarnation: p.Incarnation, Version: p.Roster, Seq: p.Release}
 	for _, h := range p.Releases {
--- a/internal/peer/udp.go
+++ b/internal/peer/udp.go
@@ -1,4 +1,4 @@
-// Package peer is the shell between instances: membership over UDP.
+// Package peer runs the membership protocol between instances over UDP.
 package peer
 
 import (
@@ -18,72 +18,72 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// DecodeError says that a datagram is no packet.
+// DecodeError means that a datagram can't be decoded as a packet.
 type DecodeError struct {
 	Size int // bytes
 	Err  error
 }
 
 func (e *DecodeError) Error() string {
-	return fmt.Sprintf("peer: datagram of %d bytes is no packet: %v", e.Size, e.Err)
+	return fmt.Sprintf("peer: datagram of %d bytes can't be decoded: %v", e.Size, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// SizeError says that a datagram is empty or larger than a packet may be.
+// SizeError means that a datagram is empty or larger than a packet may be.
 type SizeError struct{ Size int }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("peer: datagram of %d bytes, at most %d", e.Size, wire.MaxPacket)
+	return fmt.Sprintf("peer: datagram of %d bytes, want 1 to %d", e.Size, wire.MaxPacket)
 }
 
-// Counts is what a UDP has sent, taken in and passed over.
+// Counts holds what a UDP has sent, received and rejected.
 type Counts struct {
 	Sent, SentBytes         uint64
 	Received, ReceivedBytes uint64
-	Unsent                  uint64 // sends that the socket refused
-	Undecodable                 uint64 // datagrams that are no packet
-	Rejected                  uint64 // packets that the list passed over
+	Unsent                  uint64 // packets that could not be encoded or that the socket refused
+	Undecodable             uint64 // datagrams that can't be decoded, and read errors
+	Rejected                uint64 // packets that the list rejected
 }
 
 type counters struct {
 	sent, sentBytes, received, receivedBytes, unsent, undecodable, rejected atomic.Uint64
 }
 
-// Hooks are what a UDP calls, never under its lock. Each may be nil.
+// Hooks are callbacks of a UDP, never called under its lock. Each may be nil.
 type Hooks struct {
-	// Heard takes each packet that the list took in.
+	// Heard is called with each packet that the list accepted, and the time of its receipt.
 	Heard func(time.Time, *wire.Packet)
-	// Rooms takes each packet that only tells of room.
+	// Rooms is called with each packet that contains only free slots.
 	Rooms func(*wire.Packet)
-	// Prepare completes a packet just before it is sent. cause is the packet
-	// that it answers, nil if it answers none.
+	// Prepare completes a packet just before it is sent. cause is the packet that it answers, nil
+	// if it answers none.
 	Prepare func(p, cause *wire.Packet)
-	// Changed takes the list's changes, in order, from one goroutine at a time.
+	// Changed receives the list's changes, in order, from one goroutine at a time.
 	Changed func([]member.Change)
 }
 
 // UDP runs a member.List over one socket. It is safe for concurrent use.
 type UDP struct {
-	conn    net.PacketConn
-	hooks   Hooks
-	wake    chan struct{} // holds one token when the timer is to be set anew
+	conn     net.PacketConn
+	hooks    Hooks
+	wake     chan struct{} // holds one token when the timer must be reset
 	counters counters
 
-	mu      sync.Mutex // guards what follows
-	list    *member.List
-	changes []member.Change // not yet handed on, oldest first
-	delivering bool            // a goroutine is calling changed
+	mu         sync.Mutex // guards the fields below
+	list       *member.List
+	changes    []member.Change // not yet delivered, oldest first
+	delivering bool            // a goroutine is calling the Changed hook
 }
 
-// NewUDP makes a shell round list.
+// NewUDP returns a UDP that runs list over conn.
 func NewUDP(conn net.PacketConn, list *member.List, hooks Hooks) *UDP {
 	return &UDP{conn: conn, list: list, hooks: hooks, wake: make(chan struct{}, 1)}
 }
 
-// Run reads and sends until ctx is done, closes the socket and returns nil; it
-// returns the socket's error if that fails before.
+// Run sends and receives until ctx is done, then closes the socket and returns nil. If the socket
+// is closed earlier, it returns the socket's error.
 func (u *UDP) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -98,17 +98,17 @@
 	return err
 }
 
-// Do runs f with the list under the lock, sends what it returns and hands on
-// the changes. f must not keep the list.
+// Do calls f with the list under the lock, sends the packets that it returns and delivers the
+// changes. f must not keep the list.
 func (u *UDP) Do(f func(now time.Time, l *member.List) []member.Send) { u.do(nil, f) }
 
-// do is Do for what answers a packet.
+// do is Do for answers to a packet.
 func (u *UDP) do(cause *wire.Packet, f func(now time.Time, l *member.List) []member.Send) {
 	u.mu.Lock()
 	sends := f(boottime.Now(), u.list)
 	u.changes = append(u.changes, u.list.Changes()...)
 	u.mu.Unlock()
-	u.deliverChanges() // first: an ack tells that what it answers is known
+	u.deliverChanges() // before sending: an ack implies that this instance has processed what it answers
 	for _, s := range sends {
 		u.prepare(s.Packet, cause)
 		u.send(s)
@@ -119,7 +119,8 @@
 	}
 }
 
-// deliverChanges calls changed with what happened, by one goroutine at a time and in order.
+// deliverChanges calls the Changed hook with the pending changes, from one goroutine at a time and
+// in order.
 func (u *UDP) deliverChanges() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -137,7 +138,7 @@
 	}
 }
 
-// Counts returns what was sent, taken in and passed over so far.
+// Counts returns the totals so far.
 func (u *UDP) Counts() Counts {
 	t := &u.counters
 	return Counts{
@@ -166,9 +167,9 @@
 	}
 }
 
-// read takes datagrams in until the socket fails or ctx is done.
+// read receives datagrams until the socket is closed or ctx is done.
 func (u *UDP) read(ctx context.Context) error {
-	// One byte more than a packet may have shows one that is too large.
+	// One byte more than a packet may have reveals one that is too large.
 	buf := make([]byte, wire.MaxPacket+1)
 	for {
 		n, _, err := u.conn.ReadFrom(buf)
@@ -178,7 +179,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return errors.Annotate(err, "UDP.Run")
 		case err != nil:
-			u.counters.undecodable.Add(1) // a refused send shows here on some systems
+			u.counters.undecodable.Add(1) // some systems report a refused send here
 			if !waitAfterError(ctx) {
 				return nil
 			}
@@ -188,7 +189,7 @@
 	}
 }
 
-// readErrorDelay keeps a socket that only fails from taking a whole core.
+// readErrorDelay prevents a socket that only fails from using a whole core.
 const readErrorDelay = 5 * time.Millisecond
 
 func waitAfterError(ctx context.Context) bool {
@@ -240,10 +241,10 @@
 	}
 }
 
-// Send sends one packet that is none of the list's.
+// Send sends one packet that doesn't come from the list.
 func (u *UDP) Send(address string, p *wire.Packet) { u.send(member.Send{To: address, Packet: p}) }
 
-// Decode reads one datagram. The error is a *SizeError or a *DecodeError.
+// Decode decodes one datagram. The error is a *SizeError or a *DecodeError.
 func Decode(data []byte) (*wire.Packet, error) {
 	if len(data) == 0 || len(data) > wire.MaxPacket {
 		return nil, &SizeError{Size: len(data)}
@@ -267,7 +268,7 @@
 		return
 	}
 	if _, err := u.conn.WriteTo(data, net.UDPAddrFromAddrPort(to)); err != nil {
-		u.counters.unsent.Add(1) // as good as lost on the way: the list probes again
+		u.counters.unsent.Add(1) // equivalent to a lost packet: the list probes again
 		return
 	}
 	u.counters.sent.Add(1)
--- a/internal/peer/udp_test.go
+++ b/internal/peer/udp_test.go
@@ -16,14 +16,14 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// hub joins sockets in memory; it loses what a full or closed one can't take.
+// hub connects sockets in memory. Packets to a full or closed socket are lost.
 type hub struct {
 	mu    sync.Mutex
 	conns map[string]*conn
 }
 
 type conn struct {
-	net.PacketConn // nil: only what UDP calls is there
+	net.PacketConn // nil: only the methods that UDP calls are implemented
 	hub            *hub
 	in             chan []byte
 	closed         chan struct{}
@@ -82,11 +82,11 @@
 		h := &hub{conns: map[string]*conn{}}
 		var mu sync.Mutex
 		var kinds []member.ChangeKind
-		var heard int
+		var accepted int
 		a := NewUDP(h.listen(addrA), newList(t, "a", addrA), Hooks{Heard: func(time.Time, *wire.Packet) {
 			mu.Lock()
 			defer mu.Unlock()
-			heard++
+			accepted++
 		}, Changed: func(changes []member.Change) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -117,8 +117,8 @@
 		if len(kinds) != 3 || kinds[0] != want[0] || kinds[1] != want[1] || kinds[2] != want[2] {
 			t.Errorf("got changes %v, want %v", kinds, want)
 		}
-		if got := a.Counts(); got.Undecodable != 4 || heard == 0 || got.Sent == 0 {
-			t.Errorf("got %+v and %d heard, want 4 garbage, some sent and heard", got, heard)
+		if got := a.Counts(); got.Undecodable != 4 || accepted == 0 || got.Sent == 0 {
+			t.Errorf("got %+v and %d packets accepted, want 4 undecodable, some sent and accepted", got, accepted)
 		}
 	})
 }
--- a/internal/peerhttp/client.go
+++ b/internal/peerhttp/client.go
@@ -1,5 +1,4 @@
-// Package peerhttp makes calls to other instances over HTTP: short questions with short
-// answers.
+// Package peerhttp makes short HTTP calls to other instances.
 package peerhttp
 
 import (
@@ -15,23 +14,23 @@
 	"github.com/firlever/firlever/internal/tcp"
 )
 
-// Client calls instances. It is safe for concurrent use.
+// Client calls other instances. It is safe for concurrent use.
 type Client struct {
-	http *http.Client
-	maxAnswer int64 // of an answer, in bytes
+	http      *http.Client
+	maxAnswer int64 // in bytes
 }
 
-// New makes a client that reads answers of up to most bytes and keeps idle connections to
-// each instance. Its calls come from ip; "" lets the system choose.
-func New(ip string, idle int, most int64) *Client {
+// New returns a client that reads answers of up to maxAnswer bytes and keeps up to idle idle
+// connections to each instance. It connects from the address ip; "" lets the system choose.
+func New(ip string, idle int, maxAnswer int64) *Client {
 	transport := &http.Transport{DialContext: tcp.NewDialer(ip).DialContext, MaxIdleConnsPerHost: idle}
-	return &Client{http: &http.Client{Transport: transport}, maxAnswer: most}
+	return &Client{http: &http.Client{Transport: transport}, maxAnswer: maxAnswer}
 }
 
-// Error says that an instance gave no good answer.
+// Error means that a call to an instance failed or was answered with another status than expected.
 type Error struct {
 	Address string
-	Status  int // of its answer; 0 if there was none
+	Status  int // of the answer; 0 if there was none
 	Err     error
 }
 
@@ -42,7 +41,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Post sends a body and returns the body of the answer 200. It returns an *Error.
+// Post sends a body and returns the body of a 200 answer. It returns an *Error.
 func (c *Client) Post(ctx context.Context, address, path string, query url.Values, body []byte) ([]byte, error) {
 	u := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, u.String(), bytes.NewReader(body))
--- a/internal/replica/difference.go
+++ b/internal/replica/difference.go
@@ -6,15 +6,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Root returns a hash over every path and its version, in whatever order they
-// came. Equal roots mean that two sets have nothing to tell each other.
+// Root returns a hash over every path and its version, independent of the order in which they were
+// added. Two sets with equal roots have nothing to exchange.
 func (s *Set) Root() uint64 { return s.root }
 
 // Buckets returns the hash of each bucket.
 func (s *Set) Buckets() Buckets { return s.hashes }
 
-// Differ returns the buckets whose hashes differ from those of a remote set,
-// ascending.
+// Differ returns the buckets whose hashes differ from those of a remote set, ascending.
 func (s *Set) Differ(remote Buckets) []int {
 	var differ []int
 	for i, h := range s.hashes {
@@ -25,8 +24,7 @@
 	return differ
 }
 
-// Digest returns the versions held in a bucket, by path; none if there is no
-// such bucket.
+// Digest returns the versions held in a bucket, sorted by path; nil if there is no such bucket.
 func (s *Set) Digest(bucket int) []Version {
 	if bucket < 0 || bucket >= BucketCount {
 		return nil
@@ -39,8 +37,8 @@
 	return versions
 }
 
-// Missing returns those of a remote set's versions that are newer than what
-// this set holds: what to ask for.
+// Missing returns the versions of a remote set that are newer than those in this set. These are to
+// be requested.
 func (s *Set) Missing(remote []Version) []Version {
 	var missing []Version
 	for _, v := range remote {
@@ -52,8 +50,8 @@
 	return missing
 }
 
-// Newer returns the documents of a bucket that are newer than a remote set's
-// digest of it, or not in it, by path: what to send.
+// Newer returns the documents of a bucket that are newer than in a remote set's digest of it or
+// missing there, sorted by path. These are to be sent.
 func (s *Set) Newer(bucket int, than []Version) []settings.Document {
 	if bucket < 0 || bucket >= BucketCount {
 		return nil
--- a/internal/replica/set.go
+++ b/internal/replica/set.go
@@ -1,5 +1,5 @@
-// Package replica keeps an instance's copy of the operators' documents, and
-// finds what two copies have to tell each other. It does no input or output.
+// Package replica holds an instance's copy of the operators' documents, and computes the difference
+// between two copies. It does no I/O.
 package replica
 
 import (
@@ -14,13 +14,13 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// BucketCount is the number of buckets that paths are spread over by their hash.
+// BucketCount is the number of buckets that paths are hashed into.
 const BucketCount = 256
 
 // Buckets holds one hash for each bucket, over the paths and versions in it.
 type Buckets [BucketCount]uint64
 
-// Version says which version of a path an instance holds.
+// Version is the version of a path that an instance holds.
 type Version struct {
 	Path    string
 	Version uint64
@@ -29,14 +29,14 @@
 // Set is one copy of the documents. It is not safe for concurrent use.
 type Set struct {
 	checks  *invariant.Counter
-	docs    [BucketCount]map[string]settings.Document // by path; versions never go back
-	hashes  Buckets                                   // always of docs; the sum over a bucket's documents
+	docs    [BucketCount]map[string]settings.Document // by path; versions never decrease
+	hashes  Buckets                                   // always match docs; the sum over a bucket's documents
 	root    uint64                                    // the sum of hashes
-	count   int                                       // of documents, deleted ones too
-	applied uint64                                    // documents taken so far; never goes back
+	count   int                                       // number of documents, including deleted ones
+	applied uint64                                    // number of documents applied so far; never decreases
 }
 
-// New makes an empty set that counts its checks in c, which may be nil.
+// New returns an empty set that counts its checks in c, which may be nil.
 func New(c *invariant.Counter) *Set {
 	s := &Set{checks: c}
 	for i := range s.docs {
@@ -45,8 +45,8 @@
 	return s
 }
 
-// Apply takes a document if it is newer than the one held, and reports whether
-// it did. Its body must not be changed afterwards.
+// Apply stores a document if it is newer than the one held, and reports whether it did. The
+// document's body must not be changed afterwards.
 func (s *Set) Apply(doc settings.Document) bool {
 	held, ok := s.Get(doc.Path)
 	if doc.Version > held.Version {
@@ -65,7 +65,7 @@
 	return a.Deleted == b.Deleted && bytes.Equal(a.Body, b.Body)
 }
 
-// put stores a document in place of the one held, whose version is 0 if none is.
+// put replaces the document held, whose version is 0 if there is none.
 func (s *Set) put(doc, held settings.Document) {
 	s.checks.Check(invariant.ConfigForward, doc.Version > held.Version, func() string {
 		return fmt.Sprintf("%s goes from version %d to %d", doc.Path, held.Version, doc.Version)
@@ -96,20 +96,20 @@
 	return d.Sum64()
 }
 
-// Get returns the document at path. A deleted one is returned as such.
+// Get returns the document at path. A deleted document is returned with Deleted set.
 func (s *Set) Get(path string) (settings.Document, bool) {
 	doc, ok := s.docs[Bucket(path)][path]
 	return doc, ok
 }
 
-// Len returns the number of documents held, deleted ones too.
+// Len returns the number of documents held, including deleted ones.
 func (s *Set) Len() int { return s.count }
 
-// Applied returns how many documents were taken so far: a set with the same
-// figure as before hasn't changed.
+// Applied returns how many documents were applied so far. A set with the same count as before
+// hasn't changed.
 func (s *Set) Applied() uint64 { return s.applied }
 
-// Documents returns every document by path, deleted ones too.
+// Documents returns all documents sorted by path, including deleted ones.
 func (s *Set) Documents() []settings.Document {
 	docs := make([]settings.Document, 0, s.count)
 	for _, bucket := range s.docs {
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// reconcile lets a and b find their difference as two instances do. Each message
-// is lost if lose says so. It returns the versions and documents sent.
+// reconcile lets a and b exchange their difference as two instances do. Each message is lost if
+// lose returns true. It returns the number of versions and documents sent.
 func reconcile(a, b *Set, lose func() bool) (sent int) {
 	if a.Root() == b.Root() || lose() {
 		return 0
@@ -91,7 +91,7 @@
 			a, b := sets[instance.Draw(t, "a")], sets[instance.Draw(t, "b")]
 			path := fmt.Sprintf("/%d", rapid.IntRange(0, 9).Draw(t, "path"))
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
-			case 0: // a write, told to one instance
+			case 0: // a write, sent to one instance
 				newest[path]++
 				a.Apply(document(path, newest[path]))
 			case 1: // a late or repeated message
@@ -104,7 +104,8 @@
 	})
 }
 
-// checkConvergence lets a chain of instances exchange there and back without loss.
+// checkConvergence lets a chain of instances reconcile in both directions without loss, and checks
+// that all hold the newest documents.
 func checkConvergence(t *rapid.T, sets []*Set, newest map[string]uint64) {
 	never := func() bool { return false }
 	for i := 1; i < len(sets); i++ {
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestDifferenceSize wants the cost of one change not to grow with the documents.
+// TestDifferenceSize checks that the cost of one change doesn't grow with the number of documents.
 func TestDifferenceSize(t *testing.T) {
 	const count = 10 * BucketCount
 	a, b := New(nil), New(nil)
@@ -144,7 +145,7 @@
 		t.Errorf("got %d versions and documents sent, want at most %d", got, want)
 	}
 	if a.Root() != b.Root() {
-		t.Error("got two roots after the exchange")
+		t.Error("got different roots after the exchange")
 	}
 }
 
@@ -189,6 +190,6 @@
 		}
 	}
 	if !Watchers(nil, "unlisted", 1) {
-		t.Error("an instance that knows no one doesn't watch")
+		t.Error("got an instance without other members not watching, want it to watch")
 	}
 }
