--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -80,12 +80,12 @@
 
 // finishedEvent returns the event for a complete answer, with the headers and body for the key's
 // record.
-func (x *exchange) finishedEvent(resp *http.Response, whole []byte) core.Finished {
+func (x *exchange) finishedEvent(resp *http.Response, body []byte) core.Finished {
 	ev := core.Finished{Result: core.Answered, Status: resp.StatusCode}
 	if x.req.Key != "" {
 		ev.Header = make(http.Header, len(resp.Header))
 		copyHeader(ev.Header, resp.Header)
-		ev.Body = whole
+		ev.Body = body
 	}
 	return ev
 }
--- a/internal/callers/rig_test.go
+++ b/internal/callers/rig_test.go
@@ -198,7 +198,7 @@
 }
 
 // waitFor waits until the node's status satisfies ok.
-func (g *rig) waitFor(what string, ok func(core.Status) bool) core.Status {
+func (g *rig) waitFor(condition string, ok func(core.Status) bool) core.Status {
 	g.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var st core.Status
@@ -208,7 +208,7 @@
 			return st
 		}
 	}
-	g.t.Fatalf("timed out waiting for %s", what)
+	g.t.Fatalf("timed out waiting for %s", condition)
 	return core.Status{}
 }
 
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -87,10 +87,10 @@
 }
 
 func (m *member) view() Member {
-	return Member{Instance: m.in, State: m.public(), Since: m.since}
+	return Member{Instance: m.in, State: m.publicState(), Since: m.since}
 }
 
-func (m *member) public() State {
+func (m *member) publicState() State {
 	switch {
 	case m.state == wire.State_STATE_DEAD:
 		return Dead
