--- a/internal/callers/grant.go
+++ b/internal/callers/grant.go
@@ -12,18 +12,18 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// grantTimeout bounds a call that asks a peer for grants.
+// grantTimeout limits a call that asks a peer for grants.
 const grantTimeout = 500 * time.Millisecond
 
-// askOf reads what a peer asks for.
-func askOf(h http.Header, service settings.ServiceID) core.Ask {
+// readAsk reads from the headers what a peer asks for.
+func readAsk(h http.Header, service settings.ServiceID) core.Ask {
 	return core.Ask{
 		Peer: h.Get(HeaderFrom), Service: service, Home: h.Get(HeaderHome),
-		Want: count(h, HeaderWant), Release: count(h, HeaderRelease),
+		Want: headerCount(h, HeaderWant), Release: headerCount(h, HeaderRelease),
 	}
 }
 
-// setOffer writes what this instance offers to a peer.
+// setOffer writes this instance's offer to a peer into the headers.
 func setOffer(h http.Header, now time.Time, o core.Offer) {
 	h.Set(HeaderFree, itoa(int64(o.Free)))
 	if o.Grant > 0 {
@@ -38,41 +38,41 @@
 	}
 }
 
-// heard reads a peer's offer. began is from before the peer was asked, so that
-// a grant ends here first, however long its answer took.
-func heard(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
-	until := began.Add(time.Duration(count(h, HeaderUntil)) * time.Millisecond)
+// grantReceived reads a peer's offer. began is a time before the peer was asked, so that a grant
+// expires at this instance first, however long the answer took.
+func grantReceived(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
+	until := began.Add(time.Duration(headerCount(h, HeaderUntil)) * time.Millisecond)
 	return core.GrantHeard{
 		Peer: p.ID, Incarnation: p.Incarnation, Until: until,
-		Free: count(h, HeaderFree), Grant: count(h, HeaderGrant),
+		Free: headerCount(h, HeaderFree), Grant: headerCount(h, HeaderGrant),
 	}
 }
 
-// grant answers a peer that asks without handing a request off.
+// grant answers a peer that asks for grants without handing a request off.
 func (s *Server) grant(w http.ResponseWriter, r *http.Request) {
 	id, err := settings.ParseServiceID(chi.URLParam(r, "team") + "/" + chi.URLParam(r, "service"))
 	if err != nil {
 		s.badRequest(w, http.StatusBadRequest, err)
 		return
 	}
-	setOffer(w.Header(), s.dispatcher.Now(), s.dispatcher.Offer(askOf(r.Header, id)))
-	s.writeBy(w, s.dispatcher.Now().Add(replyTime))
+	setOffer(w.Header(), s.dispatcher.Now(), s.dispatcher.Offer(readAsk(r.Header, id)))
+	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// AskGrant carries a decision out. An answer that doesn't come is left at that:
-// the node asks again if it still wants to.
+// AskGrant carries out a decision to ask a peer for grants. A failed call isn't retried here: the
+// node asks again if it still needs to.
 func (s *Server) AskGrant(ctx context.Context, d core.AskGrant) {
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	began := s.dispatcher.Now()
 	resp, err := s.client.Send(ctx, s.grantRequest(d), nil)
-	s.noteAsk(d, err)
+	s.recordAsk(d, err)
 	if err != nil {
 		return
 	}
 	resp.Body.Close()
-	ev := heard(resp.Header, began, d.Peer)
+	ev := grantReceived(resp.Header, began, d.Peer)
 	ev.Service, ev.Home = d.Service, d.Home
 	s.dispatcher.Step(ev)
 }
--- a/internal/callers/link.go
+++ b/internal/callers/link.go
@@ -8,17 +8,17 @@
 	"github.com/firlever/firlever/internal/pace"
 )
 
-// link paces the bulk bytes that leave this instance's place. It is safe for
+// linkPacer limits the rate of bulk bytes that leave this instance's place. It is safe for
 // concurrent use.
-type link struct {
+type linkPacer struct {
 	now func() time.Time
 
 	mu   sync.Mutex
 	pace pace.Link // guarded by mu
 }
 
-// chunk is how many bytes to send at a time at a rate.
-func (l *link) chunk(rate int64) int {
+// chunk returns how many bytes to send at a time at a rate in bytes/s.
+func (l *linkPacer) chunk(rate int64) int {
 	if rate == 0 {
 		return chunkSize
 	}
@@ -28,9 +28,9 @@
 	return l.pace.Chunk(chunkSize)
 }
 
-// wait waits until n bytes may leave. rate is this instance's share in bytes/s;
-// 0 waits for nothing.
-func (l *link) wait(ctx context.Context, rate int64, n int) error {
+// wait blocks until n bytes may be sent. rate is this instance's share in bytes/s; with 0 it
+// returns at once. It returns ctx's error if ctx ends first.
+func (l *linkPacer) wait(ctx context.Context, rate int64, n int) error {
 	if rate == 0 || n == 0 {
 		return nil
 	}
--- a/internal/callers/notice_test.go
+++ b/internal/callers/notice_test.go
@@ -11,7 +11,8 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// A success that can be read says all; others say no more than they name.
+// TestNoticed checks that only a successful answer with readable headers counts as a complete
+// notice.
 func TestNoticed(t *testing.T) {
 	tests := map[string]struct {
 		status int
@@ -21,7 +22,7 @@
 		"success":     {200, http.Header{}, core.Noticed{Whole: true}},
 		"leaving":     {200, http.Header{HeaderLeaving: {"1"}}, core.Noticed{Whole: true, Notice: notice.Notice{Leaving: true}}},
 		"limit":       {200, http.Header{HeaderLimit: {"9.5"}}, core.Noticed{Whole: true, Notice: notice.Notice{Limited: true, Limit: 9.5}}},
-		"rest":        {503, http.Header{headerRest: {"2"}}, core.Noticed{Notice: notice.Notice{Rest: 2 * time.Second}}},
+		"rest":        {503, http.Header{headerRetryAfter: {"2"}}, core.Noticed{Notice: notice.Notice{Rest: 2 * time.Second}}},
 		"failure":     {500, http.Header{}, core.Noticed{}},
 		"not to read": {200, http.Header{HeaderLimit: {"many"}}, core.Noticed{Unread: []string{"Firlever-Limit: many"}}},
 	}
--- a/internal/callers/request.go
+++ b/internal/callers/request.go
@@ -14,23 +14,24 @@
 	"github.com/firlever/firlever/internal/once"
 )
 
-// Limits of what a caller may send.
+// Limits for callers' requests.
 const (
-	maxReplay  = 64 << 10         // a longer body is streamed and can't be sent again
-	maxKey     = 512              // bytes of an idempotency key
-	maxHeader  = 32 << 10         // bytes of the first line and the headers
-	maxName    = 128              // bytes of a request id
-	maxTimeout = 10 * time.Minute // a longer timeout is cut to this
-	bodyTime   = 10 * time.Second // for the first maxReplay bytes of a body
-	replyTime  = 5 * time.Second  // for a caller to take an answer that is ready
+	maxReplay    = 64 << 10         // a longer body is streamed and can't be sent again
+	maxKey       = 512              // bytes of an idempotency key
+	maxHeader    = 32 << 10         // bytes of the request line and the headers
+	maxRequestID = 128              // bytes of a request id
+	maxTimeout   = 10 * time.Minute // a longer timeout is reduced to this
+	bodyTimeout  = 10 * time.Second // for the first maxReplay bytes of a body
+	replyTimeout = 5 * time.Second  // for a caller to receive an answer that is ready
 )
 
-// BadRequestError says what is wrong with a request. It has not run.
+// BadRequestError describes what is wrong with a request, which has not run.
 type BadRequestError struct{ Fault string }
 
 func (e *BadRequestError) Error() string { return "callers: bad request: " + e.Fault }
 
-// parse reads what the node must know of a request, but for its body.
+// parse reads everything that the node needs of a request, except its body. It returns a
+// *BadRequestError.
 func parse(r *http.Request, to route, now time.Time) (core.Request, error) {
 	req := core.Request{
 		Service:    to.service,
@@ -38,14 +39,14 @@
 		Path:       to.path,
 		Key:        r.Header.Get(HeaderKey),
 		Name:       r.Header.Get(HeaderRequest),
-		Caller:     remote(r.RemoteAddr),
+		Caller:     remoteAddr(r.RemoteAddr),
 		Replayable: true,
 	}
-	if err := check(r, req); err != nil {
+	if err := checkHeaders(r, req); err != nil {
 		return req, err
 	}
 	if req.Name == "" {
-		req.Name = newName()
+		req.Name = newRequestID()
 	}
 	var err error
 	if req.Deadline, err = deadline(r, HeaderTimeout, now); err != nil {
@@ -55,7 +56,7 @@
 	return req, err
 }
 
-// headerSize is the size of a request's first line and headers, in bytes.
+// headerSize returns the size of a request line and headers, in bytes.
 func headerSize(r *http.Request) int {
 	n := len(r.Method) + len(r.RequestURI)
 	for name, values := range r.Header {
@@ -66,8 +67,8 @@
 	return n
 }
 
-// check refuses headers that can be read in more ways than one, or not at all.
-func check(r *http.Request, req core.Request) error {
+// checkHeaders rejects headers that are ambiguous or can't be parsed.
+func checkHeaders(r *http.Request, req core.Request) error {
 	for _, name := range []string{HeaderKey, HeaderRequest, HeaderTimeout, HeaderStart} {
 		if len(r.Header.Values(name)) > 1 {
 			return &BadRequestError{Fault: name + " is given more than once"}
@@ -75,16 +76,16 @@
 	}
 	switch {
 	case methodRefused(r.Method):
-		return &BadRequestError{Fault: "method " + r.Method + " is not passed on"}
+		return &BadRequestError{Fault: "method " + r.Method + " is not supported"}
 	case len(req.Key) > maxKey || !printable(req.Key):
 		return &BadRequestError{Fault: HeaderKey + " is too long or not printable"}
-	case len(req.Name) > maxName || !printable(req.Name):
+	case len(req.Name) > maxRequestID || !printable(req.Name):
 		return &BadRequestError{Fault: HeaderRequest + " is too long or not printable"}
 	}
 	return nil
 }
 
-// printable says whether s is ASCII without blanks.
+// printable reports whether s consists of printable ASCII without spaces.
 func printable(s string) bool {
 	for _, c := range []byte(s) {
 		if c <= ' ' || c > '~' {
@@ -94,20 +95,22 @@
 	return true
 }
 
-// fingerprint is the same whichever way the request came by.
+// fingerprint returns the fingerprint for the key's record. It is the same whichever way the
+// request arrived.
 func fingerprint(r *http.Request, to route, b *body) once.Fingerprint {
-	return once.NewFingerprint(r.Method, to.service.String()+to.raw+"?"+r.URL.RawQuery, b.start)
+	return once.NewFingerprint(r.Method, to.service.String()+to.rawPath+"?"+r.URL.RawQuery, b.buffered)
 }
 
-// sent is the fingerprint by which a request is known when its caller sends it again.
-func sent(r *http.Request, to route, b *body) crash.Print {
+// crashFingerprint returns the fingerprint by which a request is recognised when its caller sends
+// it again.
+func crashFingerprint(r *http.Request, to route, b *body) crash.Print {
 	return crash.Request{
-		Method: r.Method, Host: to.service.String(), URI: to.raw + "?" + r.URL.RawQuery,
-		Caller: r.Header.Get("Authorization"), Object: r.Header.Get("Cookie"), Body: b.start,
+		Method: r.Method, Host: to.service.String(), URI: to.rawPath + "?" + r.URL.RawQuery,
+		Caller: r.Header.Get("Authorization"), Object: r.Header.Get("Cookie"), Body: b.buffered,
 	}.Print()
 }
 
-// deadline turns the time left by a header into a deadline; the zero time if none was given.
+// deadline converts the time left in a header into a deadline; zero if the header is missing.
 func deadline(r *http.Request, name string, now time.Time) (time.Time, error) {
 	ms := r.Header.Get(name)
 	if ms == "" {
@@ -115,13 +118,13 @@
 	}
 	n, err := strconv.ParseInt(ms, 10, 64)
 	if err != nil || n < 0 {
-		return time.Time{}, &BadRequestError{Fault: fmt.Sprintf("%s %q is not whole milliseconds", name, ms)}
+		return time.Time{}, &BadRequestError{Fault: fmt.Sprintf("%s %q is not a whole number of milliseconds", name, ms)}
 	}
 	left := time.Duration(min(n, maxTimeout.Milliseconds())) * time.Millisecond
 	return now.Add(left), nil
 }
 
-func remote(addr string) netip.Addr {
+func remoteAddr(addr string) netip.Addr {
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return netip.Addr{}
@@ -129,7 +132,7 @@
 	return ap.Addr().Unmap()
 }
 
-func newName() string {
+func newRequestID() string {
 	var b [12]byte
 	rand.Read(b[:])
 	return hex.EncodeToString(b[:])
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is one packet on its way, or a Tick if data is nil.
+// event is the arrival of a packet, or a Tick if data is nil.
 type event struct {
 	at   time.Time
 	n    uint64 // order of events at the same time
@@ -41,33 +41,34 @@
 
 // network is an in-memory network in virtual time.
 type network struct {
-	t       testing.TB
-	rng     *rand.Rand
-	now     time.Time
-	n       uint64
-	queue   events
-	lists   map[string]*List // by address
-	order   []string
-	ticks   map[string]time.Time
-	paused  map[string]bool
-	cut     func(from, to string) bool
-	spread  time.Duration // random delay on top of the link's
-	double  bool
-	bytes   map[string]int
-	packets int
-	changes map[string][]Change
-	seen    map[string][2]uint64 // greatest incarnation and refutation seen, by holder and member
+	t         testing.TB
+	rng       *rand.Rand
+	now       time.Time
+	n         uint64
+	queue     events
+	lists     map[string]*List // by address
+	order     []string
+	ticks     map[string]time.Time
+	paused    map[string]bool
+	drop      func(from, to string) bool
+	jitter    time.Duration // maximum random delay in addition to the link's
+	duplicate bool
+	bytes     map[string]int
+	packets   int
+	changes   map[string][]Change
+	highest   map[string][2]uint64 // highest incarnation and refutation, by holder and member
 }
 
 func newNetwork(t testing.TB) *network {
 	return &network{
 		t: t, rng: rand.New(rand.NewPCG(1, 2)), now: start, lists: map[string]*List{}, ticks: map[string]time.Time{},
-		paused: map[string]bool{}, bytes: map[string]int{}, changes: map[string][]Change{}, seen: map[string][2]uint64{},
-		cut: func(string, string) bool { return false },
+		paused: map[string]bool{}, bytes: map[string]int{}, changes: map[string][]Change{}, highest: map[string][2]uint64{},
+		drop: func(string, string) bool { return false },
 	}
 }
 
-// instance is the i'th of a world with so many per place and places per domain.
+// instance returns the i'th instance of a cluster with so many instances per place and places per
+// domain.
 func instance(i, perPlace, placesPerDomain int) docstore.Instance {
 	place := i / perPlace
 	return docstore.Instance{
@@ -79,7 +80,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.%d.%d:7000", i/250, i%250+1) }
 
-func world(n, perPlace, placesPerDomain int) []docstore.Instance {
+func cluster(n, perPlace, placesPerDomain int) []docstore.Instance {
 	var all []docstore.Instance
 	for i := range n {
 		all = append(all, instance(i, perPlace, placesPerDomain))
@@ -101,9 +102,9 @@
 	return l
 }
 
-// start makes n instances that learn each other from the platform's list.
+// start starts n instances that get each other from the platform's list.
 func (w *network) start(n, perPlace, placesPerDomain int) {
-	all := world(n, perPlace, placesPerDomain)
+	all := cluster(n, perPlace, placesPerDomain)
 	for _, in := range all {
 		w.add(in).Learn(w.now, all)
 	}
@@ -128,8 +129,8 @@
 		w.bytes[from] += len(data)
 		w.packets++
 		for range w.copies() {
-			delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(w.spread)+1))
-			if !w.cut(from, s.To) {
+			delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(w.jitter)+1))
+			if !w.drop(from, s.To) {
 				w.push(w.now.Add(delay), s.To, data)
 			}
 		}
@@ -137,18 +138,19 @@
 }
 
 func (w *network) copies() int {
-	if w.double {
+	if w.duplicate {
 		return 1 + w.rng.IntN(3)
 	}
 	return 1
 }
 
 func (w *network) run(d time.Duration) {
-	w.until(d, func() bool { return false })
+	w.runUntil(d, func() bool { return false })
 }
 
-// until runs until done, asked twice a virtual second, and returns the time taken.
-func (w *network) until(most time.Duration, done func() bool) time.Duration {
+// runUntil runs until done returns true, which is checked twice per virtual second, and returns the
+// time taken.
+func (w *network) runUntil(most time.Duration, done func() bool) time.Duration {
 	begin, end := w.now, w.now.Add(most)
 	check := w.now.Add(500 * time.Millisecond)
 	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
@@ -169,7 +171,7 @@
 func (w *network) handle(e event) {
 	l := w.lists[e.to]
 	if l == nil || e.data == nil && !e.at.Equal(w.ticks[e.to]) {
-		return // crashed, or a Tick that was moved
+		return // crashed, or a Tick that was rescheduled
 	}
 	if w.paused[e.to] {
 		w.delay(e)
@@ -185,7 +187,7 @@
 		sends, _ := l.Receive(w.now, p)
 		w.send(e.to, sends)
 	}
-	w.note(e.to, l)
+	w.recordChanges(e.to, l)
 	if next := l.Next(); e.data == nil || next.Before(w.ticks[e.to]) {
 		if !next.After(w.now) {
 			next = w.now.Add(time.Millisecond)
@@ -194,7 +196,7 @@
 	}
 }
 
-// delay puts an event off while its receiver is paused.
+// delay reschedules an event while its receiver is paused.
 func (w *network) delay(e event) {
 	at := w.now.Add(50 * time.Millisecond)
 	if e.data == nil {
@@ -204,8 +206,8 @@
 	w.push(at, e.to, e.data)
 }
 
-// note keeps the changes, and fails the test if an incarnation went back.
-func (w *network) note(addr string, l *List) {
+// recordChanges records the changes, and fails the test if an incarnation or refutation decreased.
+func (w *network) recordChanges(addr string, l *List) {
 	for _, c := range l.Changes() {
 		w.changes[addr] = append(w.changes[addr], c)
 		m, held := l.members[c.Member.ID]
@@ -213,16 +215,16 @@
 			continue
 		}
 		key := addr + " " + c.Member.ID
-		was, now := w.seen[key], [2]uint64{m.in.Incarnation, m.refutation}
+		was, now := w.highest[key], [2]uint64{m.in.Incarnation, m.refutation}
 		if now[0] < was[0] || now[0] == was[0] && now[1] < was[1] {
 			w.t.Fatalf("%s: got incarnation %v after %v", key, now, was)
 		}
-		w.seen[key] = now
+		w.highest[key] = now
 	}
 }
 
-// all tells if each running list but those excepted holds id in the state.
-func (w *network) all(id string, want State, except ...string) bool {
+// allHold reports whether each running list, except those given, holds id in the state.
+func (w *network) allHold(id string, want State, except ...string) bool {
 	for _, addr := range w.order {
 		l := w.lists[addr]
 		if l == nil || l.self.in.ID == id || contains(except, addr) {
@@ -244,7 +246,7 @@
 	return false
 }
 
-// count counts the changes of a kind that running lists saw, but those excepted.
+// count returns the number of changes of a kind that all lists have reported.
 func (w *network) count(kind ChangeKind) int {
 	n := 0
 	for _, changes := range w.changes {
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -8,63 +8,64 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// seedEvery is how many Probes pass between pings to seeds once a member is alive.
-const seedEvery = 10
+// seedInterval is the number of Probe periods between pings to seeds once a member is alive.
+const seedInterval = 10
 
-// How seeds are asked at the beginning.
+// Limits for pings to seeds at the start.
 const (
-	beginShare  = 4 // pings in one Probe
-	beginRounds = 2 // pings to each seed
+	startPingsPerProbe = 4 // pings in one Probe period
+	startRounds        = 2 // pings to each seed
 )
 
-// maxProbes bounds the pings in flight.
+// maxProbes limits the pings in flight.
 const maxProbes = 256
 
 // probe is one ping in flight.
 type probe struct {
-	sequence    uint64
-	id          string // empty for a seed
-	incarnation uint64
-	refutation  uint64
-	sent        time.Time
-	askBy       time.Time // no ack by then: ask helpers
-	failBy      time.Time // no answer by then: suspect
-	asked       int       // helpers asked; -1 before askBy
-	nacks       int       // helpers that answered in vain
-	answered    bool      // by a helper on the member's behalf
-}
-
-// Next returns when Tick is due at the latest.
+	sequence        uint64
+	id              string // empty for a seed
+	incarnation     uint64
+	refutation      uint64
+	sent            time.Time
+	indirectAt      time.Time // without an ack by then, helpers are asked
+	failAt          time.Time // without an answer by then, the member is suspected
+	helpersAsked    int       // number of helpers asked; -1 before indirectAt
+	nacks           int       // number of helpers that got no ack either
+	ackedIndirectly bool      // a helper relayed the member's ack
+}
+
+// Next returns the latest time for the next call of Tick.
 func (l *List) Next() time.Time {
-	next := l.last.Add(l.cfg.Probe)
-	sooner := func(t time.Time) {
+	next := l.lastCall.Add(l.cfg.Probe)
+	atMost := func(t time.Time) {
 		if t.Before(next) {
 			next = t
 		}
 	}
-	sooner(l.placeDue)
-	sooner(l.domainDue)
-	sooner(l.remoteDue)
-	if l.begins() {
-		sooner(l.seedDue)
+	atMost(l.placeDue)
+	atMost(l.domainDue)
+	atMost(l.remoteDue)
+	if l.starting() {
+		atMost(l.seedDue)
 	}
 	for _, p := range l.probes {
-		if p.asked < 0 {
-			sooner(p.askBy)
+		if p.helpersAsked < 0 {
+			atMost(p.indirectAt)
 		}
-		sooner(p.failBy)
+		atMost(p.failAt)
 	}
 	for _, r := range l.relays {
 		if !r.nacked {
-			sooner(r.nackBy)
+			atMost(r.nackAt)
 		}
 	}
 	return next
 }
 
-// Tick does what is due: pings, indirect probes, suspicion, death, forgetting.
+// Tick does everything that is due: pings, indirect probes, and the expiry of suspicions and of
+// dead members.
 func (l *List) Tick(now time.Time) []Send {
-	sends := l.observe(now)
+	sends := l.detectPause(now)
 	sends = append(sends, l.expireProbes(now)...)
 	sends = append(sends, l.expireRelays(now)...)
 	l.expireMembers(now)
@@ -75,22 +76,22 @@
 	return append(sends, l.pingSeed(now)...)
 }
 
-// observe notices a pause of this process. Silence during it was our own, so
-// deadlines of others start anew, and all place peers are asked at once.
-func (l *List) observe(now time.Time) []Send {
-	gap := now.Sub(l.last)
+// detectPause detects a pause of this process. Any silence in that time was its own, so the
+// deadlines of other members start anew, and all place peers are pinged at once.
+func (l *List) detectPause(now time.Time) []Send {
+	gap := now.Sub(l.lastCall)
 	if gap > 0 {
-		l.last = now
+		l.lastCall = now
 	}
 	if gap <= l.cfg.Pause {
 		return nil
 	}
-	l.change(now, Woke, l.self)
+	l.addChange(now, Resumed, l.self)
 	l.probes, l.relays = nil, nil
 	for _, m := range l.all {
 		if m.state == wire.State_STATE_SUSPECT {
 			m.suspectBy = now.Add(l.cfg.Suspect)
-			l.expireAt(m.suspectBy)
+			l.scheduleExpiry(m.suspectBy)
 		}
 	}
 	var sends []Send
@@ -101,20 +102,20 @@
 }
 
 func (l *List) placePeers() []*member {
-	peers := where(l.local, func(m *member) bool { return l.near(m) && m.state != wire.State_STATE_DEAD })
+	peers := filter(l.domainMembers, func(m *member) bool { return l.samePlace(m) && m.state != wire.State_STATE_DEAD })
 	if len(peers) > l.cfg.PlaceProbes {
-		return l.after(peers, l.placeAt)[:l.cfg.PlaceProbes]
+		return l.rotateAfter(peers, l.lastPlacePing)[:l.cfg.PlaceProbes]
 	}
 	return peers
 }
 
-// after turns members, sorted by id, so that those past id come first.
-func (l *List) after(members []*member, id string) []*member {
+// rotateAfter rotates members, sorted by id, so that those after id come first.
+func (l *List) rotateAfter(members []*member, id string) []*member {
 	at := sort.Search(len(members), func(i int) bool { return members[i].in.ID > id })
 	return append(slices.Clone(members[at:]), members[:at]...)
 }
 
-// due tells if the deadline is past, and moves it on by a share of Probe.
+// due reports whether the deadline has passed, and advances it by a share of Probe.
 func (l *List) due(now time.Time, at *time.Time, share int) bool {
 	if now.Before(*at) {
 		return false
@@ -132,8 +133,8 @@
 	if !l.due(now, &l.placeDue, max(1, len(peers))) || len(peers) == 0 {
 		return nil
 	}
-	m := l.after(peers, l.placeAt)[0]
-	l.placeAt = m.in.ID
+	m := l.rotateAfter(peers, l.lastPlacePing)[0]
+	l.lastPlacePing = m.in.ID
 	return []Send{l.probe(now, m)}
 }
 
@@ -142,16 +143,16 @@
 		return nil
 	}
 	return l.pingRing(now, &l.domainRing, func(m *member) bool {
-		return l.isLocal(m) && !l.near(m) && m.state != wire.State_STATE_DEAD
+		return l.sameDomain(m) && !l.samePlace(m) && m.state != wire.State_STATE_DEAD
 	})
 }
 
-// pingRemote pings dead members too: nobody else tells us that they are back.
+// pingRemote also pings dead members: no other instance reports that they are back.
 func (l *List) pingRemote(now time.Time) []Send {
 	if !l.due(now, &l.remoteDue, l.cfg.RemoteProbes) {
 		return nil
 	}
-	return l.pingRing(now, &l.farRing, func(m *member) bool { return !l.isLocal(m) })
+	return l.pingRing(now, &l.farRing, func(m *member) bool { return !l.sameDomain(m) })
 }
 
 func (l *List) pingRing(now time.Time, r *ring, want func(*member) bool) []Send {
@@ -161,7 +162,7 @@
 	}
 	refill := func() []string {
 		var ids []string
-		for _, m := range where(l.all, want) {
+		for _, m := range filter(l.all, want) {
 			ids = append(ids, m.in.ID)
 		}
 		return ids
@@ -173,59 +174,60 @@
 	return []Send{l.probe(now, l.members[id])}
 }
 
-// pingDead asks one dead member of the domain, which may be back after a partition.
+// pingDead pings one dead member of the domain, which may be back after a partition.
 func (l *List) pingDead(now time.Time) []Send {
 	if !l.due(now, &l.deadDue, 1) {
 		return nil
 	}
-	dead := where(l.local, func(m *member) bool { return m.state == wire.State_STATE_DEAD })
+	dead := filter(l.domainMembers, func(m *member) bool { return m.state == wire.State_STATE_DEAD })
 	if len(dead) == 0 {
 		return nil
 	}
-	m := l.after(dead, l.deadAt)[0]
-	l.deadAt = m.in.ID
+	m := l.rotateAfter(dead, l.lastDeadPing)[0]
+	l.lastDeadPing = m.in.ID
 	return []Send{l.probe(now, m)}
 }
 
-// pingSeed asks the addresses to begin with: often while nobody else is alive.
+// pingSeed pings one of the seeds: several times per Probe at the start, then once per Probe, and
+// every seedInterval once another member is alive.
 func (l *List) pingSeed(now time.Time) []Send {
-	begins := l.begins()
+	isStarting := l.starting()
 	share := 1
-	if begins {
-		share = beginShare
+	if isStarting {
+		share = startPingsPerProbe
 	}
 	if len(l.cfg.Seeds) == 0 || !l.due(now, &l.seedDue, share) {
 		return nil
 	}
-	if !begins && len(l.living())+len(l.livingFar()) > 0 {
-		l.seedDue = now.Add(seedEvery * l.cfg.Probe)
+	if !isStarting && len(l.liveInDomain())+len(l.liveBeyondDomain()) > 0 {
+		l.seedDue = now.Add(seedInterval * l.cfg.Probe)
 	}
-	to := l.cfg.Seeds[l.seedAt%len(l.cfg.Seeds)]
-	l.seedAt++
+	to := l.cfg.Seeds[l.seedPings%len(l.cfg.Seeds)]
+	l.seedPings++
 	if to == l.self.in.Address {
 		return nil
 	}
-	p := l.begin(now, nil)
+	p := l.newProbe(now, nil)
 	return []Send{{To: to, Packet: l.ping(now, nil, p.sequence)}}
 }
 
-// begins says whether this instance still looks for the others of its place.
-// Until it knows them it can take no work off them, and they none off it; one
-// seed may know none of them, and one packet may get lost.
-func (l *List) begins() bool {
-	return l.place == 0 && l.seedAt < beginRounds*len(l.cfg.Seeds)
+// starting reports whether this instance still looks for the others of its place. Until they hold
+// each other, neither can take work off the other. Each seed is pinged startRounds times, because a
+// seed may hold none of them and a packet may be lost.
+func (l *List) starting() bool {
+	return l.placeSize == 0 && l.seedPings < startRounds*len(l.cfg.Seeds)
 }
 
 func (l *List) probe(now time.Time, m *member) Send {
-	p := l.begin(now, m)
+	p := l.newProbe(now, m)
 	return Send{To: m.in.Address, Packet: l.ping(now, m, p.sequence)}
 }
 
-func (l *List) begin(now time.Time, m *member) *probe {
+func (l *List) newProbe(now time.Time, m *member) *probe {
 	l.sequence++
 	p := &probe{
-		sequence: l.sequence, sent: now, asked: -1,
-		askBy: now.Add(l.cfg.Timeout), failBy: now.Add(l.cfg.Probe),
+		sequence: l.sequence, sent: now, helpersAsked: -1,
+		indirectAt: now.Add(l.cfg.Timeout), failAt: now.Add(l.cfg.Probe),
 	}
 	if m != nil {
 		p.id, p.incarnation, p.refutation = m.in.ID, m.in.Incarnation, m.refutation
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// exchange lets a and b find their difference as two instances do. Each message
-// is lost if lose says so. It returns the versions and documents sent.
-func exchange(a, b *Set, lose func() bool) (sent int) {
+// reconcile lets a and b exchange their difference as two instances do. Each message is lost if
+// lose returns true. It returns the number of versions and documents sent.
+func reconcile(a, b *Set, lose func() bool) (sent int) {
 	if a.Root() == b.Root() || lose() {
 		return 0
 	}
@@ -91,27 +91,28 @@
 			a, b := sets[instance.Draw(t, "a")], sets[instance.Draw(t, "b")]
 			path := fmt.Sprintf("/%d", rapid.IntRange(0, 9).Draw(t, "path"))
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
-			case 0: // a write, told to one instance
+			case 0: // a write, sent to one instance
 				newest[path]++
 				a.Apply(document(path, newest[path]))
 			case 1: // a late or repeated message
 				a.Apply(document(path, rapid.Uint64Range(0, newest[path]).Draw(t, "version")))
 			default:
-				exchange(a, b, lossy)
+				reconcile(a, b, lossy)
 			}
 		}
-		checkConverges(t, sets, newest)
+		checkConvergence(t, sets, newest)
 	})
 }
 
-// checkConverges lets a chain of instances exchange there and back without loss.
-func checkConverges(t *rapid.T, sets []*Set, newest map[string]uint64) {
+// checkConvergence lets a chain of instances reconcile in both directions without loss, and checks
+// that all hold the newest documents.
+func checkConvergence(t *rapid.T, sets []*Set, newest map[string]uint64) {
 	never := func() bool { return false }
 	for i := 1; i < len(sets); i++ {
-		exchange(sets[i-1], sets[i], never)
+		reconcile(sets[i-1], sets[i], never)
 	}
 	for i := len(sets) - 1; i > 0; i-- {
-		exchange(sets[i-1], sets[i], never)
+		reconcile(sets[i-1], sets[i], never)
 	}
 	want := New(nil)
 	for path, version := range newest {
@@ -121,13 +122,13 @@
 		if s.Root() != want.Root() || !reflect.DeepEqual(s.Documents(), want.Documents()) {
 			t.Errorf("instance %d: got %v, want %v", i, s.Documents(), want.Documents())
 		}
-		if got := exchange(s, want, never); got != 0 {
+		if got := reconcile(s, want, never); got != 0 {
 			t.Errorf("instance %d: got %d sent between equals, want 0", i, got)
 		}
 	}
 }
 
-// TestDifferenceSize wants the cost of one change not to grow with the documents.
+// TestDifferenceSize checks that the cost of one change doesn't grow with the number of documents.
 func TestDifferenceSize(t *testing.T) {
 	const count = 10 * BucketCount
 	a, b := New(nil), New(nil)
@@ -140,11 +141,11 @@
 		t.Fatalf("got %d buckets, want 1", len(got))
 	}
 	never := func() bool { return false }
-	if got, want := exchange(a, b, never), 4*count/BucketCount; got > want {
+	if got, want := reconcile(a, b, never), 4*count/BucketCount; got > want {
 		t.Errorf("got %d versions and documents sent, want at most %d", got, want)
 	}
 	if a.Root() != b.Root() {
-		t.Error("got two roots after the exchange")
+		t.Error("got different roots after the exchange")
 	}
 }
 
@@ -189,6 +190,6 @@
 		}
 	}
 	if !Watchers(nil, "unlisted", 1) {
-		t.Error("an instance that knows no one doesn't watch")
+		t.Error("got an instance without other members not watching, want it to watch")
 	}
 }
