--- a/pkg/settings/advance_test.go
+++ b/pkg/settings/advance_test.go
@@ -31,9 +31,9 @@
 	}
 	for name, next := range tests {
 		t.Run(name, func(t *testing.T) {
-			first, _ := CompileLenient(world())
+			first, _ := CompileLenient(testDocuments())
 			got, gotFaults := Advance(first, next)
-			docs := slices.DeleteFunc(world(), func(d Document) bool {
+			docs := slices.DeleteFunc(testDocuments(), func(d Document) bool {
 				return slices.ContainsFunc(next, func(n Document) bool { return n.Path == d.Path })
 			})
 			want, wantFaults := CompileLenient(append(docs, next...))
@@ -48,7 +48,7 @@
 // benchDocuments documents.
 func BenchmarkAdvance(b *testing.B) {
 	each := benchPrefixes / benchDocuments
-	docs := world()
+	docs := testDocuments()
 	for i := range benchDocuments {
 		docs = append(docs, blocksOf(i, each))
 	}
@@ -75,12 +75,12 @@
 // BenchmarkCompile reads everything, as an instance does once after its start,
 // and reports the heap that the snapshot keeps.
 func BenchmarkCompile(b *testing.B) {
-	docs := world()
+	docs := testDocuments()
 	for i := range benchDocuments {
 		docs = append(docs, blocksOf(i, benchPrefixes/benchDocuments))
 	}
 	b.ReportAllocs()
-	before := heap()
+	before := liveHeap()
 	var s *Snapshot
 	for b.Loop() {
 		var faults []Fault
@@ -88,13 +88,13 @@
 			b.Fatal(faults)
 		}
 	}
-	b.ReportMetric(float64(heap()-before)/benchPrefixes, "B/prefix")
+	b.ReportMetric(float64(liveHeap()-before)/benchPrefixes, "B/prefix")
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(docs)
 }
 
-// heap is the live heap in bytes.
-func heap() uint64 {
+// liveHeap is the live liveHeap in bytes.
+func liveHeap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/pkg/settings/blocks.go
+++ b/pkg/settings/blocks.go
@@ -10,12 +10,12 @@
 // same prefix the one whose document comes later: each instance must leave out
 // the same one, whatever came to it first.
 func (b *builder) linkBlocks(docs []*Parsed) {
-	if b.linkChanged(docs) {
+	if b.linkChangedBlocks(docs) {
 		return
 	}
 	seen := make(map[string]struct{})
 	for _, p := range docs {
-		blocks := b.keepBlocks(p, seen)
+		blocks := b.filterBlocks(p, seen)
 		b.s.blocks = append(b.s.blocks, blockDocument(p, blocks))
 	}
 }
@@ -24,42 +24,42 @@
 	return BlockDocument{Path: p.document.Path, Version: p.Version(), Blocks: blocks}
 }
 
-// linkChanged is the short way: it looks at changed documents alone, and
+// linkChangedBlocks is the short way: it looks at changed documents alone, and
 // passes once over the prefixes of the others. It says no when the places
 // changed or a block would be left out; a document that lost a block before
 // counts as changed.
-func (b *builder) linkChanged(docs []*Parsed) bool {
-	if !slices.Equal(b.s.names, b.prev.names) {
+func (b *builder) linkChangedBlocks(docs []*Parsed) bool {
+	if !slices.Equal(b.s.placeNames, b.prev.placeNames) {
 		return false
 	}
 	old := make(map[string]BlockDocument, len(b.prev.blocks))
 	for _, d := range b.prev.blocks {
 		old[d.Path] = d
 	}
-	var all, same []BlockDocument
+	var all, unchanged []BlockDocument
 	changed := make(map[string]struct{})
 	for _, p := range docs {
 		d := blockDocument(p, p.blocks.Blocks)
 		all = append(all, d)
 		if d.Same(old[d.Path]) {
-			same = append(same, d)
-		} else if !b.addNew(changed, d.Blocks) {
+			unchanged = append(unchanged, d)
+		} else if !b.addPrefixes(changed, d.Blocks) {
 			return false
 		}
 	}
-	if anyIn(changed, same) {
+	if containsPrefix(changed, unchanged) {
 		return false
 	}
 	b.s.blocks = all
 	return true
 }
 
-// addNew adds the prefixes to seen, unless one is there or its place is unknown.
-func (b *builder) addNew(seen map[string]struct{}, blocks []Block) bool {
+// addPrefixes adds the prefixes to seen, unless one is there or its place is unknown.
+func (b *builder) addPrefixes(seen map[string]struct{}, blocks []Block) bool {
 	for _, block := range blocks {
-		_, twice := seen[block.Prefix]
+		_, duplicate := seen[block.Prefix]
 		_, known := b.s.places[block.Place]
-		if twice || !known {
+		if duplicate || !known {
 			return false
 		}
 		seen[block.Prefix] = struct{}{}
@@ -67,7 +67,7 @@
 	return true
 }
 
-func anyIn(seen map[string]struct{}, docs []BlockDocument) bool {
+func containsPrefix(seen map[string]struct{}, docs []BlockDocument) bool {
 	if len(seen) == 0 {
 		return false
 	}
@@ -81,38 +81,38 @@
 	return false
 }
 
-// keepBlocks gives the document's own slice when nothing is left out.
-func (b *builder) keepBlocks(p *Parsed, seen map[string]struct{}) []Block {
+// filterBlocks gives the document's own slice when nothing is left out.
+func (b *builder) filterBlocks(p *Parsed, seen map[string]struct{}) []Block {
 	all := p.blocks.Blocks
-	var left []int
+	var skipped []int
 	for i, block := range all {
-		_, twice := seen[block.Prefix]
+		_, duplicate := seen[block.Prefix]
 		_, known := b.s.places[block.Place]
 		switch {
-		case twice:
+		case duplicate:
 			b.add(p, fmt.Sprintf("blocks[%d].prefix", i), duplicateFault, block.Prefix)
 		case !known:
-			b.add(p, fmt.Sprintf("blocks[%d].place", i), unknownPlace, block.Place)
+			b.add(p, fmt.Sprintf("blocks[%d].place", i), unknownPlaceFault, block.Place)
 		default:
 			seen[block.Prefix] = struct{}{}
 			continue
 		}
-		left = append(left, i)
+		skipped = append(skipped, i)
 	}
-	if left == nil {
+	if skipped == nil {
 		return all
 	}
-	kept := make([]Block, 0, len(all)-len(left))
+	kept := make([]Block, 0, len(all)-len(skipped))
 	for i, block := range all {
-		if _, skip := slices.BinarySearch(left, i); !skip {
+		if _, skip := slices.BinarySearch(skipped, i); !skip {
 			kept = append(kept, block)
 		}
 	}
 	return kept
 }
 
-// intern keeps one copy of each place's name: there are far fewer than blocks.
-func (b *Blocks) intern() {
+// internPlaces keeps one copy of each place's name: there are far fewer than blocks.
+func (b *Blocks) internPlaces() {
 	for i, block := range b.Blocks {
 		b.Blocks[i].Place = unique.Make(block.Place).Value()
 	}
--- a/pkg/settings/compile.go
+++ b/pkg/settings/compile.go
@@ -11,7 +11,7 @@
 // when one has a fault or refers to what isn't there.
 func Compile(docs []Document) (*Snapshot, error) {
 	s, faults := CompileLenient(docs)
-	if err := faultsError(faults); err != nil {
+	if err := newFaultsError(faults); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -34,7 +34,7 @@
 func Advance(prev *Snapshot, docs []Document) (*Snapshot, []Fault) {
 	b := newBuilder(prev)
 	for _, doc := range docs {
-		b.take(doc)
+		b.addDocument(doc)
 	}
 	b.link()
 	slices.SortStableFunc(b.faults, compareFaults)
@@ -44,8 +44,8 @@
 // Check says whether writing next, which may be a deletion, leaves documents
 // that fit together. It reports, as *FaultsError, the faults that next has or
 // brings to others, not those that were there before.
-func Check(have []Document, next Document) error {
-	before, old := CompileLenient(have)
+func Check(docs []Document, next Document) error {
+	before, old := CompileLenient(docs)
 	return before.check(old, next)
 }
 
@@ -60,22 +60,22 @@
 	// The version of next is the platform's to give: here it is only newer.
 	next.Version = s.Version(next.Path) + 1
 	_, faults := Advance(s, []Document{next})
-	known := make(map[Fault]bool, len(old))
+	existing := make(map[Fault]bool, len(old))
 	for _, f := range old {
-		known[f] = true
+		existing[f] = true
 	}
 	var found []Fault
 	for _, f := range faults {
-		if !known[f] || f.Path == next.Path {
-			found = append(found, f.hidden(next.Path))
+		if !existing[f] || f.Path == next.Path {
+			found = append(found, f.redacted(next.Path))
 		}
 	}
-	return faultsError(found)
+	return newFaultsError(found)
 }
 
-// hidden is the fault as the writer of path may see it: a fault that a team
+// redacted is the fault as the writer of path may see it: a fault that a team
 // brings to another team's document doesn't tell which one that is.
-func (f Fault) hidden(path string) Fault {
+func (f Fault) redacted(path string) Fault {
 	writer, _ := ParsePath(path)
 	other, _ := ParsePath(f.Path)
 	if writer.Team == "" || other.Team == "" || writer.Team == other.Team {
@@ -106,8 +106,8 @@
 	return &builder{prev: prev, s: s}
 }
 
-// take reads doc if it is newer than what is there.
-func (b *builder) take(doc Document) {
+// addDocument reads doc if it is newer than what is there.
+func (b *builder) addDocument(doc Document) {
 	if old, ok := b.s.docs[doc.Path]; ok && old.Version() >= doc.Version {
 		return
 	}
@@ -133,8 +133,8 @@
 	for _, p := range byKind[KindTeam] {
 		b.s.teams[p.path.Team] = *p.team
 	}
-	b.s.names = slices.Sorted(maps.Keys(b.s.places))
-	b.s.teamList = slices.Sorted(maps.Keys(b.s.teams))
+	b.s.placeNames = slices.Sorted(maps.Keys(b.s.places))
+	b.s.teamNames = slices.Sorted(maps.Keys(b.s.teams))
 	b.linkServices(byKind[KindService])
 	b.linkBlocks(byKind[KindBlocks])
 	for _, p := range slices.Concat(byKind[KindDrain], byKind[KindTeamDrain]) {
@@ -147,25 +147,25 @@
 	b.faults = append(b.faults, Fault{Path: p.document.Path, Field: field, Reason: fmt.Sprintf(format, args...)})
 }
 
-const unknownPlace = "there is no place %q"
+const unknownPlaceFault = "there is no place %q"
 
 func (b *builder) linkServices(docs []*Parsed) {
 	owners := make(map[netip.AddrPort]ServiceID)
 	for _, p := range docs {
 		id := p.service.id
-		b.s.ids = append(b.s.ids, id)
-		b.s.services[id] = p.service.within(func(place string) bool {
+		b.s.serviceIDs = append(b.s.serviceIDs, id)
+		b.s.services[id] = p.service.filterPlaces(func(place string) bool {
 			_, ok := b.s.places[place]
 			return ok
 		})
 		for _, place := range p.service.places {
 			if _, ok := b.s.places[place]; !ok {
-				b.add(p, "places."+place, unknownPlace, place)
+				b.add(p, "places."+place, unknownPlaceFault, place)
 			}
 			b.checkAddresses(p, place, owners)
 		}
 	}
-	slices.SortFunc(b.s.ids, ServiceID.Compare)
+	slices.SortFunc(b.s.serviceIDs, ServiceID.Compare)
 }
 
 // checkAddresses finds targets that two services name: their slots would be
@@ -188,7 +188,7 @@
 	d := p.drain
 	if d.Place != "" {
 		_, ok := b.s.places[d.Place]
-		b.check(ok, p, "place", unknownPlace, d.Place)
+		b.check(ok, p, "place", unknownPlaceFault, d.Place)
 	}
 	if d.Service == "" {
 		return
@@ -200,7 +200,7 @@
 		return
 	}
 	if d.Target != "" {
-		b.check(doc.service.target(d.Target), p, "target", "%s has no target %q", id, d.Target)
+		b.check(doc.service.hasTarget(d.Target), p, "target", "%s has no target %q", id, d.Target)
 	}
 	if d.Place != "" {
 		_, ok := doc.service.Site(d.Place)
--- a/pkg/settings/drain.go
+++ b/pkg/settings/drain.go
@@ -14,7 +14,7 @@
 
 // drainSet answers what is drained.
 type drainSet struct {
-	list      []NamedDrain // sorted by path
+	drains    []NamedDrain // sorted by path
 	places    map[drainKey]bool
 	targets   map[drainKey]bool
 	instances map[string]bool
@@ -30,7 +30,7 @@
 
 func (d *drainSet) add(p *Parsed) {
 	id, _ := p.drain.ServiceID(p.path.Team)
-	d.list = append(d.list, NamedDrain{Path: p.document.Path, Service: id, Drain: *p.drain})
+	d.drains = append(d.drains, NamedDrain{Path: p.document.Path, Service: id, Drain: *p.drain})
 	switch {
 	case p.drain.Instance != "":
 		d.instances[p.drain.Instance] = true
@@ -42,7 +42,7 @@
 }
 
 // Drains are all drains in force, sorted by path. The caller must not change them.
-func (s *Snapshot) Drains() []NamedDrain { return s.drains.list }
+func (s *Snapshot) Drains() []NamedDrain { return s.drains.drains }
 
 // PlaceDrained says whether the service gets no new work in the place.
 func (s *Snapshot) PlaceDrained(id ServiceID, place string) bool {
--- a/pkg/settings/fault.go
+++ b/pkg/settings/fault.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// maxShown bounds what a message repeats of its input, in bytes.
-const maxShown = 80
+// maxQuoted bounds what a message repeats of its input, in bytes.
+const maxQuoted = 80
 
 // Fault is one thing wrong with one document.
 type Fault struct {
@@ -43,8 +43,8 @@
 	return fmt.Sprintf("settings: %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
 }
 
-// faultsError is nil without a fault.
-func faultsError(faults []Fault) error {
+// newFaultsError is nil without a fault.
+func newFaultsError(faults []Fault) error {
 	if len(faults) == 0 {
 		return nil
 	}
@@ -63,14 +63,14 @@
 }
 
 func (e *PathError) Error() string {
-	return fmt.Sprintf("settings: path %s: %s", clip(e.Path), e.Reason)
+	return fmt.Sprintf("settings: path %s: %s", truncate(e.Path), e.Reason)
 }
 
 // DurationError says that a text is not a length of time.
 type DurationError struct{ Text string }
 
 func (e *DurationError) Error() string {
-	return fmt.Sprintf("%q is not a length of time such as 1500ms or 2s", clip(e.Text))
+	return fmt.Sprintf("%q is not a length of time such as 1500ms or 2s", truncate(e.Text))
 }
 
 // faultList collects the faults of one document.
@@ -90,8 +90,8 @@
 	}
 }
 
-// under takes over the faults of a part of the document.
-func (l *faultList) under(field string, part faultList) {
+// addNested takes over the faults of a part of the document.
+func (l *faultList) addNested(field string, part faultList) {
 	for _, f := range part.faults {
 		if len(l.faults) >= maxFaults {
 			return
@@ -101,16 +101,16 @@
 	}
 }
 
-func clip(s string) string {
-	if len(s) <= maxShown {
+func truncate(s string) string {
+	if len(s) <= maxQuoted {
 		return s
 	}
-	return strings.ToValidUTF8(s[:maxShown], "") + "..."
+	return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
 }
 
 // AddressError says that a target's address is not an IP and a port to dial.
 type AddressError struct{ Address string }
 
 func (e *AddressError) Error() string {
-	return fmt.Sprintf("settings: %q is not IP:port", clip(e.Address))
+	return fmt.Sprintf("settings: %q is not IP:port", truncate(e.Address))
 }
--- a/pkg/settings/parse.go
+++ b/pkg/settings/parse.go
@@ -57,24 +57,24 @@
 func Parse(doc Document) (*Parsed, error) {
 	path, err := ParsePath(doc.Path)
 	if err != nil {
-		return nil, faultsError([]Fault{{Path: clip(doc.Path), Reason: err.(*PathError).Reason}})
+		return nil, newFaultsError([]Fault{{Path: truncate(doc.Path), Reason: err.(*PathError).Reason}})
 	}
 	p := &Parsed{path: path, document: doc}
 	p.document.Body = nil
 	if doc.Deleted {
 		return p, nil
 	}
-	faults := p.fill(doc.Body)
+	faults := p.decodeBody(doc.Body)
 	for i := range faults {
 		faults[i].Path = doc.Path
 	}
-	if err := faultsError(faults); err != nil {
+	if err := newFaultsError(faults); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *Parsed) fill(body []byte) []Fault {
+func (p *Parsed) decodeBody(body []byte) []Fault {
 	switch p.path.Kind {
 	case KindPlace:
 		p.place = &Place{}
@@ -84,7 +84,7 @@
 		})
 	case KindBlocks:
 		p.blocks = &Blocks{}
-		defer p.blocks.intern()
+		defer p.blocks.internPlaces()
 		return decode(body, p.blocks, p.blocks.faults)
 	case KindTeam:
 		p.team = &Team{}
@@ -109,20 +109,20 @@
 	if faults != nil {
 		return faults
 	}
-	s := &shape{}
-	s.walk("", root, reflect.TypeFor[T]())
+	s := &typeChecker{}
+	s.check("", root, reflect.TypeFor[T]())
 	if s.faults != nil {
 		return s.faults
 	}
 	if err := yaml.NodeToValue(root, v, yaml.Strict()); err != nil {
-		return []Fault{libraryFault(err)}
+		return []Fault{yamlFault(err)}
 	}
 	faults = validate()
 	if faults == nil {
 		return nil
 	}
 	s.lines = make(map[string]int)
-	s.walk("", root, reflect.TypeFor[T]())
+	s.check("", root, reflect.TypeFor[T]())
 	for i, f := range faults {
 		faults[i].Line = s.lines[f.Field]
 	}
@@ -153,15 +153,15 @@
 	}
 	file, err := parser.Parse(tokens, 0)
 	if err != nil {
-		return nil, []Fault{libraryFault(err)}
+		return nil, []Fault{yamlFault(err)}
 	}
 	if len(file.Docs) != 1 || file.Docs[0].Body == nil {
-		return nil, []Fault{{Reason: fmt.Sprintf("holds %d documents, want one", filled(file))}}
+		return nil, []Fault{{Reason: fmt.Sprintf("holds %d documents, want one", countNonEmpty(file))}}
 	}
 	return file.Docs[0].Body, nil
 }
 
-func filled(file *ast.File) int {
+func countNonEmpty(file *ast.File) int {
 	n := 0
 	for _, d := range file.Docs {
 		if d.Body != nil {
@@ -171,7 +171,7 @@
 	return n
 }
 
-func libraryFault(err error) Fault {
+func yamlFault(err error) Fault {
 	f := Fault{Reason: err.Error()}
 	if e, ok := err.(yaml.Error); ok {
 		f.Reason = e.GetMessage()
@@ -179,6 +179,6 @@
 			f.Line = t.Position.Line
 		}
 	}
-	f.Reason = clip(f.Reason)
+	f.Reason = truncate(f.Reason)
 	return f
 }
--- a/pkg/settings/parse_test.go
+++ b/pkg/settings/parse_test.go
@@ -27,7 +27,7 @@
 	return Document{Path: path, Version: version, Body: []byte(body)}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	service := func(old, next string) string { return strings.Replace(validService, old, next, 1) }
 	tests := map[string]struct{ path, body, field, reason string }{
 		"unknown path":       {"/rosters/a", validPlace, "", "no document"},
@@ -55,7 +55,7 @@
 		"many empty items":   {"/blocks/a", strings.Repeat("-\n", maxEmpty+1), "", "left empty"},
 		"many empty lists":   {"/blocks/a", strings.Repeat("-\n -\n  -\n", maxEmpty+1), "", "left empty"},
 		"many empty fields":  {"/blocks/a", strings.Repeat("- a: # none\n", maxEmpty+1), "", "left empty"},
-		"many keys":          {"/blocks/a", keys(MaxLines - 1), "", "fields in one mapping"},
+		"many keys":          {"/blocks/a", mappingWithKeys(MaxLines - 1), "", "fields in one mapping"},
 		"zero limit":         {"/places/a", "region: a\n", "limit", "from 1"},
 		"negative link":      {"/places/a", validPlace + "link: -1\n", "link", "negative"},
 		"prefix with bits":   {"/blocks/a", "blocks: [{prefix: 10.0.0.1/8, place: a}]\n", "blocks[0].prefix", "10.0.0.0/8"},
@@ -92,7 +92,7 @@
 				t.Fatalf("got %v, want *FaultsError", err)
 			}
 			for _, f := range faults.Faults {
-				if f.Path == clip(tt.path) && f.Field == tt.field && strings.Contains(f.Reason, tt.reason) {
+				if f.Path == truncate(tt.path) && f.Field == tt.field && strings.Contains(f.Reason, tt.reason) {
 					return
 				}
 			}
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestParseTakesLongLists wants lists to be no empty values, wherever they stand.
-func TestParseTakesLongLists(t *testing.T) {
+// TestParseAcceptsLongLists wants lists to be no empty values, wherever they stand.
+func TestParseAcceptsLongLists(t *testing.T) {
 	for name, item := range map[string]string{
 		"beside the name": "- {prefix: 10.%d.%d.0/24, place: a}\n",
 		"indented":        "  - {prefix: 10.%d.%d.0/24, place: a}\n",
@@ -119,15 +119,15 @@
 	}
 }
 
-// TestParseTakesTheMostLines wants the bound itself to be allowed.
-func TestParseTakesTheMostLines(t *testing.T) {
+// TestParseAcceptsMaxLines wants the bound itself to be allowed.
+func TestParseAcceptsMaxLines(t *testing.T) {
 	body := strings.Repeat("#\n", MaxLines-2) + validPlace
 	if _, err := Parse(doc("/places/a", 1, body)); err != nil {
 		t.Errorf("got %v, want no fault", err)
 	}
 }
 
-func keys(n int) string {
+func mappingWithKeys(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "k%d: 1\n", i)
--- a/pkg/settings/path.go
+++ b/pkg/settings/path.go
@@ -106,7 +106,7 @@
 	}
 	for _, name := range []string{p.Name, p.Owner()} {
 		if !ValidName(name) {
-			return Path{}, &PathError{Path: s, Reason: fmt.Sprintf("%q %s", clip(name), nameRule)}
+			return Path{}, &PathError{Path: s, Reason: fmt.Sprintf("%q %s", truncate(name), nameRule)}
 		}
 	}
 	return p, nil
@@ -179,7 +179,7 @@
 func ParseServiceID(s string) (ServiceID, error) {
 	team, name, ok := strings.Cut(s, "/")
 	if !ok || !ValidName(team) || !ValidName(name) {
-		return ServiceID{}, &PathError{Path: clip(s), Reason: "a service is written team/name"}
+		return ServiceID{}, &PathError{Path: truncate(s), Reason: "a service is written team/name"}
 	}
 	return ServiceID{Team: team, Name: name}, nil
 }
--- a/pkg/settings/service.go
+++ b/pkg/settings/service.go
@@ -52,7 +52,7 @@
 // '..' part or an escape left in it, is never idempotent: a target could read
 // it as another path than the rules do.
 func (s *CompiledService) Idempotent(method, path string) bool {
-	if !clean(path) {
+	if !isUnambiguousPath(path) {
 		return false
 	}
 	for _, r := range s.doc.Rules {
@@ -77,18 +77,18 @@
 	return rest == "" || rest[0] == '/' || r.Prefix == "" || strings.HasSuffix(r.Prefix, "/")
 }
 
-// clean says whether p can be read in one way only. Some servers take what
+// isUnambiguousPath says whether p can be read in one way only. Some servers take what
 // follows a semicolon for parameters, and so read /a/..;/b as /b.
-func clean(p string) bool {
+func isUnambiguousPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.ContainsAny(p, "%\\;") {
 		return false
 	}
 	return p == "/" || path.Clean(p) == strings.TrimSuffix(p, "/")
 }
 
-// within leaves out the sites in places that keep refuses. It gives s itself
+// filterPlaces leaves out the sites in places that keep refuses. It gives s itself
 // when there are none.
-func (s *CompiledService) within(keep func(place string) bool) *CompiledService {
+func (s *CompiledService) filterPlaces(keep func(place string) bool) *CompiledService {
 	if !slices.ContainsFunc(s.places, func(p string) bool { return !keep(p) }) {
 		return s
 	}
@@ -102,8 +102,8 @@
 	return newCompiledService(s.id, &doc)
 }
 
-// target finds a target by its name.
-func (s *CompiledService) target(name string) bool {
+// hasTarget finds a hasTarget by its name.
+func (s *CompiledService) hasTarget(name string) bool {
 	for _, p := range s.places {
 		for _, t := range s.doc.Places[p].Targets {
 			if t.Name == name {
--- a/pkg/settings/snapshot.go
+++ b/pkg/settings/snapshot.go
@@ -3,15 +3,15 @@
 // Snapshot is a whole set of documents that fit together. It never changes,
 // and is safe for concurrent use.
 type Snapshot struct {
-	docs     map[string]*Parsed // in force, by path; deleted ones too
-	places   map[string]Place
-	names    []string // sorted keys of places
-	teams    map[string]Team
-	teamList []string // sorted keys of teams
-	services map[ServiceID]*CompiledService
-	ids      []ServiceID     // sorted keys of services
-	blocks   []BlockDocument // sorted by path
-	drains   drainSet
+	docs       map[string]*Parsed // in force, by path; deleted ones too
+	places     map[string]Place
+	placeNames []string // sorted keys of places
+	teams      map[string]Team
+	teamNames  []string // sorted keys of teams
+	services   map[ServiceID]*CompiledService
+	serviceIDs []ServiceID     // sorted keys of services
+	blocks     []BlockDocument // sorted by path
+	drains     drainSet
 }
 
 // BlockDocument is what one document adds to the table of callers' blocks.
@@ -37,7 +37,7 @@
 }
 
 // Services are all services, sorted. The caller must not change them.
-func (s *Snapshot) Services() []ServiceID { return s.ids }
+func (s *Snapshot) Services() []ServiceID { return s.serviceIDs }
 
 // Place finds a place's document.
 func (s *Snapshot) Place(name string) (Place, bool) {
@@ -46,7 +46,7 @@
 }
 
 // Places are the names of all places, sorted. The caller must not change them.
-func (s *Snapshot) Places() []string { return s.names }
+func (s *Snapshot) Places() []string { return s.placeNames }
 
 // Team finds a team's document. The caller must not change its tokens.
 func (s *Snapshot) Team(name string) (Team, bool) {
@@ -56,7 +56,7 @@
 
 // Teams are the names of all teams with a document, sorted. The caller must
 // not change them.
-func (s *Snapshot) Teams() []string { return s.teamList }
+func (s *Snapshot) Teams() []string { return s.teamNames }
 
 // Share is the team's weight at a contested place: DefaultShare without a document.
 func (s *Snapshot) Share(team string) int {
--- a/pkg/settings/snapshot_test.go
+++ b/pkg/settings/snapshot_test.go
@@ -10,7 +10,7 @@
 
 var serviceA = ServiceID{Team: "a", Name: "s"}
 
-func world() []Document {
+func testDocuments() []Document {
 	return []Document{
 		doc("/places/bne-north", 1, validPlace),
 		doc("/places/bne-south", 1, validPlace),
@@ -25,8 +25,8 @@
 	}
 }
 
-func TestSnapshotAnswers(t *testing.T) {
-	s, err := Compile(world())
+func TestSnapshotQueries(t *testing.T) {
+	s, err := Compile(testDocuments())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 }
 
 func TestIdempotent(t *testing.T) {
-	s, err := Compile(world())
+	s, err := Compile(testDocuments())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -117,10 +117,10 @@
 		"another's target first": {doc("/teams/0/services/s", 0, other), "/teams/0/services/s: \"127.1.0.2:9000\" is a target"},
 		"not valid":              {doc("/places/new", 0, "limit: 1\n"), "region"},
 	}
-	have := world()
+	docs := testDocuments()
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			err := Check(have, tt.next)
+			err := Check(docs, tt.next)
 			if tt.want == "" && err != nil || tt.want != "" && (err == nil || !strings.Contains(err.Error(), tt.want)) {
 				t.Errorf("got %v, want %q", err, tt.want)
 			}
@@ -128,15 +128,15 @@
 	}
 }
 
-func TestCheckLetsRepairsThrough(t *testing.T) {
-	have := append(world(), doc("/drains/lost", 1, "place: gone\n"), doc("/teams/b/services/s", 1, "class: x\n"))
-	if err := Check(have, doc("/places/new", 0, validPlace)); err != nil {
+func TestCheckIgnoresExistingFaults(t *testing.T) {
+	docs := append(testDocuments(), doc("/drains/lost", 1, "place: gone\n"), doc("/teams/b/services/s", 1, "class: x\n"))
+	if err := Check(docs, doc("/places/new", 0, validPlace)); err != nil {
 		t.Errorf("got %v, want no fault of another document", err)
 	}
 }
 
-func TestAdvanceKeepsWhatStands(t *testing.T) {
-	first, err := Compile(world())
+func TestAdvanceKeepsDocumentsInForce(t *testing.T) {
+	first, err := Compile(testDocuments())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, faults := Advance(first, append(world(), tt.next...))
+			s, faults := Advance(first, append(testDocuments(), tt.next...))
 			v, ok := s.Service(serviceA)
 			if !ok {
 				t.Fatal("got no service, want it kept")
@@ -167,8 +167,8 @@
 	}
 }
 
-func TestAdvanceTellsChangedBlocks(t *testing.T) {
-	first, _ := CompileLenient(append(world(), doc("/blocks/two", 1, "blocks: [{prefix: 10.0.0.0/8, place: bne-south}, {prefix: 12.0.0.0/8, place: new}]\n")))
+func TestAdvanceReportsChangedBlocks(t *testing.T) {
+	first, _ := CompileLenient(append(testDocuments(), doc("/blocks/two", 1, "blocks: [{prefix: 10.0.0.0/8, place: bne-south}, {prefix: 12.0.0.0/8, place: new}]\n")))
 	if got := len(first.Blocks()); got != 2 {
 		t.Fatalf("got %d blocks, want 2: the prefix of the first document and no unknown place", got)
 	}
@@ -180,7 +180,7 @@
 }
 
 func TestAuthorize(t *testing.T) {
-	s, err := Compile(world())
+	s, err := Compile(testDocuments())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/pkg/settings/strict.go
+++ b/pkg/settings/strict.go
@@ -35,30 +35,30 @@
 	token.InvalidType:     "an invalid character",
 }
 
-// scan looks through the tokens for what the parser must not see.
-type scan struct {
-	depth int                // of brackets
-	empty int                // values left empty so far
-	keys  [maxColumn + 1]int // keys so far of the open mapping that starts at the column
+// tokenScanner looks through the tokens for what the parser must not see.
+type tokenScanner struct {
+	depth       int                // of brackets
+	emptyValues int                // values left empty so far
+	keys        [maxColumn + 1]int // keys so far of the open mapping that starts at the column
 }
 
 // checkTokens gives the first fault of form.
 func checkTokens(tokens token.Tokens) []Fault {
-	var s scan
+	var s tokenScanner
 	for i, t := range tokens {
-		if reason := s.next(i, t); reason != "" {
+		if reason := s.check(i, t); reason != "" {
 			return []Fault{{Line: t.Position.Line, Reason: reason}}
 		}
 	}
 	return nil
 }
 
-func (s *scan) next(i int, t *token.Token) string {
+func (s *tokenScanner) check(i int, t *token.Token) string {
 	if name, ok := refusedTokens[t.Type]; ok {
 		return name + " is not allowed"
 	}
-	if s.depth == 0 && leftEmpty(t) {
-		if s.empty++; s.empty > maxEmpty {
+	if s.depth == 0 && isEmptyValue(t) {
+		if s.emptyValues++; s.emptyValues > maxEmpty {
 			return fmt.Sprintf("has over %d values left empty", maxEmpty)
 		}
 	}
@@ -68,10 +68,10 @@
 	case token.SequenceEndType, token.MappingEndType:
 		s.depth--
 	case token.SequenceEntryType:
-		return s.column(t.Position.Column, false)
+		return s.enterColumn(t.Position.Column, false)
 	case token.MappingValueType:
 		if s.depth == 0 && t.Prev != nil {
-			return s.column(t.Prev.Position.Column, true)
+			return s.enterColumn(t.Prev.Position.Column, true)
 		}
 	case token.DocumentHeaderType:
 		if i > 0 {
@@ -84,8 +84,8 @@
 	return ""
 }
 
-// leftEmpty reports whether t starts an item or a field's value, and nothing follows.
-func leftEmpty(t *token.Token) bool {
+// isEmptyValue reports whether t starts an item or a field's value, and nothing follows.
+func isEmptyValue(t *token.Token) bool {
 	start := t
 	if t.Type == token.MappingValueType && t.Prev != nil {
 		start = t.Prev
@@ -106,8 +106,8 @@
 	return start == t || next.Type != token.SequenceEntryType || next.Position.Column < start.Position.Column
 }
 
-// column closes the mappings to the right of column c, and counts a key there.
-func (s *scan) column(c int, key bool) string {
+// enterColumn closes the mappings to the right of enterColumn c, and counts a key there.
+func (s *tokenScanner) enterColumn(c int, key bool) string {
 	if c < 0 || c > maxColumn {
 		return "nested too deep"
 	}
@@ -121,16 +121,16 @@
 	return ""
 }
 
-// shape compares a document's nodes with the type that they are to fill: the
+// typeChecker compares a document's nodes with the type that they are to fill: the
 // library by itself takes "5", 5.7 or null for a whole number.
-type shape struct {
+type typeChecker struct {
 	faults []Fault
 	lines  map[string]int // line of each field; nil unless wanted
 }
 
 var durationType = reflect.TypeFor[Duration]()
 
-func (s *shape) add(field string, n ast.Node, format string, args ...any) {
+func (s *typeChecker) add(field string, n ast.Node, format string, args ...any) {
 	if len(s.faults) >= maxFaults {
 		return
 	}
@@ -144,7 +144,7 @@
 	return 0
 }
 
-func (s *shape) walk(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) check(field string, n ast.Node, t reflect.Type) {
 	if s.lines != nil {
 		s.lines[field] = lineOf(n)
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-func (s *shape) duration(field string, n ast.Node) {
+func (s *typeChecker) duration(field string, n ast.Node) {
 	text, ok := n.(*ast.StringNode)
 	if !ok {
 		s.add(field, n, "must be a length of time such as 1500ms or 2s")
@@ -174,7 +174,7 @@
 	}
 }
 
-func (s *shape) scalar(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) scalar(field string, n ast.Node, t reflect.Type) {
 	var ok bool
 	switch t.Kind() {
 	case reflect.String:
@@ -196,26 +196,26 @@
 	reflect.Int64:  "a whole number",
 }
 
-func (s *shape) items(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) items(field string, n ast.Node, t reflect.Type) {
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
 		s.add(field, n, "must be a list")
 		return
 	}
 	for i, v := range list.Values {
-		s.walk(fmt.Sprintf("%s[%d]", field, i), v, t)
+		s.check(fmt.Sprintf("%s[%d]", field, i), v, t)
 	}
 }
 
-func (s *shape) entries(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) entries(field string, n ast.Node, t reflect.Type) {
 	for _, e := range s.pairs(field, n) {
 		if key, ok := s.key(field, e); ok {
-			s.walk(join(field, key), e.Value, t)
+			s.check(join(field, key), e.Value, t)
 		}
 	}
 }
 
-func (s *shape) fields(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) fields(field string, n ast.Node, t reflect.Type) {
 	for _, e := range s.pairs(field, n) {
 		key, ok := s.key(field, e)
 		if !ok {
@@ -223,14 +223,14 @@
 		}
 		f, ok := fieldNamed(t, key)
 		if !ok {
-			s.add(join(field, clip(key)), e.Key, "unknown field")
+			s.add(join(field, truncate(key)), e.Key, "unknown field")
 			continue
 		}
-		s.walk(join(field, key), e.Value, f.Type)
+		s.check(join(field, key), e.Value, f.Type)
 	}
 }
 
-func (s *shape) pairs(field string, n ast.Node) []*ast.MappingValueNode {
+func (s *typeChecker) pairs(field string, n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		return m.Values
@@ -241,7 +241,7 @@
 	return nil
 }
 
-func (s *shape) key(field string, e *ast.MappingValueNode) (string, bool) {
+func (s *typeChecker) key(field string, e *ast.MappingValueNode) (string, bool) {
 	key, ok := e.Key.(*ast.StringNode)
 	if !ok {
 		s.add(field, e.Key, "a key must be a text (quote it if it looks like a number)")
--- a/pkg/settings/token.go
+++ b/pkg/settings/token.go
@@ -12,7 +12,7 @@
 type UnknownTokenError struct{ Team string }
 
 func (e *UnknownTokenError) Error() string {
-	return fmt.Sprintf("settings: no such token for team %s", clip(e.Team))
+	return fmt.Sprintf("settings: no such token for team %s", truncate(e.Team))
 }
 
 // RoleError says that a token of the team may not do this.
@@ -23,7 +23,7 @@
 }
 
 func (e *RoleError) Error() string {
-	return fmt.Sprintf("settings: token %s of team %s has not the role %s", e.Token, clip(e.Team), clip(e.Role))
+	return fmt.Sprintf("settings: token %s of team %s has not the role %s", e.Token, truncate(e.Team), truncate(e.Role))
 }
 
 // HashToken is the hash that a team's document holds for a bearer token.
