--- a/pkg/settings/advance_test.go
+++ b/pkg/settings/advance_test.go
@@ -13,8 +13,8 @@
 	benchDocuments = 520
 )
 
-// TestAdvanceEqualsCompile compares the short way of Advance with reading
-// everything anew.
+// Advance must give the same result on its fast path for blocks as a compilation
+// of all documents.
 func TestAdvanceEqualsCompile(t *testing.T) {
 	const free = "blocks: [{prefix: 12.0.0.0/8, place: bne-north}]\n"
 	const taken = "blocks: [{prefix: 11.0.0.0/8, place: bne-north}]\n"
@@ -44,8 +44,8 @@
 	}
 }
 
-// BenchmarkAdvance takes one change into a set with benchPrefixes blocks in
-// benchDocuments documents.
+// BenchmarkAdvance applies one changed document to a set with benchPrefixes
+// blocks in benchDocuments documents.
 func BenchmarkAdvance(b *testing.B) {
 	each := benchPrefixes / benchDocuments
 	docs := testDocuments()
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkCompile reads everything, as an instance does once after its start,
-// and reports the heap that the snapshot keeps.
+// BenchmarkCompile compiles all documents, as an instance does once after its
+// start, and reports the heap size of the snapshot.
 func BenchmarkCompile(b *testing.B) {
 	docs := testDocuments()
 	for i := range benchDocuments {
@@ -93,7 +93,7 @@
 	runtime.KeepAlive(docs)
 }
 
-// liveHeap is the live liveHeap in bytes.
+// liveHeap returns the size of the live heap in bytes.
 func liveHeap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/pkg/settings/blocks.go
+++ b/pkg/settings/blocks.go
@@ -6,9 +6,10 @@
 	"unique"
 )
 
-// linkBlocks leaves out blocks of unknown places, and of two blocks with the
-// same prefix the one whose document comes later: each instance must leave out
-// the same one, whatever came to it first.
+// linkBlocks adds the blocks of docs, which are sorted by path. It drops blocks of
+// unknown places, and of two blocks with the same prefix the one whose document
+// sorts later, so that all instances drop the same one regardless of the order in
+// which they receive the documents.
 func (b *builder) linkBlocks(docs []*Parsed) {
 	if b.linkChangedBlocks(docs) {
 		return
@@ -24,10 +25,10 @@
 	return BlockDocument{Path: p.document.Path, Version: p.Version(), Blocks: blocks}
 }
 
-// linkChangedBlocks is the short way: it looks at changed documents alone, and
-// passes once over the prefixes of the others. It says no when the places
-// changed or a block would be left out; a document that lost a block before
-// counts as changed.
+// linkChangedBlocks is the fast path of linkBlocks: it checks only changed
+// documents, and passes once over the prefixes of the others. It returns false
+// and changes nothing if the places changed or a block would be dropped. A
+// document with previously dropped blocks counts as changed.
 func (b *builder) linkChangedBlocks(docs []*Parsed) bool {
 	if !slices.Equal(b.s.placeNames, b.prev.placeNames) {
 		return false
@@ -54,7 +55,8 @@
 	return true
 }
 
-// addPrefixes adds the prefixes to seen, unless one is there or its place is unknown.
+// addPrefixes adds the prefixes of blocks to seen. It stops and returns false at a prefix that
+// is present already or whose place is unknown.
 func (b *builder) addPrefixes(seen map[string]struct{}, blocks []Block) bool {
 	for _, block := range blocks {
 		_, duplicate := seen[block.Prefix]
@@ -81,7 +83,8 @@
 	return false
 }
 
-// filterBlocks gives the document's own slice when nothing is left out.
+// filterBlocks returns the valid blocks of a document, reports the others as faults, and adds the
+// prefixes to seen. It returns the document's own slice if it drops none, see BlockDocument.Same.
 func (b *builder) filterBlocks(p *Parsed, seen map[string]struct{}) []Block {
 	all := p.blocks.Blocks
 	var skipped []int
@@ -111,7 +114,7 @@
 	return kept
 }
 
-// internPlaces keeps one copy of each place's name: there are far fewer than blocks.
+// internPlaces stores one copy of each place's name, as there are far fewer names than blocks.
 func (b *Blocks) internPlaces() {
 	for i, block := range b.Blocks {
 		b.Blocks[i].Place = unique.Make(block.Place).Value()
--- a/pkg/settings/capacity_test.go
+++ b/pkg/settings/capacity_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// capacityServices are n services of twelve targets each in one place.
+// capacityServices returns n services with twelve targets each in one place.
 func capacityServices(n int) []Document {
 	docs := []Document{{Path: "/places/here", Version: 1, Body: []byte("region: r\ndomain: d\nlimit: 100000\n")}}
 	for i := range n {
@@ -24,7 +24,7 @@
 	return []byte(b.String())
 }
 
-// capacityBlocks are n prefixes, a thousand in a document.
+// capacityBlocks returns n prefixes, in documents of one thousand.
 func capacityBlocks(n int) []Document {
 	docs := []Document{{Path: "/places/here", Version: 1, Body: []byte("region: r\ndomain: d\nlimit: 100000\n")}}
 	for i := 0; i < n; i += 1000 {
@@ -38,7 +38,7 @@
 	return docs
 }
 
-// capacityAdvance puts one changed document after the others in force, again and again.
+// capacityAdvance measures Advance with one changed document.
 func capacityAdvance(b *testing.B, docs []Document) {
 	s, faults := CompileLenient(docs)
 	if len(faults) > 0 {
@@ -58,14 +58,14 @@
 	}
 }
 
-// BenchmarkCapacityAdvanceBlocks changes one document of blocks.
+// BenchmarkCapacityAdvanceBlocks measures a change to one document of blocks.
 func BenchmarkCapacityAdvanceBlocks(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000, 260_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { capacityAdvance(b, capacityBlocks(n)) })
 	}
 }
 
-// BenchmarkCapacityAdvanceBeside changes one service beside so many blocks.
+// BenchmarkCapacityAdvanceBeside measures a change to one service in a set with many blocks.
 func BenchmarkCapacityAdvanceBeside(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000, 260_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { capacityAdvance(b, append(capacityBlocks(n), capacityServices(1)[1:]...)) })
--- a/pkg/settings/compile.go
+++ b/pkg/settings/compile.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Compile puts documents together, and refuses them all with *FaultsError
-// when one has a fault or refers to what isn't there.
+// Compile builds a snapshot from documents. It returns a *FaultsError and no
+// snapshot if any document has a fault or a dangling reference.
 func Compile(docs []Document) (*Snapshot, error) {
 	s, faults := CompileLenient(docs)
 	if err := newFaultsError(faults); err != nil {
@@ -17,20 +17,21 @@
 	return s, nil
 }
 
-// CompileLenient puts together what it can; the faults say what it left out.
+// CompileLenient builds a snapshot from the valid parts of docs, and returns the faults of the
+// parts that it dropped.
 func CompileLenient(docs []Document) (*Snapshot, []Fault) { return Advance(nil, docs) }
 
-// Advance puts together documents after prev, which may be nil. docs is all
-// that the instance knows, in any order.
+// Advance builds the snapshot that follows prev, which may be nil, from prev and
+// docs, in any order.
 //
-// The version of a document never goes back: of prev and docs the newer is
-// taken, and a path that docs lacks stays as in prev. A document that is not
-// valid by itself leaves the version of prev in force. One that refers to what
-// isn't there loses that part alone, a site or a block, until the other
-// document arrives; so a service outlives a place that was deleted under it. A
-// drain always stays in force. Each of these is reported as a fault.
+// The version of a document never decreases: the newer one of prev and docs is
+// used, and a document that docs lacks stays as in prev. If a document is not
+// valid by itself, the version of prev stays in force. If a document refers to a
+// missing one, only the site or block with that reference is dropped until the
+// other document arrives, so a service remains when a place of it is deleted. A
+// drain always stays in force. Each of these cases is reported as a fault.
 //
-// Documents unchanged since prev are not read again.
+// Documents unchanged since prev are not parsed again.
 func Advance(prev *Snapshot, docs []Document) (*Snapshot, []Fault) {
 	b := newBuilder(prev)
 	for _, doc := range docs {
@@ -41,23 +42,23 @@
 	return b.s, b.faults
 }
 
-// Check says whether writing next, which may be a deletion, leaves documents
-// that fit together. It reports, as *FaultsError, the faults that next has or
-// brings to others, not those that were there before.
+// Check checks the documents that result from writing next to docs; next may be
+// a deletion. It returns, as *FaultsError, the faults that next has or causes in
+// other documents, but not those that existed before.
 func Check(docs []Document, next Document) error {
 	before, old := CompileLenient(docs)
 	return before.check(old, next)
 }
 
-// Check is like the function Check with the documents that s was made of,
-// which it does not read again.
+// Check is like the function Check with the documents of s, which it doesn't
+// parse again.
 func (s *Snapshot) Check(next Document) error {
 	_, old := Advance(s, nil)
 	return s.check(old, next)
 }
 
 func (s *Snapshot) check(old []Fault, next Document) error {
-	// The version of next is the platform's to give: here it is only newer.
+	// The platform assigns the version of next; here it only has to be newer.
 	next.Version = s.Version(next.Path) + 1
 	_, faults := Advance(s, []Document{next})
 	existing := make(map[Fault]bool, len(old))
@@ -73,8 +74,8 @@
 	return newFaultsError(found)
 }
 
-// redacted is the fault as the writer of path may see it: a fault that a team
-// brings to another team's document doesn't tell which one that is.
+// redacted returns the fault as shown to the writer of path: a fault that a
+// team's document causes in one of another team doesn't reveal which one that is.
 func (f Fault) redacted(path string) Fault {
 	writer, _ := ParsePath(path)
 	other, _ := ParsePath(f.Path)
@@ -84,7 +85,7 @@
 	return Fault{Path: path, Reason: f.Reason}
 }
 
-// builder puts a Snapshot together.
+// builder builds a Snapshot.
 type builder struct {
 	prev   *Snapshot // never nil
 	s      *Snapshot
@@ -106,7 +107,8 @@
 	return &builder{prev: prev, s: s}
 }
 
-// addDocument reads doc if it is newer than what is there.
+// addDocument parses doc if it is newer than the version in force, and puts it in force if it is
+// valid.
 func (b *builder) addDocument(doc Document) {
 	if old, ok := b.s.docs[doc.Path]; ok && old.Version() >= doc.Version {
 		return
@@ -119,7 +121,8 @@
 	b.s.docs[doc.Path] = p
 }
 
-// link follows references, from kinds that are referred to towards those that refer.
+// link resolves the references, in the order of kinds: referenced documents before those that
+// refer to them.
 func (b *builder) link() {
 	byKind := make(map[Kind][]*Parsed)
 	for _, path := range slices.Sorted(maps.Keys(b.s.docs)) {
@@ -168,8 +171,9 @@
 	slices.SortFunc(b.s.serviceIDs, ServiceID.Compare)
 }
 
-// checkAddresses finds targets that two services name: their slots would be
-// counted twice. The message names no other team's service.
+// checkAddresses adds a fault for each target address that another service has
+// too, as its slots would be counted twice. The message doesn't name the other
+// service, which may be of another team.
 func (b *builder) checkAddresses(p *Parsed, place string, owners map[netip.AddrPort]ServiceID) {
 	for i, t := range p.service.doc.Places[place].Targets {
 		a, err := t.AddrPort()
--- a/pkg/settings/document.go
+++ b/pkg/settings/document.go
@@ -1,15 +1,15 @@
-// Package settings holds the documents that operators keep under paths: their
-// types, strict parsing, validation, and the compiled snapshot that an
-// instance steers by. It does no input or output.
+// Package settings defines the documents that operators store under paths: their
+// types, strict parsing, validation, and the compiled snapshot that instances
+// use. It does no I/O.
 //
 // The documents are plain structs with exported fields, because the yaml
-// library fills them; what is compiled from them has accessors alone.
+// library decodes into them; the compiled types have only accessors.
 package settings
 
-// Document is one operator's document as kept under its path.
+// Document is an operator's document as stored under its path.
 type Document struct {
 	Path    string // absolute, e.g. /teams/robotics/services/runorder
-	Version uint64 // grows by one a write; never goes back
+	Version uint64 // increases by one with each write; never decreases
 	Body    []byte // YAML
 	Deleted bool
 }
@@ -18,16 +18,17 @@
 type Place struct {
 	Region string `yaml:"region"`
 	Domain string `yaml:"domain"`
-	Limit  int    `yaml:"limit"` // requests in flight at all targets of the place, over all services
-	Link   int64  `yaml:"link"`  // bytes/s for bulk work that leaves the place; 0 sets no limit
+	Limit  int    `yaml:"limit"` // in-flight requests at all targets of the place, over all services
+	Link   int64  `yaml:"link"`  // bytes/s for bulk requests that leave the place; 0 means no limit
 }
 
-// Blocks is a document at /blocks/<name>: a part of the table of callers' addresses.
+// Blocks is a document at /blocks/<name>: a part of the table that maps callers' addresses to
+// home places.
 type Blocks struct {
 	Blocks []Block `yaml:"blocks"`
 }
 
-// Block says which place is home to the callers of one prefix.
+// Block assigns a home place to the callers whose addresses have one prefix.
 type Block struct {
 	Prefix string `yaml:"prefix"` // CIDR
 	Place  string `yaml:"place"`
@@ -35,11 +36,11 @@
 
 // Team is the document at /teams/<team>/team.
 type Team struct {
-	Share  int     `yaml:"share"` // weight of the team at a contested place
+	Share  int     `yaml:"share"` // weight of the team at an overloaded place
 	Tokens []Token `yaml:"tokens"`
 }
 
-// Token lets its bearer act on one team's subtree.
+// Token grants its bearer access to one team's subtree.
 type Token struct {
 	Name string `yaml:"name"`
 	Hash string `yaml:"hash"` // hex SHA-256 of the bearer token
@@ -61,22 +62,22 @@
 // Service is the document at /teams/<team>/services/<service>.
 type Service struct {
 	Class   string          `yaml:"class"`   // ClassInteractive or ClassBulk
-	Timeout Duration        `yaml:"timeout"` // longest a request may take; a caller may ask for less
-	Shift   int             `yaml:"shift"`   // shift cap: by how much shifted requests/s may grow each second at one place
-	Rules   []Rule          `yaml:"rules"`   // first match wins; without one GET, HEAD and OPTIONS are idempotent, others are not
+	Timeout Duration        `yaml:"timeout"` // maximum duration of a request; a caller may request less
+	Shift   int             `yaml:"shift"`   // shift cap: maximum growth of the shifted requests/s at one place, per second
+	Rules   []Rule          `yaml:"rules"`   // first match wins; without a match only GET, HEAD and OPTIONS are idempotent
 	Places  map[string]Site `yaml:"places"`
 }
 
-// Rule says which requests of a service are idempotent.
+// Rule declares requests of a service idempotent or not.
 type Rule struct {
 	Method     string `yaml:"method"` // empty matches every method
 	Prefix     string `yaml:"prefix"` // of the path below the service
 	Idempotent bool   `yaml:"idempotent"`
 }
 
-// Site is a service's part in one place.
+// Site is the part of a service that runs in one place.
 type Site struct {
-	Limit   int      `yaml:"limit"` // requests of the service in flight in the place
+	Limit   int      `yaml:"limit"` // in-flight requests of the service in the place
 	Targets []Target `yaml:"targets"`
 }
 
@@ -84,13 +85,14 @@
 type Target struct {
 	Name        string `yaml:"name"`        // unique in its service
 	Address     string `yaml:"address"`     // IP:port
-	Slots       int    `yaml:"slots"`       // requests it works on at one time
-	Connections int    `yaml:"connections"` // connections that may be open to it
+	Slots       int    `yaml:"slots"`       // maximum number of concurrent requests
+	Connections int    `yaml:"connections"` // maximum number of open connections
 }
 
-// Drain is a document at /drains/<name> or /teams/<team>/drains/<name>: what it
-// names gets no new work. Exactly one of Place, Instance and Target is set;
-// Place with Service drains that service alone. Below a team, Service is needed.
+// Drain is a document at /drains/<name> or /teams/<team>/drains/<name>. The
+// place, instance or target that it names gets no new requests. Exactly one of
+// Place, Instance and Target is set; Place with Service drains only that
+// service. Service is required for drains of a team.
 type Drain struct {
 	Place    string `yaml:"place"`
 	Instance string `yaml:"instance"`
--- a/pkg/settings/drain.go
+++ b/pkg/settings/drain.go
@@ -1,6 +1,6 @@
 package settings
 
-// NamedDrain is a drain in force and where it stands.
+// NamedDrain is a drain in force with the path of its document.
 type NamedDrain struct {
 	Path    string
 	Service ServiceID // zero for a drain of a whole place or an instance
@@ -12,7 +12,7 @@
 	name string
 }
 
-// drainSet answers what is drained.
+// drainSet indexes the drains in force.
 type drainSet struct {
 	drains    []NamedDrain // sorted by path
 	places    map[drainKey]bool
@@ -41,19 +41,20 @@
 	}
 }
 
-// Drains are all drains in force, sorted by path. The caller must not change them.
+// Drains returns all drains in force, sorted by path. The result must not be modified.
 func (s *Snapshot) Drains() []NamedDrain { return s.drains.drains }
 
-// PlaceDrained says whether the service gets no new work in the place.
+// PlaceDrained reports whether the place is drained for the service, which then gets no new
+// requests there.
 func (s *Snapshot) PlaceDrained(id ServiceID, place string) bool {
 	return s.drains.places[drainKey{id, place}] || s.drains.places[drainKey{name: place}]
 }
 
-// TargetDrained says whether the target itself is drained; its place is asked
-// for by PlaceDrained.
+// TargetDrained reports whether the target itself is drained. It doesn't cover
+// a drain of the target's place, see PlaceDrained.
 func (s *Snapshot) TargetDrained(id ServiceID, target string) bool {
 	return s.drains.targets[drainKey{id, target}]
 }
 
-// InstanceDrained says whether the instance gets no new work.
+// InstanceDrained reports whether the instance is drained and so gets no new requests.
 func (s *Snapshot) InstanceDrained(id string) bool { return s.drains.instances[id] }
--- a/pkg/settings/duration.go
+++ b/pkg/settings/duration.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Duration is a length of time written as Go writes it, e.g. 1500ms. It is
-// only how a document is written: programs store deadlines.
+// Duration is a duration in Go's text format, such as 1500ms. It serves only to
+// decode and encode documents; use time.Duration elsewhere.
 type Duration time.Duration
 
-// UnmarshalText reads a duration such as 2s. Anything else gives *DurationError.
+// UnmarshalText parses a duration such as 2s. It returns a *DurationError for other text.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -16,5 +16,5 @@
 	return nil
 }
 
-// MarshalText writes the duration as Go writes it.
+// MarshalText returns the duration in Go's text format.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
--- a/pkg/settings/fault.go
+++ b/pkg/settings/fault.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// maxQuoted bounds what a message repeats of its input, in bytes.
+// maxQuoted is the maximum length of an input value quoted in a message, in bytes.
 const maxQuoted = 80
 
-// Fault is one thing wrong with one document.
+// Fault is one fault of one document.
 type Fault struct {
-	Path   string // of the document; empty from a Validate method
+	Path   string // path of the document; empty from a Validate method
 	Field  string // e.g. places.bne-north.targets[2].address; empty for the whole document
-	Line   int    // in the document, from 1; 0 where it is not known
+	Line   int    // line in the document, from 1; 0 if unknown
 	Reason string
 }
 
-// String is the fault in one line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	var b strings.Builder
 	b.WriteString(f.Path)
@@ -31,8 +31,8 @@
 	return strings.TrimSpace(b.String() + ": " + f.Reason)
 }
 
-// FaultsError names every fault found, ordered by path; of one document the
-// first hundred.
+// FaultsError lists the faults found, ordered by path, with at most one hundred
+// for each document.
 type FaultsError struct{ Faults []Fault }
 
 func (e *FaultsError) Error() string {
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("settings: %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
 }
 
-// newFaultsError is nil without a fault.
+// newFaultsError returns the sorted faults as *FaultsError, or nil if there are none.
 func newFaultsError(faults []Fault) error {
 	if len(faults) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return cmp.Or(strings.Compare(a.Path, b.Path), cmp.Compare(a.Line, b.Line), strings.Compare(a.Field, b.Field))
 }
 
-// PathError says that a path or a service's name is not one.
+// PathError reports an invalid path or service name.
 type PathError struct {
 	Path   string
 	Reason string
@@ -66,14 +66,14 @@
 	return fmt.Sprintf("settings: path %s: %s", truncate(e.Path), e.Reason)
 }
 
-// DurationError says that a text is not a length of time.
+// DurationError reports a text that is not a duration.
 type DurationError struct{ Text string }
 
 func (e *DurationError) Error() string {
-	return fmt.Sprintf("%q is not a length of time such as 1500ms or 2s", truncate(e.Text))
+	return fmt.Sprintf("%q is not a duration such as 1500ms or 2s", truncate(e.Text))
 }
 
-// faultList collects the faults of one document.
+// faultList collects up to maxFaults faults of one document.
 type faultList struct{ faults []Fault }
 
 func (l *faultList) add(field, format string, args ...any) {
@@ -83,14 +83,14 @@
 	l.faults = append(l.faults, Fault{Field: field, Reason: fmt.Sprintf(format, args...)})
 }
 
-// check adds a fault unless ok holds.
+// check adds a fault unless ok is true.
 func (l *faultList) check(ok bool, field, format string, args ...any) {
 	if !ok {
 		l.add(field, format, args...)
 	}
 }
 
-// addNested takes over the faults of a part of the document.
+// addNested adds the faults of a part of the document, with field as the prefix of their fields.
 func (l *faultList) addNested(field string, part faultList) {
 	for _, f := range part.faults {
 		if len(l.faults) >= maxFaults {
@@ -108,7 +108,7 @@
 	return strings.ToValidUTF8(s[:maxQuoted], "") + "..."
 }
 
-// AddressError says that a target's address is not an IP and a port to dial.
+// AddressError reports a target address that is not an IP address and port that can be dialled.
 type AddressError struct{ Address string }
 
 func (e *AddressError) Error() string {
--- a/pkg/settings/parse.go
+++ b/pkg/settings/parse.go
@@ -12,15 +12,15 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxBody is the largest document, in bytes; it is the platform's own bound.
+// MaxBody is the maximum size of a document in bytes, which the platform sets.
 const MaxBody = 1 << 20
 
-// Parsed is a document read and found valid by itself. It never changes. At
-// most one of Place, Blocks, Team, Service and Drain gives a value: none does
-// for a deleted document.
+// Parsed is a parsed document that is valid by itself. It is immutable. At most
+// one of Place, Blocks, Team, Service and Drain returns a value, and none for a
+// deleted document.
 type Parsed struct {
 	path     Path
-	document Document // without its body
+	document Document // without Body
 	place    *Place
 	blocks   *Blocks
 	team     *Team
@@ -28,32 +28,32 @@
 	drain    *Drain
 }
 
-// Path is the document's path.
+// Path returns the document's path.
 func (p *Parsed) Path() Path { return p.path }
 
-// Version is the document's version.
+// Version returns the document's version.
 func (p *Parsed) Version() uint64 { return p.document.Version }
 
-// Deleted says that the document was deleted at this version.
+// Deleted reports whether the document was deleted at this version.
 func (p *Parsed) Deleted() bool { return p.document.Deleted }
 
-// Place is nil for a document of another kind.
+// Place returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Place() *Place { return p.place }
 
-// Blocks is nil for a document of another kind.
+// Blocks returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Blocks() *Blocks { return p.blocks }
 
-// Team is nil for a document of another kind.
+// Team returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Team() *Team { return p.team }
 
-// Service is nil for a document of another kind.
+// Service returns the compiled service, or nil for a document of another kind.
 func (p *Parsed) Service() *CompiledService { return p.service }
 
-// Drain is nil for a document of another kind.
+// Drain returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Drain() *Drain { return p.drain }
 
-// Parse reads one document strictly and validates it by itself; whether what
-// it refers to exists is for Compile to say. Its only error is *FaultsError.
+// Parse strictly parses one document and validates it by itself; Compile checks
+// its references to other documents. The error is always a *FaultsError.
 func Parse(doc Document) (*Parsed, error) {
 	path, err := ParsePath(doc.Path)
 	if err != nil {
@@ -103,7 +103,7 @@
 	}
 }
 
-// decode fills v from body, and has it validated once it is filled.
+// decode parses body into v, calls validate, and adds the lines to the faults that it returns.
 func decode[T any](body []byte, v *T, validate func() []Fault) []Fault {
 	root, faults := parseRoot(body)
 	if faults != nil {
@@ -129,7 +129,7 @@
 	return faults
 }
 
-// parseRoot gives the one mapping that a document is.
+// parseRoot returns the root node of the only YAML document in body.
 func parseRoot(body []byte) (ast.Node, []Fault) {
 	switch {
 	case len(body) > MaxBody:
--- a/pkg/settings/parse_test.go
+++ b/pkg/settings/parse_test.go
@@ -41,7 +41,7 @@
 		"text for number":    {"/places/a", "region: a\nlimit: \"5\"\n", "limit", "whole number"},
 		"fraction":           {"/places/a", "region: a\nlimit: 5.7\n", "limit", "whole number"},
 		"null":               {"/places/a", "region: a\nlimit: ~\n", "limit", "whole number"},
-		"number for text":    {"/places/a", "region: 5\nlimit: 3\n", "region", "text"},
+		"number for text":    {"/places/a", "region: 5\nlimit: 3\n", "region", "string"},
 		"list for mapping":   {"/places/a", "- a\n", "", "mapping"},
 		"alias":              {"/places/a", "region: &x a\ndomain: *x\nlimit: 1\n", "", "anchor"},
 		"merge":              {"/places/a", "<<: {limit: 3}\nregion: a\n", "", "merge"},
@@ -68,7 +68,7 @@
 		"unknown class":      {"/teams/a/services/s", service("interactive", "fast"), "class", "not a class"},
 		"no timeout":         {"/teams/a/services/s", service("timeout: 2s\n", ""), "timeout", "1ms"},
 		"long timeout":       {"/teams/a/services/s", service("2s", "11m"), "timeout", "10m"},
-		"timeout of no unit": {"/teams/a/services/s", service("2s", "20"), "timeout", "length of time"},
+		"timeout of no unit": {"/teams/a/services/s", service("2s", "20"), "timeout", "must be a duration"},
 		"zero shift":         {"/teams/a/services/s", service("shift: 40", "shift: 0"), "shift", "from 1"},
 		"bad rule":           {"/teams/a/services/s", service("/unlock", "/a/../unlock"), "rules[1].prefix", "start with /"},
 		"limit over slots":   {"/teams/a/services/s", service("limit: 9", "limit: 11"), "places.bne-north.limit", "over the 10 slots"},
@@ -101,7 +101,7 @@
 	}
 }
 
-// TestParseAcceptsLongLists wants lists to be no empty values, wherever they stand.
+// The items of a list must not count as empty values, whatever their indentation.
 func TestParseAcceptsLongLists(t *testing.T) {
 	for name, item := range map[string]string{
 		"beside the name": "- {prefix: 10.%d.%d.0/24, place: a}\n",
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestParseAcceptsMaxLines wants the bound itself to be allowed.
+// A document of exactly MaxLines lines is valid.
 func TestParseAcceptsMaxLines(t *testing.T) {
 	body := strings.Repeat("#\n", MaxLines-2) + validPlace
 	if _, err := Parse(doc("/places/a", 1, body)); err != nil {
--- a/pkg/settings/path.go
+++ b/pkg/settings/path.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// MaxName is the longest name in a path, in bytes.
+// MaxName is the maximum length of a name in a path, in bytes.
 const MaxName = 63
 
 // Prefixes of the paths that hold documents.
@@ -16,13 +16,13 @@
 	DrainsPrefix = "/drains/"
 )
 
-// SystemTeam is the team whose tokens open what belongs to no other team.
+// SystemTeam is the team whose tokens grant access to documents that belong to no other team.
 const SystemTeam = "system"
 
-// Kind says which type of document a path holds.
+// Kind is the type of the document at a path.
 type Kind int
 
-// Kinds of documents, in the order in which references go.
+// Kinds of documents. A document refers only to documents of earlier kinds.
 const (
 	KindPlace Kind = iota + 1
 	KindTeam
@@ -37,17 +37,17 @@
 	KindService: "service", KindDrain: "drain", KindTeamDrain: "team drain",
 }
 
-// String names the kind.
+// String returns the name of the kind.
 func (k Kind) String() string { return kindNames[k] }
 
-// Path is a document's path, taken apart. Paths are comparable.
+// Path is the parsed path of a document. Paths are comparable.
 type Path struct {
 	Kind Kind
-	Team string // set below /teams
+	Team string // empty outside /teams
 	Name string // last part of the path; the team's name for KindTeam
 }
 
-// String puts the path together again.
+// String formats the path, or returns "" for the zero Path.
 func (p Path) String() string {
 	switch p.Kind {
 	case KindPlace:
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// Owner is the team to which the document belongs: SystemTeam outside /teams.
+// Owner returns the team that owns the document, which is SystemTeam outside /teams.
 func (p Path) Owner() string {
 	if p.Team == "" {
 		return SystemTeam
@@ -74,35 +74,35 @@
 	return p.Team
 }
 
-// PlacePath is the path of a place's document.
+// PlacePath returns the path of a place's document.
 func PlacePath(place string) string { return Path{Kind: KindPlace, Name: place}.String() }
 
-// BlocksPath is the path of a document of blocks.
+// BlocksPath returns the path of a document of blocks.
 func BlocksPath(name string) string { return Path{Kind: KindBlocks, Name: name}.String() }
 
-// TeamPath is the path of a team's document.
+// TeamPath returns the path of a team's document.
 func TeamPath(team string) string { return Path{Kind: KindTeam, Team: team}.String() }
 
-// ServicePath is the path of a service's document.
+// ServicePath returns the path of a service's document.
 func ServicePath(id ServiceID) string {
 	return Path{Kind: KindService, Team: id.Team, Name: id.Name}.String()
 }
 
-// DrainPath is the path of a drain that belongs to no team.
+// DrainPath returns the path of a drain that belongs to no team.
 func DrainPath(name string) string { return Path{Kind: KindDrain, Name: name}.String() }
 
-// TeamDrainPath is the path of a team's drain.
+// TeamDrainPath returns the path of a team's drain.
 func TeamDrainPath(team, name string) string {
 	return Path{Kind: KindTeamDrain, Team: team, Name: name}.String()
 }
 
-// ParsePath takes a path apart. A path that holds no document, or a name that
-// is not one, gives *PathError.
+// ParsePath parses a path. It returns a *PathError if the path is of no kind or
+// contains an invalid name.
 func ParsePath(s string) (Path, error) {
 	parts := strings.Split(s, "/")
 	p, ok := classify(parts)
 	if !ok {
-		return Path{}, &PathError{Path: s, Reason: "no document is kept under this path"}
+		return Path{}, &PathError{Path: s, Reason: "no document can be stored under this path"}
 	}
 	for _, name := range []string{p.Name, p.Owner()} {
 		if !ValidName(name) {
@@ -144,7 +144,7 @@
 
 const nameRule = "is not a name: 1 to 63 lower-case letters, digits or '-'"
 
-// ValidName says whether s may name a place, team, service, target or drain.
+// ValidName reports whether s is a valid name of a place, team, service, target or drain.
 func ValidName(s string) bool {
 	if s == "" || len(s) > MaxName {
 		return false
@@ -158,16 +158,16 @@
 	return true
 }
 
-// ServiceID names one team's service. It is comparable.
+// ServiceID identifies a service of a team. It is comparable.
 type ServiceID struct {
 	Team string
 	Name string
 }
 
-// String is team/name.
+// String returns team/name.
 func (id ServiceID) String() string { return id.Team + "/" + id.Name }
 
-// Compare orders by team, then by name.
+// Compare orders IDs by team, then by name.
 func (id ServiceID) Compare(other ServiceID) int {
 	if c := strings.Compare(id.Team, other.Team); c != 0 {
 		return c
@@ -175,11 +175,11 @@
 	return strings.Compare(id.Name, other.Name)
 }
 
-// ParseServiceID reads team/name. Anything else gives *PathError.
+// ParseServiceID parses team/name. It returns a *PathError for other text.
 func ParseServiceID(s string) (ServiceID, error) {
 	team, name, ok := strings.Cut(s, "/")
 	if !ok || !ValidName(team) || !ValidName(name) {
-		return ServiceID{}, &PathError{Path: truncate(s), Reason: "a service is written team/name"}
+		return ServiceID{}, &PathError{Path: truncate(s), Reason: "service must be written team/name"}
 	}
 	return ServiceID{Team: team, Name: name}, nil
 }
--- a/pkg/settings/service.go
+++ b/pkg/settings/service.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// CompiledService is a service's document, ready to steer by. It never changes.
+// CompiledService is a service's document, compiled for use by instances. It is immutable.
 type CompiledService struct {
 	id     ServiceID
 	doc    *Service
@@ -20,37 +20,37 @@
 	return &CompiledService{id: id, doc: doc, places: slices.Sorted(maps.Keys(doc.Places))}
 }
 
-// ID names the service.
+// ID returns the ID of the service.
 func (s *CompiledService) ID() ServiceID { return s.id }
 
-// Class is ClassInteractive or ClassBulk.
+// Class returns ClassInteractive or ClassBulk.
 func (s *CompiledService) Class() string { return s.doc.Class }
 
-// Bulk says whether interactive requests go before this service's.
+// Bulk reports whether interactive requests have priority over this service's.
 func (s *CompiledService) Bulk() bool { return s.doc.Class == ClassBulk }
 
-// Timeout is the longest that a request may take.
+// Timeout returns the maximum duration of a request.
 func (s *CompiledService) Timeout() time.Duration { return time.Duration(s.doc.Timeout) }
 
-// Shift is by how much the shifted requests of one second at one place may
-// exceed those of the second before.
+// Shift returns the number by which the shifted requests of one second at one
+// place may exceed those of the second before.
 func (s *CompiledService) Shift() int { return s.doc.Shift }
 
-// Site is the service's part in a place. The caller must not change its targets.
+// Site returns the service's site in a place, if it has one. Its targets must not be modified.
 func (s *CompiledService) Site(place string) (Site, bool) {
 	site, ok := s.doc.Places[place]
 	return site, ok
 }
 
-// Places are the places with a site, sorted. The caller must not change them.
+// Places returns the places with a site, sorted. The result must not be modified.
 func (s *CompiledService) Places() []string { return s.places }
 
-// Idempotent says whether a request may run more than once. path is the
+// Idempotent reports whether a request may run more than once. path is the
 // decoded path below the service, from its first slash on.
 //
-// The first rule that matches wins. A doubtful path, with an empty, '.' or
-// '..' part or an escape left in it, is never idempotent: a target could read
-// it as another path than the rules do.
+// The first rule that matches wins. An ambiguous path, with an empty, '.' or
+// '..' part or a remaining escape, is never idempotent: a target could resolve
+// it to another path than the rules do.
 func (s *CompiledService) Idempotent(method, path string) bool {
 	if !isUnambiguousPath(path) {
 		return false
@@ -63,9 +63,10 @@
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// matches errs on the safe side: a rule that declares requests idempotent
-// covers whole parts of a path only, one that denies it every path that
-// starts so.
+// matches reports whether the rule covers a request. A rule that declares
+// requests idempotent matches only whole parts of a path, and one that declares
+// them not idempotent every path with its prefix, so that errors are on the safe
+// side.
 func (r Rule) matches(method, path string) bool {
 	if r.Method != "" && r.Method != method {
 		return false
@@ -77,8 +78,8 @@
 	return rest == "" || rest[0] == '/' || r.Prefix == "" || strings.HasSuffix(r.Prefix, "/")
 }
 
-// isUnambiguousPath says whether p can be read in one way only. Some servers take what
-// follows a semicolon for parameters, and so read /a/..;/b as /b.
+// isUnambiguousPath reports whether all servers resolve p to the same path. Some servers treat
+// the text after a semicolon as parameters, and so resolve /a/..;/b to /b.
 func isUnambiguousPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.ContainsAny(p, "%\\;") {
 		return false
@@ -86,8 +87,8 @@
 	return p == "/" || path.Clean(p) == strings.TrimSuffix(p, "/")
 }
 
-// filterPlaces leaves out the sites in places that keep refuses. It gives s itself
-// when there are none.
+// filterPlaces returns the service without the sites in places for which keep returns false. It
+// returns s itself if it drops none.
 func (s *CompiledService) filterPlaces(keep func(place string) bool) *CompiledService {
 	if !slices.ContainsFunc(s.places, func(p string) bool { return !keep(p) }) {
 		return s
@@ -102,7 +103,7 @@
 	return newCompiledService(s.id, &doc)
 }
 
-// hasTarget finds a hasTarget by its name.
+// hasTarget reports whether the service has a target with this name.
 func (s *CompiledService) hasTarget(name string) bool {
 	for _, p := range s.places {
 		for _, t := range s.doc.Places[p].Targets {
--- a/pkg/settings/snapshot.go
+++ b/pkg/settings/snapshot.go
@@ -1,9 +1,9 @@
 package settings
 
-// Snapshot is a whole set of documents that fit together. It never changes,
-// and is safe for concurrent use.
+// Snapshot is a compiled set of documents with consistent references. It is
+// immutable and safe for concurrent use.
 type Snapshot struct {
-	docs       map[string]*Parsed // in force, by path; deleted ones too
+	docs       map[string]*Parsed // versions in force by path, with deleted documents
 	places     map[string]Place
 	placeNames []string // sorted keys of places
 	teams      map[string]Team
@@ -14,15 +14,16 @@
 	drains     drainSet
 }
 
-// BlockDocument is what one document adds to the table of callers' blocks.
+// BlockDocument holds the blocks in force of one document.
 type BlockDocument struct {
 	Path    string
 	Version uint64
-	Blocks  []Block // must not be changed
+	Blocks  []Block // must not be modified
 }
 
-// Same says that b and other hold the same blocks for certain: a table that
-// took in one need not look at the other.
+// Same reports whether b and other share their blocks, by path, length and
+// address. A table that contains the blocks of one then needs no update for the
+// other. A false result doesn't mean that the blocks differ.
 func (b BlockDocument) Same(other BlockDocument) bool {
 	if b.Path != other.Path || len(b.Blocks) != len(other.Blocks) {
 		return false
@@ -30,35 +31,36 @@
 	return len(b.Blocks) == 0 || &b.Blocks[0] == &other.Blocks[0]
 }
 
-// Service finds a service.
+// Service returns a service by its ID.
 func (s *Snapshot) Service(id ServiceID) (*CompiledService, bool) {
 	v, ok := s.services[id]
 	return v, ok
 }
 
-// Services are all services, sorted. The caller must not change them.
+// Services returns the IDs of all services, sorted. The result must not be modified.
 func (s *Snapshot) Services() []ServiceID { return s.serviceIDs }
 
-// Place finds a place's document.
+// Place returns the document of a place.
 func (s *Snapshot) Place(name string) (Place, bool) {
 	v, ok := s.places[name]
 	return v, ok
 }
 
-// Places are the names of all places, sorted. The caller must not change them.
+// Places returns the names of all places, sorted. The result must not be modified.
 func (s *Snapshot) Places() []string { return s.placeNames }
 
-// Team finds a team's document. The caller must not change its tokens.
+// Team returns the document of a team. Its tokens must not be modified.
 func (s *Snapshot) Team(name string) (Team, bool) {
 	v, ok := s.teams[name]
 	return v, ok
 }
 
-// Teams are the names of all teams with a document, sorted. The caller must
-// not change them.
+// Teams returns the names of all teams with a document, sorted. The result must
+// not be modified.
 func (s *Snapshot) Teams() []string { return s.teamNames }
 
-// Share is the team's weight at a contested place: DefaultShare without a document.
+// Share returns the team's weight at an overloaded place, which is DefaultShare for a team
+// without a document.
 func (s *Snapshot) Share(team string) int {
 	if t, ok := s.teams[team]; ok {
 		return t.Share
@@ -66,8 +68,8 @@
 	return DefaultShare
 }
 
-// Version is the version in force of the document under path, 0 if there is
-// none. A deleted document has the version of its deletion.
+// Version returns the version in force of the document under path, or 0 if there
+// is none. A deleted document has the version of its deletion.
 func (s *Snapshot) Version(path string) uint64 {
 	if p, ok := s.docs[path]; ok {
 		return p.Version()
@@ -75,12 +77,12 @@
 	return 0
 }
 
-// BlockDocuments are the documents of blocks, sorted by path. No prefix stands
-// twice among them. The caller must not change them.
+// BlockDocuments returns the documents of blocks, sorted by path. Each prefix
+// occurs only once in them. The result must not be modified.
 func (s *Snapshot) BlockDocuments() []BlockDocument { return s.blocks }
 
-// Blocks are the blocks of all documents, in the order of BlockDocuments. It
-// copies them: to follow changes, compare BlockDocuments.
+// Blocks returns a copy of the blocks of all documents, in the order of
+// BlockDocuments. Compare BlockDocuments to detect changes.
 func (s *Snapshot) Blocks() []Block {
 	n := 0
 	for _, d := range s.blocks {
--- a/pkg/settings/snapshot_test.go
+++ b/pkg/settings/snapshot_test.go
@@ -60,7 +60,7 @@
 	}
 	for name, ok := range drained {
 		if !ok {
-			t.Errorf("%s: wrong answer on its drain", name)
+			t.Errorf("%s: got the wrong drain state", name)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	other := strings.NewReplacer("127.1.0.1", "127.1.0.9").Replace(validService)
 	tests := map[string]struct {
 		next Document
-		want string // part of the error; empty for none
+		want string // substring of the error; empty for no error
 	}{
 		"same again":             {doc("/teams/a/services/s", 4, validService), ""},
 		"unknown place":          {doc("/teams/a/services/s", 4, strings.ReplaceAll(validService, "north", "west")), "no place"},
--- a/pkg/settings/strict.go
+++ b/pkg/settings/strict.go
@@ -9,21 +9,22 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Bounds of form. No document of ours needs more; beyond them the library's
-// time grows with the square of the size: of a line, of a nesting, and of the
-// values left empty, for each of which it moves all later tokens.
+// Bounds on the YAML syntax, which valid documents don't reach. Beyond them the
+// time of the YAML library grows with the square of a line's length, of the
+// nesting depth, and of the number of empty values, as it moves all later tokens
+// for each of them.
 const (
-	MaxLine   = 4096    // bytes of a line
-	MaxLines  = 1 << 15 // of a document; 32 bytes a line on average in the largest
-	maxDepth  = 16      // of brackets
-	maxColumn = 64      // of a key or of an item's dash outside brackets
-	maxKeys   = 4096    // of one mapping outside brackets
-	maxEmpty  = 256     // values left empty outside brackets
-	maxFaults = 100     // listed of one document
+	MaxLine   = 4096    // bytes per line
+	MaxLines  = 1 << 15 // per document; 32 bytes per line on average in one of MaxBody
+	maxDepth  = 16      // nesting depth of brackets
+	maxColumn = 64      // column of a key or of an item's dash outside brackets
+	maxKeys   = 4096    // keys per mapping outside brackets
+	maxEmpty  = 256     // empty values outside brackets
+	maxFaults = 100     // reported faults per document
 )
 
-// refusedTokens are the parts of YAML that the documents do without: each of
-// them lets a document mean something other than what it shows.
+// refusedTokens are the YAML tokens that are not allowed in documents: with each
+// of them the meaning of a document may differ from its appearance.
 var refusedTokens = map[token.Type]string{
 	token.AnchorType:      "an anchor",
 	token.AliasType:       "an alias",
@@ -35,14 +36,14 @@
 	token.InvalidType:     "an invalid character",
 }
 
-// tokenScanner looks through the tokens for what the parser must not see.
+// tokenScanner rejects tokens and nesting that must not reach the parser.
 type tokenScanner struct {
-	depth       int                // of brackets
-	emptyValues int                // values left empty so far
-	keys        [maxColumn + 1]int // keys so far of the open mapping that starts at the column
+	depth       int                // current nesting depth of brackets
+	emptyValues int                // number of empty values so far
+	keys        [maxColumn + 1]int // number of keys so far in the open mapping at each column
 }
 
-// checkTokens gives the first fault of form.
+// checkTokens returns the first syntax fault, or nil.
 func checkTokens(tokens token.Tokens) []Fault {
 	var s tokenScanner
 	for i, t := range tokens {
@@ -84,7 +85,7 @@
 	return ""
 }
 
-// isEmptyValue reports whether t starts an item or a field's value, and nothing follows.
+// isEmptyValue reports whether t introduces an item or a field's value that is empty.
 func isEmptyValue(t *token.Token) bool {
 	start := t
 	if t.Type == token.MappingValueType && t.Prev != nil {
@@ -102,11 +103,12 @@
 	if next.Position.Line == t.Position.Line || next.Position.Column > start.Position.Column {
 		return false
 	}
-	// A list may stand right below its field's name.
+	// The items of a list may start in the column of its field's name.
 	return start == t || next.Type != token.SequenceEntryType || next.Position.Column < start.Position.Column
 }
 
-// enterColumn closes the mappings to the right of enterColumn c, and counts a key there.
+// enterColumn closes the mappings to the right of column c, and counts the key if key is set.
+// It returns the fault, or "".
 func (s *tokenScanner) enterColumn(c int, key bool) string {
 	if c < 0 || c > maxColumn {
 		return "nested too deep"
@@ -121,11 +123,11 @@
 	return ""
 }
 
-// typeChecker compares a document's nodes with the type that they are to fill: the
-// library by itself takes "5", 5.7 or null for a whole number.
+// typeChecker checks that a document's nodes match the type that they are decoded into, as the
+// YAML library also accepts "5", 5.7 or null for an integer.
 type typeChecker struct {
 	faults []Fault
-	lines  map[string]int // line of each field; nil unless wanted
+	lines  map[string]int // line of each field; nil if not recorded
 }
 
 var durationType = reflect.TypeFor[Duration]()
@@ -165,7 +167,7 @@
 func (s *typeChecker) duration(field string, n ast.Node) {
 	text, ok := n.(*ast.StringNode)
 	if !ok {
-		s.add(field, n, "must be a length of time such as 1500ms or 2s")
+		s.add(field, n, "must be a duration such as 1500ms or 2s")
 		return
 	}
 	var d Duration
@@ -190,7 +192,7 @@
 }
 
 var typeNames = map[reflect.Kind]string{
-	reflect.String: "a text on one line (quote it if it looks like a number)",
+	reflect.String: "a string on one line (quote it if it looks like a number)",
 	reflect.Bool:   "true or false",
 	reflect.Int:    "a whole number",
 	reflect.Int64:  "a whole number",
@@ -244,7 +246,7 @@
 func (s *typeChecker) key(field string, e *ast.MappingValueNode) (string, bool) {
 	key, ok := e.Key.(*ast.StringNode)
 	if !ok {
-		s.add(field, e.Key, "a key must be a text (quote it if it looks like a number)")
+		s.add(field, e.Key, "key must be a string (quote it if it looks like a number)")
 		return "", false
 	}
 	return key.Value, true
--- a/pkg/settings/token.go
+++ b/pkg/settings/token.go
@@ -7,35 +7,35 @@
 	"fmt"
 )
 
-// UnknownTokenError says that no token of the team matches. It doesn't say
-// whether the team exists.
+// UnknownTokenError reports that no token of the team matches. It doesn't
+// reveal whether the team exists.
 type UnknownTokenError struct{ Team string }
 
 func (e *UnknownTokenError) Error() string {
 	return fmt.Sprintf("settings: no such token for team %s", truncate(e.Team))
 }
 
-// RoleError says that a token of the team may not do this.
+// RoleError reports that a token of the team lacks the required role.
 type RoleError struct {
 	Team  string
-	Token string // its name
-	Role  string // the role that was needed
+	Token string // name of the token
+	Role  string // required role
 }
 
 func (e *RoleError) Error() string {
-	return fmt.Sprintf("settings: token %s of team %s has not the role %s", e.Token, truncate(e.Team), truncate(e.Role))
+	return fmt.Sprintf("settings: token %s of team %s does not have the role %s", e.Token, truncate(e.Team), truncate(e.Role))
 }
 
-// HashToken is the hash that a team's document holds for a bearer token.
+// HashToken returns the hash that a team's document holds for a bearer token.
 func HashToken(bearer string) string {
 	sum := sha256.Sum256([]byte(bearer))
 	return hex.EncodeToString(sum[:])
 }
 
-// Authorize says whether bearer is a token of the team with the role; write
-// implies read. The error is *UnknownTokenError or *RoleError. It compares
-// hashes with all tokens of the team, in constant time. An empty bearer opens
-// nothing: a team's document can't hold its hash.
+// Authorize checks that bearer is a token of the team with the role; write
+// implies read. The error is *UnknownTokenError or *RoleError. Authorize compares
+// the hash with those of all tokens of the team, each in constant time. An empty
+// bearer grants no access, as a team's document can't hold its hash.
 func (s *Snapshot) Authorize(team, bearer, role string) error {
 	hash := []byte(HashToken(bearer))
 	var found Token
@@ -55,10 +55,10 @@
 	return &RoleError{Team: team, Token: found.Name, Role: role}
 }
 
-// AuthorizePath says whether bearer may act on the document under a path: a
-// token of its owner, see Path.Owner. A team's own document, with its share
-// and its tokens, is read by the team and written by SystemTeam alone, which
-// reads it too: no team gives itself a greater share.
+// AuthorizePath checks that bearer has the role for the document under a path:
+// it has to be a token of the document's owner, see Path.Owner. A team's own
+// document, with its share and tokens, can be read by the team and SystemTeam
+// but only be written by SystemTeam, so that no team can increase its share.
 func (s *Snapshot) AuthorizePath(p Path, bearer, role string) error {
 	if p.Kind != KindTeam {
 		return s.Authorize(p.Owner(), bearer, role)
--- a/pkg/settings/validate.go
+++ b/pkg/settings/validate.go
@@ -12,30 +12,30 @@
 	"unicode"
 )
 
-// Bounds of what an operator may set.
+// Bounds of the values in documents.
 const (
 	MaxTimeout     = 10 * time.Minute
-	MaxSlots       = 1_000_000 // requests, also for connections, limits and caps
+	MaxSlots       = 1_000_000 // also the maximum of connections, limits and shift caps
 	MaxShare       = 1000
 	MaxRules       = 100
 	MaxTokens      = 100
-	MaxText        = 200 // bytes of a region, domain, reason or prefix
+	MaxText        = 200 // bytes of a reason or a rule's prefix
 	MaxInstanceID  = 128 // bytes
 	DefaultShare   = 1
 	hashHexSize    = 2 * sha256.Size
 	rangeFault     = "is %d, must be from 1 to %d"
 	nameFault      = "%q " + nameRule
-	duplicateFault = "%q stands twice"
+	duplicateFault = "%q appears twice"
 )
 
-// Defaults sets what the document left out: its own name for the failure domain.
+// Defaults sets missing fields: Domain defaults to the place's name.
 func (p *Place) Defaults(name string) {
 	if p.Domain == "" {
 		p.Domain = name
 	}
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (p *Place) Validate() error { return newFaultsError(p.faults()) }
 
 func (p *Place) faults() []Fault {
@@ -51,7 +51,7 @@
 	l.check(n >= 1 && n <= limit, field, rangeFault, n, limit)
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (b *Blocks) Validate() error { return newFaultsError(b.faults()) }
 
 func (b *Blocks) faults() []Fault {
@@ -72,8 +72,8 @@
 	return l.faults
 }
 
-// prefixFault says what is wrong with the prefix. Only one spelling of a prefix is
-// taken, so that the same prefix can be told by its text.
+// prefixFault returns the fault of the block's prefix, or "". Only the canonical form of a
+// prefix is valid, so equal prefixes have equal texts.
 func (b Block) prefixFault() string {
 	prefix, err := netip.ParsePrefix(b.Prefix)
 	switch {
@@ -87,14 +87,14 @@
 	return ""
 }
 
-// Defaults sets what the document left out: a share of DefaultShare.
+// Defaults sets missing fields: Share defaults to DefaultShare.
 func (t *Team) Defaults() {
 	if t.Share == 0 {
 		t.Share = DefaultShare
 	}
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (t *Team) Validate() error { return newFaultsError(t.faults()) }
 
 func (t *Team) faults() []Fault {
@@ -107,14 +107,14 @@
 		field := fmt.Sprintf("tokens[%d]", i)
 		l.addNested(field, token.faults())
 		l.check(!names[token.Name], field+".name", duplicateFault, truncate(token.Name))
-		l.check(!hashes[token.Hash], field+".hash", "the same hash stands twice")
+		l.check(!hashes[token.Hash], field+".hash", "hash appears twice")
 		names[token.Name] = true
 		hashes[token.Hash] = true
 	}
 	return l.faults
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (t Token) Validate() error { return newFaultsError(t.faults().faults) }
 
 func (t Token) faults() faultList {
@@ -129,7 +129,7 @@
 	return l
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (s *Service) Validate() error { return newFaultsError(s.faults()) }
 
 func (s *Service) faults() []Fault {
@@ -153,8 +153,8 @@
 	return l.faults
 }
 
-// checkDuplicateTargets refuses a name or an address that a service uses twice: slots of a
-// target are counted once.
+// checkDuplicateTargets adds a fault for each name or address that a service uses twice, as the
+// slots of a target would be counted twice.
 func (l *faultList) checkDuplicateTargets(s *Service) {
 	names := make(map[string]bool)
 	addresses := make(map[netip.AddrPort]bool)
@@ -171,7 +171,7 @@
 	}
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (r Rule) Validate() error { return newFaultsError(r.faults().faults) }
 
 func (r Rule) faults() faultList {
@@ -183,7 +183,7 @@
 	return l
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (s Site) Validate() error { return newFaultsError(s.faults().faults) }
 
 func (s Site) faults() faultList {
@@ -199,7 +199,7 @@
 	return l
 }
 
-// Validate reports every fault as *FaultsError.
+// Validate returns all faults as *FaultsError.
 func (t Target) Validate() error { return newFaultsError(t.faults().faults) }
 
 func (t Target) faults() faultList {
@@ -213,8 +213,8 @@
 	return l
 }
 
-// AddrPort reads the target's address. One that can't be dialled, by name or
-// with port 0 too, gives *AddressError.
+// AddrPort parses the target's address. It returns an *AddressError for an
+// address that can't be dialled, including host names and port 0.
 func (t Target) AddrPort() (netip.AddrPort, error) {
 	a, err := netip.ParseAddrPort(t.Address)
 	if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() || a.Addr().IsMulticast() || a.Addr().Zone() != "" {
@@ -223,7 +223,7 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
 }
 
-// Validate reports every fault as *FaultsError. team is empty for a drain at /drains.
+// Validate returns all faults as *FaultsError. team is empty for a drain at /drains.
 func (d *Drain) Validate(team string) error { return newFaultsError(d.faults(team)) }
 
 func (d *Drain) faults(team string) []Fault {
@@ -255,8 +255,8 @@
 	return "by its name alone"
 }
 
-// ServiceID is the service that the drain names, if it names one: team/name
-// at /drains, the name alone below a team.
+// ServiceID returns the service that the drain names, and whether its name is
+// valid: team/name at /drains, and only the name for a drain of a team.
 func (d *Drain) ServiceID(team string) (ServiceID, bool) {
 	if team != "" {
 		return ServiceID{Team: team, Name: d.Service}, ValidName(d.Service)
