--- a/pkg/settings/validate.go
+++ b/pkg/settings/validate.go
@@ -15,7 +15,7 @@
 // Bounds of the values in documents.
 const (
 	MaxTimeout     = 10 * time.Minute
-	MaxSlots       = 1_000_000 // also the maximum of connections, limits and shift caps
+	MaxSlots       = 1_000_000 // requests; also bounds connections, limits and shift caps
 	MaxShare       = 1000
 	MaxRules       = 100
 	MaxTokens      = 100
