--- a/pkg/settings/advance_test.go
+++ b/pkg/settings/advance_test.go
@@ -13,8 +13,8 @@
 	benchDocuments = 520
 )
 
-// TestAdvanceEqualsCompile compares the short way of Advance with reading
-// everything anew.
+// Advance must give the same result on its fast path for blocks as a compilation
+// of all documents.
 func TestAdvanceEqualsCompile(t *testing.T) {
 	const free = "blocks: [{prefix: 12.0.0.0/8, place: bne-north}]\n"
 	const taken = "blocks: [{prefix: 11.0.0.0/8, place: bne-north}]\n"
@@ -31,9 +31,9 @@
 	}
 	for name, next := range tests {
 		t.Run(name, func(t *testing.T) {
-			first, _ := CompileLenient(world())
+			first, _ := CompileLenient(testDocuments())
 			got, gotFaults := Advance(first, next)
-			docs := slices.DeleteFunc(world(), func(d Document) bool {
+			docs := slices.DeleteFunc(testDocuments(), func(d Document) bool {
 				return slices.ContainsFunc(next, func(n Document) bool { return n.Path == d.Path })
 			})
 			want, wantFaults := CompileLenient(append(docs, next...))
@@ -44,11 +44,11 @@
 	}
 }
 
-// BenchmarkAdvance takes one change into a set with benchPrefixes blocks in
-// benchDocuments documents.
+// BenchmarkAdvance applies one changed document to a set with benchPrefixes
+// blocks in benchDocuments documents.
 func BenchmarkAdvance(b *testing.B) {
 	each := benchPrefixes / benchDocuments
-	docs := world()
+	docs := testDocuments()
 	for i := range benchDocuments {
 		docs = append(docs, blocksOf(i, each))
 	}
@@ -72,15 +72,15 @@
 	}
 }
 
-// BenchmarkCompile reads everything, as an instance does once after its start,
-// and reports the heap that the snapshot keeps.
+// BenchmarkCompile compiles all documents, as an instance does once after its
+// start, and reports the heap size of the snapshot.
 func BenchmarkCompile(b *testing.B) {
-	docs := world()
+	docs := testDocuments()
 	for i := range benchDocuments {
 		docs = append(docs, blocksOf(i, benchPrefixes/benchDocuments))
 	}
 	b.ReportAllocs()
-	before := heap()
+	before := liveHeap()
 	var s *Snapshot
 	for b.Loop() {
 		var faults []Fault
@@ -88,13 +88,13 @@
 			b.Fatal(faults)
 		}
 	}
-	b.ReportMetric(float64(heap()-before)/benchPrefixes, "B/prefix")
+	b.ReportMetric(float64(liveHeap()-before)/benchPrefixes, "B/prefix")
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(docs)
 }
 
-// heap is the live heap in bytes.
-func heap() uint64 {
+// liveHeap returns the size of the live heap in bytes.
+func liveHeap() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/pkg/settings/parse.go
+++ b/pkg/settings/parse.go
@@ -12,15 +12,15 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// MaxBody is the largest document, in bytes; it is the platform's own bound.
+// MaxBody is the maximum size of a document in bytes, which the platform sets.
 const MaxBody = 1 << 20
 
-// Parsed is a document read and found valid by itself. It never changes. At
-// most one of Place, Blocks, Team, Service and Drain gives a value: none does
-// for a deleted document.
+// Parsed is a parsed document that is valid by itself. It is immutable. At most
+// one of Place, Blocks, Team, Service and Drain returns a value, and none for a
+// deleted document.
 type Parsed struct {
 	path     Path
-	document Document // without its body
+	document Document // without Body
 	place    *Place
 	blocks   *Blocks
 	team     *Team
@@ -28,53 +28,53 @@
 	drain    *Drain
 }
 
-// Path is the document's path.
+// Path returns the document's path.
 func (p *Parsed) Path() Path { return p.path }
 
-// Version is the document's version.
+// Version returns the document's version.
 func (p *Parsed) Version() uint64 { return p.document.Version }
 
-// Deleted says that the document was deleted at this version.
+// Deleted reports whether the document was deleted at this version.
 func (p *Parsed) Deleted() bool { return p.document.Deleted }
 
-// Place is nil for a document of another kind.
+// Place returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Place() *Place { return p.place }
 
-// Blocks is nil for a document of another kind.
+// Blocks returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Blocks() *Blocks { return p.blocks }
 
-// Team is nil for a document of another kind.
+// Team returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Team() *Team { return p.team }
 
-// Service is nil for a document of another kind.
+// Service returns the compiled service, or nil for a document of another kind.
 func (p *Parsed) Service() *CompiledService { return p.service }
 
-// Drain is nil for a document of another kind.
+// Drain returns the document's content, or nil for a document of another kind.
 func (p *Parsed) Drain() *Drain { return p.drain }
 
-// Parse reads one document strictly and validates it by itself; whether what
-// it refers to exists is for Compile to say. Its only error is *FaultsError.
+// Parse strictly parses one document and validates it by itself; Compile checks
+// its references to other documents. The error is always a *FaultsError.
 func Parse(doc Document) (*Parsed, error) {
 	path, err := ParsePath(doc.Path)
 	if err != nil {
-		return nil, faultsError([]Fault{{Path: clip(doc.Path), Reason: err.(*PathError).Reason}})
+		return nil, newFaultsError([]Fault{{Path: truncate(doc.Path), Reason: err.(*PathError).Reason}})
 	}
 	p := &Parsed{path: path, document: doc}
 	p.document.Body = nil
 	if doc.Deleted {
 		return p, nil
 	}
-	faults := p.fill(doc.Body)
+	faults := p.decodeBody(doc.Body)
 	for i := range faults {
 		faults[i].Path = doc.Path
 	}
-	if err := faultsError(faults); err != nil {
+	if err := newFaultsError(faults); err != nil {
 		return nil, err
 	}
 	return p, nil
 }
 
-func (p *Parsed) fill(body []byte) []Fault {
+func (p *Parsed) decodeBody(body []byte) []Fault {
 	switch p.path.Kind {
 	case KindPlace:
 		p.place = &Place{}
@@ -84,7 +84,7 @@
 		})
 	case KindBlocks:
 		p.blocks = &Blocks{}
-		defer p.blocks.intern()
+		defer p.blocks.internPlaces()
 		return decode(body, p.blocks, p.blocks.faults)
 	case KindTeam:
 		p.team = &Team{}
@@ -103,33 +103,33 @@
 	}
 }
 
-// decode fills v from body, and has it validated once it is filled.
+// decode parses body into v, calls validate, and adds the lines to the faults that it returns.
 func decode[T any](body []byte, v *T, validate func() []Fault) []Fault {
 	root, faults := parseRoot(body)
 	if faults != nil {
 		return faults
 	}
-	s := &shape{}
-	s.walk("", root, reflect.TypeFor[T]())
+	s := &typeChecker{}
+	s.check("", root, reflect.TypeFor[T]())
 	if s.faults != nil {
 		return s.faults
 	}
 	if err := yaml.NodeToValue(root, v, yaml.Strict()); err != nil {
-		return []Fault{libraryFault(err)}
+		return []Fault{yamlFault(err)}
 	}
 	faults = validate()
 	if faults == nil {
 		return nil
 	}
 	s.lines = make(map[string]int)
-	s.walk("", root, reflect.TypeFor[T]())
+	s.check("", root, reflect.TypeFor[T]())
 	for i, f := range faults {
 		faults[i].Line = s.lines[f.Field]
 	}
 	return faults
 }
 
-// parseRoot gives the one mapping that a document is.
+// parseRoot returns the root node of the only YAML document in body.
 func parseRoot(body []byte) (ast.Node, []Fault) {
 	switch {
 	case len(body) > MaxBody:
@@ -153,15 +153,15 @@
 	}
 	file, err := parser.Parse(tokens, 0)
 	if err != nil {
-		return nil, []Fault{libraryFault(err)}
+		return nil, []Fault{yamlFault(err)}
 	}
 	if len(file.Docs) != 1 || file.Docs[0].Body == nil {
-		return nil, []Fault{{Reason: fmt.Sprintf("holds %d documents, want one", filled(file))}}
+		return nil, []Fault{{Reason: fmt.Sprintf("holds %d documents, want one", countNonEmpty(file))}}
 	}
 	return file.Docs[0].Body, nil
 }
 
-func filled(file *ast.File) int {
+func countNonEmpty(file *ast.File) int {
 	n := 0
 	for _, d := range file.Docs {
 		if d.Body != nil {
@@ -171,7 +171,7 @@
 	return n
 }
 
-func libraryFault(err error) Fault {
+func yamlFault(err error) Fault {
 	f := Fault{Reason: err.Error()}
 	if e, ok := err.(yaml.Error); ok {
 		f.Reason = e.GetMessage()
@@ -179,6 +179,6 @@
 			f.Line = t.Position.Line
 		}
 	}
-	f.Reason = clip(f.Reason)
+	f.Reason = truncate(f.Reason)
 	return f
 }
--- a/pkg/settings/parse_test.go
+++ b/pkg/settings/parse_test.go
@@ -27,7 +27,7 @@
 	return Document{Path: path, Version: version, Body: []byte(body)}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejects(t *testing.T) {
 	service := func(old, next string) string { return strings.Replace(validService, old, next, 1) }
 	tests := map[string]struct{ path, body, field, reason string }{
 		"unknown path":       {"/rosters/a", validPlace, "", "no document"},
@@ -41,7 +41,7 @@
 		"text for number":    {"/places/a", "region: a\nlimit: \"5\"\n", "limit", "whole number"},
 		"fraction":           {"/places/a", "region: a\nlimit: 5.7\n", "limit", "whole number"},
 		"null":               {"/places/a", "region: a\nlimit: ~\n", "limit", "whole number"},
-		"number for text":    {"/places/a", "region: 5\nlimit: 3\n", "region", "text"},
+		"number for text":    {"/places/a", "region: 5\nlimit: 3\n", "region", "string"},
 		"list for mapping":   {"/places/a", "- a\n", "", "mapping"},
 		"alias":              {"/places/a", "region: &x a\ndomain: *x\nlimit: 1\n", "", "anchor"},
 		"merge":              {"/places/a", "<<: {limit: 3}\nregion: a\n", "", "merge"},
@@ -55,7 +55,7 @@
 		"many empty items":   {"/blocks/a", strings.Repeat("-\n", maxEmpty+1), "", "left empty"},
 		"many empty lists":   {"/blocks/a", strings.Repeat("-\n -\n  -\n", maxEmpty+1), "", "left empty"},
 		"many empty fields":  {"/blocks/a", strings.Repeat("- a: # none\n", maxEmpty+1), "", "left empty"},
-		"many keys":          {"/blocks/a", keys(MaxLines - 1), "", "fields in one mapping"},
+		"many keys":          {"/blocks/a", mappingWithKeys(MaxLines - 1), "", "fields in one mapping"},
 		"zero limit":         {"/places/a", "region: a\n", "limit", "from 1"},
 		"negative link":      {"/places/a", validPlace + "link: -1\n", "link", "negative"},
 		"prefix with bits":   {"/blocks/a", "blocks: [{prefix: 10.0.0.1/8, place: a}]\n", "blocks[0].prefix", "10.0.0.0/8"},
@@ -68,7 +68,7 @@
 		"unknown class":      {"/teams/a/services/s", service("interactive", "fast"), "class", "not a class"},
 		"no timeout":         {"/teams/a/services/s", service("timeout: 2s\n", ""), "timeout", "1ms"},
 		"long timeout":       {"/teams/a/services/s", service("2s", "11m"), "timeout", "10m"},
-		"timeout of no unit": {"/teams/a/services/s", service("2s", "20"), "timeout", "length of time"},
+		"timeout of no unit": {"/teams/a/services/s", service("2s", "20"), "timeout", "must be a duration"},
 		"zero shift":         {"/teams/a/services/s", service("shift: 40", "shift: 0"), "shift", "from 1"},
 		"bad rule":           {"/teams/a/services/s", service("/unlock", "/a/../unlock"), "rules[1].prefix", "start with /"},
 		"limit over slots":   {"/teams/a/services/s", service("limit: 9", "limit: 11"), "places.bne-north.limit", "over the 10 slots"},
@@ -92,7 +92,7 @@
 				t.Fatalf("got %v, want *FaultsError", err)
 			}
 			for _, f := range faults.Faults {
-				if f.Path == clip(tt.path) && f.Field == tt.field && strings.Contains(f.Reason, tt.reason) {
+				if f.Path == truncate(tt.path) && f.Field == tt.field && strings.Contains(f.Reason, tt.reason) {
 					return
 				}
 			}
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestParseTakesLongLists wants lists to be no empty values, wherever they stand.
-func TestParseTakesLongLists(t *testing.T) {
+// The items of a list must not count as empty values, whatever their indentation.
+func TestParseAcceptsLongLists(t *testing.T) {
 	for name, item := range map[string]string{
 		"beside the name": "- {prefix: 10.%d.%d.0/24, place: a}\n",
 		"indented":        "  - {prefix: 10.%d.%d.0/24, place: a}\n",
@@ -119,15 +119,15 @@
 	}
 }
 
-// TestParseTakesTheMostLines wants the bound itself to be allowed.
-func TestParseTakesTheMostLines(t *testing.T) {
+// A document of exactly MaxLines lines is valid.
+func TestParseAcceptsMaxLines(t *testing.T) {
 	body := strings.Repeat("#\n", MaxLines-2) + validPlace
 	if _, err := Parse(doc("/places/a", 1, body)); err != nil {
 		t.Errorf("got %v, want no fault", err)
 	}
 }
 
-func keys(n int) string {
+func mappingWithKeys(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "k%d: 1\n", i)
--- a/pkg/settings/strict.go
+++ b/pkg/settings/strict.go
@@ -9,21 +9,22 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Bounds of form. No document of ours needs more; beyond them the library's
-// time grows with the square of the size: of a line, of a nesting, and of the
-// values left empty, for each of which it moves all later tokens.
+// Bounds on the YAML syntax, which valid documents don't reach. Beyond them the
+// time of the YAML library grows with the square of a line's length, of the
+// nesting depth, and of the number of empty values, as it moves all later tokens
+// for each of them.
 const (
-	MaxLine   = 4096    // bytes of a line
-	MaxLines  = 1 << 15 // of a document; 32 bytes a line on average in the largest
-	maxDepth  = 16      // of brackets
-	maxColumn = 64      // of a key or of an item's dash outside brackets
-	maxKeys   = 4096    // of one mapping outside brackets
-	maxEmpty  = 256     // values left empty outside brackets
-	maxFaults = 100     // listed of one document
+	MaxLine   = 4096    // bytes per line
+	MaxLines  = 1 << 15 // per document; 32 bytes per line on average in one of MaxBody
+	maxDepth  = 16      // nesting depth of brackets
+	maxColumn = 64      // column of a key or of an item's dash outside brackets
+	maxKeys   = 4096    // keys per mapping outside brackets
+	maxEmpty  = 256     // empty values outside brackets
+	maxFaults = 100     // reported faults per document
 )
 
-// refusedTokens are the parts of YAML that the documents do without: each of
-// them lets a document mean something other than what it shows.
+// refusedTokens are the YAML tokens that are not allowed in documents: with each
+// of them the meaning of a document may differ from its appearance.
 var refusedTokens = map[token.Type]string{
 	token.AnchorType:      "an anchor",
 	token.AliasType:       "an alias",
@@ -35,30 +36,30 @@
 	token.InvalidType:     "an invalid character",
 }
 
-// scan looks through the tokens for what the parser must not see.
-type scan struct {
-	depth int                // of brackets
-	empty int                // values left empty so far
-	keys  [maxColumn + 1]int // keys so far of the open mapping that starts at the column
+// tokenScanner rejects tokens and nesting that must not reach the parser.
+type tokenScanner struct {
+	depth       int                // current nesting depth of brackets
+	emptyValues int                // number of empty values so far
+	keys        [maxColumn + 1]int // number of keys so far in the open mapping at each column
 }
 
-// checkTokens gives the first fault of form.
+// checkTokens returns the first syntax fault, or nil.
 func checkTokens(tokens token.Tokens) []Fault {
-	var s scan
+	var s tokenScanner
 	for i, t := range tokens {
-		if reason := s.next(i, t); reason != "" {
+		if reason := s.check(i, t); reason != "" {
 			return []Fault{{Line: t.Position.Line, Reason: reason}}
 		}
 	}
 	return nil
 }
 
-func (s *scan) next(i int, t *token.Token) string {
+func (s *tokenScanner) check(i int, t *token.Token) string {
 	if name, ok := refusedTokens[t.Type]; ok {
 		return name + " is not allowed"
 	}
-	if s.depth == 0 && leftEmpty(t) {
-		if s.empty++; s.empty > maxEmpty {
+	if s.depth == 0 && isEmptyValue(t) {
+		if s.emptyValues++; s.emptyValues > maxEmpty {
 			return fmt.Sprintf("has over %d values left empty", maxEmpty)
 		}
 	}
@@ -68,10 +69,10 @@
 	case token.SequenceEndType, token.MappingEndType:
 		s.depth--
 	case token.SequenceEntryType:
-		return s.column(t.Position.Column, false)
+		return s.enterColumn(t.Position.Column, false)
 	case token.MappingValueType:
 		if s.depth == 0 && t.Prev != nil {
-			return s.column(t.Prev.Position.Column, true)
+			return s.enterColumn(t.Prev.Position.Column, true)
 		}
 	case token.DocumentHeaderType:
 		if i > 0 {
@@ -84,8 +85,8 @@
 	return ""
 }
 
-// leftEmpty reports whether t starts an item or a field's value, and nothing follows.
-func leftEmpty(t *token.Token) bool {
+// isEmptyValue reports whether t introduces an item or a field's value that is empty.
+func isEmptyValue(t *token.Token) bool {
 	start := t
 	if t.Type == token.MappingValueType && t.Prev != nil {
 		start = t.Prev
@@ -102,12 +103,13 @@
 	if next.Position.Line == t.Position.Line || next.Position.Column > start.Position.Column {
 		return false
 	}
-	// A list may stand right below its field's name.
+	// The items of a list may start in the column of its field's name.
 	return start == t || next.Type != token.SequenceEntryType || next.Position.Column < start.Position.Column
 }
 
-// column closes the mappings to the right of column c, and counts a key there.
-func (s *scan) column(c int, key bool) string {
+// enterColumn closes the mappings to the right of column c, and counts the key if key is set.
+// It returns the fault, or "".
+func (s *tokenScanner) enterColumn(c int, key bool) string {
 	if c < 0 || c > maxColumn {
 		return "nested too deep"
 	}
@@ -121,16 +123,16 @@
 	return ""
 }
 
-// shape compares a document's nodes with the type that they are to fill: the
-// library by itself takes "5", 5.7 or null for a whole number.
-type shape struct {
+// typeChecker checks that a document's nodes match the type that they are decoded into, as the
+// YAML library also accepts "5", 5.7 or null for an integer.
+type typeChecker struct {
 	faults []Fault
-	lines  map[string]int // line of each field; nil unless wanted
+	lines  map[string]int // line of each field; nil if not recorded
 }
 
 var durationType = reflect.TypeFor[Duration]()
 
-func (s *shape) add(field string, n ast.Node, format string, args ...any) {
+func (s *typeChecker) add(field string, n ast.Node, format string, args ...any) {
 	if len(s.faults) >= maxFaults {
 		return
 	}
@@ -144,7 +146,7 @@
 	return 0
 }
 
-func (s *shape) walk(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) check(field string, n ast.Node, t reflect.Type) {
 	if s.lines != nil {
 		s.lines[field] = lineOf(n)
 	}
@@ -162,10 +164,10 @@
 	}
 }
 
-func (s *shape) duration(field string, n ast.Node) {
+func (s *typeChecker) duration(field string, n ast.Node) {
 	text, ok := n.(*ast.StringNode)
 	if !ok {
-		s.add(field, n, "must be a length of time such as 1500ms or 2s")
+		s.add(field, n, "must be a duration such as 1500ms or 2s")
 		return
 	}
 	var d Duration
@@ -174,7 +176,7 @@
 	}
 }
 
-func (s *shape) scalar(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) scalar(field string, n ast.Node, t reflect.Type) {
 	var ok bool
 	switch t.Kind() {
 	case reflect.String:
@@ -190,32 +192,32 @@
 }
 
 var typeNames = map[reflect.Kind]string{
-	reflect.String: "a text on one line (quote it if it looks like a number)",
+	reflect.String: "a string on one line (quote it if it looks like a number)",
 	reflect.Bool:   "true or false",
 	reflect.Int:    "a whole number",
 	reflect.Int64:  "a whole number",
 }
 
-func (s *shape) items(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) items(field string, n ast.Node, t reflect.Type) {
 	list, ok := n.(*ast.SequenceNode)
 	if !ok {
 		s.add(field, n, "must be a list")
 		return
 	}
 	for i, v := range list.Values {
-		s.walk(fmt.Sprintf("%s[%d]", field, i), v, t)
+		s.check(fmt.Sprintf("%s[%d]", field, i), v, t)
 	}
 }
 
-func (s *shape) entries(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) entries(field string, n ast.Node, t reflect.Type) {
 	for _, e := range s.pairs(field, n) {
 		if key, ok := s.key(field, e); ok {
-			s.walk(join(field, key), e.Value, t)
+			s.check(join(field, key), e.Value, t)
 		}
 	}
 }
 
-func (s *shape) fields(field string, n ast.Node, t reflect.Type) {
+func (s *typeChecker) fields(field string, n ast.Node, t reflect.Type) {
 	for _, e := range s.pairs(field, n) {
 		key, ok := s.key(field, e)
 		if !ok {
@@ -223,14 +225,14 @@
 		}
 		f, ok := fieldNamed(t, key)
 		if !ok {
-			s.add(join(field, clip(key)), e.Key, "unknown field")
+			s.add(join(field, truncate(key)), e.Key, "unknown field")
 			continue
 		}
-		s.walk(join(field, key), e.Value, f.Type)
+		s.check(join(field, key), e.Value, f.Type)
 	}
 }
 
-func (s *shape) pairs(field string, n ast.Node) []*ast.MappingValueNode {
+func (s *typeChecker) pairs(field string, n ast.Node) []*ast.MappingValueNode {
 	switch m := n.(type) {
 	case *ast.MappingNode:
 		return m.Values
@@ -241,10 +243,10 @@
 	return nil
 }
 
-func (s *shape) key(field string, e *ast.MappingValueNode) (string, bool) {
+func (s *typeChecker) key(field string, e *ast.MappingValueNode) (string, bool) {
 	key, ok := e.Key.(*ast.StringNode)
 	if !ok {
-		s.add(field, e.Key, "a key must be a text (quote it if it looks like a number)")
+		s.add(field, e.Key, "key must be a string (quote it if it looks like a number)")
 		return "", false
 	}
 	return key.Value, true
