--- a/pkg/settings/path.go
+++ b/pkg/settings/path.go
@@ -102,7 +102,7 @@
 	parts := strings.Split(s, "/")
 	p, ok := classify(parts)
 	if !ok {
-		return Path{}, &PathError{Path: s, Reason: "no document can be stored under this path"}
+		return Path{}, &PathError{Path: s, Reason: "no document is kept under this path"}
 	}
 	for _, name := range []string{p.Name, p.Owner()} {
 		if !ValidName(name) {
