--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -18,9 +18,9 @@
 	instancePrefix = "firlever/members/"  // an instance's ID follows
 )
 
-// listTime is how long an instance stays in the list without a renewal. Instances
+// registrationTTL is how long an instance stays in the list without a renewal. Instances
 // renew each 29 s at the latest, so that one lost renewal takes it out for a while.
-const listTime = 31 * time.Second
+const registrationTTL = 31 * time.Second
 
 // Client is a Store over the platform's metadata store. An entry is one key, whose
 // value says its version; a deleted one keeps its key and version. The list of
@@ -29,12 +29,12 @@
 	store *platform.Store
 
 	mu    sync.Mutex
-	lines map[string]line // of the list that are renewed here, by ID; guarded by mu
+	registrations map[string]registration // of the list that are renewed here, by ID; guarded by mu
 }
 
-// line is a line of the list as it was written under its lease.
-type line struct {
-	in    Instance
+// registration is a registration of the list as it was written under its lease.
+type registration struct {
+	instance    Instance
 	lease platform.Lease
 }
 
@@ -42,7 +42,7 @@
 
 // NewClient makes a client of a store.
 func NewClient(store *platform.Store) *Client {
-	return &Client{store: store, lines: make(map[string]line)}
+	return &Client{store: store, registrations: make(map[string]registration)}
 }
 
 // Close drops the kept connections to the platform.
@@ -72,7 +72,7 @@
 		return Entry{Path: path}, platform.Revision{}, nil
 	}
 	if err != nil {
-		return Entry{}, platform.Revision{}, unread(call, err)
+		return Entry{}, platform.Revision{}, readError(call, err)
 	}
 	e, err := decodeEntry(item)
 	return e, item.Changed, err
@@ -98,7 +98,7 @@
 func (c *Client) list(ctx context.Context, call, prefix string) ([]Entry, platform.Revision, error) {
 	items, revision, err := c.store.List(ctx, entryPrefix+prefix, false)
 	if err != nil {
-		return nil, platform.Revision{}, unread(call, err)
+		return nil, platform.Revision{}, readError(call, err)
 	}
 	entries := make([]Entry, 0, len(items))
 	for _, item := range items {
@@ -131,16 +131,16 @@
 // write writes an entry over the version before its own. The version is read first,
 // and the write then expects that nothing has changed since.
 func (c *Client) write(ctx context.Context, call string, e Entry) (Entry, error) {
-	now, changed, err := c.read(ctx, call, e.Path)
+	current, changed, err := c.read(ctx, call, e.Path)
 	if err != nil {
 		return Entry{}, err
 	}
 	want := e.Version - 1
-	if now.Version != want {
-		return Entry{}, &ConflictError{Path: e.Path, Want: want, Now: now}
+	if current.Version != want {
+		return Entry{}, &ConflictError{Path: e.Path, Want: want, Now: current}
 	}
 	if e.Revision, err = c.put(ctx, e, changed); err != nil {
-		return Entry{}, unwritten(call, e.Path, want, err)
+		return Entry{}, swapError(call, e.Path, want, err)
 	}
 	return e, nil
 }
@@ -159,12 +159,12 @@
 	if err := CheckValue(e.Path, e.Value); err != nil {
 		return err
 	}
-	now, changed, err := c.read(ctx, "Restore", e.Path)
-	if err != nil || now.Version >= e.Version {
+	current, changed, err := c.read(ctx, "Restore", e.Path)
+	if err != nil || current.Version >= e.Version {
 		return err
 	}
 	if _, err := c.put(ctx, e, changed); err != nil {
-		return unwritten("Restore", e.Path, now.Version, err)
+		return swapError("Restore", e.Path, current.Version, err)
 	}
 	return nil
 }
@@ -173,12 +173,12 @@
 // the changes since, all entries that are newer are read instead.
 func (c *Client) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]Entry, platform.Revision, error) {
 	events, revision, err := c.store.Watch(ctx, entryPrefix+prefix, after, min(wait, platform.MaxWait))
-	var gone *platform.HistoryError
-	if errors.As(err, &gone) {
-		return c.newer(ctx, prefix, after)
+	var historyLost *platform.HistoryError
+	if errors.As(err, &historyLost) {
+		return c.listSince(ctx, prefix, after)
 	}
 	if err != nil {
-		return nil, after, unread("Watch", err)
+		return nil, after, readError("Watch", err)
 	}
 	last := make(map[string]platform.Revision, len(events)) // of each key in the answer
 	for _, event := range events {
@@ -198,8 +198,8 @@
 	return entries, revision, nil
 }
 
-// newer reads the entries that were written past a revision.
-func (c *Client) newer(ctx context.Context, prefix string, after platform.Revision) ([]Entry, platform.Revision, error) {
+// listSince reads the entries that were written past a revision.
+func (c *Client) listSince(ctx context.Context, prefix string, after platform.Revision) ([]Entry, platform.Revision, error) {
 	all, revision, err := c.list(ctx, "Watch", prefix)
 	if err != nil {
 		return nil, after, err
@@ -220,30 +220,30 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old, ok := c.lines[in.ID]; ok && old.in == in {
-		kept, err := c.renew(ctx, old)
-		if kept || err != nil {
-			return failed("Register", in.ID, err)
+	if old, ok := c.registrations[in.ID]; ok && old.instance == in {
+		renewed, err := c.renew(ctx, old)
+		if renewed || err != nil {
+			return writeError("Register", in.ID, err)
 		}
 	}
-	lease, err := c.store.Grant(ctx, listTime)
+	lease, err := c.store.Grant(ctx, registrationTTL)
 	if err != nil {
-		return failed("Register", in.ID, err)
+		return writeError("Register", in.ID, err)
 	}
-	value, err := encode("Register", in)
+	value, err := marshal("Register", in)
 	if err != nil {
 		return err
 	}
 	put := platform.Write{Key: instancePrefix + in.ID, Value: value, Lease: lease}
 	if _, err := c.store.Do(ctx, platform.Txn{Put: []platform.Write{put}}); err != nil {
-		return failed("Register", in.ID, err)
+		return writeError("Register", in.ID, err)
 	}
-	c.lines[in.ID] = line{in: in, lease: lease}
+	c.registrations[in.ID] = registration{instance: in, lease: lease}
 	return nil
 }
 
 // renew renews a line of the list, and says whether it is still there. c.mu is held.
-func (c *Client) renew(ctx context.Context, l line) (bool, error) {
+func (c *Client) renew(ctx context.Context, l registration) (bool, error) {
 	err := c.store.Keep(ctx, l.lease)
 	var restored *platform.EpochError
 	switch {
@@ -257,8 +257,8 @@
 
 // verify says whether a store that came back from a copy still has a line as it was written,
 // under its lease, whose number may be another's by now. c.mu is held.
-func (c *Client) verify(ctx context.Context, l line) (bool, error) {
-	item, err := c.store.Get(ctx, instancePrefix+l.in.ID)
+func (c *Client) verify(ctx context.Context, l registration) (bool, error) {
+	item, err := c.store.Get(ctx, instancePrefix+l.instance.ID)
 	var missing *platform.MissingError
 	if errors.As(err, &missing) {
 		return false, nil
@@ -267,11 +267,11 @@
 		return false, err
 	}
 	var in Instance
-	if json.Unmarshal(item.Value, &in) != nil || in != l.in || item.Lease.Number() != l.lease.Number() {
+	if json.Unmarshal(item.Value, &in) != nil || in != l.instance || item.Lease.Number() != l.lease.Number() {
 		return false, nil
 	}
 	l.lease = item.Lease
-	c.lines[l.in.ID] = l
+	c.registrations[l.instance.ID] = l
 	return true, nil
 }
 
@@ -279,7 +279,7 @@
 func (c *Client) Instances(ctx context.Context) ([]Instance, platform.Revision, error) {
 	items, at, err := c.store.List(ctx, instancePrefix, true)
 	if err != nil {
-		return nil, platform.Revision{}, unread("Instances", err)
+		return nil, platform.Revision{}, readError("Instances", err)
 	}
 	list := make([]Instance, 0, len(items))
 	for _, item := range items {
@@ -292,44 +292,44 @@
 	return list, at, nil
 }
 
-// unread types the failure of a call that changes nothing.
-func unread(call string, err error) error {
+// readError types the failure of a call that changes nothing.
+func readError(call string, err error) error {
 	var refused *platform.NotDoneError
 	if errors.As(err, &refused) {
-		return refusal(call, refused)
+		return notDoneError(call, refused)
 	}
 	return &UnavailableError{Call: call, Err: err}
 }
 
-// failed types the failure of a call that may have changed something; nil stays nil.
-func failed(call, path string, err error) error {
-	var lost *platform.UncertainError
+// writeError types the failure of a call that may have changed something; nil stays nil.
+func writeError(call, path string, err error) error {
+	var uncertain *platform.UncertainError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &lost) && lost.Sent:
+	case errors.As(err, &uncertain) && uncertain.Sent:
 		return &UncertainError{Path: path, Err: err}
 	}
-	return unread(call, err)
+	return readError(call, err)
 }
 
-// unwritten types the failure of a write that expected a version.
-func unwritten(call, path string, want uint64, err error) error {
+// swapError types the failure of a write that expected a version.
+func swapError(call, path string, want uint64, err error) error {
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) {
-		return failed(call, path, err)
+		return writeError(call, path, err)
 	}
 	for _, item := range conflict.Items {
-		now, err := decodeEntry(item)
-		if err == nil && now.Path == path {
-			return &ConflictError{Path: path, Want: want, Now: now}
+		current, err := decodeEntry(item)
+		if err == nil && current.Path == path {
+			return &ConflictError{Path: path, Want: want, Now: current}
 		}
 	}
 	return &UncertainError{Path: path, Err: err}
 }
 
-// refusal types a call that was not done.
-func refusal(call string, e *platform.NotDoneError) error {
+// notDoneError types a call that was not done.
+func notDoneError(call string, e *platform.NotDoneError) error {
 	switch e.Status {
 	case http.StatusTooManyRequests:
 		return &BusyError{Call: call}
--- a/internal/docstore/document.go
+++ b/internal/docstore/document.go
@@ -18,9 +18,9 @@
 	Refused                 // the write did not land, and never will
 )
 
-var outcomes = [...]string{Unknown: "unknown", Accepted: "accepted", Refused: "refused"}
+var outcomeNames = [...]string{Unknown: "unknown", Accepted: "accepted", Refused: "refused"}
 
-func (o Outcome) String() string { return outcomes[o] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
 // PutResult is the proved outcome of a write to a document.
 type PutResult struct {
@@ -31,9 +31,9 @@
 
 // How a write without an answer is settled.
 const (
-	settleTries = 10                    // reads and repeats at most
-	settlePause = 50 * time.Millisecond // before the first of them; doubles each time
-	settleMost  = time.Second
+	maxRetries = 10                    // reads and repeats at most
+	retryDelay = 50 * time.Millisecond // before the first of them; doubles each time
+	maxRetryDelay  = time.Second
 )
 
 // PutDocument writes the document at path if it still has the given version; 0
@@ -59,53 +59,53 @@
 // by reading alone. It stays Unknown as long as the path is still at that
 // version, when the write may be under way: then it can be repeated as it was.
 func ResolveWrite(ctx context.Context, store Store, path string, version uint64, write string) (PutResult, error) {
-	now, err := store.Get(ctx, path)
+	current, err := store.Get(ctx, path)
 	if err != nil {
 		return PutResult{}, &UncertainError{Path: path, Err: err}
 	}
 	doc := settings.Document{Path: path, Version: version}
-	p := putter{store: store, doc: doc, write: write, uncertain: true}
-	if now.Version <= version {
-		return PutResult{}, &UncertainError{Path: path, Err: p.conflict(now)}
+	p := documentWrite{store: store, doc: doc, writeID: write, uncertain: true}
+	if current.Version <= version {
+		return PutResult{}, &UncertainError{Path: path, Err: p.conflictError(current)}
 	}
-	return p.superseded(now)
+	return p.resolve(current)
 }
 
 func put(ctx context.Context, store Store, doc settings.Document, write string) (PutResult, error) {
-	now, err := store.Get(ctx, doc.Path)
+	current, err := store.Get(ctx, doc.Path)
 	var missing *NotFoundError
 	if errors.As(err, &missing) {
 		// Never written, or deleted at a version that Swap will compare.
-		now, err = Entry{Path: doc.Path, Version: doc.Version, Deleted: true}, nil
+		current, err = Entry{Path: doc.Path, Version: doc.Version, Deleted: true}, nil
 	}
 	if err != nil {
 		return PutResult{Outcome: Refused}, err
 	}
-	p := putter{store: store, doc: doc, write: write}
-	if now.Version != doc.Version {
-		return p.superseded(now)
+	p := documentWrite{store: store, doc: doc, writeID: write}
+	if current.Version != doc.Version {
+		return p.resolve(current)
 	}
-	p.value, err = EncodeDocument(doc, append([]string{write}, Writes(now)...))
+	p.value, err = EncodeDocument(doc, append([]string{write}, Writes(current)...))
 	if err != nil {
 		return PutResult{Outcome: Refused}, err
 	}
 	return p.run(ctx)
 }
 
-// putter makes one write until its outcome is proved. A repeat is safe: the
+// documentWrite makes one write until its outcome is proved. A repeat is safe: the
 // value and the expected version are the same, so at most one can land.
-type putter struct {
+type documentWrite struct {
 	store Store
 	doc   settings.Document
-	write string
+	writeID string
 	value []byte
 	// uncertain is set once an answer was lost. It is never unset: that try
 	// may land as long as the path is at the expected version.
 	uncertain bool
 }
 
-func (p *putter) run(ctx context.Context) (PutResult, error) {
-	pause := settlePause
+func (p *documentWrite) run(ctx context.Context) (PutResult, error) {
+	pause := retryDelay
 	for try := 0; ; try++ {
 		e, err := p.store.Swap(ctx, p.doc.Path, p.doc.Version, p.value)
 		if err == nil {
@@ -113,45 +113,45 @@
 		}
 		var conflict *ConflictError
 		if errors.As(err, &conflict) {
-			return p.superseded(conflict.Now)
+			return p.resolve(conflict.Now)
 		}
-		var lost *UncertainError
-		p.uncertain = p.uncertain || errors.As(err, &lost)
+		var uncertain *UncertainError
+		p.uncertain = p.uncertain || errors.As(err, &uncertain)
 		if !p.uncertain {
 			return PutResult{Outcome: Refused}, err
 		}
-		if try == settleTries || !sleep(ctx, pause) {
+		if try == maxRetries || !sleep(ctx, pause) {
 			return PutResult{}, &UncertainError{Path: p.doc.Path, Err: err}
 		}
-		pause = min(2*pause, settleMost)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// superseded decides a write whose path has moved on from the expected version.
+// resolve decides a write whose path has moved on from the expected version.
 // From here on it can't land any more; it may have landed before.
-func (p *putter) superseded(now Entry) (PutResult, error) {
+func (p *documentWrite) resolve(current Entry) (PutResult, error) {
 	made := p.doc.Version + 1
-	if p.uncertain && now.Version < p.doc.Version {
+	if p.uncertain && current.Version < p.doc.Version {
 		// The platform has lost writes; whoever has seen this one writes it again.
-		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflict(now)}
+		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflictError(current)}
 	}
-	if now.Version < made {
-		return PutResult{Outcome: Refused, Newer: now}, p.conflict(now)
+	if current.Version < made {
+		return PutResult{Outcome: Refused, Newer: current}, p.conflictError(current)
 	}
-	writes := Writes(now)
-	age := now.Version - made // writes to the path since
-	told := age < uint64(len(writes))
-	if told && writes[age] == p.write {
+	writes := Writes(current)
+	age := current.Version - made // writes to the path since
+	recorded := age < uint64(len(writes))
+	if recorded && writes[age] == p.writeID {
 		return PutResult{Outcome: Accepted, Version: made}, nil
 	}
-	if p.uncertain && !told {
-		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflict(now)}
+	if p.uncertain && !recorded {
+		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflictError(current)}
 	}
-	return PutResult{Outcome: Refused, Newer: now}, p.conflict(now)
+	return PutResult{Outcome: Refused, Newer: current}, p.conflictError(current)
 }
 
-func (p *putter) conflict(now Entry) error {
-	return &ConflictError{Path: p.doc.Path, Want: p.doc.Version, Now: now}
+func (p *documentWrite) conflictError(current Entry) error {
+	return &ConflictError{Path: p.doc.Path, Want: p.doc.Version, Now: current}
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/docstore/entry.go
+++ b/internal/docstore/entry.go
@@ -14,19 +14,19 @@
 	MaxPath = 200 - len(entryPrefix)
 	// MaxValue is the largest value of an entry in bytes: what the platform takes,
 	// less the line that says the version.
-	MaxValue   = 1<<20 - maxVersion
-	maxVersion = 64 // bytes of the line that says the version
+	MaxValue   = 1<<20 - maxVersionLine
+	maxVersionLine = 64 // bytes of the line that says the version
 )
 
-// version is the first line of an entry's value in the platform's store. The value
+// versionLine is the first line of an entry's value in the platform's store. The value
 // follows the line's end as it is.
-type version struct {
+type versionLine struct {
 	Number  uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
 func encodeEntry(e Entry) []byte {
-	line, err := json.Marshal(version{Number: e.Version, Deleted: e.Deleted})
+	line, err := json.Marshal(versionLine{Number: e.Version, Deleted: e.Deleted})
 	if err != nil {
 		panic(err) // a number and a bool can always be written
 	}
@@ -39,10 +39,10 @@
 		return e, nil // the key doesn't exist
 	}
 	line, value, ok := bytes.Cut(item.Value, []byte("\n"))
-	if !ok || len(line) > maxVersion {
+	if !ok || len(line) > maxVersionLine {
 		return Entry{}, &FormatError{Path: e.Path, Reason: "no version line"}
 	}
-	var v version
+	var v versionLine
 	if err := json.Unmarshal(line, &v); err != nil {
 		return Entry{}, &FormatError{Path: e.Path, Reason: err.Error()}
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-func encode(call string, v any) ([]byte, error) {
+func marshal(call string, v any) ([]byte, error) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return nil, &InvalidError{Call: call, Reason: err.Error()}
--- a/internal/docstore/envelope.go
+++ b/internal/docstore/envelope.go
@@ -11,8 +11,8 @@
 
 // Limits of an envelope.
 const (
-	maxWrites = 16   // identities kept of the last writes to a path
-	maxWrite  = 64   // bytes of a write identity
+	maxWriteIDs = 16   // identities kept of the last writes to a path
+	maxWriteID  = 64   // bytes of a write identity
 	maxHeader = 4096 // bytes of the header line
 )
 
@@ -31,15 +31,15 @@
 // EncodeDocument returns the value that keeps a document. writes names the last
 // writes to its path, the newest (this one) first; only the first ones are kept.
 func EncodeDocument(doc settings.Document, writes []string) ([]byte, error) {
-	if err := checkWrites(doc.Path, writes); err != nil {
+	if err := checkWriteIDs(doc.Path, writes); err != nil {
 		return nil, err
 	}
-	return encodeDocument(doc, header{Writes: writes[:min(len(writes), maxWrites)]})
+	return encodeDocument(doc, header{Writes: writes[:min(len(writes), maxWriteIDs)]})
 }
 
 func encodeDocument(doc settings.Document, h header) ([]byte, error) {
 	h.Deleted = doc.Deleted
-	line, err := encode("EncodeDocument", h)
+	line, err := marshal("EncodeDocument", h)
 	if err != nil {
 		return nil, err
 	}
@@ -50,12 +50,12 @@
 	return value, CheckValue(doc.Path, value)
 }
 
-// restoredWrite stands in the place of the writes to a document that are not known.
-const restoredWrite = "restored"
+// restoredWriteID stands in the place of the writes to a document that are not known.
+const restoredWriteID = "restored"
 
 // EncodeRestored returns the value that keeps a document which the platform has lost.
 func EncodeRestored(doc settings.Document) ([]byte, error) {
-	return encodeDocument(doc, header{Writes: []string{restoredWrite}, Restored: true})
+	return encodeDocument(doc, header{Writes: []string{restoredWriteID}, Restored: true})
 }
 
 // DecodeDocument reads the document of an entry. An entry that the platform
@@ -97,10 +97,10 @@
 	if err := json.Unmarshal(line, &h); err != nil {
 		return header{}, nil, &FormatError{Path: e.Path, Reason: err.Error()}
 	}
-	if err := checkWrites(e.Path, h.Writes); err != nil {
+	if err := checkWriteIDs(e.Path, h.Writes); err != nil {
 		return header{}, nil, err
 	}
-	if len(h.Writes) > maxWrites {
+	if len(h.Writes) > maxWriteIDs {
 		return header{}, nil, &FormatError{Path: e.Path, Reason: "too many writes"}
 	}
 	if h.Deleted && len(body) > 0 {
@@ -109,18 +109,18 @@
 	return h, body, nil
 }
 
-func checkWrites(path string, writes []string) error {
+func checkWriteIDs(path string, writes []string) error {
 	if len(writes) == 0 {
 		return &FormatError{Path: path, Reason: "no write identity"}
 	}
-	if i := slices.IndexFunc(writes, func(w string) bool { return !validWrite(w) }); i >= 0 {
-		return &FormatError{Path: path, Reason: fmt.Sprintf("write identity %d is not 1 to %d letters, digits, - or _", i, maxWrite)}
+	if i := slices.IndexFunc(writes, func(w string) bool { return !validWriteID(w) }); i >= 0 {
+		return &FormatError{Path: path, Reason: fmt.Sprintf("write identity %d is not 1 to %d letters, digits, - or _", i, maxWriteID)}
 	}
 	return nil
 }
 
-func validWrite(w string) bool {
-	if w == "" || len(w) > maxWrite {
+func validWriteID(w string) bool {
+	if w == "" || len(w) > maxWriteID {
 		return false
 	}
 	for _, c := range []byte(w) {
