--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -12,43 +12,44 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Keys of the platform's store.
+// Key prefixes in the platform's store.
 const (
-	entryPrefix    = "firlever/documents" // a path follows
-	instancePrefix = "firlever/members/"  // an instance's ID follows
+	entryPrefix    = "firlever/documents" // followed by a path
+	instancePrefix = "firlever/members/"  // followed by an instance ID
 )
 
 // registrationTTL is how long an instance stays in the list without a renewal. Instances
-// renew each 29 s at the latest, so that one lost renewal takes it out for a while.
+// renew at least every 29 s, so one lost renewal removes the instance until the next one
+// succeeds.
 const registrationTTL = 31 * time.Second
 
-// Client is a Store over the platform's metadata store. An entry is one key, whose
-// value says its version; a deleted one keeps its key and version. The list of
-// instances is kept by leases. It is safe for concurrent use.
+// Client is a Store over the platform's metadata store. Each entry is stored under one
+// key, and its value contains the version; a deleted entry keeps its key and version.
+// Instances are registered under leases. A Client is safe for concurrent use.
 type Client struct {
 	store *platform.Store
 
-	mu    sync.Mutex
-	registrations map[string]registration // of the list that are renewed here, by ID; guarded by mu
+	mu            sync.Mutex
+	registrations map[string]registration // registrations renewed by this client, by instance ID; guarded by mu
 }
 
-// registration is a registration of the list as it was written under its lease.
+// registration is an instance's entry in the list as written, with its lease.
 type registration struct {
-	instance    Instance
-	lease platform.Lease
+	instance Instance
+	lease    platform.Lease
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient makes a client of a store.
+// NewClient returns a client for a store.
 func NewClient(store *platform.Store) *Client {
 	return &Client{store: store, registrations: make(map[string]registration)}
 }
 
-// Close drops the kept connections to the platform.
+// Close closes the idle connections to the platform.
 func (c *Client) Close() { c.store.Close() }
 
-// Get reads one path.
+// Get reads one path. A path that was never written, or is deleted, gives *NotFoundError.
 func (c *Client) Get(ctx context.Context, path string) (Entry, error) {
 	e, _, err := c.read(ctx, "Get", path)
 	if err == nil && (e.Version == 0 || e.Deleted) {
@@ -60,8 +61,8 @@
 	return e, nil
 }
 
-// read reads an entry, deleted or not, and the revision that a write has to expect.
-// One that was never written has version 0.
+// read reads an entry, deleted or not, and the revision that a conditional write must
+// expect. An entry that was never written has version 0.
 func (c *Client) read(ctx context.Context, call, path string) (Entry, platform.Revision, error) {
 	if err := CheckPath(call, path); err != nil {
 		return Entry{}, platform.Revision{}, err
@@ -78,8 +79,8 @@
 	return e, item.Changed, err
 }
 
-// List reads every entry under a prefix, and the revision that the first page is
-// true at; what came since is for a watch.
+// List reads every entry under a prefix, and the revision of the first page. Changes
+// after that revision are found by Watch.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, platform.Revision, error) {
 	all, revision, err := c.list(ctx, "List", prefix)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return entries, revision, nil
 }
 
-// list reads every entry under a prefix, deleted ones too.
+// list reads every entry under a prefix, including deleted ones.
 func (c *Client) list(ctx context.Context, call, prefix string) ([]Entry, platform.Revision, error) {
 	items, revision, err := c.store.List(ctx, entryPrefix+prefix, false)
 	if err != nil {
@@ -128,24 +129,24 @@
 	return c.write(ctx, "Delete", Entry{Path: path, Version: version + 1, Deleted: true})
 }
 
-// write writes an entry over the version before its own. The version is read first,
-// and the write then expects that nothing has changed since.
+// write writes an entry over the previous version. It reads the version first, and the
+// write succeeds only if nothing has changed since.
 func (c *Client) write(ctx context.Context, call string, e Entry) (Entry, error) {
 	current, changed, err := c.read(ctx, call, e.Path)
 	if err != nil {
 		return Entry{}, err
 	}
-	want := e.Version - 1
-	if current.Version != want {
-		return Entry{}, &ConflictError{Path: e.Path, Want: want, Now: current}
+	expected := e.Version - 1
+	if current.Version != expected {
+		return Entry{}, &ConflictError{Path: e.Path, Want: expected, Now: current}
 	}
 	if e.Revision, err = c.put(ctx, e, changed); err != nil {
-		return Entry{}, swapError(call, e.Path, want, err)
+		return Entry{}, swapError(call, e.Path, expected, err)
 	}
 	return e, nil
 }
 
-// put writes an entry if its path has not changed since a revision.
+// put writes an entry if its path has not changed since the revision changed.
 func (c *Client) put(ctx context.Context, e Entry, changed platform.Revision) (platform.Revision, error) {
 	key := entryPrefix + e.Path
 	return c.store.Do(ctx, platform.Txn{
@@ -154,7 +155,7 @@
 	})
 }
 
-// Restore writes an entry at its version if the path is at an earlier one.
+// Restore writes an entry at its own version if the path is at an earlier version.
 func (c *Client) Restore(ctx context.Context, e Entry) error {
 	if err := CheckValue(e.Path, e.Value); err != nil {
 		return err
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// Watch waits for entries under prefix past a revision. If the store has forgotten
-// the changes since, all entries that are newer are read instead.
+// Watch waits for entries under prefix that change after a revision. If the store no
+// longer has the history since then, it lists all newer entries instead.
 func (c *Client) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]Entry, platform.Revision, error) {
 	events, revision, err := c.store.Watch(ctx, entryPrefix+prefix, after, min(wait, platform.MaxWait))
 	var historyLost *platform.HistoryError
@@ -180,14 +181,14 @@
 	if err != nil {
 		return nil, after, readError("Watch", err)
 	}
-	last := make(map[string]platform.Revision, len(events)) // of each key in the answer
+	last := make(map[string]platform.Revision, len(events)) // last change of each key in the response
 	for _, event := range events {
 		last[event.Key] = event.Changed
 	}
 	var entries []Entry
 	for _, event := range events {
 		if event.Removed || event.Changed != last[event.Key] {
-			continue // an entry is never removed, and is given as it is now
+			continue // entries are never removed; only the latest state of each is returned
 		}
 		e, err := decodeEntry(event.Item)
 		if err != nil {
@@ -198,7 +199,7 @@
 	return entries, revision, nil
 }
 
-// listSince reads the entries that were written past a revision.
+// listSince reads the entries that were written after a revision, including deleted ones.
 func (c *Client) listSince(ctx context.Context, prefix string, after platform.Revision) ([]Entry, platform.Revision, error) {
 	all, revision, err := c.list(ctx, "Watch", prefix)
 	if err != nil {
@@ -213,7 +214,7 @@
 	return entries, platform.Later(after, revision), nil
 }
 
-// Register puts this instance in the list, or renews its line.
+// Register adds this instance to the list, or renews its registration.
 func (c *Client) Register(ctx context.Context, in Instance) error {
 	if err := CheckPath("Register", "/"+in.ID); err != nil || in.ID == "" {
 		return &InvalidError{Call: "Register", Reason: "ID missing or too long"}
@@ -242,7 +243,7 @@
 	return nil
 }
 
-// renew renews a line of the list, and says whether it is still there. c.mu is held.
+// renew renews a registration, and reports whether it still exists. c.mu is held.
 func (c *Client) renew(ctx context.Context, l registration) (bool, error) {
 	err := c.store.Keep(ctx, l.lease)
 	var restored *platform.EpochError
@@ -255,8 +256,9 @@
 	return err == nil, err
 }
 
-// verify says whether a store that came back from a copy still has a line as it was written,
-// under its lease, whose number may be another's by now. c.mu is held.
+// verify reports whether a store that was restored from a snapshot still has a registration
+// as it was written, under its lease. The lease's number alone proves nothing, as it may
+// since have been given to another lease. c.mu is held.
 func (c *Client) verify(ctx context.Context, l registration) (bool, error) {
 	item, err := c.store.Get(ctx, instancePrefix+l.instance.ID)
 	var missing *platform.MissingError
@@ -275,7 +277,7 @@
 	return true, nil
 }
 
-// Instances reads the list of instances. It may be seconds old.
+// Instances reads the list of instances, which may be seconds old.
 func (c *Client) Instances(ctx context.Context) ([]Instance, platform.Revision, error) {
 	items, at, err := c.store.List(ctx, instancePrefix, true)
 	if err != nil {
@@ -292,7 +294,7 @@
 	return list, at, nil
 }
 
-// readError types the failure of a call that changes nothing.
+// readError converts the error of a call that changes nothing to a type of this package.
 func readError(call string, err error) error {
 	var refused *platform.NotDoneError
 	if errors.As(err, &refused) {
@@ -301,7 +303,8 @@
 	return &UnavailableError{Call: call, Err: err}
 }
 
-// writeError types the failure of a call that may have changed something; nil stays nil.
+// writeError converts the error of a call that may have changed something to a type of
+// this package; nil stays nil.
 func writeError(call, path string, err error) error {
 	var uncertain *platform.UncertainError
 	switch {
@@ -313,8 +316,9 @@
 	return readError(call, err)
 }
 
-// swapError types the failure of a write that expected a version.
-func swapError(call, path string, want uint64, err error) error {
+// swapError converts the error of a write that expected a version to a type of this
+// package.
+func swapError(call, path string, expected uint64, err error) error {
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) {
 		return writeError(call, path, err)
@@ -322,22 +326,23 @@
 	for _, item := range conflict.Items {
 		current, err := decodeEntry(item)
 		if err == nil && current.Path == path {
-			return &ConflictError{Path: path, Want: want, Now: current}
+			return &ConflictError{Path: path, Want: expected, Now: current}
 		}
 	}
 	return &UncertainError{Path: path, Err: err}
 }
 
-// notDoneError types a call that was not done.
-func notDoneError(call string, e *platform.NotDoneError) error {
-	switch e.Status {
+// notDoneError converts the error of a call that the platform did not perform to a type of
+// this package.
+func notDoneError(call string, err *platform.NotDoneError) error {
+	switch err.Status {
 	case http.StatusTooManyRequests:
 		return &BusyError{Call: call}
 	case http.StatusServiceUnavailable:
-		return &UnavailableError{Call: call, Err: e}
+		return &UnavailableError{Call: call, Err: err}
 	}
-	return &InvalidError{Call: call, Reason: e.Error()}
+	return &InvalidError{Call: call, Reason: err.Error()}
 }
 
-// pathOf is the path of an entry's key.
+// pathOf returns the path of an entry's key.
 func pathOf(key string) string { return strings.TrimPrefix(key, entryPrefix) }
--- a/internal/docstore/client_test.go
+++ b/internal/docstore/client_test.go
@@ -27,7 +27,7 @@
 	return s
 }
 
-// serve returns a client over HTTP of the same entries as the store's own.
+// serve returns an in-process store and a client that reads the same store over HTTP.
 func serve(t *testing.T) (*inproc.Store, *docstore.Client) {
 	t.Helper()
 	local := newLocal(t)
@@ -41,8 +41,8 @@
 	return local, client
 }
 
-// TestClientIsLikeLocal makes the same calls of a store over HTTP and of one in
-// process, and wants the same answers and errors.
+// TestClientIsLikeLocal checks that a client over HTTP and an in-process store give the
+// same results and errors for the same calls.
 func TestClientIsLikeLocal(t *testing.T) {
 	ctx := t.Context()
 	type answer struct {
@@ -138,28 +138,28 @@
 	_, _ = s.Swap(ctx, "/a", 0, []byte("x"))
 	_, _ = s.Delete(ctx, "/a", 1)
 	if _, err := s.Swap(ctx, "/a", 0, nil); err == nil {
-		t.Error("a deleted path was created anew at version 1")
+		t.Error("a deleted path was recreated at version 1")
 	}
 	if e, err := s.Swap(ctx, "/a", 2, nil); err != nil || e.Version != 3 {
 		t.Errorf("got %+v %v, want version 3", e, err)
 	}
 }
 
-// A watch gives each path once and as it is now, deleted ones too, also when the
-// store has forgotten the changes.
+// A watch returns the latest state of each path once, including deleted paths, even if the
+// store no longer has the history of the changes.
 func TestWatch(t *testing.T) {
 	for name, forget := range map[string]bool{"history": false, "history gone": true} {
 		t.Run(name, func(t *testing.T) {
-			stand := store.New()
-			defer stand.Close()
-			s, ctx := docstore.NewClient(platform.NewStoreOver("stand-in", stand)), t.Context()
+			backend := store.New()
+			defer backend.Close()
+			s, ctx := docstore.NewClient(platform.NewStoreOver("stand-in", backend)), t.Context()
 			first, _ := s.Swap(ctx, "/t/busy", 0, nil)
 			_, _ = s.Swap(ctx, "/t/a", 0, nil)
 			_, _ = s.Swap(ctx, "/other", 0, nil)
 			_, _ = s.Delete(ctx, "/t/busy", 1)
 			last, _ := s.Swap(ctx, "/t/a", 1, []byte("new"))
 			if forget {
-				stand.Forget()
+				backend.Forget()
 			}
 			got, next, err := s.Watch(ctx, "/t/", first.Revision, time.Minute)
 			if err != nil || next != last.Revision {
@@ -176,20 +176,21 @@
 	}
 }
 
-// A watch finds what a store has that has come back from a copy, whatever revisions it gives.
+// After the store is restored from a snapshot, a watch returns all of its entries, whether
+// its revisions are lower or higher than the last one that was read before.
 func TestWatchAfterRestore(t *testing.T) {
 	for name, writes := range map[string]uint64{"behind": 1, "past": 9} {
 		t.Run(name, func(t *testing.T) {
-			stand := store.New()
-			defer stand.Close()
-			s, ctx := docstore.NewClient(platform.NewStoreOver("stand-in", stand)), t.Context()
+			backend := store.New()
+			defer backend.Close()
+			s, ctx := docstore.NewClient(platform.NewStoreOver("stand-in", backend)), t.Context()
 			_, _ = s.Swap(ctx, "/a", 0, nil)
-			c := stand.Copy()
+			snapshot := backend.Copy()
 			var last docstore.Entry
 			for version := range uint64(5) {
 				last, _ = s.Swap(ctx, "/b", version, nil)
 			}
-			stand.GoBack(c)
+			backend.GoBack(snapshot)
 			for version := range writes {
 				if _, err := s.Swap(ctx, "/c", version, []byte("new")); err != nil {
 					t.Fatal(err)
@@ -206,7 +207,8 @@
 	}
 }
 
-// The list shows who registers, some time later, and drops who does not any more.
+// A registration appears in the list after the list's lag, and disappears once it is no
+// longer renewed.
 func TestInstances(t *testing.T) {
 	lag := store.Defaults().Lag
 	tests := map[string]struct {
@@ -239,7 +241,7 @@
 				if err != nil || !reflect.DeepEqual(got, tt.want) {
 					t.Errorf("got %v, %v, want %v", got, err, tt.want)
 				}
-				time.Sleep(2 * time.Minute) // for the rest of what was to come
+				time.Sleep(2 * time.Minute) // lets the remaining timers fire
 			})
 		})
 	}
@@ -266,7 +268,7 @@
 	}
 	group.Wait()
 	if e, err := client.Get(t.Context(), "/a"); err != nil || e.Version != won.Load() {
-		t.Errorf("got version %d %v, want %d, one a win", e.Version, err, won.Load())
+		t.Errorf("got version %d %v, want %d, one per successful write", e.Version, err, won.Load())
 	}
 }
 
@@ -275,10 +277,10 @@
 	f.Add([]byte("{\"version\":3,\"deleted\":true}\n"), uint64(7))
 	f.Add([]byte("{"), uint64(0))
 	f.Fuzz(func(t *testing.T, value []byte, version uint64) {
-		stand := store.New()
-		defer stand.Close()
-		s := docstore.NewClient(platform.NewStoreOver("stand-in", stand))
-		stand.Put("firlever/documents/a", value)
+		backend := store.New()
+		defer backend.Close()
+		s := docstore.NewClient(platform.NewStoreOver("stand-in", backend))
+		backend.Put("firlever/documents/a", value)
 		e, err := s.Get(t.Context(), "/a")
 		var format *docstore.FormatError
 		var missing *docstore.NotFoundError
@@ -286,7 +288,7 @@
 			t.Errorf("got %T, want a *FormatError or *NotFoundError", err)
 		}
 		if _, err := s.Swap(t.Context(), "/a", version, []byte("x")); err == nil && e.Version != version {
-			t.Errorf("wrote over version %d with %d", e.Version, version)
+			t.Errorf("overwrote version %d with expected version %d", e.Version, version)
 		}
 	})
 }
--- a/internal/docstore/document.go
+++ b/internal/docstore/document.go
@@ -8,99 +8,101 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Outcome says what became of a write to a document.
+// Outcome is the outcome of a write to a document.
 type Outcome int
 
-// Outcomes of a write. The zero value claims nothing.
+// Outcomes of a write. The zero value is Unknown.
 const (
-	Unknown  Outcome = iota // the write may have landed, and that could not be read back
-	Accepted                // the write landed
-	Refused                 // the write did not land, and never will
+	Unknown  Outcome = iota // the write may have been applied, and reading back could not confirm either
+	Accepted                // the write was applied
+	Refused                 // the write was not applied, and never will be
 )
 
 var outcomeNames = [...]string{Unknown: "unknown", Accepted: "accepted", Refused: "refused"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// PutResult is the proved outcome of a write to a document.
+// PutResult is the outcome of a write to a document.
 type PutResult struct {
 	Outcome Outcome
-	Version uint64 // made by the write, if Accepted
-	Newer   Entry  // what the write lost to, if Refused by a newer version; else zero
+	Version uint64 // created by the write, if Accepted
+	Newer   Entry  // the newer entry, if Refused because of one; else zero
 }
 
-// How a write without an answer is settled.
+// Retries of a write that got no answer.
 const (
-	maxRetries = 10                    // reads and repeats at most
-	retryDelay = 50 * time.Millisecond // before the first of them; doubles each time
-	maxRetryDelay  = time.Second
+	maxRetries    = 10                    // after the first attempt
+	retryDelay    = 50 * time.Millisecond // before the first retry; doubles each time
+	maxRetryDelay = time.Second
 )
 
-// PutDocument writes the document at path if it still has the given version; 0
-// creates. write names this write and no other, in at most 64 letters, digits,
-// - and _; only a repeat of the same write may carry it again.
+// PutDocument writes the document at path if it still has the given version; version
+// 0 creates it. writeID is the unique ID of this write, of at most 64 letters, digits,
+// - and _; only a retry of the same write may reuse it.
 //
-// A write whose answer was lost is settled by reading its identity back. The
-// error is nil if Accepted, *UncertainError if Unknown, and the reason if
+// If the answer is lost, the outcome is resolved by reading the IDs of the latest
+// writes. The error is nil if Accepted, *UncertainError if Unknown, and the reason if
 // Refused: *ConflictError for a newer version.
-func PutDocument(ctx context.Context, store Store, path string, version uint64, body []byte, write string) (PutResult, error) {
+func PutDocument(ctx context.Context, store Store, path string, version uint64, body []byte, writeID string) (PutResult, error) {
 	doc := settings.Document{Path: path, Version: version, Body: body}
-	return put(ctx, store, doc, write)
+	return put(ctx, store, doc, writeID)
 }
 
-// DeleteDocument marks the document at path as deleted, by a write like that of
-// PutDocument, so that its versions go on and the deletion is passed on.
-func DeleteDocument(ctx context.Context, store Store, path string, version uint64, write string) (PutResult, error) {
+// DeleteDocument marks the document at path as deleted with a write like that of
+// PutDocument. The path's versions therefore keep counting, and the deletion reaches
+// other instances like any change.
+func DeleteDocument(ctx context.Context, store Store, path string, version uint64, writeID string) (PutResult, error) {
 	doc := settings.Document{Path: path, Version: version, Deleted: true}
-	return put(ctx, store, doc, write)
+	return put(ctx, store, doc, writeID)
 }
 
-// ResolveWrite settles an earlier write from version, whose outcome was Unknown,
-// by reading alone. It stays Unknown as long as the path is still at that
-// version, when the write may be under way: then it can be repeated as it was.
-func ResolveWrite(ctx context.Context, store Store, path string, version uint64, write string) (PutResult, error) {
+// ResolveWrite determines the outcome of an earlier write over version, whose outcome
+// was Unknown, by reading only. The outcome stays Unknown while the path is still at
+// that version, since the write may still be in flight; the same write can then be
+// retried.
+func ResolveWrite(ctx context.Context, store Store, path string, version uint64, writeID string) (PutResult, error) {
 	current, err := store.Get(ctx, path)
 	if err != nil {
 		return PutResult{}, &UncertainError{Path: path, Err: err}
 	}
 	doc := settings.Document{Path: path, Version: version}
-	p := documentWrite{store: store, doc: doc, writeID: write, uncertain: true}
+	p := documentWrite{store: store, doc: doc, writeID: writeID, uncertain: true}
 	if current.Version <= version {
 		return PutResult{}, &UncertainError{Path: path, Err: p.conflictError(current)}
 	}
 	return p.resolve(current)
 }
 
-func put(ctx context.Context, store Store, doc settings.Document, write string) (PutResult, error) {
+func put(ctx context.Context, store Store, doc settings.Document, writeID string) (PutResult, error) {
 	current, err := store.Get(ctx, doc.Path)
 	var missing *NotFoundError
 	if errors.As(err, &missing) {
-		// Never written, or deleted at a version that Swap will compare.
+		// Never written, or deleted at a version that Swap compares.
 		current, err = Entry{Path: doc.Path, Version: doc.Version, Deleted: true}, nil
 	}
 	if err != nil {
 		return PutResult{Outcome: Refused}, err
 	}
-	p := documentWrite{store: store, doc: doc, writeID: write}
+	p := documentWrite{store: store, doc: doc, writeID: writeID}
 	if current.Version != doc.Version {
 		return p.resolve(current)
 	}
-	p.value, err = EncodeDocument(doc, append([]string{write}, Writes(current)...))
+	p.value, err = EncodeDocument(doc, append([]string{writeID}, Writes(current)...))
 	if err != nil {
 		return PutResult{Outcome: Refused}, err
 	}
 	return p.run(ctx)
 }
 
-// documentWrite makes one write until its outcome is proved. A repeat is safe: the
-// value and the expected version are the same, so at most one can land.
+// documentWrite retries one write until its outcome is certain. A retry is safe: the
+// value and the expected version are the same, so at most one attempt can be applied.
 type documentWrite struct {
-	store Store
-	doc   settings.Document
+	store   Store
+	doc     settings.Document
 	writeID string
-	value []byte
-	// uncertain is set once an answer was lost. It is never unset: that try
-	// may land as long as the path is at the expected version.
+	value   []byte
+	// uncertain is set once an answer was lost. It is never reset: that attempt
+	// can still be applied while the path is at the expected version.
 	uncertain bool
 }
 
@@ -127,22 +129,22 @@
 	}
 }
 
-// resolve decides a write whose path has moved on from the expected version.
-// From here on it can't land any more; it may have landed before.
+// resolve determines the outcome of a write whose path is no longer at the expected
+// version. The write can't be applied any more, but it may have been applied before.
 func (p *documentWrite) resolve(current Entry) (PutResult, error) {
-	made := p.doc.Version + 1
+	created := p.doc.Version + 1
 	if p.uncertain && current.Version < p.doc.Version {
-		// The platform has lost writes; whoever has seen this one writes it again.
+		// The store has lost writes; an instance that has read this one may restore it.
 		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflictError(current)}
 	}
-	if current.Version < made {
+	if current.Version < created {
 		return PutResult{Outcome: Refused, Newer: current}, p.conflictError(current)
 	}
 	writes := Writes(current)
-	age := current.Version - made // writes to the path since
+	age := current.Version - created // number of later writes to the path
 	recorded := age < uint64(len(writes))
 	if recorded && writes[age] == p.writeID {
-		return PutResult{Outcome: Accepted, Version: made}, nil
+		return PutResult{Outcome: Accepted, Version: created}, nil
 	}
 	if p.uncertain && !recorded {
 		return PutResult{}, &UncertainError{Path: p.doc.Path, Err: p.conflictError(current)}
--- a/internal/docstore/document_test.go
+++ b/internal/docstore/document_test.go
@@ -15,15 +15,15 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// script is a store that does something else before or after some swaps.
-type script struct {
+// hookedStore is a store that runs hooks before and after each Swap.
+type hookedStore struct {
 	docstore.Store
 	swaps  int
-	before func(swap int) error // an error is returned in the swap's place
+	before func(swap int) error // a non-nil error is returned instead of calling Swap
 	after  func(swap int)
 }
 
-func (s *script) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
+func (s *hookedStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	s.swaps++
 	if s.before != nil {
 		if err := s.before(s.swaps); err != nil {
@@ -39,7 +39,7 @@
 
 func TestPutDocument(t *testing.T) {
 	ctx := context.Background()
-	// others writes n documents over ours; raw writes one that is no document.
+	// others overwrites the document n times; raw writes a value that is not a document.
 	others := func(l *inproc.Store, n int) {
 		for i := range n {
 			e, _ := l.Get(ctx, "/d")
@@ -61,10 +61,10 @@
 		}
 	}
 	tests := map[string]struct {
-		lose   int                                 // answers to landed writes
+		lose   int                                 // answers lost of writes that were applied
 		before func(*inproc.Store) func(int) error // see script
-		after  func(*inproc.Store)                 // once ours has landed unanswered
-		stale  bool                                // we have read an old version
+		after  func(*inproc.Store)                 // after our first Swap
+		stale  bool                                // our expected version is outdated
 		want   docstore.Outcome
 	}{
 		"plain":       {want: docstore.Accepted},
@@ -105,7 +105,7 @@
 				if tt.stale {
 					others(local, 1)
 				}
-				s := &script{Store: local}
+				s := &hookedStore{Store: local}
 				if tt.before != nil {
 					s.before = tt.before(local)
 				}
@@ -132,17 +132,17 @@
 	}
 }
 
-// landed reports whether the entry shows that a write landed. It is false for a
-// landed write that the entry no longer tells of.
-func landed(l *inproc.Store, write string) bool {
+// landed reports whether the entry holds the ID of a write. It is false for a write that
+// was applied if the entry no longer holds its ID.
+func landed(l *inproc.Store, writeID string) bool {
 	e, _ := l.Get(context.Background(), "/d")
-	return bytes.Contains(e.Value, []byte(write))
+	return bytes.Contains(e.Value, []byte(writeID))
 }
 
 func checkResult(t *testing.T, got docstore.PutResult, err error, made uint64) {
 	t.Helper()
 	var conflict *docstore.ConflictError
-	var lost *docstore.UncertainError
+	var uncertain *docstore.UncertainError
 	switch got.Outcome {
 	case docstore.Accepted:
 		if err != nil || got.Version != made {
@@ -153,7 +153,7 @@
 			t.Errorf("got %+v %v, want a conflict with the newer entry", got, err)
 		}
 	default:
-		if !errors.As(err, &lost) {
+		if !errors.As(err, &uncertain) {
 			t.Errorf("got %v, want an uncertain write", err)
 		}
 	}
--- a/internal/docstore/entry.go
+++ b/internal/docstore/entry.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// MaxPath is the longest path or ID in bytes: a key of the platform's store has
-	// 200 at most.
+	// MaxPath is the length limit of a path or ID in bytes: a key of the platform's
+	// store has at most 200.
 	MaxPath = 200 - len(entryPrefix)
-	// MaxValue is the largest value of an entry in bytes: what the platform takes,
-	// less the line that says the version.
-	MaxValue   = 1<<20 - maxVersionLine
-	maxVersionLine = 64 // bytes of the line that says the version
+	// MaxValue is the size limit of an entry's value in bytes: the platform's limit
+	// less the version line.
+	MaxValue       = 1<<20 - maxVersionLine
+	maxVersionLine = 64 // bytes of the version line
 )
 
 // versionLine is the first line of an entry's value in the platform's store. The value
-// follows the line's end as it is.
+// follows the newline unchanged.
 type versionLine struct {
 	Number  uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
@@ -28,7 +28,7 @@
 func encodeEntry(e Entry) []byte {
 	line, err := json.Marshal(versionLine{Number: e.Version, Deleted: e.Deleted})
 	if err != nil {
-		panic(err) // a number and a bool can always be written
+		panic(err) // a number and a bool can always be marshaled
 	}
 	return append(append(line, '\n'), e.Value...)
 }
@@ -36,11 +36,11 @@
 func decodeEntry(item platform.Item) (Entry, error) {
 	e := Entry{Path: pathOf(item.Key), Revision: item.Changed}
 	if item.Changed.IsZero() {
-		return e, nil // the key doesn't exist
+		return e, nil // the key does not exist
 	}
 	line, value, ok := bytes.Cut(item.Value, []byte("\n"))
 	if !ok || len(line) > maxVersionLine {
-		return Entry{}, &FormatError{Path: e.Path, Reason: "no version line"}
+		return Entry{}, &FormatError{Path: e.Path, Reason: "version line missing or too long"}
 	}
 	var v versionLine
 	if err := json.Unmarshal(line, &v); err != nil {
@@ -53,7 +53,7 @@
 	return e, nil
 }
 
-// CheckPath returns an *InvalidError if the path can't be one of an entry.
+// CheckPath returns an *InvalidError if the path can't be that of an entry.
 func CheckPath(call, path string) error {
 	switch {
 	case !strings.HasPrefix(path, "/"):
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// CheckValue returns a *TooLargeError if the value is over MaxValue.
+// CheckValue returns a *TooLargeError if the value is larger than MaxValue.
 func CheckValue(path string, value []byte) error {
 	if len(value) > MaxValue {
 		return &TooLargeError{Path: path, Size: len(value)}
--- a/internal/docstore/envelope.go
+++ b/internal/docstore/envelope.go
@@ -11,30 +11,30 @@
 
 // Limits of an envelope.
 const (
-	maxWriteIDs = 16   // identities kept of the last writes to a path
-	maxWriteID  = 64   // bytes of a write identity
-	maxHeader = 4096 // bytes of the header line
+	maxWriteIDs = 16   // IDs kept of the latest writes to a path
+	maxWriteID  = 64   // bytes of a write ID
+	maxHeader   = 4096 // bytes of the header line
 )
 
 // header is the first line of a document's value. The document's body follows
-// the line's end as it is.
+// the newline unchanged.
 type header struct {
-	// Writes names the last writes to the path, the newest first. Writes[i]
-	// made the version i below the entry's own, without gaps.
+	// Writes holds the IDs of the latest writes to the path, newest first. Writes[i]
+	// created the version i below the entry's own, without gaps.
 	Writes  []string `json:"writes"`
 	Deleted bool     `json:"deleted,omitempty"`
-	// Restored says that Writes don't name the writes to the path: the platform had lost the
-	// document, and who wrote it again does not know them.
+	// Restored means that Writes does not hold the IDs of the writes to the path: the store
+	// had lost the document, and the instance that restored it does not have them.
 	Restored bool `json:"restored,omitempty"`
 }
 
-// EncodeDocument returns the value that keeps a document. writes names the last
-// writes to its path, the newest (this one) first; only the first ones are kept.
-func EncodeDocument(doc settings.Document, writes []string) ([]byte, error) {
-	if err := checkWriteIDs(doc.Path, writes); err != nil {
+// EncodeDocument returns the entry value that stores a document. writeIDs holds the IDs of
+// the latest writes to its path, newest (this one) first; only the first ones are kept.
+func EncodeDocument(doc settings.Document, writeIDs []string) ([]byte, error) {
+	if err := checkWriteIDs(doc.Path, writeIDs); err != nil {
 		return nil, err
 	}
-	return encodeDocument(doc, header{Writes: writes[:min(len(writes), maxWriteIDs)]})
+	return encodeDocument(doc, header{Writes: writeIDs[:min(len(writeIDs), maxWriteIDs)]})
 }
 
 func encodeDocument(doc settings.Document, h header) ([]byte, error) {
@@ -50,17 +50,18 @@
 	return value, CheckValue(doc.Path, value)
 }
 
-// restoredWriteID stands in the place of the writes to a document that are not known.
+// restoredWriteID replaces the IDs of writes to a restored document, which are unknown.
 const restoredWriteID = "restored"
 
-// EncodeRestored returns the value that keeps a document which the platform has lost.
+// EncodeRestored returns the entry value that stores a document which the platform's store
+// has lost.
 func EncodeRestored(doc settings.Document) ([]byte, error) {
 	return encodeDocument(doc, header{Writes: []string{restoredWriteID}, Restored: true})
 }
 
-// DecodeDocument reads the document of an entry. An entry that the platform
-// itself deleted gives a deleted document; any other value that
-// EncodeDocument didn't make gives *FormatError.
+// DecodeDocument returns the document of an entry. An entry that is itself deleted
+// gives a deleted document; any other value that does not have the format of
+// EncodeDocument gives *FormatError.
 func DecodeDocument(e Entry) (settings.Document, error) {
 	doc := settings.Document{Path: e.Path, Version: e.Version, Deleted: true}
 	if e.Deleted {
@@ -75,8 +76,8 @@
 	return doc, nil
 }
 
-// Writes returns the identities of the last writes to a document's path, the
-// newest first; none if the value doesn't tell.
+// Writes returns the IDs of the latest writes to a document's path, newest
+// first; none if the value does not hold them.
 func Writes(e Entry) []string {
 	if e.Deleted {
 		return nil
@@ -91,7 +92,7 @@
 func decodeEnvelope(e Entry) (header, []byte, error) {
 	line, body, ok := bytes.Cut(e.Value, []byte("\n"))
 	if !ok || len(line) > maxHeader {
-		return header{}, nil, &FormatError{Path: e.Path, Reason: "no header line"}
+		return header{}, nil, &FormatError{Path: e.Path, Reason: "header line missing or too long"}
 	}
 	var h header
 	if err := json.Unmarshal(line, &h); err != nil {
@@ -101,20 +102,20 @@
 		return header{}, nil, err
 	}
 	if len(h.Writes) > maxWriteIDs {
-		return header{}, nil, &FormatError{Path: e.Path, Reason: "too many writes"}
+		return header{}, nil, &FormatError{Path: e.Path, Reason: "too many write IDs"}
 	}
 	if h.Deleted && len(body) > 0 {
-		return header{}, nil, &FormatError{Path: e.Path, Reason: "a deleted document with a body"}
+		return header{}, nil, &FormatError{Path: e.Path, Reason: "deleted document has a body"}
 	}
 	return h, body, nil
 }
 
-func checkWriteIDs(path string, writes []string) error {
-	if len(writes) == 0 {
-		return &FormatError{Path: path, Reason: "no write identity"}
+func checkWriteIDs(path string, writeIDs []string) error {
+	if len(writeIDs) == 0 {
+		return &FormatError{Path: path, Reason: "no write ID"}
 	}
-	if i := slices.IndexFunc(writes, func(w string) bool { return !validWriteID(w) }); i >= 0 {
-		return &FormatError{Path: path, Reason: fmt.Sprintf("write identity %d is not 1 to %d letters, digits, - or _", i, maxWriteID)}
+	if i := slices.IndexFunc(writeIDs, func(w string) bool { return !validWriteID(w) }); i >= 0 {
+		return &FormatError{Path: path, Reason: fmt.Sprintf("write ID %d is not 1 to %d letters, digits, - or _", i, maxWriteID)}
 	}
 	return nil
 }
--- a/internal/docstore/errors.go
+++ b/internal/docstore/errors.go
@@ -2,15 +2,16 @@
 
 import "fmt"
 
-// NotFoundError says that a path has never been written, or is deleted.
+// NotFoundError reports that a path has never been written, or is deleted.
 type NotFoundError struct{ Path string }
 
 func (e *NotFoundError) Error() string { return fmt.Sprintf("docstore: %s not found", e.Path) }
 
-// ConflictError says that a write lost a race; Now is the entry that won.
+// ConflictError reports that the path is not at the version that a write expected. It holds
+// the entry as it is instead.
 type ConflictError struct {
 	Path string
-	Want uint64 // the version that the writer had read
+	Want uint64 // version that the write expected
 	Now  Entry
 }
 
@@ -18,7 +19,7 @@
 	return fmt.Sprintf("docstore: %s is at version %d, not %d", e.Path, e.Now.Version, e.Want)
 }
 
-// UncertainError says that a write's answer was lost: it may have landed.
+// UncertainError reports that a write got no answer, so it may have been applied.
 type UncertainError struct {
 	Path string
 	Err  error
@@ -28,10 +29,11 @@
 	return fmt.Sprintf("docstore: write to %s may have landed: %v", e.Path, e.Err)
 }
 
-// Unwrap returns the failure that hid the answer.
+// Unwrap returns the cause.
 func (e *UncertainError) Unwrap() error { return e.Err }
 
-// UnavailableError says that a read got no answer; nothing was changed.
+// UnavailableError reports that the platform could not be reached, or did not perform the
+// call; nothing was changed.
 type UnavailableError struct {
 	Call string
 	Err  error
@@ -44,12 +46,15 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// BusyError says that the platform refused the call over its rate; nothing was done.
+// BusyError reports that the platform rejected a call because of its rate limit; nothing
+// was changed.
 type BusyError struct{ Call string }
 
-func (e *BusyError) Error() string { return fmt.Sprintf("docstore: %s refused over its rate", e.Call) }
+func (e *BusyError) Error() string {
+	return fmt.Sprintf("docstore: %s rejected by the rate limit", e.Call)
+}
 
-// TooLargeError says that a value is over MaxValue.
+// TooLargeError reports that a value is larger than MaxValue.
 type TooLargeError struct {
 	Path string
 	Size int // bytes
@@ -59,7 +64,7 @@
 	return fmt.Sprintf("docstore: value of %s is %d bytes, at most %d", e.Path, e.Size, MaxValue)
 }
 
-// InvalidError says that a call can't be made as asked; nothing was done.
+// InvalidError reports that a call has invalid arguments; nothing was changed.
 type InvalidError struct {
 	Call   string
 	Reason string
@@ -69,12 +74,12 @@
 	return fmt.Sprintf("docstore: invalid %s: %s", e.Call, e.Reason)
 }
 
-// FormatError says that an entry's value is no document of ours.
+// FormatError reports that an entry's value does not have the format of a document.
 type FormatError struct {
 	Path   string
 	Reason string
 }
 
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("docstore: %s holds no document: %s", e.Path, e.Reason)
+	return fmt.Sprintf("docstore: %s is not a valid document: %s", e.Path, e.Reason)
 }
--- a/internal/docstore/faults_test.go
+++ b/internal/docstore/faults_test.go
@@ -17,40 +17,40 @@
 )
 
 func TestFaults(t *testing.T) {
-	second := func(f store.Faults) store.Faults {
+	forOneSecond := func(f store.Faults) store.Faults {
 		f.Until = time.Now().Add(time.Second)
 		return f
 	}
 	tests := map[string]struct {
-		faults    store.Faults // Until is set to a second on
-		after     time.Duration
-		uncertain bool // the write's answer never came
-		down      bool // nothing was written
-		landed    bool
+		faults      store.Faults // Until is set to one second from now
+		after       time.Duration
+		uncertain   bool // the write gives *UncertainError
+		unavailable bool // the write gives *UnavailableError
+		landed      bool
 	}{
 		"none":             {landed: true},
-		"outage":           {faults: store.Faults{Refuse: true}, down: true},
+		"outage":           {faults: store.Faults{Refuse: true}, unavailable: true},
 		"outage over":      {faults: store.Faults{Refuse: true}, after: time.Second, landed: true},
-		"silent outage":    {faults: store.Faults{Silent: true}, down: true},
+		"silent outage":    {faults: store.Faults{Silent: true}, unavailable: true},
 		"slow":             {faults: store.Faults{Delay: time.Second / 8}, landed: true},
 		"lost":             {faults: store.Faults{LoseNext: 1}, uncertain: true, landed: true},
 		"lost by chance":   {faults: store.Faults{LoseShare: 1}, uncertain: true, landed: true},
 		"late by chance":   {faults: store.Faults{LateShare: 1, Delay: time.Second / 16}, uncertain: true, landed: true},
-		"slower than that": {faults: store.Faults{Delay: time.Second}, down: true},
+		"slower than that": {faults: store.Faults{Delay: time.Second}, unavailable: true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := newLocal(t)
-				l.SetFaults(second(tt.faults))
+				l.SetFaults(forOneSecond(tt.faults))
 				time.Sleep(tt.after)
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second/2)
 				defer cancel()
 				_, err := l.Swap(ctx, "/a", 0, nil)
-				var lost *docstore.UncertainError
-				var down *docstore.UnavailableError
-				if errors.As(err, &lost) != tt.uncertain || errors.As(err, &down) != tt.down {
-					t.Errorf("got %v, want uncertain %v, down %v", err, tt.uncertain, tt.down)
+				var uncertain *docstore.UncertainError
+				var unavailable *docstore.UnavailableError
+				if errors.As(err, &uncertain) != tt.uncertain || errors.As(err, &unavailable) != tt.unavailable {
+					t.Errorf("got %v, want uncertain %v, unavailable %v", err, tt.uncertain, tt.unavailable)
 				}
 				l.SetFaults(store.Faults{})
 				if _, err := l.Get(t.Context(), "/a"); (err == nil) != tt.landed {
@@ -70,7 +70,7 @@
 	}
 	cut := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	tests := map[string]struct {
-		handler   http.HandlerFunc // of writes; nil: nothing listens
+		handler   http.HandlerFunc // for writes; nil means that nothing listens
 		uncertain bool
 	}{
 		"connection refused":   {nil, false},
@@ -85,7 +85,7 @@
 			_, _ = w.Write([]byte(`{"revision":1}`))
 		}, true},
 		"no answer in time": {func(_ http.ResponseWriter, r *http.Request) {
-			io.Copy(io.Discard, r.Body) // the end of the connection is noticed only then
+			io.Copy(io.Discard, r.Body) // the server detects a closed connection only after reading the body
 			<-r.Context().Done()
 		}, true},
 	}
@@ -106,15 +106,15 @@
 			defer client.Close()
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second/4)
 			defer cancel()
-			var lost *docstore.UncertainError
-			if _, err := client.Swap(ctx, "/a", 0, nil); err == nil || errors.As(err, &lost) != tt.uncertain {
+			var uncertain *docstore.UncertainError
+			if _, err := client.Swap(ctx, "/a", 0, nil); err == nil || errors.As(err, &uncertain) != tt.uncertain {
 				t.Errorf("got %v, want uncertain %v", err, tt.uncertain)
 			}
 		})
 	}
 }
 
-// Reads are never uncertain.
+// A failed read never gives *UncertainError, as it changes nothing.
 func TestReadFails(t *testing.T) {
 	for _, status := range []int{200, 429, 500, 503} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
@@ -122,11 +122,11 @@
 			defer server.Close()
 			client := docstore.NewClient(platform.NewStore(server.Listener.Addr().String()))
 			defer client.Close()
-			var lost *docstore.UncertainError
-			if _, err := client.Get(t.Context(), "/a"); err == nil || errors.As(err, &lost) {
+			var uncertain *docstore.UncertainError
+			if _, err := client.Get(t.Context(), "/a"); err == nil || errors.As(err, &uncertain) {
 				t.Errorf("got %v from a read, want a certain error", err)
 			}
-			if _, _, err := client.Instances(t.Context()); err == nil || errors.As(err, &lost) {
+			if _, _, err := client.Instances(t.Context()); err == nil || errors.As(err, &uncertain) {
 				t.Errorf("got %v from the list, want a certain error", err)
 			}
 		})
--- a/internal/docstore/restore_test.go
+++ b/internal/docstore/restore_test.go
@@ -11,18 +11,18 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// restorable returns a client, the stand-in behind it, and a copy of that from before /a went
-// from version 1 to 3.
-func restorable(t *testing.T) (*docstore.Client, *store.Store, *store.Copy) {
+// newRestorable returns a client, its emulated store, and a snapshot of the store that has /a at
+// version 1; the store itself has /a at version 3.
+func newRestorable(t *testing.T) (*docstore.Client, *store.Store, *store.Copy) {
 	t.Helper()
-	stand := store.New()
-	t.Cleanup(stand.Close)
-	s := docstore.NewClient(platform.NewStoreOver("stand-in", stand))
+	backend := store.New()
+	t.Cleanup(backend.Close)
+	s := docstore.NewClient(platform.NewStoreOver("stand-in", backend))
 	put(t, s, 0, "one", "w1")
-	c := stand.Copy()
+	snapshot := backend.Copy()
 	put(t, s, 1, "two", "w2")
 	put(t, s, 2, "three", "w3")
-	return s, stand, c
+	return s, backend, snapshot
 }
 
 func put(t *testing.T, s docstore.Store, version uint64, body, write string) {
@@ -32,7 +32,7 @@
 	}
 }
 
-// restored is the entry of a document as it is written again.
+// restored returns the entry that restores a document.
 func restored(t *testing.T, version uint64, body string) docstore.Entry {
 	t.Helper()
 	value, err := docstore.EncodeRestored(settings.Document{Path: "/a", Version: version, Body: []byte(body)})
@@ -42,7 +42,8 @@
 	return docstore.Entry{Path: "/a", Version: version, Value: value}
 }
 
-// An entry that the store has lost is written at its version, over earlier ones alone.
+// Restore writes an entry that the store has lost at its own version, and only over earlier
+// versions.
 func TestRestore(t *testing.T) {
 	tests := map[string]struct {
 		version uint64
@@ -55,8 +56,8 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, stand, c := restorable(t)
-			stand.GoBack(c)
+			s, backend, snapshot := newRestorable(t)
+			backend.GoBack(snapshot)
 			if err := s.Restore(t.Context(), restored(t, tt.version, "again")); err != nil {
 				t.Fatal(err)
 			}
@@ -73,30 +74,30 @@
 	}
 }
 
-// What became of a write is not known when the store has lost it, or whoever wrote the document
-// again doesn't know its writes.
+// The outcome of a write is unknown if the store has lost it, or if another instance restored
+// the document without the IDs of its writes.
 func TestWriteLostByRestore(t *testing.T) {
-	type play func(s *docstore.Client, stand *store.Store, c *store.Copy) (docstore.PutResult, error)
-	tests := map[string]play{
-		"lost": func(s *docstore.Client, stand *store.Store, c *store.Copy) (docstore.PutResult, error) {
-			stand.GoBack(c)
+	type scenario func(s *docstore.Client, backend *store.Store, snapshot *store.Copy) (docstore.PutResult, error)
+	tests := map[string]scenario{
+		"lost": func(s *docstore.Client, backend *store.Store, snapshot *store.Copy) (docstore.PutResult, error) {
+			backend.GoBack(snapshot)
 			return docstore.ResolveWrite(context.Background(), s, "/a", 2, "w3")
 		},
-		"written again by another": func(s *docstore.Client, stand *store.Store, c *store.Copy) (docstore.PutResult, error) {
-			stand.GoBack(c)
+		"written again by another": func(s *docstore.Client, backend *store.Store, snapshot *store.Copy) (docstore.PutResult, error) {
+			backend.GoBack(snapshot)
 			if err := s.Restore(context.Background(), restored(t, 3, "three")); err != nil {
 				return docstore.PutResult{}, err
 			}
 			return docstore.ResolveWrite(context.Background(), s, "/a", 2, "w3")
 		},
-		"lost while it is made": func(s *docstore.Client, stand *store.Store, c *store.Copy) (docstore.PutResult, error) {
-			return docstore.PutDocument(context.Background(), &lossy{Client: s, lose: func() { stand.GoBack(c) }}, "/a", 3, []byte("four"), "w4")
+		"lost while it is made": func(s *docstore.Client, backend *store.Store, snapshot *store.Copy) (docstore.PutResult, error) {
+			return docstore.PutDocument(context.Background(), &lostAnswerStore{Client: s, lose: func() { backend.GoBack(snapshot) }}, "/a", 3, []byte("four"), "w4")
 		},
 	}
-	for name, play := range tests {
+	for name, run := range tests {
 		t.Run(name, func(t *testing.T) {
-			s, stand, c := restorable(t)
-			got, err := play(s, stand, c)
+			s, backend, snapshot := newRestorable(t)
+			got, err := run(s, backend, snapshot)
 			var unknown *docstore.UncertainError
 			if got.Outcome != docstore.Unknown || !errors.As(err, &unknown) {
 				t.Errorf("got %s, %v, want unknown", got.Outcome, err)
@@ -105,13 +106,14 @@
 	}
 }
 
-// lossy loses the answer to the first write, after which the store goes back.
-type lossy struct {
+// lostAnswerStore is a client that loses the answer to the first successful write and then calls lose,
+// which rolls the store back.
+type lostAnswerStore struct {
 	*docstore.Client
 	lose func()
 }
 
-func (l *lossy) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
+func (l *lostAnswerStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	e, err := l.Client.Swap(ctx, path, version, value)
 	if l.lose == nil || err != nil {
 		return e, err
