--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -12,34 +12,34 @@
 	snapshot  *settings.Snapshot
 	bearer    string
 	team      string // of the token
-	name      string // of the token, for the log
+	tokenName string // of the token, for the log
 	bootstrap bool
 }
 
 const bootstrapName = "bootstrap"
 
-// access finds out whose token a request carries. A token of no team gives a
+// authenticate finds out whose token a request carries. A token of no team gives a
 // *Problem with CodeUnauthorized.
-func (s *Server) access(r *http.Request) (access, error) {
+func (s *Server) authenticate(r *http.Request) (access, error) {
 	bearer, err := parseBearer(r.Header.Values("Authorization"))
 	if err != nil {
 		return access{}, err
 	}
 	a := access{snapshot: s.cfg.Snapshot(), bearer: bearer}
-	if s.bootstraps(a) {
+	if s.isBootstrap(a) {
 		a.bootstrap = true
-		a.team, a.name = settings.SystemTeam, bootstrapName
+		a.team, a.tokenName = settings.SystemTeam, bootstrapName
 		return a, nil
 	}
-	if bearer == "" || !a.find() {
+	if bearer == "" || !a.findToken() {
 		return access{}, &Problem{Code: CodeUnauthorized, Reason: "a token of a team is needed: Authorization: Bearer <token>"}
 	}
 	return a, nil
 }
 
-// bootstraps says whether the token is the one that serves until the system
+// isBootstrap says whether the token is the one that serves until the system
 // team has its own.
-func (s *Server) bootstraps(a access) bool {
+func (s *Server) isBootstrap(a access) bool {
 	team, _ := a.snapshot.Team(settings.SystemTeam)
 	if s.cfg.Bootstrap == "" || len(team.Tokens) > 0 {
 		return false
@@ -48,15 +48,15 @@
 	return subtle.ConstantTimeCompare([]byte(hash), []byte(s.cfg.Bootstrap)) == 1
 }
 
-// find looks for the token in all teams, the system's first.
-func (a *access) find() bool {
+// findToken looks for the token in all teams, the system's first.
+func (a *access) findToken() bool {
 	hash := []byte(settings.HashToken(a.bearer))
 	teams := append([]string{settings.SystemTeam}, a.snapshot.Teams()...)
 	for _, name := range teams {
 		team, _ := a.snapshot.Team(name)
 		for _, t := range team.Tokens {
 			if subtle.ConstantTimeCompare(hash, []byte(t.Hash)) == 1 {
-				a.team, a.name = name, name+"/"+t.Name
+				a.team, a.tokenName = name, name+"/"+t.Name
 				return true
 			}
 		}
@@ -64,8 +64,8 @@
 	return false
 }
 
-// may says whether the token opens a path for a role. The error is a *Problem.
-func (a access) may(p settings.Path, role string) error {
+// authorizePath says whether the token opens a path for a role. The error is a *Problem.
+func (a access) authorizePath(p settings.Path, role string) error {
 	if a.bootstrap {
 		return nil
 	}
@@ -75,10 +75,10 @@
 	return nil
 }
 
-// sees cuts a status to what the token may see.
-func (a access) sees(s Status) Status {
+// visible cuts a status to what the token may see.
+func (a access) visible(s Status) Status {
 	if a.team == settings.SystemTeam {
 		return s
 	}
-	return s.only(a.team)
+	return s.forTeam(a.team)
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,8 +16,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// maxAnswer bounds what a client reads of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds what a client reads of an answer, in bytes.
+const maxResponseBytes = 64 << 20
 
 // UnreachableError says that an instance gave no answer. A change may have landed if
 // it was sent.
@@ -62,8 +62,8 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Get reads a document: from the platform, or the one in force at the instance.
-func (c *Client) Get(ctx context.Context, path string, here bool) (settings.Document, error) {
-	header, body, err := c.do(ctx, http.MethodGet, "/v1/documents"+path, source(here), nil, nil)
+func (c *Client) Get(ctx context.Context, path string, inForce bool) (settings.Document, error) {
+	header, body, err := c.do(ctx, http.MethodGet, "/v1/documents"+path, sourceQuery(inForce), nil, nil)
 	if err != nil {
 		return settings.Document{}, err
 	}
@@ -75,16 +75,16 @@
 }
 
 // List reads the versions of all documents under a prefix.
-func (c *Client) List(ctx context.Context, prefix string, here bool) ([]Version, error) {
-	query := source(here)
+func (c *Client) List(ctx context.Context, prefix string, inForce bool) ([]Version, error) {
+	query := sourceQuery(inForce)
 	query.Set("prefix", prefix)
 	var list List
 	err := c.get(ctx, "/v1/documents", query, &list)
 	return list.Documents, err
 }
 
-func source(here bool) url.Values {
-	if here {
+func sourceQuery(inForce bool) url.Values {
+	if inForce {
 		return url.Values{"source": {"instance"}}
 	}
 	return url.Values{}
@@ -92,28 +92,28 @@
 
 // Put writes doc if the document still has doc.Version, or deletes it. write
 // names this change; first promises that it was not sent before.
-func (c *Client) Put(ctx context.Context, doc settings.Document, write string, first bool) (Change, error) {
+func (c *Client) Put(ctx context.Context, doc settings.Document, writeID string, first bool) (Change, error) {
 	method := http.MethodPut
 	if doc.Deleted {
 		method = http.MethodDelete
 	}
-	header := http.Header{"If-Match": {FormatVersion(doc.Version)}, HeaderWrite: {write}}
+	header := http.Header{"If-Match": {FormatVersion(doc.Version)}, HeaderWrite: {writeID}}
 	if first {
 		header.Set(HeaderTry, TryFirst)
 	}
 	_, body, err := c.do(ctx, method, "/v1/documents"+doc.Path, nil, header, doc.Body)
 	var change Change
 	if err == nil {
-		err = decode(body, &change)
+		err = unmarshal(body, &change)
 	}
 	return change, err
 }
 
 // Write asks what became of a change to the document at path from version.
-func (c *Client) Write(ctx context.Context, write, path string, version uint64) (Change, error) {
+func (c *Client) Write(ctx context.Context, writeID, path string, version uint64) (Change, error) {
 	query := url.Values{"path": {path}, "version": {strconv.FormatUint(version, 10)}}
 	var change Change
-	err := c.get(ctx, "/v1/writes/"+url.PathEscape(write), query, &change)
+	err := c.get(ctx, "/v1/writes/"+url.PathEscape(writeID), query, &change)
 	return change, err
 }
 
@@ -137,10 +137,10 @@
 	if err != nil {
 		return err
 	}
-	return decode(body, v)
+	return unmarshal(body, v)
 }
 
-func decode(body []byte, v any) error {
+func unmarshal(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
 		return &AnswerError{Status: http.StatusOK, Reason: err.Error()}
 	}
@@ -161,24 +161,24 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return nil, nil, &UnreachableError{Address: c.address, Sent: sent(err), Err: err}
+		return nil, nil, &UnreachableError{Address: c.address, Sent: maybeSent(err), Err: err}
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, nil, &UnreachableError{Address: c.address, Sent: true, Err: err}
 	}
-	return resp.Header, answer, refusal(resp.StatusCode, answer)
+	return resp.Header, respBody, responseError(resp.StatusCode, respBody)
 }
 
-// sent says whether a request that failed may have been sent.
-func sent(err error) bool {
+// maybeSent says whether a request that failed may have been maybeSent.
+func maybeSent(err error) bool {
 	var dial *net.OpError
 	return !errors.As(err, &dial) || dial.Op != "dial"
 }
 
-// refusal is the error that an answer stands for, if any.
-func refusal(status int, body []byte) error {
+// responseError is the error that an answer stands for, if any.
+func responseError(status int, body []byte) error {
 	if status == http.StatusOK || status == http.StatusAccepted {
 		return nil
 	}
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -20,7 +20,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-func (b *bench) client(t *testing.T, token string) *Client {
+func (b *fixture) client(t *testing.T, token string) *Client {
 	server := httptest.NewServer(b.server)
 	t.Cleanup(server.Close)
 	c := NewClient(server.Listener.Addr().String(), token)
@@ -30,8 +30,8 @@
 
 func TestRaceOfOperators(t *testing.T) {
 	const operators, rounds = 4, 5
-	b := filled(t)
-	var won, lost int
+	b := newFilledFixture(t)
+	var accepted, conflicts int
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i := range operators {
@@ -48,9 +48,9 @@
 				mu.Lock()
 				switch {
 				case err == nil:
-					won++
+					accepted++
 				case errors.As(err, &p) && p.Code == CodeConflict && p.Version > doc.Version && p.Body == serviceBody:
-					lost++
+					conflicts++
 				default:
 					t.Errorf("got %v, want a conflict with the newer version and body", err)
 				}
@@ -60,8 +60,8 @@
 	}
 	group.Wait()
 	doc, err := b.client(t, "payments-read").Get(t.Context(), servicePath, false)
-	if err != nil || doc.Version != uint64(1+won) || won+lost != operators*rounds {
-		t.Errorf("got version %d %v, %d won, %d lost", doc.Version, err, won, lost)
+	if err != nil || doc.Version != uint64(1+accepted) || accepted+conflicts != operators*rounds {
+		t.Errorf("got version %d %v, %d won, %d lost", doc.Version, err, accepted, conflicts)
 	}
 	if got := b.inForce().Version(servicePath); got != doc.Version {
 		t.Errorf("got version %d in force, want %d", got, doc.Version)
@@ -88,7 +88,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := filled(t)
+				b := newFilledFixture(t)
 				b.store.SetFaults(tt.faults())
 				header := []string{"If-Match", `"1"`}
 				if tt.write != "" {
@@ -97,7 +97,7 @@
 				if tt.first {
 					header = append(header, HeaderTry, TryFirst)
 				}
-				w := b.ask("PUT", "/v1/documents"+servicePath, "payments-write", serviceBody, header...)
+				w := b.do("PUT", "/v1/documents"+servicePath, "payments-write", serviceBody, header...)
 				var got struct {
 					Outcome string
 					Write   string
@@ -134,11 +134,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := filled(t)
-				store := &flaky{Store: b.store, lose: tt.lose}
+				b := newFilledFixture(t)
+				store := &unreachableStore{Store: b.store, lose: tt.lose}
 				b.server.cfg.Store = store
 				put := func() Change {
-					w := b.ask("PUT", "/v1/documents"+servicePath, "payments-write", serviceBody, "If-Match", `"1"`, HeaderWrite, "w")
+					w := b.do("PUT", "/v1/documents"+servicePath, "payments-write", serviceBody, "If-Match", `"1"`, HeaderWrite, "w")
 					return outcome(t, w)
 				}
 				if got := put(); got.Outcome != "unknown" {
@@ -149,7 +149,7 @@
 					e, _ := b.store.Get(t.Context(), servicePath)
 					_, _ = docstore.PutDocument(t.Context(), b.store, servicePath, e.Version, []byte(serviceBody), "other")
 				}
-				w := b.ask("GET", "/v1/writes/w?version=1&path="+servicePath, "payments-read", "")
+				w := b.do("GET", "/v1/writes/w?version=1&path="+servicePath, "payments-read", "")
 				if got := outcome(t, w); got.Outcome != tt.want {
 					t.Errorf("got %+v, want %s", got, tt.want)
 				}
@@ -170,22 +170,22 @@
 	return c
 }
 
-// flaky is a platform that gives no answer at all until it is up: the first
+// unreachableStore is a platform that gives no answer at all until it is up: the first
 // writes land, as many as lose says.
-type flaky struct {
+type unreachableStore struct {
 	*inproc.Store
 	lose int
 	up   bool
 }
 
-func (f *flaky) Get(ctx context.Context, path string) (docstore.Entry, error) {
+func (f *unreachableStore) Get(ctx context.Context, path string) (docstore.Entry, error) {
 	if !f.up && f.lose == 0 {
 		return docstore.Entry{}, &docstore.UnavailableError{Call: "Get", Err: context.DeadlineExceeded}
 	}
 	return f.Store.Get(ctx, path)
 }
 
-func (f *flaky) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
+func (f *unreachableStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	if f.up {
 		return f.Store.Swap(ctx, path, version, value)
 	}
@@ -193,13 +193,13 @@
 		f.lose--
 		_, _ = f.Store.Swap(ctx, path, version, value)
 	}
-	return docstore.Entry{}, &lostUntilUp
+	return docstore.Entry{}, &errUnreachable
 }
 
-var lostUntilUp = docstore.UncertainError{Path: servicePath, Err: net.ErrClosed}
+var errUnreachable = docstore.UncertainError{Path: servicePath, Err: net.ErrClosed}
 
 func TestFaultsListed(t *testing.T) {
-	b := filled(t)
+	b := newFilledFixture(t)
 	bad := "class: slow\ntimeout: 0s\nshift: 0\nplaces: {hob-z: {limit: 3, targets: []}}\n"
 	_, err := b.client(t, "payments-write").Put(t.Context(), settings.Document{Path: servicePath, Version: 1, Body: []byte(bad)}, "w", true)
 	var p *Problem
@@ -214,7 +214,7 @@
 }
 
 func TestListAndStatusByTeam(t *testing.T) {
-	b := filled(t)
+	b := newFilledFixture(t)
 	tests := map[string]struct {
 		token    string
 		list     []string
@@ -228,8 +228,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			c := b.client(t, tt.token)
-			for _, here := range []bool{false, true} {
-				list, err := c.List(t.Context(), "/", here)
+			for _, inForce := range []bool{false, true} {
+				list, err := c.List(t.Context(), "/", inForce)
 				var got []string
 				for _, v := range list {
 					got = append(got, v.Path)
@@ -251,7 +251,7 @@
 }
 
 func TestDelete(t *testing.T) {
-	b := filled(t)
+	b := newFilledFixture(t)
 	c := b.client(t, "payments-write")
 	change, err := c.Put(t.Context(), settings.Document{Path: servicePath, Version: 1, Deleted: true}, "w", true)
 	if err != nil || change.Version != 2 {
@@ -268,7 +268,7 @@
 }
 
 func TestGather(t *testing.T) {
-	b := filled(t)
+	b := newFilledFixture(t)
 	server := httptest.NewServer(b.server)
 	defer server.Close()
 	dead := httptest.NewServer(b.server)
@@ -298,7 +298,7 @@
 		if _, err := parseBearer([]string{bearer}); err != nil {
 			wantProblem(t, err)
 		}
-		if err := parseWrite(write); err != nil {
+		if err := checkWriteID(write); err != nil {
 			wantProblem(t, err)
 		}
 		r := httptest.NewRequest("GET", "/v1/documents", nil)
--- a/internal/operator/clients_test.go
+++ b/internal/operator/clients_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// pipes is a listener whose connections are made by dial, in virtual time.
-type pipes chan net.Conn
+// pipeListener is a listener whose connections are made by dial, in virtual time.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
@@ -22,17 +22,17 @@
 	return c, nil
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p pipes) dial() net.Conn {
+func (p pipeListener) dial() net.Conn {
 	client, server := net.Pipe()
 	p <- server
 	return client
 }
 
-// lingers is longer than net/http keeps a connection that it has refused.
-const lingers = time.Second
+// closeDelay is longer than net/http keeps a connection that it has refused.
+const closeDelay = time.Second
 
 // TestBadClients sends what no client of HTTP should, and nothing more.
 func TestBadClients(t *testing.T) {
@@ -52,8 +52,8 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := filled(t)
-				ln := make(pipes)
+				b := newFilledFixture(t)
+				ln := make(pipeListener)
 				go func() { _ = b.server.Serve(ln) }()
 				conn := ln.dial()
 				start := time.Now()
@@ -63,16 +63,16 @@
 				if err == nil {
 					got = resp.StatusCode
 				}
-				if took := time.Since(start); got != tt.status || took > tt.within {
-					t.Errorf("got status %d after %v, want %d within %v", got, took, tt.status, tt.within)
+				if elapsed := time.Since(start); got != tt.status || elapsed > tt.within {
+					t.Errorf("got status %d after %v, want %d within %v", got, elapsed, tt.status, tt.within)
 				}
 				_ = conn.Close()
-				if got := b.ask("GET", "/health", "", "").Code; got != http.StatusOK {
+				if got := b.do("GET", "/health", "", "").Code; got != http.StatusOK {
 					t.Errorf("got status %d of /health, want 200", got)
 				}
 				close(ln)
 				_ = b.server.HTTP().Close()
-				time.Sleep(lingers)
+				time.Sleep(closeDelay)
 			})
 		})
 	}
@@ -80,8 +80,8 @@
 
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := filled(t)
-		ln := make(pipes)
+		b := newFilledFixture(t)
+		ln := make(pipeListener)
 		go func() { _ = b.server.Serve(ln) }()
 		var conns []net.Conn
 		for range maxConns {
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -50,21 +50,21 @@
 // Validate returns a *ConfigError that names every fault, or nil.
 func (c Config) Validate() error {
 	var faults []string
-	need := func(ok bool, name string) {
+	require := func(ok bool, name string) {
 		if !ok {
 			faults = append(faults, name+" is missing")
 		}
 	}
-	need(c.Store != nil, "store")
-	need(c.Snapshot != nil, "snapshot")
-	need(c.Documents != nil, "documents")
-	need(c.Apply != nil, "apply")
-	need(c.Status != nil, "status")
-	need(c.Fleet != nil, "fleet")
-	need(c.Metrics != nil, "metrics")
-	need(c.Ready != nil, "ready")
-	need(c.Complete != nil, "complete")
-	need(c.Log != nil, "log")
+	require(c.Store != nil, "store")
+	require(c.Snapshot != nil, "snapshot")
+	require(c.Documents != nil, "documents")
+	require(c.Apply != nil, "apply")
+	require(c.Status != nil, "status")
+	require(c.Fleet != nil, "fleet")
+	require(c.Metrics != nil, "metrics")
+	require(c.Ready != nil, "ready")
+	require(c.Complete != nil, "complete")
+	require(c.Log != nil, "log")
 	if c.Bootstrap != "" && !ValidHash(c.Bootstrap) {
 		faults = append(faults, "bootstrap is not a SHA-256 in 64 lower-case hex digits")
 	}
--- a/internal/operator/documents.go
+++ b/internal/operator/documents.go
@@ -17,7 +17,7 @@
 
 // authorize gives the path of a request, once its token opens it for the role.
 func (s *Server) authorize(r *http.Request, role string) (access, settings.Path, error) {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return a, settings.Path{}, err
 	}
@@ -25,7 +25,7 @@
 	if err != nil {
 		return a, p, err
 	}
-	return a, p, a.may(p, role)
+	return a, p, a.authorizePath(p, role)
 }
 
 func (s *Server) getDocument(w http.ResponseWriter, r *http.Request) error {
@@ -47,11 +47,11 @@
 }
 
 func (s *Server) read(r *http.Request, p settings.Path) (settings.Document, error) {
-	here, err := parseSource(r.URL.Query())
+	inForce, err := parseSource(r.URL.Query())
 	if err != nil {
 		return settings.Document{}, err
 	}
-	if here {
+	if inForce {
 		return s.inForce(p.String())
 	}
 	entry, err := s.cfg.Store.Get(r.Context(), p.String())
@@ -72,7 +72,7 @@
 
 // listDocuments lists what the token may read.
 func (s *Server) listDocuments(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
@@ -86,18 +86,18 @@
 	}
 	docs = filter(docs, func(doc settings.Document) bool {
 		p, err := settings.ParsePath(doc.Path)
-		return err == nil && a.may(p, settings.RoleRead) == nil
+		return err == nil && a.authorizePath(p, settings.RoleRead) == nil
 	})
 	sendJSON(w, http.StatusOK, List{Documents: Versions(docs)})
 	return nil
 }
 
 func (s *Server) list(r *http.Request, prefix string) ([]settings.Document, error) {
-	here, err := parseSource(r.URL.Query())
+	inForce, err := parseSource(r.URL.Query())
 	if err != nil {
 		return nil, err
 	}
-	if here {
+	if inForce {
 		return filter(s.cfg.Documents(), func(doc settings.Document) bool {
 			return strings.HasPrefix(doc.Path, prefix)
 		}), nil
--- a/internal/operator/gather.go
+++ b/internal/operator/gather.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	gatherAtOnce  = 16
-	gatherTimeout = 2 * time.Second // for one instance
+	gatherConcurrency = 16
+	gatherTimeout     = 2 * time.Second // for one instance
 )
 
 // Gather makes the Fleet function of a Config: it asks each instance of list on
@@ -23,12 +23,12 @@
 		instances := slices.Clone(list(ctx))
 		slices.SortFunc(instances, func(a, b docstore.Instance) int { return strings.Compare(a.ID, b.ID) })
 		reports := make([]Report, len(instances))
-		slots := make(chan struct{}, gatherAtOnce)
+		slots := make(chan struct{}, gatherConcurrency)
 		var group sync.WaitGroup
 		for i, in := range instances {
 			slots <- struct{}{}
 			group.Go(func() {
-				reports[i] = ask(ctx, in)
+				reports[i] = queryStatus(ctx, in)
 				<-slots
 			})
 		}
@@ -37,12 +37,12 @@
 	}
 }
 
-func ask(ctx context.Context, in docstore.Instance) Report {
+func queryStatus(ctx context.Context, instance docstore.Instance) Report {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	client := NewClient(in.Operators, bearerFrom(ctx))
+	client := NewClient(instance.Operators, bearerFrom(ctx))
 	defer client.Close()
-	report := Report{Instance: in.ID, Address: in.Operators}
+	report := Report{Instance: instance.ID, Address: instance.Operators}
 	status, err := client.Status(ctx)
 	if err != nil {
 		report.Error = err.Error()
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -48,8 +48,8 @@
 	CodeFormat:       http.StatusBadGateway,
 }
 
-// retrySeconds is when to come back after CodeBusy and CodeUnavailable.
-const retrySeconds = 1
+// retryAfterSeconds is when to come back after CodeBusy and CodeUnavailable.
+const retryAfterSeconds = 1
 
 // Problem is the body of every answer that is not a success, and the error of
 // a Client.
@@ -87,33 +87,33 @@
 // newProblem puts an error of the platform or the settings into an answer's form.
 func newProblem(err error) *Problem {
 	var (
-		problem  *Problem
-		faults   *settings.FaultsError
-		conflict *docstore.ConflictError
-		missing  *docstore.NotFoundError
-		large    *docstore.TooLargeError
-		format   *docstore.FormatError
-		busy     *docstore.BusyError
-		down     *docstore.UnavailableError
-		role     *settings.RoleError
+		problem     *Problem
+		faults      *settings.FaultsError
+		conflict    *docstore.ConflictError
+		notFound    *docstore.NotFoundError
+		tooLarge    *docstore.TooLargeError
+		format      *docstore.FormatError
+		busy        *docstore.BusyError
+		unavailable *docstore.UnavailableError
+		role        *settings.RoleError
 	)
 	code := CodeInternal
 	switch {
 	case errors.As(err, &problem):
 		return problem
 	case errors.As(err, &faults):
-		return &Problem{Code: CodeFaults, Reason: fmt.Sprintf("%d faults", len(faults.Faults)), Faults: faultsOf(faults)}
+		return &Problem{Code: CodeFaults, Reason: fmt.Sprintf("%d faults", len(faults.Faults)), Faults: convertFaults(faults)}
 	case errors.As(err, &conflict):
 		return conflictProblem(conflict)
-	case errors.As(err, &missing):
+	case errors.As(err, &notFound):
 		code = CodeNotFound
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		code = CodeTooLarge
 	case errors.As(err, &format):
 		code = CodeFormat
 	case errors.As(err, &busy):
 		code = CodeBusy
-	case errors.As(err, &down):
+	case errors.As(err, &unavailable):
 		code = CodeUnavailable
 	case errors.As(err, &role):
 		code = CodeForbidden
@@ -121,7 +121,7 @@
 	return &Problem{Code: code, Reason: err.Error()}
 }
 
-func faultsOf(err *settings.FaultsError) []Fault {
+func convertFaults(err *settings.FaultsError) []Fault {
 	list := make([]Fault, 0, len(err.Faults))
 	for _, f := range err.Faults {
 		list = append(list, Fault(f))
@@ -143,7 +143,7 @@
 
 func (p *Problem) send(w http.ResponseWriter) {
 	if p.Code == CodeBusy || p.Code == CodeUnavailable {
-		w.Header().Set("Retry-After", strconv.Itoa(retrySeconds))
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfterSeconds))
 	}
 	if p.Code == CodeUnauthorized {
 		w.Header().Set("WWW-Authenticate", "Bearer")
--- a/internal/operator/request.go
+++ b/internal/operator/request.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	maxBearer = 512 // bytes
-	maxPaths  = 64  // of one query
+	maxBearerBytes = 512 // bytes
+	maxPaths       = 64  // of one query
 )
 
 func invalid(format string, args ...any) *Problem {
@@ -52,8 +52,8 @@
 }
 
 // parseDocumentPath reads the path behind /v1/documents.
-func parseDocumentPath(rest string) (settings.Path, error) {
-	p, err := settings.ParsePath("/" + rest)
+func parseDocumentPath(suffix string) (settings.Path, error) {
+	p, err := settings.ParsePath("/" + suffix)
 	if err != nil {
 		return settings.Path{}, invalid("%v", err)
 	}
@@ -74,7 +74,7 @@
 
 // parseSource says whether what is in force here is asked for, rather than
 // what the platform holds.
-func parseSource(query url.Values) (here bool, err error) {
+func parseSource(query url.Values) (inForce bool, err error) {
 	switch source := query.Get("source"); source {
 	case "", "platform":
 		return false, nil
@@ -99,9 +99,9 @@
 	return paths, nil
 }
 
-// parseWrite checks a write's name. The platform's rules for it apply.
-func parseWrite(write string) error {
-	if _, err := docstore.EncodeDocument(settings.Document{}, []string{write}); err != nil {
+// checkWriteID checks a write's name. The platform's rules for it apply.
+func checkWriteID(writeID string) error {
+	if _, err := docstore.EncodeDocument(settings.Document{}, []string{writeID}); err != nil {
 		return invalid("a write is named by at most 64 letters, digits, - and _")
 	}
 	return nil
@@ -113,7 +113,7 @@
 		return "", nil
 	}
 	scheme, token, ok := strings.Cut(values[0], " ")
-	if len(values) > 1 || !ok || !strings.EqualFold(scheme, "Bearer") || token == "" || len(token) > maxBearer {
+	if len(values) > 1 || !ok || !strings.EqualFold(scheme, "Bearer") || token == "" || len(token) > maxBearerBytes {
 		return "", &Problem{Code: CodeUnauthorized, Reason: "Authorization must be Bearer and one token"}
 	}
 	return token, nil
@@ -125,9 +125,9 @@
 	version uint64 // that the operator had read
 	body    []byte
 	deleted bool
-	write   string
-	// repeat holds unless an earlier try with this name is ruled out.
-	repeat bool
+	writeID string
+	// maybeRepeat holds unless an earlier try with this name is ruled out.
+	maybeRepeat bool
 }
 
 func (c change) document() settings.Document {
@@ -141,7 +141,7 @@
 	if c.version, err = ParseVersion(r.Header.Values("If-Match")); err != nil {
 		return c, err
 	}
-	if err = c.name(r.Header); err != nil {
+	if err = c.parseWriteID(r.Header); err != nil {
 		return c, err
 	}
 	c.body, err = readBody(w, r)
@@ -151,20 +151,20 @@
 	return c, err
 }
 
-func (c *change) name(h http.Header) error {
+func (c *change) parseWriteID(h http.Header) error {
 	if len(h.Values(HeaderWrite)) == 0 {
-		c.write = rand.Text()
+		c.writeID = rand.Text()
 		return nil
 	}
-	c.write = h.Get(HeaderWrite)
-	c.repeat = h.Get(HeaderTry) != TryFirst
-	return parseWrite(c.write)
+	c.writeID = h.Get(HeaderWrite)
+	c.maybeRepeat = h.Get(HeaderTry) != TryFirst
+	return checkWriteID(c.writeID)
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, settings.MaxBody))
-	var large *http.MaxBytesError
-	if errors.As(err, &large) {
+	var tooLarge *http.MaxBytesError
+	if errors.As(err, &tooLarge) {
 		return nil, &Problem{Code: CodeTooLarge, Reason: fmt.Sprintf("a document is at most %d bytes", settings.MaxBody)}
 	}
 	if err != nil {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -24,12 +24,12 @@
 
 // Server answers operators. It is safe for concurrent use.
 type Server struct {
-	cfg      Config
-	routes   http.Handler
-	http     *http.Server
-	requests chan struct{} // one for each request at work
-	changes  chan struct{} // one for each change at work
-	conns    atomic.Int64
+	cfg          Config
+	routes       http.Handler
+	http         *http.Server
+	requestSlots chan struct{} // one for each request at work
+	changeSlots  chan struct{} // one for each change at work
+	conns        atomic.Int64
 }
 
 // New makes a server. A faulty configuration gives *ConfigError.
@@ -38,9 +38,9 @@
 		return nil, errors.Annotate(err, "operator.New")
 	}
 	s := &Server{
-		cfg:      cfg,
-		requests: make(chan struct{}, maxRequests),
-		changes:  make(chan struct{}, maxChanges),
+		cfg:          cfg,
+		requestSlots: make(chan struct{}, maxRequests),
+		changeSlots:  make(chan struct{}, maxChanges),
 	}
 	s.routes = s.newRoutes()
 	s.http = &http.Server{
@@ -80,10 +80,10 @@
 
 func (s *Server) newRoutes() http.Handler {
 	m := chi.NewRouter()
-	m.NotFound(answer(func(http.ResponseWriter, *http.Request) error {
+	m.NotFound(problemHandler(func(http.ResponseWriter, *http.Request) error {
 		return &Problem{Code: CodeNotFound, Reason: "there is nothing at this address"}
 	}))
-	m.MethodNotAllowed(answer(func(_ http.ResponseWriter, r *http.Request) error {
+	m.MethodNotAllowed(problemHandler(func(_ http.ResponseWriter, r *http.Request) error {
 		return &Problem{Code: CodeMethod, Reason: r.Method + " is not for this address"}
 	}))
 	m.Get("/health", s.health)
@@ -91,19 +91,19 @@
 	m.Method(http.MethodGet, "/metrics", s.cfg.Metrics)
 	m.Group(func(m chi.Router) {
 		m.Use(s.limit)
-		m.Get("/v1/documents", answer(s.listDocuments))
-		m.Get("/v1/documents/*", answer(s.getDocument))
-		m.Put("/v1/documents/*", answer(s.changeDocument))
-		m.Delete("/v1/documents/*", answer(s.changeDocument))
-		m.Get("/v1/writes/{write}", answer(s.getWrite))
-		m.Get("/v1/status", answer(s.status))
-		m.Get("/v1/fleet", answer(s.fleet))
+		m.Get("/v1/documents", problemHandler(s.listDocuments))
+		m.Get("/v1/documents/*", problemHandler(s.getDocument))
+		m.Put("/v1/documents/*", problemHandler(s.changeDocument))
+		m.Delete("/v1/documents/*", problemHandler(s.changeDocument))
+		m.Get("/v1/writes/{write}", problemHandler(s.getWrite))
+		m.Get("/v1/status", problemHandler(s.status))
+		m.Get("/v1/fleet", problemHandler(s.fleet))
 	})
 	return m
 }
 
-// answer sends the error of a handler as a Problem.
-func answer(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
+// problemHandler sends the error of a handler as a Problem.
+func problemHandler(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := f(w, r); err != nil {
 			newProblem(err).send(w)
@@ -115,8 +115,8 @@
 func (s *Server) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.requests <- struct{}{}:
-			defer func() { <-s.requests }()
+		case s.requestSlots <- struct{}{}:
+			defer func() { <-s.requestSlots }()
 			next.ServeHTTP(w, r)
 		default:
 			(&Problem{Code: CodeBusy, Reason: "too many requests at one time"}).send(w)
@@ -143,17 +143,17 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
-	sendJSON(w, http.StatusOK, a.sees(s.cfg.Status()))
+	sendJSON(w, http.StatusOK, a.visible(s.cfg.Status()))
 	return nil
 }
 
 // fleet answers with the documents' versions only where paths are asked for.
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
@@ -164,8 +164,8 @@
 	reports := s.cfg.Fleet(withBearer(r.Context(), a.bearer))
 	for i, report := range reports {
 		if report.Status != nil {
-			cut := a.sees(*report.Status).at(paths)
-			reports[i].Status = &cut
+			visible := a.visible(*report.Status).withVersionsOf(paths)
+			reports[i].Status = &visible
 		}
 	}
 	sendJSON(w, http.StatusOK, Fleet{Reports: reports})
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -40,8 +40,8 @@
 		"  - {name: r, role: read, hash: " + settings.HashToken(name+"-read") + "}\n"
 }
 
-// bench is a server over the stand-in of the platform.
-type bench struct {
+// fixture is a server over the stand-in of the platform.
+type fixture struct {
 	store    *inproc.Store
 	server   *Server
 	log      strings.Builder
@@ -51,13 +51,13 @@
 	ready    error
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	local, err := inproc.New(store.Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{store: local, docs: make(map[string]settings.Document)}
+	b := &fixture{store: local, docs: make(map[string]settings.Document)}
 	b.apply(nil)
 	b.server, err = New(Config{
 		Store: b.store, Snapshot: b.inForce, Documents: b.documents, Apply: b.apply,
@@ -70,9 +70,9 @@
 	return b
 }
 
-// filled has two teams, a place and a service.
-func filled(t *testing.T) *bench {
-	b := newBench(t)
+// newFilledFixture has two teams, a place and a service.
+func newFilledFixture(t *testing.T) *fixture {
+	b := newFixture(t)
 	b.put(t, placePath, placeBody)
 	b.put(t, servicePath, serviceBody)
 	b.put(t, "/teams/payments/team", teamBody("payments"))
@@ -81,7 +81,7 @@
 	return b
 }
 
-func (b *bench) put(t *testing.T, path, body string) {
+func (b *fixture) put(t *testing.T, path, body string) {
 	t.Helper()
 	result, err := docstore.PutDocument(t.Context(), b.store, path, 0, []byte(body), "setup")
 	if err != nil {
@@ -90,7 +90,7 @@
 	b.apply([]settings.Document{{Path: path, Version: result.Version, Body: []byte(body)}})
 }
 
-func (b *bench) apply(docs []settings.Document) {
+func (b *fixture) apply(docs []settings.Document) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.snapshot, _ = settings.Advance(b.snapshot, docs)
@@ -99,13 +99,13 @@
 	}
 }
 
-func (b *bench) inForce() *settings.Snapshot {
+func (b *fixture) inForce() *settings.Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.snapshot
 }
 
-func (b *bench) documents() []settings.Document {
+func (b *fixture) documents() []settings.Document {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []settings.Document
@@ -115,7 +115,7 @@
 	return list
 }
 
-func (b *bench) status() Status {
+func (b *fixture) status() Status {
 	return Status{
 		Instance:  "i1",
 		Documents: Versions(b.documents()),
@@ -124,13 +124,13 @@
 	}
 }
 
-func (b *bench) fleet(context.Context) []Report {
+func (b *fixture) fleet(context.Context) []Report {
 	s := b.status()
 	return []Report{{Instance: "i1", Status: &s}, {Instance: "i2", Error: "no answer"}}
 }
 
-// ask sends one request; header holds pairs of name and value.
-func (b *bench) ask(method, target, token, body string, header ...string) *httptest.ResponseRecorder {
+// do sends one request; header holds pairs of name and value.
+func (b *fixture) do(method, target, token, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	if token != "" {
 		r.Header.Set("Authorization", "Bearer "+token)
@@ -146,7 +146,7 @@
 // problem is the kind of problem that an answer is.
 func problem(t *testing.T, w *httptest.ResponseRecorder) *Problem {
 	t.Helper()
-	err := refusal(w.Code, w.Body.Bytes())
+	err := responseError(w.Code, w.Body.Bytes())
 	var p *Problem
 	if !errors.As(err, &p) {
 		t.Fatalf("got status %d %s, want a problem", w.Code, w.Body)
@@ -205,10 +205,10 @@
 		"write of no version":  {"GET", "/v1/writes/w?path=" + servicePath, "payments-read", "", nil, CodeInvalid},
 		"write of another":     {"GET", "/v1/writes/w?version=0&path=" + servicePath, "robotics-read", "", nil, CodeForbidden},
 	}
-	b := filled(t)
+	b := newFilledFixture(t)
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := problem(t, b.ask(tt.method, tt.target, tt.token, tt.body, tt.header...))
+			got := problem(t, b.do(tt.method, tt.target, tt.token, tt.body, tt.header...))
 			if got.Code != tt.want {
 				t.Errorf("got %+v, want %s", got, tt.want)
 			}
@@ -217,15 +217,15 @@
 			}
 		})
 	}
-	if w := b.ask("GET", document, "payments-read", ""); w.Body.String() != serviceBody || w.Header().Get("ETag") != `"1"` {
+	if w := b.do("GET", document, "payments-read", ""); w.Body.String() != serviceBody || w.Header().Get("ETag") != `"1"` {
 		t.Errorf("got %s %v after all that, want version 1 as it was", w.Body, w.Header())
 	}
 }
 
 func TestBootstrap(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	put := func(token, version string) int {
-		return b.ask("PUT", "/v1/documents"+systemPath, token, teamBody("system"), "If-Match", version).Code
+		return b.do("PUT", "/v1/documents"+systemPath, token, teamBody("system"), "If-Match", version).Code
 	}
 	if got := put("other", `"0"`); got != http.StatusUnauthorized {
 		t.Errorf("got status %d with another token, want 401", got)
@@ -247,17 +247,17 @@
 }
 
 func TestHealth(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.ready = &docstore.UnavailableError{Call: "List", Err: io.EOF}
-	if w := b.ask("GET", "/health", "", ""); w.Code != http.StatusOK {
+	if w := b.do("GET", "/health", "", ""); w.Code != http.StatusOK {
 		t.Errorf("got status %d, want 200", w.Code)
 	}
-	w := b.ask("GET", "/ready", "", "")
+	w := b.do("GET", "/ready", "", "")
 	if w.Code != http.StatusServiceUnavailable || !strings.Contains(w.Body.String(), "List unavailable") {
 		t.Errorf("got status %d %s, want 503 and the reason", w.Code, w.Body)
 	}
 	b.ready = nil
-	if w := b.ask("GET", "/ready", "", ""); w.Code != http.StatusOK {
+	if w := b.do("GET", "/ready", "", ""); w.Code != http.StatusOK {
 		t.Errorf("got status %d, want 200", w.Code)
 	}
 }
@@ -272,9 +272,9 @@
 
 // TestNoChangeBeforeAllSettings: what is not whole can't be checked against.
 func TestNoChangeBeforeAllSettings(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.ready = &docstore.UnavailableError{Call: "List", Err: io.EOF}
-	w := b.ask("PUT", "/v1/documents/places/hob-a", "first", "region: r\ndomain: d\nlimit: 1\n", "If-Match", `"0"`)
+	w := b.do("PUT", "/v1/documents/places/hob-a", "first", "region: r\ndomain: d\nlimit: 1\n", "If-Match", `"0"`)
 	if w.Code != http.StatusServiceUnavailable || !strings.Contains(w.Body.String(), "refused") {
 		t.Errorf("got status %d %s, want 503 and refused", w.Code, w.Body)
 	}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -112,9 +112,9 @@
 	return list
 }
 
-// only leaves what a team may see: its own services, targets, drains and
+// forTeam leaves what a team may see: its own services, targets, drains and
 // documents, and what belongs to no team.
-func (s Status) only(team string) Status {
+func (s Status) forTeam(team string) Status {
 	own := func(service string) bool { return strings.HasPrefix(service, team+"/") }
 	s.Documents = filter(s.Documents, func(d Version) bool {
 		return strings.HasPrefix(d.Path, settings.TeamsPrefix+team+"/")
@@ -125,8 +125,8 @@
 	return s
 }
 
-// at leaves the versions of the given paths alone.
-func (s Status) at(paths []string) Status {
+// withVersionsOf leaves the versions of the given paths alone.
+func (s Status) withVersionsOf(paths []string) Status {
 	s.Documents = filter(s.Documents, func(d Version) bool { return slices.Contains(paths, d.Path) })
 	return s
 }
--- a/internal/operator/writes.go
+++ b/internal/operator/writes.go
@@ -35,26 +35,26 @@
 		return err
 	}
 	select {
-	case s.changes <- struct{}{}:
-		defer func() { <-s.changes }()
+	case s.changeSlots <- struct{}{}:
+		defer func() { <-s.changeSlots }()
 	default:
-		return &Problem{Code: CodeBusy, Reason: "too many changes at one time", Write: c.write}
+		return &Problem{Code: CodeBusy, Reason: "too many changes at one time", Write: c.writeID}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
-	result, err := s.change(ctx, c)
+	result, err := s.applyChange(ctx, c)
 	s.logChange(a, c, result, err)
-	return answerChange(w, c, result, err)
+	return sendOutcome(w, c, result, err)
 }
 
-// change makes a change and puts it in force here.
-func (s *Server) change(ctx context.Context, c change) (docstore.PutResult, error) {
-	result, err := s.attempt(ctx, c)
+// applyChange makes a applyChange and puts it in force here.
+func (s *Server) applyChange(ctx context.Context, c change) (docstore.PutResult, error) {
+	result, err := s.checkAndWrite(ctx, c)
 	if result.Outcome == docstore.Unknown {
 		// Answers to writes are lost; those to reads may not be.
 		result, err = s.resolve(ctx, c)
 	}
-	if c.repeat && result.Outcome == docstore.Refused {
+	if c.maybeRepeat && result.Outcome == docstore.Refused {
 		// This try was refused; the earlier one may have landed.
 		var reason error
 		if result, reason = s.resolve(ctx, c); result.Outcome != docstore.Unknown {
@@ -69,9 +69,9 @@
 	return result, err
 }
 
-// attempt checks a change against the settings in force here, and writes it.
+// checkAndWrite checks a change against the settings in force here, and writes it.
 // Before all settings have arrived there is nothing to check it against.
-func (s *Server) attempt(ctx context.Context, c change) (docstore.PutResult, error) {
+func (s *Server) checkAndWrite(ctx context.Context, c change) (docstore.PutResult, error) {
 	if err := s.cfg.Complete(); err != nil {
 		return docstore.PutResult{Outcome: docstore.Refused}, &Problem{Code: CodeUnavailable, Reason: err.Error()}
 	}
@@ -79,42 +79,42 @@
 		return docstore.PutResult{Outcome: docstore.Refused}, err
 	}
 	if c.deleted {
-		return docstore.DeleteDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.write)
+		return docstore.DeleteDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.writeID)
 	}
-	return docstore.PutDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.body, c.write)
+	return docstore.PutDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.body, c.writeID)
 }
 
 func (s *Server) resolve(ctx context.Context, c change) (docstore.PutResult, error) {
-	return docstore.ResolveWrite(ctx, s.cfg.Store, c.path.String(), c.version, c.write)
+	return docstore.ResolveWrite(ctx, s.cfg.Store, c.path.String(), c.version, c.writeID)
 }
 
-func answerChange(w http.ResponseWriter, c change, result docstore.PutResult, err error) error {
-	answer := Change{Path: c.path.String(), Write: c.write, Outcome: result.Outcome.String(), Version: result.Version}
+func sendOutcome(w http.ResponseWriter, c change, result docstore.PutResult, err error) error {
+	response := Change{Path: c.path.String(), Write: c.writeID, Outcome: result.Outcome.String(), Version: result.Version}
 	switch result.Outcome {
 	case docstore.Accepted:
 		w.Header().Set("ETag", FormatVersion(result.Version))
-		sendJSON(w, http.StatusOK, answer)
+		sendJSON(w, http.StatusOK, response)
 		return nil
 	case docstore.Refused:
 		p := *newProblem(err)
-		p.Outcome, p.Write, p.Path = answer.Outcome, c.write, answer.Path
+		p.Outcome, p.Write, p.Path = response.Outcome, c.writeID, response.Path
 		return &p
 	}
 	if err != nil {
-		answer.Reason = err.Error()
+		response.Reason = err.Error()
 	}
-	sendJSON(w, http.StatusAccepted, answer)
+	sendJSON(w, http.StatusAccepted, response)
 	return nil
 }
 
 // getWrite says what became of an earlier change.
 func (s *Server) getWrite(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
-	c := change{write: chi.URLParam(r, "write")}
-	if err := parseWrite(c.write); err != nil {
+	c := change{writeID: chi.URLParam(r, "write")}
+	if err := checkWriteID(c.writeID); err != nil {
 		return err
 	}
 	query := r.URL.Query()
@@ -124,17 +124,17 @@
 	if c.version, err = ParseVersion([]string{`"` + query.Get("version") + `"`}); err != nil {
 		return invalid("version must be the number that the change gave in If-Match")
 	}
-	if err := a.may(c.path, settings.RoleRead); err != nil {
+	if err := a.authorizePath(c.path, settings.RoleRead); err != nil {
 		return err
 	}
 	result, err := s.resolve(r.Context(), c)
-	return answerChange(w, c, result, err)
+	return sendOutcome(w, c, result, err)
 }
 
 func (s *Server) logChange(a access, c change, result docstore.PutResult, err error) {
 	fields := []any{
-		"who", a.name, "path", c.path.String(), "deleted", c.deleted,
-		"read", c.version, "version", result.Version, "write", c.write, "outcome", result.Outcome.String(),
+		"who", a.tokenName, "path", c.path.String(), "deleted", c.deleted,
+		"read", c.version, "version", result.Version, "write", c.writeID, "outcome", result.Outcome.String(),
 	}
 	if err != nil {
 		s.cfg.Log.Warn("change", append(fields, "reason", err.Error())...)
