--- a/internal/operator/access.go
+++ b/internal/operator/access.go
@@ -7,19 +7,20 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// access is what one operator's token opens, by the settings in force.
+// access is the identity of an operator's token and the settings in force that it is
+// checked against.
 type access struct {
 	snapshot  *settings.Snapshot
 	bearer    string
-	team      string // of the token
-	tokenName string // of the token, for the log
+	team      string // team that the token belongs to
+	tokenName string // for the log
 	bootstrap bool
 }
 
 const bootstrapName = "bootstrap"
 
-// authenticate finds out whose token a request carries. A token of no team gives a
-// *Problem with CodeUnauthorized.
+// authenticate returns the access of the token in a request. A missing or unknown token
+// gives a *Problem with CodeUnauthorized.
 func (s *Server) authenticate(r *http.Request) (access, error) {
 	bearer, err := parseBearer(r.Header.Values("Authorization"))
 	if err != nil {
@@ -32,13 +33,13 @@
 		return a, nil
 	}
 	if bearer == "" || !a.findToken() {
-		return access{}, &Problem{Code: CodeUnauthorized, Reason: "a token of a team is needed: Authorization: Bearer <token>"}
+		return access{}, &Problem{Code: CodeUnauthorized, Reason: "a team token is required: Authorization: Bearer <token>"}
 	}
 	return a, nil
 }
 
-// isBootstrap says whether the token is the one that serves until the system
-// team has its own.
+// isBootstrap reports whether the token is the bootstrap token, which is valid until
+// the system team has tokens of its own.
 func (s *Server) isBootstrap(a access) bool {
 	team, _ := a.snapshot.Team(settings.SystemTeam)
 	if s.cfg.Bootstrap == "" || len(team.Tokens) > 0 {
@@ -48,7 +49,8 @@
 	return subtle.ConstantTimeCompare([]byte(hash), []byte(s.cfg.Bootstrap)) == 1
 }
 
-// findToken looks for the token in all teams, the system's first.
+// findToken looks up the token in all teams, the system team first, and reports whether
+// it was found.
 func (a *access) findToken() bool {
 	hash := []byte(settings.HashToken(a.bearer))
 	teams := append([]string{settings.SystemTeam}, a.snapshot.Teams()...)
@@ -64,7 +66,7 @@
 	return false
 }
 
-// authorizePath says whether the token opens a path for a role. The error is a *Problem.
+// authorizePath returns nil if the token has the role for a path, and else a *Problem.
 func (a access) authorizePath(p settings.Path, role string) error {
 	if a.bootstrap {
 		return nil
@@ -75,7 +77,7 @@
 	return nil
 }
 
-// visible cuts a status to what the token may see.
+// visible returns the part of a status that the token may read.
 func (a access) visible(s Status) Status {
 	if a.team == settings.SystemTeam {
 		return s
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,14 +16,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// maxResponseBytes bounds what a client reads of an answer, in bytes.
+// maxResponseBytes limits how much of a response body a client reads.
 const maxResponseBytes = 64 << 20
 
-// UnreachableError says that an instance gave no answer. A change may have landed if
-// it was sent.
+// UnreachableError reports that an instance gave no answer. A change may have been
+// applied if Sent is set.
 type UnreachableError struct {
 	Address string
-	Sent    bool // the request may have reached it
+	Sent    bool // the request may have reached the instance
 	Err     error
 }
 
@@ -34,17 +34,17 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// AnswerError says that an answer is none that this program knows.
+// AnswerError reports a response that is not in the expected format.
 type AnswerError struct {
 	Status int // HTTP status
 	Reason string
 }
 
 func (e *AnswerError) Error() string {
-	return fmt.Sprintf("operator: answer with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("operator: unexpected response with status %d: %s", e.Status, e.Reason)
 }
 
-// Client asks one instance on its operators' address. Its errors are *Problem,
+// Client sends requests to one instance on its operators' address. Its errors are *Problem,
 // *UnreachableError and *AnswerError. It is safe for concurrent use.
 type Client struct {
 	address string
@@ -52,16 +52,17 @@
 	http    *http.Client
 }
 
-// NewClient makes a client of the instance at address, IP:port.
+// NewClient returns a client for the instance at address, IP:port.
 func NewClient(address, token string) *Client {
 	t := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute}
 	return &Client{address: address, token: token, http: &http.Client{Transport: t}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads a document: from the platform, or the one in force at the instance.
+// Get reads a document from the platform's store or, with inForce, the version in force
+// at the instance.
 func (c *Client) Get(ctx context.Context, path string, inForce bool) (settings.Document, error) {
 	header, body, err := c.do(ctx, http.MethodGet, "/v1/documents"+path, sourceQuery(inForce), nil, nil)
 	if err != nil {
@@ -69,12 +70,13 @@
 	}
 	version, err := ParseVersion(header.Values("ETag"))
 	if err != nil {
-		return settings.Document{}, &AnswerError{Status: http.StatusOK, Reason: "no version"}
+		return settings.Document{}, &AnswerError{Status: http.StatusOK, Reason: "ETag missing or not a version"}
 	}
 	return settings.Document{Path: path, Version: version, Body: body}, nil
 }
 
-// List reads the versions of all documents under a prefix.
+// List reads the versions of all documents under a prefix, from the platform's store or,
+// with inForce, those in force at the instance.
 func (c *Client) List(ctx context.Context, prefix string, inForce bool) ([]Version, error) {
 	query := sourceQuery(inForce)
 	query.Set("prefix", prefix)
@@ -90,8 +92,9 @@
 	return url.Values{}
 }
 
-// Put writes doc if the document still has doc.Version, or deletes it. write
-// names this change; first promises that it was not sent before.
+// Put writes doc, or deletes it if doc.Deleted is set, provided that the document still
+// has doc.Version. writeID identifies this change; first asserts that it was not sent
+// before.
 func (c *Client) Put(ctx context.Context, doc settings.Document, writeID string, first bool) (Change, error) {
 	method := http.MethodPut
 	if doc.Deleted {
@@ -109,7 +112,7 @@
 	return change, err
 }
 
-// Write asks what became of a change to the document at path from version.
+// Write returns the outcome of an earlier change to the document at path, over version.
 func (c *Client) Write(ctx context.Context, writeID, path string, version uint64) (Change, error) {
 	query := url.Values{"path": {path}, "version": {strconv.FormatUint(version, 10)}}
 	var change Change
@@ -117,14 +120,14 @@
 	return change, err
 }
 
-// Status asks for the state of the instance.
+// Status returns the state of the instance.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.get(ctx, "/v1/status", nil, &status)
 	return status, err
 }
 
-// Fleet asks for the state of all instances, with the versions of the given
+// Fleet returns the state of all instances, with the versions of the given
 // documents.
 func (c *Client) Fleet(ctx context.Context, paths []string) ([]Report, error) {
 	var fleet Fleet
@@ -171,20 +174,21 @@
 	return resp.Header, respBody, responseError(resp.StatusCode, respBody)
 }
 
-// maybeSent says whether a request that failed may have been maybeSent.
+// maybeSent reports whether a request that failed with err may have been sent. A failed
+// dial is the only failure that rules it out.
 func maybeSent(err error) bool {
 	var dial *net.OpError
 	return !errors.As(err, &dial) || dial.Op != "dial"
 }
 
-// responseError is the error that an answer stands for, if any.
+// responseError returns the error that a response represents, or nil for a success.
 func responseError(status int, body []byte) error {
 	if status == http.StatusOK || status == http.StatusAccepted {
 		return nil
 	}
 	p := &Problem{}
 	if err := json.Unmarshal(body, p); err != nil || p.Code == "" {
-		return &AnswerError{Status: status, Reason: "not one of firlever's"}
+		return &AnswerError{Status: status, Reason: "body is not a problem document of firlever"}
 	}
 	return p
 }
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -72,7 +72,7 @@
 	outage := func() store.Faults { return store.Faults{Refuse: true, Until: time.Now().Add(time.Hour)} }
 	tests := map[string]struct {
 		faults  func() store.Faults
-		write   string // named by the operator
+		write   string // write ID sent by the operator
 		first   bool
 		want    string // outcome
 		version uint64
@@ -118,13 +118,14 @@
 	}
 }
 
-// TestAskLater leaves a change unknown, and asks again once the platform is back.
+// TestAskLater makes a change whose outcome is unknown, and queries the outcome and sends
+// the change again once the platform is reachable.
 func TestAskLater(t *testing.T) {
 	tests := map[string]struct {
-		lose  int    // answers lost before the outage
-		other bool   // another operator writes in between
-		want  string // outcome when asked by reading alone
-		again string // outcome when the change is sent again
+		lose  int    // lost answers before the outage
+		other bool   // another operator's write precedes the query
+		want  string // outcome of the query, which only reads
+		again string // outcome of the change when it is sent again
 	}{
 		"landed":                 {lose: 1, want: "accepted", again: "accepted"},
 		"landed, then overtaken": {lose: 1, other: true, want: "accepted", again: "accepted"},
@@ -137,11 +138,11 @@
 				b := newFilledFixture(t)
 				store := &unreachableStore{Store: b.store, lose: tt.lose}
 				b.server.cfg.Store = store
-				put := func() Change {
+				putChange := func() Change {
 					w := b.do("PUT", "/v1/documents"+servicePath, "payments-write", serviceBody, "If-Match", `"1"`, HeaderWrite, "w")
 					return outcome(t, w)
 				}
-				if got := put(); got.Outcome != "unknown" {
+				if got := putChange(); got.Outcome != "unknown" {
 					t.Fatalf("got %+v, want unknown", got)
 				}
 				store.up = true
@@ -153,7 +154,7 @@
 				if got := outcome(t, w); got.Outcome != tt.want {
 					t.Errorf("got %+v, want %s", got, tt.want)
 				}
-				if got := put(); got.Outcome != tt.again {
+				if got := putChange(); got.Outcome != tt.again {
 					t.Errorf("got %+v when sent again, want %s", got, tt.again)
 				}
 			})
@@ -170,8 +171,8 @@
 	return c
 }
 
-// unreachableStore is a platform that gives no answer at all until it is up: the first
-// writes land, as many as lose says.
+// unreachableStore is a store that gives no answer to writes until up is set. The first lose
+// writes are applied nevertheless; reads fail after these.
 type unreachableStore struct {
 	*inproc.Store
 	lose int
@@ -200,8 +201,8 @@
 
 func TestFaultsListed(t *testing.T) {
 	b := newFilledFixture(t)
-	bad := "class: slow\ntimeout: 0s\nshift: 0\nplaces: {hob-z: {limit: 3, targets: []}}\n"
-	_, err := b.client(t, "payments-write").Put(t.Context(), settings.Document{Path: servicePath, Version: 1, Body: []byte(bad)}, "w", true)
+	invalidBody := "class: slow\ntimeout: 0s\nshift: 0\nplaces: {hob-z: {limit: 3, targets: []}}\n"
+	_, err := b.client(t, "payments-write").Put(t.Context(), settings.Document{Path: servicePath, Version: 1, Body: []byte(invalidBody)}, "w", true)
 	var p *Problem
 	if !errors.As(err, &p) || p.Code != CodeFaults || p.Outcome != "refused" {
 		t.Fatalf("got %v, want faults", err)
@@ -271,17 +272,17 @@
 	b := newFilledFixture(t)
 	server := httptest.NewServer(b.server)
 	defer server.Close()
-	dead := httptest.NewServer(b.server)
-	dead.Close()
+	stopped := httptest.NewServer(b.server)
+	stopped.Close()
 	gather := Gather(func(context.Context) []docstore.Instance {
 		return []docstore.Instance{
-			{ID: "b", Operators: dead.Listener.Addr().String()},
+			{ID: "b", Operators: stopped.Listener.Addr().String()},
 			{ID: "a", Operators: server.Listener.Addr().String()},
 		}
 	})
 	got := gather(withBearer(t.Context(), "payments-read"))
 	if len(got) != 2 || got[0].Status == nil || len(got[0].Status.Services) != 1 || got[1].Error == "" {
-		t.Errorf("got %+v, want the status of a as its team sees it, and b's error", got)
+		t.Errorf("got %+v, want the status of a as visible to its team, and the error of b", got)
 	}
 }
 
--- a/internal/operator/clients_test.go
+++ b/internal/operator/clients_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// pipeListener is a listener whose connections are made by dial, in virtual time.
+// pipeListener is a listener of in-memory connections made by dial, for use with virtual
+// time.
 type pipeListener chan net.Conn
 
 func (p pipeListener) Accept() (net.Conn, error) {
@@ -31,16 +32,17 @@
 	return client
 }
 
-// closeDelay is longer than net/http keeps a connection that it has refused.
+// closeDelay is longer than net/http keeps a connection open after rejecting its request.
 const closeDelay = time.Second
 
-// TestBadClients sends what no client of HTTP should, and nothing more.
+// TestBadClients sends incomplete, slow or malformed requests, and checks that the server
+// closes the connection in time and stays healthy.
 func TestBadClients(t *testing.T) {
 	const put = "PUT /v1/documents/places/hob-a HTTP/1.1\r\nHost: a\r\nAuthorization: Bearer system-write\r\n" +
 		"If-Match: \"1\"\r\nContent-Length: 100\r\n\r\nregion"
 	tests := map[string]struct {
 		sent   string
-		status int // 0: closed without an answer
+		status int // 0 if closed without a response
 		within time.Duration
 	}{
 		"nothing":      {"", 0, headerTimeout},
@@ -87,9 +89,9 @@
 		for range maxConns {
 			conns = append(conns, ln.dial())
 		}
-		over := ln.dial()
+		excess := ln.dial()
 		start := time.Now()
-		if _, err := over.Read(make([]byte, 1)); err == nil || time.Since(start) > 0 {
+		if _, err := excess.Read(make([]byte, 1)); err == nil || time.Since(start) > 0 {
 			t.Errorf("got %v after %v, want it closed at once", err, time.Since(start))
 		}
 		for _, c := range conns {
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -1,6 +1,6 @@
-// Package operator serves operators: their settings, the state of instances,
-// health, readiness and metrics. It speaks HTTP on the operators' address; see
-// docs/OPERATIONS.md. Client is the other side.
+// Package operator implements the HTTP API for operators: settings documents, the state
+// of instances, health, readiness and metrics. It is served on the operators' address and
+// described in docs/OPERATIONS.md. Client is a client of this API.
 package operator
 
 import (
@@ -16,38 +16,38 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Config is what a Server needs. Bootstrap may be empty; all else is needed.
+// Config configures a Server. All fields except Bootstrap are required.
 type Config struct {
 	Store    docstore.Store
-	Snapshot func() *settings.Snapshot // in force; never nil
-	// Documents are all documents in force here, deleted ones too.
+	Snapshot func() *settings.Snapshot // returns the settings in force; never nil
+	// Documents returns all documents in force at this instance, including deleted ones.
 	Documents func() []settings.Document
-	// Apply puts documents that were just written in force at once here.
+	// Apply puts documents that were just written in force at this instance immediately.
 	Apply  func([]settings.Document)
 	Status func() Status
-	// Fleet asks every instance that can be reached for its status. The
+	// Fleet requests the status of every instance that can be reached. The
 	// operator's token is in the context; see Gather.
 	Fleet   func(ctx context.Context) []Report
 	Metrics http.Handler
-	Ready   func() error // nil, or why the instance should get no work
-	// Complete is nil, or why changes can't be checked here: not all settings
-	// have arrived since the start.
+	Ready   func() error // nil, or why the instance should receive no requests
+	// Complete returns nil, or why changes can't be checked at this instance: it has not
+	// received all settings since its start.
 	Complete func() error
 	Log      *log.Logger
 
-	// Bootstrap is the hex SHA-256 of a token that opens everything as long
-	// as the system team has no token of its own.
+	// Bootstrap is the hex SHA-256 of a token that is authorized for everything as
+	// long as the system team has no token of its own.
 	Bootstrap string
 }
 
-// ConfigError names every fault of a Config.
+// ConfigError lists every fault of a Config.
 type ConfigError struct{ Faults []string }
 
 func (e *ConfigError) Error() string {
 	return fmt.Sprintf("operator: invalid configuration: %s", strings.Join(e.Faults, "; "))
 }
 
-// Validate returns a *ConfigError that names every fault, or nil.
+// Validate returns a *ConfigError that lists every fault, or nil.
 func (c Config) Validate() error {
 	var faults []string
 	require := func(ok bool, name string) {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// ValidHash says whether s is the hash of a token that is not empty, as a
-// team's document holds it.
+// ValidHash reports whether s is the hash of a non-empty token, in the format of a
+// team's document.
 func ValidHash(s string) bool {
 	raw, err := hex.DecodeString(s)
 	return err == nil && hex.EncodeToString(raw) == s && len(s) == len(settings.HashToken("")) && s != settings.HashToken("")
--- a/internal/operator/documents.go
+++ b/internal/operator/documents.go
@@ -10,12 +10,13 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// List is the answer to a list of documents.
+// List is the response to a request for a list of documents.
 type List struct {
 	Documents []Version `json:"documents"`
 }
 
-// authorize gives the path of a request, once its token opens it for the role.
+// authorize authenticates a request and returns its document path, provided that the
+// token has the role for it.
 func (s *Server) authorize(r *http.Request, role string) (access, settings.Path, error) {
 	a, err := s.authenticate(r)
 	if err != nil {
@@ -42,7 +43,7 @@
 	}
 	w.Header().Set("ETag", FormatVersion(doc.Version))
 	w.Header().Set("Content-Type", "application/yaml")
-	_, _ = w.Write(doc.Body) // the client sees that the answer is cut
+	_, _ = w.Write(doc.Body) // the client detects a truncated body
 	return nil
 }
 
@@ -70,7 +71,7 @@
 	return settings.Document{}, &docstore.NotFoundError{Path: path}
 }
 
-// listDocuments lists what the token may read.
+// listDocuments lists the documents that the token may read.
 func (s *Server) listDocuments(w http.ResponseWriter, r *http.Request) error {
 	a, err := s.authenticate(r)
 	if err != nil {
@@ -105,7 +106,7 @@
 	entries, _, err := s.cfg.Store.List(r.Context(), prefix)
 	var docs []settings.Document
 	for _, e := range entries {
-		if doc, bad := docstore.DecodeDocument(e); bad == nil {
+		if doc, decodeErr := docstore.DecodeDocument(e); decodeErr == nil {
 			docs = append(docs, doc)
 		}
 	}
--- a/internal/operator/gather.go
+++ b/internal/operator/gather.go
@@ -12,12 +12,12 @@
 
 const (
 	gatherConcurrency = 16
-	gatherTimeout     = 2 * time.Second // for one instance
+	gatherTimeout     = 2 * time.Second // per instance
 )
 
-// Gather makes the Fleet function of a Config: it asks each instance of list on
-// its operators' address, with the token of the operator who asks, so that each
-// decides by itself what it shows. The reports come sorted by instance.
+// Gather returns the Fleet function of a Config. The function requests the status of each
+// instance of list on its operators' address, with the token of the operator's own request,
+// and each instance checks that token itself. The reports are sorted by instance.
 func Gather(list func(ctx context.Context) []docstore.Instance) func(ctx context.Context) []Report {
 	return func(ctx context.Context) []Report {
 		instances := slices.Clone(list(ctx))
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -12,24 +12,24 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Code is the kind of a Problem.
+// Code classifies a Problem.
 type Code string
 
-// Kinds of problems, each with its HTTP status.
+// Codes of problems, each with its HTTP status.
 const (
 	CodeInvalid      Code = "invalid"       // 400
-	CodeUnauthorized Code = "unauthorized"  // 401: no token, or one of no team
-	CodeForbidden    Code = "forbidden"     // 403: a token of another team, or of a lower role
+	CodeUnauthorized Code = "unauthorized"  // 401: no token, or an unknown one
+	CodeForbidden    Code = "forbidden"     // 403: a token of another team, or without the role
 	CodeNotFound     Code = "not-found"     // 404; Version is set for a deleted document
 	CodeMethod       Code = "method"        // 405
-	CodeConflict     Code = "conflict"      // 409, with the newer Version and Body
+	CodeConflict     Code = "conflict"      // 409, with the current Version and Body
 	CodeTooLarge     Code = "too-large"     // 413
 	CodeFaults       Code = "faults"        // 422, with all Faults
 	CodePrecondition Code = "precondition"  // 428: If-Match is missing
 	CodeInternal     Code = "internal"      // 500
-	CodeUnavailable  Code = "unavailable"   // 503: the platform can't be reached
-	CodeBusy         Code = "busy"          // 503: too much at one time
-	CodeFormat       Code = "not-documents" // 502: the platform holds something else there
+	CodeUnavailable  Code = "unavailable"   // 503: the platform is unreachable, or not all settings have arrived
+	CodeBusy         Code = "busy"          // 503: too many concurrent requests, or the platform's rate limit
+	CodeFormat       Code = "not-documents" // 502: the stored entry is not a document
 )
 
 var statuses = map[Code]int{
@@ -48,24 +48,24 @@
 	CodeFormat:       http.StatusBadGateway,
 }
 
-// retryAfterSeconds is when to come back after CodeBusy and CodeUnavailable.
+// retryAfterSeconds is the Retry-After value for CodeBusy and CodeUnavailable.
 const retryAfterSeconds = 1
 
-// Problem is the body of every answer that is not a success, and the error of
-// a Client.
+// Problem is the body of every response that is not a success, and the error that a
+// Client returns for it.
 type Problem struct {
 	Code    Code    `json:"code"`
 	Reason  string  `json:"reason"`
-	Outcome string  `json:"outcome,omitempty"` // of a write: refused or unknown
+	Outcome string  `json:"outcome,omitempty"` // of a change: refused or unknown
 	Write   string  `json:"write,omitempty"`
 	Path    string  `json:"path,omitempty"`
-	Version uint64  `json:"version,omitempty"` // the newer one
+	Version uint64  `json:"version,omitempty"` // current version
 	Deleted bool    `json:"deleted,omitempty"`
 	Body    string  `json:"body,omitempty"`
 	Faults  []Fault `json:"faults,omitempty"`
 }
 
-// Fault is one thing wrong with a document.
+// Fault is one error in a document.
 type Fault struct {
 	Path   string `json:"path"`
 	Field  string `json:"field,omitempty"`
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("operator: %s: %s", p.Code, strings.Join(lines, "; "))
 }
 
-// newProblem puts an error of the platform or the settings into an answer's form.
+// newProblem converts an error of the platform or the settings to a Problem.
 func newProblem(err error) *Problem {
 	var (
 		problem     *Problem
@@ -131,9 +131,9 @@
 
 func conflictProblem(err *docstore.ConflictError) *Problem {
 	p := &Problem{Code: CodeConflict, Reason: err.Error(), Path: err.Path, Version: err.Now.Version}
-	doc, bad := docstore.DecodeDocument(err.Now)
-	if bad != nil {
-		p.Reason += "; " + bad.Error()
+	doc, decodeErr := docstore.DecodeDocument(err.Now)
+	if decodeErr != nil {
+		p.Reason += "; " + decodeErr.Error()
 		return p
 	}
 	p.Deleted = doc.Deleted
@@ -162,5 +162,5 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)+1))
 	w.WriteHeader(status)
-	_, _ = w.Write(append(body, '\n')) // the client sees that the answer is cut
+	_, _ = w.Write(append(body, '\n')) // the client detects a truncated body
 }
--- a/internal/operator/request.go
+++ b/internal/operator/request.go
@@ -16,28 +16,28 @@
 
 // Headers of a change.
 const (
-	// HeaderWrite names a change, so that its outcome can be asked for later.
-	// Only a repeat of the same change may carry the same name again.
+	// HeaderWrite carries the ID of a change, by which its outcome can be queried later.
+	// Only a retry of the same change may reuse the ID.
 	HeaderWrite = "Firlever-Write"
-	// HeaderTry, set to TryFirst, promises that the change was not sent before,
-	// so that a refusal can be told apart from an earlier try that landed.
+	// HeaderTry, set to TryFirst, asserts that the change was not sent before. A
+	// refusal then can't be due to an earlier attempt that was applied.
 	HeaderTry = "Firlever-Try"
 	TryFirst  = "first"
 )
 
 const (
 	maxBearerBytes = 512 // bytes
-	maxPaths       = 64  // of one query
+	maxPaths       = 64  // per request
 )
 
 func invalid(format string, args ...any) *Problem {
 	return &Problem{Code: CodeInvalid, Reason: fmt.Sprintf(format, args...)}
 }
 
-// FormatVersion writes a version as an entity tag.
+// FormatVersion formats a version as an entity tag.
 func FormatVersion(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-// ParseVersion reads a version from the one value of an If-Match or ETag
+// ParseVersion parses a version from the single value of an If-Match or ETag
 // header: digits without leading zeros, in double quotes. Errors are *Problem.
 func ParseVersion(values []string) (uint64, error) {
 	if len(values) == 0 {
@@ -51,7 +51,7 @@
 	return version, nil
 }
 
-// parseDocumentPath reads the path behind /v1/documents.
+// parseDocumentPath parses the part of a URL path after /v1/documents/.
 func parseDocumentPath(suffix string) (settings.Path, error) {
 	p, err := settings.ParsePath("/" + suffix)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-// parsePrefix reads the prefix of a list.
+// parsePrefix parses the prefix of a list request; the default is /.
 func parsePrefix(query url.Values) (string, error) {
 	prefix := query.Get("prefix")
 	if prefix == "" {
@@ -72,8 +72,8 @@
 	return prefix, nil
 }
 
-// parseSource says whether what is in force here is asked for, rather than
-// what the platform holds.
+// parseSource reports whether the request is for the documents in force at this instance
+// instead of those in the platform's store.
 func parseSource(query url.Values) (inForce bool, err error) {
 	switch source := query.Get("source"); source {
 	case "", "platform":
@@ -81,11 +81,11 @@
 	case "instance":
 		return true, nil
 	default:
-		return false, invalid("source is platform or instance")
+		return false, invalid("source must be platform or instance")
 	}
 }
 
-// parsePaths reads the documents whose versions are asked for.
+// parsePaths parses the paths of the documents whose versions are requested.
 func parsePaths(query url.Values) ([]string, error) {
 	paths := query["path"]
 	if len(paths) > maxPaths {
@@ -99,34 +99,34 @@
 	return paths, nil
 }
 
-// checkWriteID checks a write's name. The platform's rules for it apply.
+// checkWriteID returns a *Problem unless writeID has the format that docstore requires.
 func checkWriteID(writeID string) error {
 	if _, err := docstore.EncodeDocument(settings.Document{}, []string{writeID}); err != nil {
-		return invalid("a write is named by at most 64 letters, digits, - and _")
+		return invalid("a write ID must be 1 to 64 letters, digits, - or _")
 	}
 	return nil
 }
 
-// parseBearer reads the header Authorization; an absent one gives no token.
+// parseBearer parses the Authorization header; a missing header gives an empty token.
 func parseBearer(values []string) (string, error) {
 	if len(values) == 0 {
 		return "", nil
 	}
 	scheme, token, ok := strings.Cut(values[0], " ")
 	if len(values) > 1 || !ok || !strings.EqualFold(scheme, "Bearer") || token == "" || len(token) > maxBearerBytes {
-		return "", &Problem{Code: CodeUnauthorized, Reason: "Authorization must be Bearer and one token"}
+		return "", &Problem{Code: CodeUnauthorized, Reason: "Authorization must be the scheme Bearer and one token"}
 	}
 	return token, nil
 }
 
-// change is one write to one document.
+// change is a write to one document.
 type change struct {
 	path    settings.Path
-	version uint64 // that the operator had read
+	version uint64 // version that the operator read
 	body    []byte
 	deleted bool
 	writeID string
-	// maybeRepeat holds unless an earlier try with this name is ruled out.
+	// maybeRepeat is set unless an earlier attempt with this write ID is ruled out.
 	maybeRepeat bool
 }
 
@@ -134,7 +134,7 @@
 	return settings.Document{Path: c.path.String(), Version: c.version, Body: c.body, Deleted: c.deleted}
 }
 
-// readChange reads all of a change but its path, which was authorized before.
+// readChange reads a change to the path p, which has been authorized.
 func readChange(w http.ResponseWriter, r *http.Request, p settings.Path) (change, error) {
 	c := change{path: p, deleted: r.Method == http.MethodDelete}
 	var err error
@@ -146,7 +146,7 @@
 	}
 	c.body, err = readBody(w, r)
 	if err == nil && c.deleted && len(c.body) > 0 {
-		err = invalid("a deletion has no body")
+		err = invalid("a deletion must not have a body")
 	}
 	return c, err
 }
@@ -168,7 +168,7 @@
 		return nil, &Problem{Code: CodeTooLarge, Reason: fmt.Sprintf("a document is at most %d bytes", settings.MaxBody)}
 	}
 	if err != nil {
-		return nil, invalid("the body could not be read: %v", err)
+		return nil, invalid("reading the body: %v", err)
 	}
 	return body, nil
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -12,27 +12,27 @@
 
 // Limits of a server.
 const (
-	maxRequests   = 64 // at one time
-	maxChanges    = 8  // at one time, each with a body of up to settings.MaxBody
+	maxRequests   = 64 // concurrent
+	maxChanges    = 8  // concurrent, each with a body of up to settings.MaxBody
 	maxConns      = 256
 	maxHeader     = 16 << 10 // bytes
 	headerTimeout = 5 * time.Second
 	readTimeout   = 15 * time.Second
-	writeTimeout  = readTimeout + changeTimeout + 5*time.Second // from a request's first byte on
+	writeTimeout  = readTimeout + changeTimeout + 5*time.Second // from the first byte of a request
 	idleTimeout   = time.Minute
 )
 
-// Server answers operators. It is safe for concurrent use.
+// Server serves the operators' HTTP API. It is safe for concurrent use.
 type Server struct {
 	cfg          Config
 	routes       http.Handler
 	http         *http.Server
-	requestSlots chan struct{} // one for each request at work
-	changeSlots  chan struct{} // one for each change at work
+	requestSlots chan struct{} // one element per request in progress
+	changeSlots  chan struct{} // one element per change in progress
 	conns        atomic.Int64
 }
 
-// New makes a server. A faulty configuration gives *ConfigError.
+// New returns a server. An invalid configuration gives *ConfigError.
 func New(cfg Config) (*Server, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "operator.New")
@@ -56,17 +56,17 @@
 	return s, nil
 }
 
-// Serve answers on a listener until Close or Shutdown of HTTP. It returns
-// http.ErrServerClosed then.
+// Serve accepts connections on a listener until the server of HTTP is closed or shut
+// down, and then returns http.ErrServerClosed.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
 
-// HTTP is the server underneath, to be shut down.
+// HTTP returns the underlying server, for shutting it down.
 func (s *Server) HTTP() *http.Server { return s.http }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.routes.ServeHTTP(w, r) }
 
-// countConn closes new connections over the limit.
+// countConn counts connections and closes new ones over maxConns.
 func (s *Server) countConn(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -81,10 +81,10 @@
 func (s *Server) newRoutes() http.Handler {
 	m := chi.NewRouter()
 	m.NotFound(problemHandler(func(http.ResponseWriter, *http.Request) error {
-		return &Problem{Code: CodeNotFound, Reason: "there is nothing at this address"}
+		return &Problem{Code: CodeNotFound, Reason: "no resource at this path"}
 	}))
 	m.MethodNotAllowed(problemHandler(func(_ http.ResponseWriter, r *http.Request) error {
-		return &Problem{Code: CodeMethod, Reason: r.Method + " is not for this address"}
+		return &Problem{Code: CodeMethod, Reason: r.Method + " is not allowed for this path"}
 	}))
 	m.Get("/health", s.health)
 	m.Get("/ready", s.ready)
@@ -102,7 +102,7 @@
 	return m
 }
 
-// problemHandler sends the error of a handler as a Problem.
+// problemHandler adapts a handler that returns an error, and sends the error as a Problem.
 func problemHandler(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := f(w, r); err != nil {
@@ -111,7 +111,7 @@
 	}
 }
 
-// limit refuses requests over those that may be at work at one time.
+// limit rejects requests with CodeBusy while maxRequests are in progress.
 func (s *Server) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -119,12 +119,12 @@
 			defer func() { <-s.requestSlots }()
 			next.ServeHTTP(w, r)
 		default:
-			(&Problem{Code: CodeBusy, Reason: "too many requests at one time"}).send(w)
+			(&Problem{Code: CodeBusy, Reason: "too many concurrent requests"}).send(w)
 		}
 	})
 }
 
-// State is the answer to /health and /ready.
+// State is the response to /health and /ready.
 type State struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
@@ -151,7 +151,8 @@
 	return nil
 }
 
-// fleet answers with the documents' versions only where paths are asked for.
+// fleet sends the status of all instances, with the versions of only those documents
+// whose paths are requested.
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) error {
 	a, err := s.authenticate(r)
 	if err != nil {
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// Fleet is the answer to a question for the status of all instances.
+// Fleet is the response to a request for the status of all instances.
 type Fleet struct {
 	Reports []Report `json:"reports"`
 }
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -40,7 +40,7 @@
 		"  - {name: r, role: read, hash: " + settings.HashToken(name+"-read") + "}\n"
 }
 
-// fixture is a server over the stand-in of the platform.
+// fixture is a server over an in-process store.
 type fixture struct {
 	store    *inproc.Store
 	server   *Server
@@ -70,7 +70,7 @@
 	return b
 }
 
-// newFilledFixture has two teams, a place and a service.
+// newFilledFixture returns a fixture with two teams, the system team, a place and a service.
 func newFilledFixture(t *testing.T) *fixture {
 	b := newFixture(t)
 	b.put(t, placePath, placeBody)
@@ -129,7 +129,7 @@
 	return []Report{{Instance: "i1", Status: &s}, {Instance: "i2", Error: "no answer"}}
 }
 
-// do sends one request; header holds pairs of name and value.
+// do serves one request; header holds pairs of name and value.
 func (b *fixture) do(method, target, token, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, target, strings.NewReader(body))
 	if token != "" {
@@ -143,7 +143,7 @@
 	return w
 }
 
-// problem is the kind of problem that an answer is.
+// problem returns the problem of a response, and fails the test if there is none.
 func problem(t *testing.T, w *httptest.ResponseRecorder) *Problem {
 	t.Helper()
 	err := responseError(w.Code, w.Body.Bytes())
@@ -218,7 +218,7 @@
 		})
 	}
 	if w := b.do("GET", document, "payments-read", ""); w.Body.String() != serviceBody || w.Header().Get("ETag") != `"1"` {
-		t.Errorf("got %s %v after all that, want version 1 as it was", w.Body, w.Header())
+		t.Errorf("got %s %v after the rejected requests, want version 1 unchanged", w.Body, w.Header())
 	}
 }
 
@@ -270,7 +270,8 @@
 	}
 }
 
-// TestNoChangeBeforeAllSettings: what is not whole can't be checked against.
+// TestNoChangeBeforeAllSettings checks that changes are refused until all settings have
+// arrived, since they can't be checked against incomplete ones.
 func TestNoChangeBeforeAllSettings(t *testing.T) {
 	b := newFixture(t)
 	b.ready = &docstore.UnavailableError{Call: "List", Err: io.EOF}
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -10,7 +10,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Status is the state of one instance at one moment, as it knows it.
+// Status is the state of one instance at one moment, as observed by that instance.
 type Status struct {
 	Instance    string            `json:"instance"`
 	Incarnation uint64            `json:"incarnation"`
@@ -18,9 +18,9 @@
 	Domain      string            `json:"domain"`
 	Region      string            `json:"region"`
 	Ready       bool              `json:"ready"`
-	Reason      string            `json:"reason,omitempty"` // why it isn't ready
+	Reason      string            `json:"reason,omitempty"` // why it is not ready
 	Root        string            `json:"root"`             // hash over the versions of all documents, in hex
-	Count       int               `json:"count"`            // of documents, deleted ones too
+	Count       int               `json:"count"`            // number of documents, including deleted ones
 	Documents   []Version         `json:"documents,omitempty"`
 	Peers       []Peer            `json:"peers,omitempty"`
 	Places      []Place           `json:"places,omitempty"`
@@ -30,31 +30,31 @@
 	Invariants  []invariant.Count `json:"invariants,omitempty"`
 }
 
-// Version is one document's version in force.
+// Version is the version in force of one document.
 type Version struct {
 	Path    string `json:"path"`
 	Version uint64 `json:"version"`
 	Deleted bool   `json:"deleted,omitempty"`
 }
 
-// Peer is another instance as this one sees it.
+// Peer is another instance as observed by this one.
 type Peer struct {
 	ID      string `json:"id"`
-	Address string `json:"address"` // peers' address
+	Address string `json:"address"` // for peers
 	Place   string `json:"place"`
 	State   string `json:"state"` // e.g. alive, suspect, leaving, dead
 }
 
-// Load is how far a limit is used, in requests.
+// Load is the use of a limit, in requests.
 type Load struct {
 	Limit    int `json:"limit"`
 	Use      int `json:"use"` // in flight
 	Queued   int `json:"queued"`
-	Free     int `json:"free"`     // slots that are free now
-	Headroom int `json:"headroom"` // Limit less Use, less what is drained or down
+	Free     int `json:"free"`     // free slots
+	Headroom int `json:"headroom"` // Limit less Use and less drained or unavailable slots
 }
 
-// Place is the load of one place over all services, as this instance knows it.
+// Place is the load of one place over all services, as observed by this instance.
 type Place struct {
 	Name string `json:"name"`
 	Load
@@ -65,8 +65,8 @@
 	Service string `json:"service"` // team/name
 	Place   string `json:"place"`
 	Load
-	Shifted float64 `json:"shifted"` // shifted requests/s now
-	Cap     int     `json:"cap"`     // by how much that may grow each second
+	Shifted float64 `json:"shifted"` // current rate of shifted requests/s
+	Cap     int     `json:"cap"`     // requests/s by which Shifted may grow each second
 }
 
 // Target is the state of one target.
@@ -75,14 +75,14 @@
 	Service   string `json:"service"` // team/name
 	Place     string `json:"place"`
 	Address   string `json:"address"`
-	Owner     string `json:"owner"`     // instance that sends to it; empty when none does
-	Allowance int    `json:"allowance"` // requests that the owner may have in flight there
-	Use       int    `json:"use"`       // in flight; known to its owner alone
+	Owner     string `json:"owner"`     // instance that sends to it; empty if none
+	Allowance int    `json:"allowance"` // maximum requests in flight from the owner
+	Use       int    `json:"use"`       // in flight; reported only by the owner
 	Health    string `json:"health"`
 	Drained   bool   `json:"drained"`
 }
 
-// Drain is a drain under way.
+// Drain is a drain in progress.
 type Drain struct {
 	Path     string    `json:"path"`
 	Place    string    `json:"place,omitempty"`
@@ -90,19 +90,19 @@
 	Service  string    `json:"service,omitempty"` // team/name
 	Target   string    `json:"target,omitempty"`
 	Reason   string    `json:"reason,omitempty"`
-	Left     int       `json:"left"`            // requests in flight there
-	Finish   time.Time `json:"finish,omitzero"` // predicted; zero when not known
+	Left     int       `json:"left"`            // remaining requests in flight
+	Finish   time.Time `json:"finish,omitzero"` // predicted; zero if unknown
 }
 
-// Report is the status of one instance, or why it could not be had.
+// Report is the status of one instance, or why it is not available.
 type Report struct {
 	Instance string  `json:"instance"`
-	Address  string  `json:"address"` // operators' address
+	Address  string  `json:"address"` // for operators
 	Status   *Status `json:"status,omitempty"`
 	Error    string  `json:"error,omitempty"`
 }
 
-// Versions lists the documents for Status.Documents, sorted by path.
+// Versions returns the versions of documents for Status.Documents, sorted by path.
 func Versions(docs []settings.Document) []Version {
 	list := make([]Version, 0, len(docs))
 	for _, d := range docs {
@@ -112,8 +112,8 @@
 	return list
 }
 
-// forTeam leaves what a team may see: its own services, targets, drains and
-// documents, and what belongs to no team.
+// forTeam returns the part of a status that a team may read: its own services, targets,
+// drains and documents, and everything that belongs to no team.
 func (s Status) forTeam(team string) Status {
 	own := func(service string) bool { return strings.HasPrefix(service, team+"/") }
 	s.Documents = filter(s.Documents, func(d Version) bool {
@@ -125,7 +125,7 @@
 	return s
 }
 
-// withVersionsOf leaves the versions of the given paths alone.
+// withVersionsOf returns a status with only the document versions of the given paths.
 func (s Status) withVersionsOf(paths []string) Status {
 	s.Documents = filter(s.Documents, func(d Version) bool { return slices.Contains(paths, d.Path) })
 	return s
@@ -147,7 +147,7 @@
 	return context.WithValue(ctx, bearerKey{}, bearer)
 }
 
-// bearerFrom is the token of the operator whose request this is.
+// bearerFrom returns the token of the operator whose request is being served.
 func bearerFrom(ctx context.Context) string {
 	bearer, _ := ctx.Value(bearerKey{}).(string)
 	return bearer
--- a/internal/operator/writes.go
+++ b/internal/operator/writes.go
@@ -11,18 +11,18 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// changeTimeout bounds a change from its body's last byte on, whether or not
-// the operator still waits for it.
+// changeTimeout limits a change once its body has been read, even if the operator's
+// client has disconnected.
 const changeTimeout = 15 * time.Second
 
-// Change is the answer to a change whose outcome is accepted or unknown. One
-// that was refused is answered with a Problem.
+// Change is the response to a change whose outcome is accepted or unknown. The response
+// to a refused change is a Problem.
 type Change struct {
 	Path    string `json:"path"`
 	Write   string `json:"write"`
 	Outcome string `json:"outcome"`
-	Version uint64 `json:"version,omitempty"` // made by the change, if accepted
-	Reason  string `json:"reason,omitempty"`  // why it isn't known
+	Version uint64 `json:"version,omitempty"` // created by the change, if accepted
+	Reason  string `json:"reason,omitempty"`  // why the outcome is unknown
 }
 
 func (s *Server) changeDocument(w http.ResponseWriter, r *http.Request) error {
@@ -38,7 +38,7 @@
 	case s.changeSlots <- struct{}{}:
 		defer func() { <-s.changeSlots }()
 	default:
-		return &Problem{Code: CodeBusy, Reason: "too many changes at one time", Write: c.writeID}
+		return &Problem{Code: CodeBusy, Reason: "too many concurrent changes", Write: c.writeID}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
@@ -47,15 +47,15 @@
 	return sendOutcome(w, c, result, err)
 }
 
-// applyChange makes a applyChange and puts it in force here.
+// applyChange writes a change and, if accepted, puts it in force at this instance.
 func (s *Server) applyChange(ctx context.Context, c change) (docstore.PutResult, error) {
 	result, err := s.checkAndWrite(ctx, c)
 	if result.Outcome == docstore.Unknown {
-		// Answers to writes are lost; those to reads may not be.
+		// The answers to the writes were lost, but reads may still succeed.
 		result, err = s.resolve(ctx, c)
 	}
 	if c.maybeRepeat && result.Outcome == docstore.Refused {
-		// This try was refused; the earlier one may have landed.
+		// This attempt was refused, but an earlier one may have been applied.
 		var reason error
 		if result, reason = s.resolve(ctx, c); result.Outcome != docstore.Unknown {
 			err = reason
@@ -69,8 +69,9 @@
 	return result, err
 }
 
-// checkAndWrite checks a change against the settings in force here, and writes it.
-// Before all settings have arrived there is nothing to check it against.
+// checkAndWrite checks a change against the settings in force at this instance, and writes
+// it. The change is refused until the instance has received all settings, as the check would
+// be incomplete.
 func (s *Server) checkAndWrite(ctx context.Context, c change) (docstore.PutResult, error) {
 	if err := s.cfg.Complete(); err != nil {
 		return docstore.PutResult{Outcome: docstore.Refused}, &Problem{Code: CodeUnavailable, Reason: err.Error()}
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// getWrite says what became of an earlier change.
+// getWrite sends the outcome of an earlier change.
 func (s *Server) getWrite(w http.ResponseWriter, r *http.Request) error {
 	a, err := s.authenticate(r)
 	if err != nil {
@@ -122,7 +123,7 @@
 		return invalid("%v", err)
 	}
 	if c.version, err = ParseVersion([]string{`"` + query.Get("version") + `"`}); err != nil {
-		return invalid("version must be the number that the change gave in If-Match")
+		return invalid("version must be the If-Match version of the change")
 	}
 	if err := a.authorizePath(c.path, settings.RoleRead); err != nil {
 		return err
