--- a/internal/files/dir.go
+++ b/internal/files/dir.go
@@ -1,4 +1,4 @@
-// Package files reads operators' documents from files.
+// Package files reads operators' documents from a directory of YAML files.
 package files
 
 import (
@@ -17,7 +17,8 @@
 	readme    = "README.md"
 )
 
-// NameError says that a file in the directory holds no document.
+// NameError reports that a file in the directory can't be a document, because of its name
+// or size.
 type NameError struct {
 	File   string
 	Reason string
@@ -25,23 +26,23 @@
 
 func (e *NameError) Error() string { return fmt.Sprintf("files: %s: %s", e.File, e.Reason) }
 
-// EmptyError says that the directory holds no document at all.
+// EmptyError reports that the directory contains no documents.
 type EmptyError struct{}
 
 func (e *EmptyError) Error() string { return "files: no document in the directory" }
 
-// LoadDir reads a directory that is laid out as the documents' paths:
-// places/bne-north.yaml is the document /places/bne-north. The documents come
-// sorted by path, at version 1, and are not parsed. A file that can't be a
-// document gives *NameError, a directory without one *EmptyError; only
-// README.md is passed over.
+// LoadDir reads a directory whose file names are the documents' paths:
+// places/bne-north.yaml is the document /places/bne-north. It returns the documents
+// in the order of fs.WalkDir, at version 1 and not parsed. A file that can't be a
+// document gives *NameError, and a directory without documents *EmptyError; only
+// files named README.md are skipped.
 func LoadDir(fsys fs.FS) ([]settings.Document, error) {
 	var docs []settings.Document
 	err := fs.WalkDir(fsys, ".", func(name string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || path.Base(name) == readme {
 			return err
 		}
-		doc, err := load(fsys, name, entry)
+		doc, err := loadFile(fsys, name, entry)
 		docs = append(docs, doc)
 		return err
 	})
@@ -54,10 +55,10 @@
 	return docs, nil
 }
 
-func load(fsys fs.FS, name string, entry fs.DirEntry) (settings.Document, error) {
+func loadFile(fsys fs.FS, name string, entry fs.DirEntry) (settings.Document, error) {
 	base, ok := strings.CutSuffix(name, extension)
 	if !ok {
-		return settings.Document{}, &NameError{File: name, Reason: "the name of a document's file ends in " + extension}
+		return settings.Document{}, &NameError{File: name, Reason: "file name must end in " + extension}
 	}
 	p, err := settings.ParsePath("/" + base)
 	if err != nil {
--- a/internal/files/dir_test.go
+++ b/internal/files/dir_test.go
@@ -33,7 +33,7 @@
 			}
 			for service, want := range tt.sizes {
 				got := size{slots: want.slots, connections: want.connections}
-				for _, target := range targets(t, s, settings.ServiceID{Team: tt.team, Name: service}) {
+				for _, target := range targetsOf(t, s, settings.ServiceID{Team: tt.team, Name: service}) {
 					got.targets++
 					if target.Slots != want.slots || target.Connections != want.connections {
 						t.Errorf("got %+v, want %+v", target, want)
@@ -45,7 +45,7 @@
 			}
 			for _, team := range []string{settings.SystemTeam, tt.team} {
 				if err := s.Authorize(team, name+"-"+team+"-write", settings.RoleWrite); err != nil {
-					t.Errorf("token of the README: %v", err)
+					t.Errorf("token from the README: %v", err)
 				}
 				if err := s.Authorize(team, name+"-"+team+"-read", settings.RoleWrite); err == nil {
 					t.Errorf("%s: a read token may write", team)
@@ -72,15 +72,15 @@
 	return s
 }
 
-func targets(t *testing.T, s *settings.Snapshot, id settings.ServiceID) []settings.Target {
+func targetsOf(t *testing.T, s *settings.Snapshot, id settings.ServiceID) []settings.Target {
 	t.Helper()
-	v, ok := s.Service(id)
+	service, ok := s.Service(id)
 	if !ok {
 		t.Fatalf("no service %s", id)
 	}
 	var all []settings.Target
-	for _, place := range v.Places() {
-		site, _ := v.Site(place)
+	for _, place := range service.Places() {
+		site, _ := service.Site(place)
 		all = append(all, site.Targets...)
 	}
 	return all
--- a/internal/files/docs_test.go
+++ b/internal/files/docs_test.go
@@ -13,7 +13,8 @@
 	yamlPattern = regexp.MustCompile("(?s)([^\n]*(?:\n[^\n]+)*)\n\n```yaml\n(.*?)```")
 )
 
-// TestWorkedExample compiles the example of docs/settings.md.
+// TestWorkedExample compiles the example in docs/settings.md, and checks the behaviour that
+// the page states for it.
 func TestWorkedExample(t *testing.T) {
 	page, err := os.ReadFile("../../docs/settings.md")
 	if err != nil {
@@ -33,8 +34,8 @@
 		t.Errorf("got %d documents, want %d", got, want)
 	}
 	id := settings.ServiceID{Team: "robotics", Name: "runorder"}
-	v, _ := s.Service(id)
-	if !v.Idempotent("POST", "/lookup/7") || v.Idempotent("POST", "/dispatch") || !s.TargetDrained(id, "north-2") {
-		t.Error("the example doesn't do what the page says")
+	service, _ := s.Service(id)
+	if !service.Idempotent("POST", "/lookup/7") || service.Idempotent("POST", "/dispatch") || !s.TargetDrained(id, "north-2") {
+		t.Error("the example does not behave as docs/settings.md states")
 	}
 }
