--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -146,7 +146,7 @@
 	return e, nil
 }
 
-// put writes an entry if its path has not changed since the revision changed.
+// put writes an entry if its key was last changed at the revision changed.
 func (c *Client) put(ctx context.Context, e Entry, changed platform.Revision) (platform.Revision, error) {
 	key := entryPrefix + e.Path
 	return c.store.Do(ctx, platform.Txn{
@@ -221,8 +221,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old, ok := c.registrations[in.ID]; ok && old.instance == in {
-		renewed, err := c.renew(ctx, old)
+	if previous, ok := c.registrations[in.ID]; ok && previous.instance == in {
+		renewed, err := c.renew(ctx, previous)
 		if renewed || err != nil {
 			return writeError("Register", in.ID, err)
 		}
@@ -244,12 +244,12 @@
 }
 
 // renew renews a registration, and reports whether it still exists. c.mu is held.
-func (c *Client) renew(ctx context.Context, l registration) (bool, error) {
-	err := c.store.Keep(ctx, l.lease)
-	var restored *platform.EpochError
+func (c *Client) renew(ctx context.Context, reg registration) (bool, error) {
+	err := c.store.Keep(ctx, reg.lease)
+	var epochChanged *platform.EpochError
 	switch {
-	case errors.As(err, &restored):
-		return c.verify(ctx, l)
+	case errors.As(err, &epochChanged):
+		return c.verify(ctx, reg)
 	case platform.LeaseGone(err):
 		return false, nil
 	}
@@ -259,8 +259,8 @@
 // verify reports whether a store that was restored from a snapshot still has a registration
 // as it was written, under its lease. The lease's number alone proves nothing, as it may
 // since have been given to another lease. c.mu is held.
-func (c *Client) verify(ctx context.Context, l registration) (bool, error) {
-	item, err := c.store.Get(ctx, instancePrefix+l.instance.ID)
+func (c *Client) verify(ctx context.Context, reg registration) (bool, error) {
+	item, err := c.store.Get(ctx, instancePrefix+reg.instance.ID)
 	var missing *platform.MissingError
 	if errors.As(err, &missing) {
 		return false, nil
@@ -269,11 +269,11 @@
 		return false, err
 	}
 	var in Instance
-	if json.Unmarshal(item.Value, &in) != nil || in != l.instance || item.Lease.Number() != l.lease.Number() {
+	if json.Unmarshal(item.Value, &in) != nil || in != reg.instance || item.Lease.Number() != reg.lease.Number() {
 		return false, nil
 	}
-	l.lease = item.Lease
-	c.registrations[l.instance.ID] = l
+	reg.lease = item.Lease
+	c.registrations[reg.instance.ID] = reg
 	return true, nil
 }
 
@@ -296,9 +296,9 @@
 
 // readError converts the error of a call that changes nothing to a type of this package.
 func readError(call string, err error) error {
-	var refused *platform.NotDoneError
-	if errors.As(err, &refused) {
-		return notDoneError(call, refused)
+	var notDone *platform.NotDoneError
+	if errors.As(err, &notDone) {
+		return notDoneError(call, notDone)
 	}
 	return &UnavailableError{Call: call, Err: err}
 }
--- a/internal/docstore/client_test.go
+++ b/internal/docstore/client_test.go
@@ -250,7 +250,7 @@
 func TestSwapRace(t *testing.T) {
 	const writers, rounds = 8, 10
 	_, client := serve(t)
-	var won atomic.Uint64
+	var successes atomic.Uint64
 	var group sync.WaitGroup
 	for range writers {
 		group.Go(func() {
@@ -259,7 +259,7 @@
 				_, err := client.Swap(t.Context(), "/a", e.Version, nil)
 				var conflict *docstore.ConflictError
 				if err == nil {
-					won.Add(1)
+					successes.Add(1)
 				} else if !errors.As(err, &conflict) {
 					t.Error(err)
 				}
@@ -267,8 +267,8 @@
 		})
 	}
 	group.Wait()
-	if e, err := client.Get(t.Context(), "/a"); err != nil || e.Version != won.Load() {
-		t.Errorf("got version %d %v, want %d, one per successful write", e.Version, err, won.Load())
+	if e, err := client.Get(t.Context(), "/a"); err != nil || e.Version != successes.Load() {
+		t.Errorf("got version %d %v, want %d, one per successful write", e.Version, err, successes.Load())
 	}
 }
 
--- a/internal/docstore/document.go
+++ b/internal/docstore/document.go
@@ -13,7 +13,7 @@
 
 // Outcomes of a write. The zero value is Unknown.
 const (
-	Unknown  Outcome = iota // the write may have been applied, and reading back could not confirm either
+	Unknown  Outcome = iota // the write may have been applied; reading it back was inconclusive
 	Accepted                // the write was applied
 	Refused                 // the write was not applied, and never will be
 )
--- a/internal/docstore/document_test.go
+++ b/internal/docstore/document_test.go
@@ -51,7 +51,7 @@
 		_, _ = l.Swap(ctx, "/d", e.Version, []byte("raw"))
 	}
 	lost := &docstore.UncertainError{Path: "/d"}
-	first := func(f func()) func(int) error {
+	failFirst := func(f func()) func(int) error {
 		return func(swap int) error {
 			if swap > 1 {
 				return nil
@@ -61,17 +61,17 @@
 		}
 	}
 	tests := map[string]struct {
-		lose   int                                 // answers lost of writes that were applied
+		lose   int                                 // number of applied writes whose answer is lost
 		before func(*inproc.Store) func(int) error // see script
-		after  func(*inproc.Store)                 // after our first Swap
-		stale  bool                                // our expected version is outdated
+		after  func(*inproc.Store)                 // called after the first Swap of the tested write
+		stale  bool                                // the expected version is outdated
 		want   docstore.Outcome
 	}{
 		"plain":       {want: docstore.Accepted},
 		"lost answer": {lose: 1, want: docstore.Accepted},
 		"lost twice":  {lose: 2, want: docstore.Accepted},
 		"never sent, then repeated": {
-			before: func(*inproc.Store) func(int) error { return first(func() {}) },
+			before: func(*inproc.Store) func(int) error { return failFirst(func() {}) },
 			want:   docstore.Accepted,
 		},
 		"lost, then overwritten": {lose: 1, after: func(l *inproc.Store) { others(l, 15) }, want: docstore.Accepted},
@@ -83,7 +83,7 @@
 			lose: 1, after: func(l *inproc.Store) { raw(l); others(l, 1) }, want: docstore.Unknown,
 		},
 		"not landed, overtaken": {
-			before: func(l *inproc.Store) func(int) error { return first(func() { others(l, 3) }) },
+			before: func(l *inproc.Store) func(int) error { return failFirst(func() { others(l, 3) }) },
 			want:   docstore.Refused,
 		},
 		"stale version": {stale: true, want: docstore.Refused},
@@ -123,18 +123,18 @@
 				checkResult(t, got, err, version+1)
 				local.SetFaults(store.Faults{})
 				again, _ := docstore.ResolveWrite(ctx, local, "/d", version, "ours-1")
-				truth := landed(local, "ours-1")
-				if again.Outcome == docstore.Refused && truth || again.Outcome == docstore.Accepted && !truth {
-					t.Errorf("got %v read back, want landed %v", again.Outcome, truth)
+				applied := hasWriteID(local, "ours-1")
+				if again.Outcome == docstore.Refused && applied || again.Outcome == docstore.Accepted && !applied {
+					t.Errorf("got outcome %v read back, want applied %v", again.Outcome, applied)
 				}
 			})
 		})
 	}
 }
 
-// landed reports whether the entry holds the ID of a write. It is false for a write that
+// hasWriteID reports whether the entry holds the ID of a write. It is false for a write that
 // was applied if the entry no longer holds its ID.
-func landed(l *inproc.Store, writeID string) bool {
+func hasWriteID(l *inproc.Store, writeID string) bool {
 	e, _ := l.Get(context.Background(), "/d")
 	return bytes.Contains(e.Value, []byte(writeID))
 }
--- a/internal/docstore/faults_test.go
+++ b/internal/docstore/faults_test.go
@@ -26,16 +26,16 @@
 		after       time.Duration
 		uncertain   bool // the write gives *UncertainError
 		unavailable bool // the write gives *UnavailableError
-		landed      bool
+		applied     bool
 	}{
-		"none":             {landed: true},
+		"none":             {applied: true},
 		"outage":           {faults: store.Faults{Refuse: true}, unavailable: true},
-		"outage over":      {faults: store.Faults{Refuse: true}, after: time.Second, landed: true},
+		"outage over":      {faults: store.Faults{Refuse: true}, after: time.Second, applied: true},
 		"silent outage":    {faults: store.Faults{Silent: true}, unavailable: true},
-		"slow":             {faults: store.Faults{Delay: time.Second / 8}, landed: true},
-		"lost":             {faults: store.Faults{LoseNext: 1}, uncertain: true, landed: true},
-		"lost by chance":   {faults: store.Faults{LoseShare: 1}, uncertain: true, landed: true},
-		"late by chance":   {faults: store.Faults{LateShare: 1, Delay: time.Second / 16}, uncertain: true, landed: true},
+		"slow":             {faults: store.Faults{Delay: time.Second / 8}, applied: true},
+		"lost":             {faults: store.Faults{LoseNext: 1}, uncertain: true, applied: true},
+		"lost by chance":   {faults: store.Faults{LoseShare: 1}, uncertain: true, applied: true},
+		"late by chance":   {faults: store.Faults{LateShare: 1, Delay: time.Second / 16}, uncertain: true, applied: true},
 		"slower than that": {faults: store.Faults{Delay: time.Second}, unavailable: true},
 	}
 	for name, tt := range tests {
@@ -53,8 +53,8 @@
 					t.Errorf("got %v, want uncertain %v, unavailable %v", err, tt.uncertain, tt.unavailable)
 				}
 				l.SetFaults(store.Faults{})
-				if _, err := l.Get(t.Context(), "/a"); (err == nil) != tt.landed {
-					t.Errorf("got %v, want landed %v", err, tt.landed)
+				if _, err := l.Get(t.Context(), "/a"); (err == nil) != tt.applied {
+					t.Errorf("got %v, want applied %v", err, tt.applied)
 				}
 			})
 		})
--- a/internal/docstore/restore_test.go
+++ b/internal/docstore/restore_test.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// lostAnswerStore is a client that loses the answer to the first successful write and then calls lose,
-// which rolls the store back.
+// lostAnswerStore is a client that loses the answer to the first successful write and then
+// calls lose, which rolls the store back.
 type lostAnswerStore struct {
 	*docstore.Client
 	lose func()
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -61,7 +61,7 @@
 	group.Wait()
 	doc, err := b.client(t, "payments-read").Get(t.Context(), servicePath, false)
 	if err != nil || doc.Version != uint64(1+accepted) || accepted+conflicts != operators*rounds {
-		t.Errorf("got version %d %v, %d won, %d lost", doc.Version, err, accepted, conflicts)
+		t.Errorf("got version %d %v, %d accepted, %d conflicts", doc.Version, err, accepted, conflicts)
 	}
 	if got := b.inForce().Version(servicePath); got != doc.Version {
 		t.Errorf("got version %d in force, want %d", got, doc.Version)
--- a/internal/operator/clients_test.go
+++ b/internal/operator/clients_test.go
@@ -92,7 +92,7 @@
 		excess := ln.dial()
 		start := time.Now()
 		if _, err := excess.Read(make([]byte, 1)); err == nil || time.Since(start) > 0 {
-			t.Errorf("got %v after %v, want it closed at once", err, time.Since(start))
+			t.Errorf("got %v after %v, want the connection closed at once", err, time.Since(start))
 		}
 		for _, c := range conns {
 			_ = c.Close()
--- a/internal/operator/request.go
+++ b/internal/operator/request.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	maxBearerBytes = 512 // bytes
-	maxPaths       = 64  // per request
+	maxBearerBytes = 512
+	maxPaths       = 64 // per request
 )
 
 func invalid(format string, args ...any) *Problem {
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -213,7 +213,7 @@
 				t.Errorf("got %+v, want %s", got, tt.want)
 			}
 			if got.Code == CodeForbidden && strings.Contains(got.Reason, "limit") {
-				t.Errorf("got %+v, want nothing of the document", got)
+				t.Errorf("got %+v, want no content of the document", got)
 			}
 		})
 	}
