--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -51,7 +51,7 @@
 	Use      int `json:"use"` // in flight
 	Queued   int `json:"queued"`
 	Free     int `json:"free"`     // free slots
-	Headroom int `json:"headroom"` // Limit less Use and less drained or unavailable slots
+	Headroom int `json:"headroom"` // Limit less requests in flight and less drained or unavailable slots
 }
 
 // Place is the load of one place over all services, as observed by this instance.
