--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -12,43 +12,44 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Keys of the platform's store.
+// Key prefixes in the platform's store.
 const (
-	entryPrefix    = "firlever/documents" // a path follows
-	instancePrefix = "firlever/members/"  // an instance's ID follows
+	entryPrefix    = "firlever/documents" // followed by a path
+	instancePrefix = "firlever/members/"  // followed by an instance ID
 )
 
-// listTime is how long an instance stays in the list without a renewal. Instances
-// renew each 29 s at the latest, so that one lost renewal takes it out for a while.
-const listTime = 31 * time.Second
+// registrationTTL is how long an instance stays in the list without a renewal. Instances
+// renew at least every 29 s, so one lost renewal removes the instance until the next one
+// succeeds.
+const registrationTTL = 31 * time.Second
 
-// Client is a Store over the platform's metadata store. An entry is one key, whose
-// value says its version; a deleted one keeps its key and version. The list of
-// instances is kept by leases. It is safe for concurrent use.
+// Client is a Store over the platform's metadata store. Each entry is stored under one
+// key, and its value contains the version; a deleted entry keeps its key and version.
+// Instances are registered under leases. A Client is safe for concurrent use.
 type Client struct {
 	store *platform.Store
 
-	mu    sync.Mutex
-	lines map[string]line // of the list that are renewed here, by ID; guarded by mu
+	mu            sync.Mutex
+	registrations map[string]registration // registrations renewed by this client, by instance ID; guarded by mu
 }
 
-// line is a line of the list as it was written under its lease.
-type line struct {
-	in    Instance
-	lease platform.Lease
+// registration is an instance's entry in the list as written, with its lease.
+type registration struct {
+	instance Instance
+	lease    platform.Lease
 }
 
 var _ Store = (*Client)(nil)
 
-// NewClient makes a client of a store.
+// NewClient returns a client for a store.
 func NewClient(store *platform.Store) *Client {
-	return &Client{store: store, lines: make(map[string]line)}
+	return &Client{store: store, registrations: make(map[string]registration)}
 }
 
-// Close drops the kept connections to the platform.
+// Close closes the idle connections to the platform.
 func (c *Client) Close() { c.store.Close() }
 
-// Get reads one path.
+// Get reads one path. A path that was never written, or is deleted, gives *NotFoundError.
 func (c *Client) Get(ctx context.Context, path string) (Entry, error) {
 	e, _, err := c.read(ctx, "Get", path)
 	if err == nil && (e.Version == 0 || e.Deleted) {
@@ -60,8 +61,8 @@
 	return e, nil
 }
 
-// read reads an entry, deleted or not, and the revision that a write has to expect.
-// One that was never written has version 0.
+// read reads an entry, deleted or not, and the revision that a conditional write must
+// expect. An entry that was never written has version 0.
 func (c *Client) read(ctx context.Context, call, path string) (Entry, platform.Revision, error) {
 	if err := CheckPath(call, path); err != nil {
 		return Entry{}, platform.Revision{}, err
@@ -72,14 +73,14 @@
 		return Entry{Path: path}, platform.Revision{}, nil
 	}
 	if err != nil {
-		return Entry{}, platform.Revision{}, unread(call, err)
+		return Entry{}, platform.Revision{}, readError(call, err)
 	}
 	e, err := decodeEntry(item)
 	return e, item.Changed, err
 }
 
-// List reads every entry under a prefix, and the revision that the first page is
-// true at; what came since is for a watch.
+// List reads every entry under a prefix, and the revision of the first page. Changes
+// after that revision are found by Watch.
 func (c *Client) List(ctx context.Context, prefix string) ([]Entry, platform.Revision, error) {
 	all, revision, err := c.list(ctx, "List", prefix)
 	if err != nil {
@@ -94,11 +95,11 @@
 	return entries, revision, nil
 }
 
-// list reads every entry under a prefix, deleted ones too.
+// list reads every entry under a prefix, including deleted ones.
 func (c *Client) list(ctx context.Context, call, prefix string) ([]Entry, platform.Revision, error) {
 	items, revision, err := c.store.List(ctx, entryPrefix+prefix, false)
 	if err != nil {
-		return nil, platform.Revision{}, unread(call, err)
+		return nil, platform.Revision{}, readError(call, err)
 	}
 	entries := make([]Entry, 0, len(items))
 	for _, item := range items {
@@ -128,24 +129,24 @@
 	return c.write(ctx, "Delete", Entry{Path: path, Version: version + 1, Deleted: true})
 }
 
-// write writes an entry over the version before its own. The version is read first,
-// and the write then expects that nothing has changed since.
+// write writes an entry over the previous version. It reads the version first, and the
+// write succeeds only if nothing has changed since.
 func (c *Client) write(ctx context.Context, call string, e Entry) (Entry, error) {
-	now, changed, err := c.read(ctx, call, e.Path)
+	current, changed, err := c.read(ctx, call, e.Path)
 	if err != nil {
 		return Entry{}, err
 	}
-	want := e.Version - 1
-	if now.Version != want {
-		return Entry{}, &ConflictError{Path: e.Path, Want: want, Now: now}
+	expected := e.Version - 1
+	if current.Version != expected {
+		return Entry{}, &ConflictError{Path: e.Path, Want: expected, Now: current}
 	}
 	if e.Revision, err = c.put(ctx, e, changed); err != nil {
-		return Entry{}, unwritten(call, e.Path, want, err)
+		return Entry{}, swapError(call, e.Path, expected, err)
 	}
 	return e, nil
 }
 
-// put writes an entry if its path has not changed since a revision.
+// put writes an entry if its key was last changed at the revision changed.
 func (c *Client) put(ctx context.Context, e Entry, changed platform.Revision) (platform.Revision, error) {
 	key := entryPrefix + e.Path
 	return c.store.Do(ctx, platform.Txn{
@@ -154,40 +155,40 @@
 	})
 }
 
-// Restore writes an entry at its version if the path is at an earlier one.
+// Restore writes an entry at its own version if the path is at an earlier version.
 func (c *Client) Restore(ctx context.Context, e Entry) error {
 	if err := CheckValue(e.Path, e.Value); err != nil {
 		return err
 	}
-	now, changed, err := c.read(ctx, "Restore", e.Path)
-	if err != nil || now.Version >= e.Version {
+	current, changed, err := c.read(ctx, "Restore", e.Path)
+	if err != nil || current.Version >= e.Version {
 		return err
 	}
 	if _, err := c.put(ctx, e, changed); err != nil {
-		return unwritten("Restore", e.Path, now.Version, err)
+		return swapError("Restore", e.Path, current.Version, err)
 	}
 	return nil
 }
 
-// Watch waits for entries under prefix past a revision. If the store has forgotten
-// the changes since, all entries that are newer are read instead.
+// Watch waits for entries under prefix that change after a revision. If the store no
+// longer has the history since then, it lists all newer entries instead.
 func (c *Client) Watch(ctx context.Context, prefix string, after platform.Revision, wait time.Duration) ([]Entry, platform.Revision, error) {
 	events, revision, err := c.store.Watch(ctx, entryPrefix+prefix, after, min(wait, platform.MaxWait))
-	var gone *platform.HistoryError
-	if errors.As(err, &gone) {
-		return c.newer(ctx, prefix, after)
+	var historyLost *platform.HistoryError
+	if errors.As(err, &historyLost) {
+		return c.listSince(ctx, prefix, after)
 	}
 	if err != nil {
-		return nil, after, unread("Watch", err)
+		return nil, after, readError("Watch", err)
 	}
-	last := make(map[string]platform.Revision, len(events)) // of each key in the answer
+	last := make(map[string]platform.Revision, len(events)) // last change of each key in the response
 	for _, event := range events {
 		last[event.Key] = event.Changed
 	}
 	var entries []Entry
 	for _, event := range events {
 		if event.Removed || event.Changed != last[event.Key] {
-			continue // an entry is never removed, and is given as it is now
+			continue // entries are never removed; only the latest state of each is returned
 		}
 		e, err := decodeEntry(event.Item)
 		if err != nil {
@@ -198,8 +199,8 @@
 	return entries, revision, nil
 }
 
-// newer reads the entries that were written past a revision.
-func (c *Client) newer(ctx context.Context, prefix string, after platform.Revision) ([]Entry, platform.Revision, error) {
+// listSince reads the entries that were written after a revision, including deleted ones.
+func (c *Client) listSince(ctx context.Context, prefix string, after platform.Revision) ([]Entry, platform.Revision, error) {
 	all, revision, err := c.list(ctx, "Watch", prefix)
 	if err != nil {
 		return nil, after, err
@@ -213,52 +214,53 @@
 	return entries, platform.Later(after, revision), nil
 }
 
-// Register puts this instance in the list, or renews its line.
+// Register adds this instance to the list, or renews its registration.
 func (c *Client) Register(ctx context.Context, in Instance) error {
 	if err := CheckPath("Register", "/"+in.ID); err != nil || in.ID == "" {
 		return &InvalidError{Call: "Register", Reason: "ID missing or too long"}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if old, ok := c.lines[in.ID]; ok && old.in == in {
-		kept, err := c.renew(ctx, old)
-		if kept || err != nil {
-			return failed("Register", in.ID, err)
+	if previous, ok := c.registrations[in.ID]; ok && previous.instance == in {
+		renewed, err := c.renew(ctx, previous)
+		if renewed || err != nil {
+			return writeError("Register", in.ID, err)
 		}
 	}
-	lease, err := c.store.Grant(ctx, listTime)
+	lease, err := c.store.Grant(ctx, registrationTTL)
 	if err != nil {
-		return failed("Register", in.ID, err)
+		return writeError("Register", in.ID, err)
 	}
-	value, err := encode("Register", in)
+	value, err := marshal("Register", in)
 	if err != nil {
 		return err
 	}
 	put := platform.Write{Key: instancePrefix + in.ID, Value: value, Lease: lease}
 	if _, err := c.store.Do(ctx, platform.Txn{Put: []platform.Write{put}}); err != nil {
-		return failed("Register", in.ID, err)
+		return writeError("Register", in.ID, err)
 	}
-	c.lines[in.ID] = line{in: in, lease: lease}
+	c.registrations[in.ID] = registration{instance: in, lease: lease}
 	return nil
 }
 
-// renew renews a line of the list, and says whether it is still there. c.mu is held.
-func (c *Client) renew(ctx context.Context, l line) (bool, error) {
-	err := c.store.Keep(ctx, l.lease)
-	var restored *platform.EpochError
+// renew renews a registration, and reports whether it still exists. c.mu is held.
+func (c *Client) renew(ctx context.Context, reg registration) (bool, error) {
+	err := c.store.Keep(ctx, reg.lease)
+	var epochChanged *platform.EpochError
 	switch {
-	case errors.As(err, &restored):
-		return c.verify(ctx, l)
+	case errors.As(err, &epochChanged):
+		return c.verify(ctx, reg)
 	case platform.LeaseGone(err):
 		return false, nil
 	}
 	return err == nil, err
 }
 
-// verify says whether a store that came back from a copy still has a line as it was written,
-// under its lease, whose number may be another's by now. c.mu is held.
-func (c *Client) verify(ctx context.Context, l line) (bool, error) {
-	item, err := c.store.Get(ctx, instancePrefix+l.in.ID)
+// verify reports whether a store that was restored from a snapshot still has a registration
+// as it was written, under its lease. The lease's number alone proves nothing, as it may
+// since have been given to another lease. c.mu is held.
+func (c *Client) verify(ctx context.Context, reg registration) (bool, error) {
+	item, err := c.store.Get(ctx, instancePrefix+reg.instance.ID)
 	var missing *platform.MissingError
 	if errors.As(err, &missing) {
 		return false, nil
@@ -267,19 +269,19 @@
 		return false, err
 	}
 	var in Instance
-	if json.Unmarshal(item.Value, &in) != nil || in != l.in || item.Lease.Number() != l.lease.Number() {
+	if json.Unmarshal(item.Value, &in) != nil || in != reg.instance || item.Lease.Number() != reg.lease.Number() {
 		return false, nil
 	}
-	l.lease = item.Lease
-	c.lines[l.in.ID] = l
+	reg.lease = item.Lease
+	c.registrations[reg.instance.ID] = reg
 	return true, nil
 }
 
-// Instances reads the list of instances. It may be seconds old.
+// Instances reads the list of instances, which may be seconds old.
 func (c *Client) Instances(ctx context.Context) ([]Instance, platform.Revision, error) {
 	items, at, err := c.store.List(ctx, instancePrefix, true)
 	if err != nil {
-		return nil, platform.Revision{}, unread("Instances", err)
+		return nil, platform.Revision{}, readError("Instances", err)
 	}
 	list := make([]Instance, 0, len(items))
 	for _, item := range items {
@@ -292,52 +294,55 @@
 	return list, at, nil
 }
 
-// unread types the failure of a call that changes nothing.
-func unread(call string, err error) error {
-	var refused *platform.NotDoneError
-	if errors.As(err, &refused) {
-		return refusal(call, refused)
+// readError converts the error of a call that changes nothing to a type of this package.
+func readError(call string, err error) error {
+	var notDone *platform.NotDoneError
+	if errors.As(err, &notDone) {
+		return notDoneError(call, notDone)
 	}
 	return &UnavailableError{Call: call, Err: err}
 }
 
-// failed types the failure of a call that may have changed something; nil stays nil.
-func failed(call, path string, err error) error {
-	var lost *platform.UncertainError
+// writeError converts the error of a call that may have changed something to a type of
+// this package; nil stays nil.
+func writeError(call, path string, err error) error {
+	var uncertain *platform.UncertainError
 	switch {
 	case err == nil:
 		return nil
-	case errors.As(err, &lost) && lost.Sent:
+	case errors.As(err, &uncertain) && uncertain.Sent:
 		return &UncertainError{Path: path, Err: err}
 	}
-	return unread(call, err)
+	return readError(call, err)
 }
 
-// unwritten types the failure of a write that expected a version.
-func unwritten(call, path string, want uint64, err error) error {
+// swapError converts the error of a write that expected a version to a type of this
+// package.
+func swapError(call, path string, expected uint64, err error) error {
 	var conflict *platform.ConflictError
 	if !errors.As(err, &conflict) {
-		return failed(call, path, err)
+		return writeError(call, path, err)
 	}
 	for _, item := range conflict.Items {
-		now, err := decodeEntry(item)
-		if err == nil && now.Path == path {
-			return &ConflictError{Path: path, Want: want, Now: now}
+		current, err := decodeEntry(item)
+		if err == nil && current.Path == path {
+			return &ConflictError{Path: path, Want: expected, Now: current}
 		}
 	}
 	return &UncertainError{Path: path, Err: err}
 }
 
-// refusal types a call that was not done.
-func refusal(call string, e *platform.NotDoneError) error {
-	switch e.Status {
+// notDoneError converts the error of a call that the platform did not perform to a type of
+// this package.
+func notDoneError(call string, err *platform.NotDoneError) error {
+	switch err.Status {
 	case http.StatusTooManyRequests:
 		return &BusyError{Call: call}
 	case http.StatusServiceUnavailable:
-		return &UnavailableError{Call: call, Err: e}
+		return &UnavailableError{Call: call, Err: err}
 	}
-	return &InvalidError{Call: call, Reason: e.Error()}
+	return &InvalidError{Call: call, Reason: err.Error()}
 }
 
-// pathOf is the path of an entry's key.
+// pathOf returns the path of an entry's key.
 func pathOf(key string) string { return strings.TrimPrefix(key, entryPrefix) }
--- a/internal/docstore/document_test.go
+++ b/internal/docstore/document_test.go
@@ -15,15 +15,15 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// script is a store that does something else before or after some swaps.
-type script struct {
+// hookedStore is a store that runs hooks before and after each Swap.
+type hookedStore struct {
 	docstore.Store
 	swaps  int
-	before func(swap int) error // an error is returned in the swap's place
+	before func(swap int) error // a non-nil error is returned instead of calling Swap
 	after  func(swap int)
 }
 
-func (s *script) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
+func (s *hookedStore) Swap(ctx context.Context, path string, version uint64, value []byte) (docstore.Entry, error) {
 	s.swaps++
 	if s.before != nil {
 		if err := s.before(s.swaps); err != nil {
@@ -39,7 +39,7 @@
 
 func TestPutDocument(t *testing.T) {
 	ctx := context.Background()
-	// others writes n documents over ours; raw writes one that is no document.
+	// others overwrites the document n times; raw writes a value that is not a document.
 	others := func(l *inproc.Store, n int) {
 		for i := range n {
 			e, _ := l.Get(ctx, "/d")
@@ -51,7 +51,7 @@
 		_, _ = l.Swap(ctx, "/d", e.Version, []byte("raw"))
 	}
 	lost := &docstore.UncertainError{Path: "/d"}
-	first := func(f func()) func(int) error {
+	failFirst := func(f func()) func(int) error {
 		return func(swap int) error {
 			if swap > 1 {
 				return nil
@@ -61,17 +61,17 @@
 		}
 	}
 	tests := map[string]struct {
-		lose   int                                 // answers to landed writes
+		lose   int                                 // number of applied writes whose answer is lost
 		before func(*inproc.Store) func(int) error // see script
-		after  func(*inproc.Store)                 // once ours has landed unanswered
-		stale  bool                                // we have read an old version
+		after  func(*inproc.Store)                 // called after the first Swap of the tested write
+		stale  bool                                // the expected version is outdated
 		want   docstore.Outcome
 	}{
 		"plain":       {want: docstore.Accepted},
 		"lost answer": {lose: 1, want: docstore.Accepted},
 		"lost twice":  {lose: 2, want: docstore.Accepted},
 		"never sent, then repeated": {
-			before: func(*inproc.Store) func(int) error { return first(func() {}) },
+			before: func(*inproc.Store) func(int) error { return failFirst(func() {}) },
 			want:   docstore.Accepted,
 		},
 		"lost, then overwritten": {lose: 1, after: func(l *inproc.Store) { others(l, 15) }, want: docstore.Accepted},
@@ -83,7 +83,7 @@
 			lose: 1, after: func(l *inproc.Store) { raw(l); others(l, 1) }, want: docstore.Unknown,
 		},
 		"not landed, overtaken": {
-			before: func(l *inproc.Store) func(int) error { return first(func() { others(l, 3) }) },
+			before: func(l *inproc.Store) func(int) error { return failFirst(func() { others(l, 3) }) },
 			want:   docstore.Refused,
 		},
 		"stale version": {stale: true, want: docstore.Refused},
@@ -105,7 +105,7 @@
 				if tt.stale {
 					others(local, 1)
 				}
-				s := &script{Store: local}
+				s := &hookedStore{Store: local}
 				if tt.before != nil {
 					s.before = tt.before(local)
 				}
@@ -123,26 +123,26 @@
 				checkResult(t, got, err, version+1)
 				local.SetFaults(store.Faults{})
 				again, _ := docstore.ResolveWrite(ctx, local, "/d", version, "ours-1")
-				truth := landed(local, "ours-1")
-				if again.Outcome == docstore.Refused && truth || again.Outcome == docstore.Accepted && !truth {
-					t.Errorf("got %v read back, want landed %v", again.Outcome, truth)
+				applied := hasWriteID(local, "ours-1")
+				if again.Outcome == docstore.Refused && applied || again.Outcome == docstore.Accepted && !applied {
+					t.Errorf("got outcome %v read back, want applied %v", again.Outcome, applied)
 				}
 			})
 		})
 	}
 }
 
-// landed reports whether the entry shows that a write landed. It is false for a
-// landed write that the entry no longer tells of.
-func landed(l *inproc.Store, write string) bool {
+// hasWriteID reports whether the entry holds the ID of a write. It is false for a write that
+// was applied if the entry no longer holds its ID.
+func hasWriteID(l *inproc.Store, writeID string) bool {
 	e, _ := l.Get(context.Background(), "/d")
-	return bytes.Contains(e.Value, []byte(write))
+	return bytes.Contains(e.Value, []byte(writeID))
 }
 
 func checkResult(t *testing.T, got docstore.PutResult, err error, made uint64) {
 	t.Helper()
 	var conflict *docstore.ConflictError
-	var lost *docstore.UncertainError
+	var uncertain *docstore.UncertainError
 	switch got.Outcome {
 	case docstore.Accepted:
 		if err != nil || got.Version != made {
@@ -153,7 +153,7 @@
 			t.Errorf("got %+v %v, want a conflict with the newer entry", got, err)
 		}
 	default:
-		if !errors.As(err, &lost) {
+		if !errors.As(err, &uncertain) {
 			t.Errorf("got %v, want an uncertain write", err)
 		}
 	}
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,14 +16,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// maxAnswer bounds what a client reads of an answer, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes limits how much of a response body a client reads.
+const maxResponseBytes = 64 << 20
 
-// UnreachableError says that an instance gave no answer. A change may have landed if
-// it was sent.
+// UnreachableError reports that an instance gave no answer. A change may have been
+// applied if Sent is set.
 type UnreachableError struct {
 	Address string
-	Sent    bool // the request may have reached it
+	Sent    bool // the request may have reached the instance
 	Err     error
 }
 
@@ -34,17 +34,17 @@
 // Unwrap returns the cause.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// AnswerError says that an answer is none that this program knows.
+// AnswerError reports a response that is not in the expected format.
 type AnswerError struct {
 	Status int // HTTP status
 	Reason string
 }
 
 func (e *AnswerError) Error() string {
-	return fmt.Sprintf("operator: answer with status %d: %s", e.Status, e.Reason)
+	return fmt.Sprintf("operator: unexpected response with status %d: %s", e.Status, e.Reason)
 }
 
-// Client asks one instance on its operators' address. Its errors are *Problem,
+// Client sends requests to one instance on its operators' address. Its errors are *Problem,
 // *UnreachableError and *AnswerError. It is safe for concurrent use.
 type Client struct {
 	address string
@@ -52,79 +52,82 @@
 	http    *http.Client
 }
 
-// NewClient makes a client of the instance at address, IP:port.
+// NewClient returns a client for the instance at address, IP:port.
 func NewClient(address, token string) *Client {
 	t := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute}
 	return &Client{address: address, token: token, http: &http.Client{Transport: t}}
 }
 
-// Close drops the idle connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get reads a document: from the platform, or the one in force at the instance.
-func (c *Client) Get(ctx context.Context, path string, here bool) (settings.Document, error) {
-	header, body, err := c.do(ctx, http.MethodGet, "/v1/documents"+path, source(here), nil, nil)
+// Get reads a document from the platform's store or, with inForce, the version in force
+// at the instance.
+func (c *Client) Get(ctx context.Context, path string, inForce bool) (settings.Document, error) {
+	header, body, err := c.do(ctx, http.MethodGet, "/v1/documents"+path, sourceQuery(inForce), nil, nil)
 	if err != nil {
 		return settings.Document{}, err
 	}
 	version, err := ParseVersion(header.Values("ETag"))
 	if err != nil {
-		return settings.Document{}, &AnswerError{Status: http.StatusOK, Reason: "no version"}
+		return settings.Document{}, &AnswerError{Status: http.StatusOK, Reason: "ETag missing or not a version"}
 	}
 	return settings.Document{Path: path, Version: version, Body: body}, nil
 }
 
-// List reads the versions of all documents under a prefix.
-func (c *Client) List(ctx context.Context, prefix string, here bool) ([]Version, error) {
-	query := source(here)
+// List reads the versions of all documents under a prefix, from the platform's store or,
+// with inForce, those in force at the instance.
+func (c *Client) List(ctx context.Context, prefix string, inForce bool) ([]Version, error) {
+	query := sourceQuery(inForce)
 	query.Set("prefix", prefix)
 	var list List
 	err := c.get(ctx, "/v1/documents", query, &list)
 	return list.Documents, err
 }
 
-func source(here bool) url.Values {
-	if here {
+func sourceQuery(inForce bool) url.Values {
+	if inForce {
 		return url.Values{"source": {"instance"}}
 	}
 	return url.Values{}
 }
 
-// Put writes doc if the document still has doc.Version, or deletes it. write
-// names this change; first promises that it was not sent before.
-func (c *Client) Put(ctx context.Context, doc settings.Document, write string, first bool) (Change, error) {
+// Put writes doc, or deletes it if doc.Deleted is set, provided that the document still
+// has doc.Version. writeID identifies this change; first asserts that it was not sent
+// before.
+func (c *Client) Put(ctx context.Context, doc settings.Document, writeID string, first bool) (Change, error) {
 	method := http.MethodPut
 	if doc.Deleted {
 		method = http.MethodDelete
 	}
-	header := http.Header{"If-Match": {FormatVersion(doc.Version)}, HeaderWrite: {write}}
+	header := http.Header{"If-Match": {FormatVersion(doc.Version)}, HeaderWrite: {writeID}}
 	if first {
 		header.Set(HeaderTry, TryFirst)
 	}
 	_, body, err := c.do(ctx, method, "/v1/documents"+doc.Path, nil, header, doc.Body)
 	var change Change
 	if err == nil {
-		err = decode(body, &change)
+		err = unmarshal(body, &change)
 	}
 	return change, err
 }
 
-// Write asks what became of a change to the document at path from version.
-func (c *Client) Write(ctx context.Context, write, path string, version uint64) (Change, error) {
+// Write returns the outcome of an earlier change to the document at path, over version.
+func (c *Client) Write(ctx context.Context, writeID, path string, version uint64) (Change, error) {
 	query := url.Values{"path": {path}, "version": {strconv.FormatUint(version, 10)}}
 	var change Change
-	err := c.get(ctx, "/v1/writes/"+url.PathEscape(write), query, &change)
+	err := c.get(ctx, "/v1/writes/"+url.PathEscape(writeID), query, &change)
 	return change, err
 }
 
-// Status asks for the state of the instance.
+// Status returns the state of the instance.
 func (c *Client) Status(ctx context.Context) (Status, error) {
 	var status Status
 	err := c.get(ctx, "/v1/status", nil, &status)
 	return status, err
 }
 
-// Fleet asks for the state of all instances, with the versions of the given
+// Fleet returns the state of all instances, with the versions of the given
 // documents.
 func (c *Client) Fleet(ctx context.Context, paths []string) ([]Report, error) {
 	var fleet Fleet
@@ -137,10 +140,10 @@
 	if err != nil {
 		return err
 	}
-	return decode(body, v)
+	return unmarshal(body, v)
 }
 
-func decode(body []byte, v any) error {
+func unmarshal(body []byte, v any) error {
 	if err := json.Unmarshal(body, v); err != nil {
 		return &AnswerError{Status: http.StatusOK, Reason: err.Error()}
 	}
@@ -161,30 +164,31 @@
 	}
 	resp, err := c.http.Do(r)
 	if err != nil {
-		return nil, nil, &UnreachableError{Address: c.address, Sent: sent(err), Err: err}
+		return nil, nil, &UnreachableError{Address: c.address, Sent: maybeSent(err), Err: err}
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, nil, &UnreachableError{Address: c.address, Sent: true, Err: err}
 	}
-	return resp.Header, answer, refusal(resp.StatusCode, answer)
+	return resp.Header, respBody, responseError(resp.StatusCode, respBody)
 }
 
-// sent says whether a request that failed may have been sent.
-func sent(err error) bool {
+// maybeSent reports whether a request that failed with err may have been sent. A failed
+// dial is the only failure that rules it out.
+func maybeSent(err error) bool {
 	var dial *net.OpError
 	return !errors.As(err, &dial) || dial.Op != "dial"
 }
 
-// refusal is the error that an answer stands for, if any.
-func refusal(status int, body []byte) error {
+// responseError returns the error that a response represents, or nil for a success.
+func responseError(status int, body []byte) error {
 	if status == http.StatusOK || status == http.StatusAccepted {
 		return nil
 	}
 	p := &Problem{}
 	if err := json.Unmarshal(body, p); err != nil || p.Code == "" {
-		return &AnswerError{Status: status, Reason: "not one of firlever's"}
+		return &AnswerError{Status: status, Reason: "body is not a problem document of firlever"}
 	}
 	return p
 }
--- a/internal/operator/documents.go
+++ b/internal/operator/documents.go
@@ -10,14 +10,15 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// List is the answer to a list of documents.
+// List is the response to a request for a list of documents.
 type List struct {
 	Documents []Version `json:"documents"`
 }
 
-// authorize gives the path of a request, once its token opens it for the role.
+// authorize authenticates a request and returns its document path, provided that the
+// token has the role for it.
 func (s *Server) authorize(r *http.Request, role string) (access, settings.Path, error) {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return a, settings.Path{}, err
 	}
@@ -25,7 +26,7 @@
 	if err != nil {
 		return a, p, err
 	}
-	return a, p, a.may(p, role)
+	return a, p, a.authorizePath(p, role)
 }
 
 func (s *Server) getDocument(w http.ResponseWriter, r *http.Request) error {
@@ -42,16 +43,16 @@
 	}
 	w.Header().Set("ETag", FormatVersion(doc.Version))
 	w.Header().Set("Content-Type", "application/yaml")
-	_, _ = w.Write(doc.Body) // the client sees that the answer is cut
+	_, _ = w.Write(doc.Body) // the client detects a truncated body
 	return nil
 }
 
 func (s *Server) read(r *http.Request, p settings.Path) (settings.Document, error) {
-	here, err := parseSource(r.URL.Query())
+	inForce, err := parseSource(r.URL.Query())
 	if err != nil {
 		return settings.Document{}, err
 	}
-	if here {
+	if inForce {
 		return s.inForce(p.String())
 	}
 	entry, err := s.cfg.Store.Get(r.Context(), p.String())
@@ -70,9 +71,9 @@
 	return settings.Document{}, &docstore.NotFoundError{Path: path}
 }
 
-// listDocuments lists what the token may read.
+// listDocuments lists the documents that the token may read.
 func (s *Server) listDocuments(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
@@ -86,18 +87,18 @@
 	}
 	docs = filter(docs, func(doc settings.Document) bool {
 		p, err := settings.ParsePath(doc.Path)
-		return err == nil && a.may(p, settings.RoleRead) == nil
+		return err == nil && a.authorizePath(p, settings.RoleRead) == nil
 	})
 	sendJSON(w, http.StatusOK, List{Documents: Versions(docs)})
 	return nil
 }
 
 func (s *Server) list(r *http.Request, prefix string) ([]settings.Document, error) {
-	here, err := parseSource(r.URL.Query())
+	inForce, err := parseSource(r.URL.Query())
 	if err != nil {
 		return nil, err
 	}
-	if here {
+	if inForce {
 		return filter(s.cfg.Documents(), func(doc settings.Document) bool {
 			return strings.HasPrefix(doc.Path, prefix)
 		}), nil
@@ -105,7 +106,7 @@
 	entries, _, err := s.cfg.Store.List(r.Context(), prefix)
 	var docs []settings.Document
 	for _, e := range entries {
-		if doc, bad := docstore.DecodeDocument(e); bad == nil {
+		if doc, decodeErr := docstore.DecodeDocument(e); decodeErr == nil {
 			docs = append(docs, doc)
 		}
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -12,35 +12,35 @@
 
 // Limits of a server.
 const (
-	maxRequests   = 64 // at one time
-	maxChanges    = 8  // at one time, each with a body of up to settings.MaxBody
+	maxRequests   = 64 // concurrent
+	maxChanges    = 8  // concurrent, each with a body of up to settings.MaxBody
 	maxConns      = 256
 	maxHeader     = 16 << 10 // bytes
 	headerTimeout = 5 * time.Second
 	readTimeout   = 15 * time.Second
-	writeTimeout  = readTimeout + changeTimeout + 5*time.Second // from a request's first byte on
+	writeTimeout  = readTimeout + changeTimeout + 5*time.Second // from the first byte of a request
 	idleTimeout   = time.Minute
 )
 
-// Server answers operators. It is safe for concurrent use.
+// Server serves the operators' HTTP API. It is safe for concurrent use.
 type Server struct {
-	cfg      Config
-	routes   http.Handler
-	http     *http.Server
-	requests chan struct{} // one for each request at work
-	changes  chan struct{} // one for each change at work
-	conns    atomic.Int64
+	cfg          Config
+	routes       http.Handler
+	http         *http.Server
+	requestSlots chan struct{} // one element per request in progress
+	changeSlots  chan struct{} // one element per change in progress
+	conns        atomic.Int64
 }
 
-// New makes a server. A faulty configuration gives *ConfigError.
+// New returns a server. An invalid configuration gives *ConfigError.
 func New(cfg Config) (*Server, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "operator.New")
 	}
 	s := &Server{
-		cfg:      cfg,
-		requests: make(chan struct{}, maxRequests),
-		changes:  make(chan struct{}, maxChanges),
+		cfg:          cfg,
+		requestSlots: make(chan struct{}, maxRequests),
+		changeSlots:  make(chan struct{}, maxChanges),
 	}
 	s.routes = s.newRoutes()
 	s.http = &http.Server{
@@ -56,17 +56,17 @@
 	return s, nil
 }
 
-// Serve answers on a listener until Close or Shutdown of HTTP. It returns
-// http.ErrServerClosed then.
+// Serve accepts connections on a listener until the server of HTTP is closed or shut
+// down, and then returns http.ErrServerClosed.
 func (s *Server) Serve(ln net.Listener) error { return s.http.Serve(ln) }
 
-// HTTP is the server underneath, to be shut down.
+// HTTP returns the underlying server, for shutting it down.
 func (s *Server) HTTP() *http.Server { return s.http }
 
-// ServeHTTP answers one request.
+// ServeHTTP handles one request.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.routes.ServeHTTP(w, r) }
 
-// countConn closes new connections over the limit.
+// countConn counts connections and closes new ones over maxConns.
 func (s *Server) countConn(c net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -80,30 +80,30 @@
 
 func (s *Server) newRoutes() http.Handler {
 	m := chi.NewRouter()
-	m.NotFound(answer(func(http.ResponseWriter, *http.Request) error {
-		return &Problem{Code: CodeNotFound, Reason: "there is nothing at this address"}
+	m.NotFound(problemHandler(func(http.ResponseWriter, *http.Request) error {
+		return &Problem{Code: CodeNotFound, Reason: "no resource at this path"}
 	}))
-	m.MethodNotAllowed(answer(func(_ http.ResponseWriter, r *http.Request) error {
-		return &Problem{Code: CodeMethod, Reason: r.Method + " is not for this address"}
+	m.MethodNotAllowed(problemHandler(func(_ http.ResponseWriter, r *http.Request) error {
+		return &Problem{Code: CodeMethod, Reason: r.Method + " is not allowed for this path"}
 	}))
 	m.Get("/health", s.health)
 	m.Get("/ready", s.ready)
 	m.Method(http.MethodGet, "/metrics", s.cfg.Metrics)
 	m.Group(func(m chi.Router) {
 		m.Use(s.limit)
-		m.Get("/v1/documents", answer(s.listDocuments))
-		m.Get("/v1/documents/*", answer(s.getDocument))
-		m.Put("/v1/documents/*", answer(s.changeDocument))
-		m.Delete("/v1/documents/*", answer(s.changeDocument))
-		m.Get("/v1/writes/{write}", answer(s.getWrite))
-		m.Get("/v1/status", answer(s.status))
-		m.Get("/v1/fleet", answer(s.fleet))
+		m.Get("/v1/documents", problemHandler(s.listDocuments))
+		m.Get("/v1/documents/*", problemHandler(s.getDocument))
+		m.Put("/v1/documents/*", problemHandler(s.changeDocument))
+		m.Delete("/v1/documents/*", problemHandler(s.changeDocument))
+		m.Get("/v1/writes/{write}", problemHandler(s.getWrite))
+		m.Get("/v1/status", problemHandler(s.status))
+		m.Get("/v1/fleet", problemHandler(s.fleet))
 	})
 	return m
 }
 
-// answer sends the error of a handler as a Problem.
-func answer(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
+// problemHandler adapts a handler that returns an error, and sends the error as a Problem.
+func problemHandler(f func(w http.ResponseWriter, r *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if err := f(w, r); err != nil {
 			newProblem(err).send(w)
@@ -111,20 +111,20 @@
 	}
 }
 
-// limit refuses requests over those that may be at work at one time.
+// limit rejects requests with CodeBusy while maxRequests are in progress.
 func (s *Server) limit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.requests <- struct{}{}:
-			defer func() { <-s.requests }()
+		case s.requestSlots <- struct{}{}:
+			defer func() { <-s.requestSlots }()
 			next.ServeHTTP(w, r)
 		default:
-			(&Problem{Code: CodeBusy, Reason: "too many requests at one time"}).send(w)
+			(&Problem{Code: CodeBusy, Reason: "too many concurrent requests"}).send(w)
 		}
 	})
 }
 
-// State is the answer to /health and /ready.
+// State is the response to /health and /ready.
 type State struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
@@ -143,17 +143,18 @@
 }
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
-	sendJSON(w, http.StatusOK, a.sees(s.cfg.Status()))
+	sendJSON(w, http.StatusOK, a.visible(s.cfg.Status()))
 	return nil
 }
 
-// fleet answers with the documents' versions only where paths are asked for.
+// fleet sends the status of all instances, with the versions of only those documents
+// whose paths are requested.
 func (s *Server) fleet(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
@@ -164,15 +165,15 @@
 	reports := s.cfg.Fleet(withBearer(r.Context(), a.bearer))
 	for i, report := range reports {
 		if report.Status != nil {
-			cut := a.sees(*report.Status).at(paths)
-			reports[i].Status = &cut
+			visible := a.visible(*report.Status).withVersionsOf(paths)
+			reports[i].Status = &visible
 		}
 	}
 	sendJSON(w, http.StatusOK, Fleet{Reports: reports})
 	return nil
 }
 
-// Fleet is the answer to a question for the status of all instances.
+// Fleet is the response to a request for the status of all instances.
 type Fleet struct {
 	Reports []Report `json:"reports"`
 }
--- a/internal/operator/writes.go
+++ b/internal/operator/writes.go
@@ -11,18 +11,18 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// changeTimeout bounds a change from its body's last byte on, whether or not
-// the operator still waits for it.
+// changeTimeout limits a change once its body has been read, even if the operator's
+// client has disconnected.
 const changeTimeout = 15 * time.Second
 
-// Change is the answer to a change whose outcome is accepted or unknown. One
-// that was refused is answered with a Problem.
+// Change is the response to a change whose outcome is accepted or unknown. The response
+// to a refused change is a Problem.
 type Change struct {
 	Path    string `json:"path"`
 	Write   string `json:"write"`
 	Outcome string `json:"outcome"`
-	Version uint64 `json:"version,omitempty"` // made by the change, if accepted
-	Reason  string `json:"reason,omitempty"`  // why it isn't known
+	Version uint64 `json:"version,omitempty"` // created by the change, if accepted
+	Reason  string `json:"reason,omitempty"`  // why the outcome is unknown
 }
 
 func (s *Server) changeDocument(w http.ResponseWriter, r *http.Request) error {
@@ -35,27 +35,27 @@
 		return err
 	}
 	select {
-	case s.changes <- struct{}{}:
-		defer func() { <-s.changes }()
+	case s.changeSlots <- struct{}{}:
+		defer func() { <-s.changeSlots }()
 	default:
-		return &Problem{Code: CodeBusy, Reason: "too many changes at one time", Write: c.write}
+		return &Problem{Code: CodeBusy, Reason: "too many concurrent changes", Write: c.writeID}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
-	result, err := s.change(ctx, c)
+	result, err := s.applyChange(ctx, c)
 	s.logChange(a, c, result, err)
-	return answerChange(w, c, result, err)
+	return sendOutcome(w, c, result, err)
 }
 
-// change makes a change and puts it in force here.
-func (s *Server) change(ctx context.Context, c change) (docstore.PutResult, error) {
-	result, err := s.attempt(ctx, c)
+// applyChange writes a change and, if accepted, puts it in force at this instance.
+func (s *Server) applyChange(ctx context.Context, c change) (docstore.PutResult, error) {
+	result, err := s.checkAndWrite(ctx, c)
 	if result.Outcome == docstore.Unknown {
-		// Answers to writes are lost; those to reads may not be.
+		// The answers to the writes were lost, but reads may still succeed.
 		result, err = s.resolve(ctx, c)
 	}
-	if c.repeat && result.Outcome == docstore.Refused {
-		// This try was refused; the earlier one may have landed.
+	if c.maybeRepeat && result.Outcome == docstore.Refused {
+		// This attempt was refused, but an earlier one may have been applied.
 		var reason error
 		if result, reason = s.resolve(ctx, c); result.Outcome != docstore.Unknown {
 			err = reason
@@ -69,9 +69,10 @@
 	return result, err
 }
 
-// attempt checks a change against the settings in force here, and writes it.
-// Before all settings have arrived there is nothing to check it against.
-func (s *Server) attempt(ctx context.Context, c change) (docstore.PutResult, error) {
+// checkAndWrite checks a change against the settings in force at this instance, and writes
+// it. The change is refused until the instance has received all settings, as the check would
+// be incomplete.
+func (s *Server) checkAndWrite(ctx context.Context, c change) (docstore.PutResult, error) {
 	if err := s.cfg.Complete(); err != nil {
 		return docstore.PutResult{Outcome: docstore.Refused}, &Problem{Code: CodeUnavailable, Reason: err.Error()}
 	}
@@ -79,42 +80,42 @@
 		return docstore.PutResult{Outcome: docstore.Refused}, err
 	}
 	if c.deleted {
-		return docstore.DeleteDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.write)
+		return docstore.DeleteDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.writeID)
 	}
-	return docstore.PutDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.body, c.write)
+	return docstore.PutDocument(ctx, s.cfg.Store, c.path.String(), c.version, c.body, c.writeID)
 }
 
 func (s *Server) resolve(ctx context.Context, c change) (docstore.PutResult, error) {
-	return docstore.ResolveWrite(ctx, s.cfg.Store, c.path.String(), c.version, c.write)
+	return docstore.ResolveWrite(ctx, s.cfg.Store, c.path.String(), c.version, c.writeID)
 }
 
-func answerChange(w http.ResponseWriter, c change, result docstore.PutResult, err error) error {
-	answer := Change{Path: c.path.String(), Write: c.write, Outcome: result.Outcome.String(), Version: result.Version}
+func sendOutcome(w http.ResponseWriter, c change, result docstore.PutResult, err error) error {
+	response := Change{Path: c.path.String(), Write: c.writeID, Outcome: result.Outcome.String(), Version: result.Version}
 	switch result.Outcome {
 	case docstore.Accepted:
 		w.Header().Set("ETag", FormatVersion(result.Version))
-		sendJSON(w, http.StatusOK, answer)
+		sendJSON(w, http.StatusOK, response)
 		return nil
 	case docstore.Refused:
 		p := *newProblem(err)
-		p.Outcome, p.Write, p.Path = answer.Outcome, c.write, answer.Path
+		p.Outcome, p.Write, p.Path = response.Outcome, c.writeID, response.Path
 		return &p
 	}
 	if err != nil {
-		answer.Reason = err.Error()
+		response.Reason = err.Error()
 	}
-	sendJSON(w, http.StatusAccepted, answer)
+	sendJSON(w, http.StatusAccepted, response)
 	return nil
 }
 
-// getWrite says what became of an earlier change.
+// getWrite sends the outcome of an earlier change.
 func (s *Server) getWrite(w http.ResponseWriter, r *http.Request) error {
-	a, err := s.access(r)
+	a, err := s.authenticate(r)
 	if err != nil {
 		return err
 	}
-	c := change{write: chi.URLParam(r, "write")}
-	if err := parseWrite(c.write); err != nil {
+	c := change{writeID: chi.URLParam(r, "write")}
+	if err := checkWriteID(c.writeID); err != nil {
 		return err
 	}
 	query := r.URL.Query()
@@ -122,19 +123,19 @@
 		return invalid("%v", err)
 	}
 	if c.version, err = ParseVersion([]string{`"` + query.Get("version") + `"`}); err != nil {
-		return invalid("version must be the number that the change gave in If-Match")
+		return invalid("version must be the If-Match version of the change")
 	}
-	if err := a.may(c.path, settings.RoleRead); err != nil {
+	if err := a.authorizePath(c.path, settings.RoleRead); err != nil {
 		return err
 	}
 	result, err := s.resolve(r.Context(), c)
-	return answerChange(w, c, result, err)
+	return sendOutcome(w, c, result, err)
 }
 
 func (s *Server) logChange(a access, c change, result docstore.PutResult, err error) {
 	fields := []any{
-		"who", a.name, "path", c.path.String(), "deleted", c.deleted,
-		"read", c.version, "version", result.Version, "write", c.write, "outcome", result.Outcome.String(),
+		"who", a.tokenName, "path", c.path.String(), "deleted", c.deleted,
+		"read", c.version, "version", result.Version, "write", c.writeID, "outcome", result.Outcome.String(),
 	}
 	if err != nil {
 		s.cfg.Log.Warn("change", append(fields, "reason", err.Error())...)
