--- a/internal/mirror/begin_test.go
+++ b/internal/mirror/begin_test.go
@@ -31,8 +31,8 @@
 			for i := range 160 {
 				fake.Put(fmt.Sprintf("a%03d", i), []byte("1"))
 			}
-			m, first := startMirror(t, address, nobody)
-			within(t, bound, "the first knows all", func() bool { return first.get("a159") == "1" && m.Age(time.Now()) < time.Second })
+			m, first := startMirror(t, address, noPeers)
+			within(t, changeBound, "the first knows all", func() bool { return first.get("a159") == "1" && m.Age(time.Now()) < time.Second })
 			relay := listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				switch tt.relay {
 				case "unready":
@@ -47,16 +47,16 @@
 				relay = "127.0.0.1:1"
 			}
 			calls := fake.Calls("/kv-range")
-			peers := after(relay)
+			peers := withRelay(relay)
 			peers.Seeds = []string{relay}
 			_, second := startMirror(t, address, peers)
-			within(t, bound, "the second knows all", func() bool { return second.get("a159") == "1" })
+			within(t, changeBound, "the second knows all", func() bool { return second.get("a159") == "1" })
 			// A list has four pages. The first checks the store once a second.
 			if got := fake.Calls("/kv-range") - calls; (got >= 4) != tt.lists {
 				t.Errorf("got %d reads, want a list: %t", got, tt.lists)
 			}
 			fake.Put("a000", []byte("2"))
-			within(t, bound, "the second knows a change", func() bool { return second.get("a000") == "2" })
+			within(t, changeBound, "the second knows a change", func() bool { return second.get("a000") == "2" })
 		})
 	}
 }
@@ -66,24 +66,24 @@
 func TestBeginInOutage(t *testing.T) {
 	fake, address := newStore(t)
 	fake.Put("a", []byte("1"))
-	m, first := startMirror(t, address, nobody)
-	within(t, bound, "the first knows a", func() bool { return first.get("a") == "1" })
+	m, first := startMirror(t, address, noPeers)
+	within(t, changeBound, "the first knows a", func() bool { return first.get("a") == "1" })
 	fake.SetFaults(store.Faults{Refuse: true})
-	within(t, 2*bound, "what the first knows is old", func() bool { return m.Age(time.Now()) > relayAge })
-	late, second := startMirror(t, address, Peers{Relays: nobody.Relays, Others: after(listen(t, m)).Others})
-	within(t, bound, "the second knows a", func() bool { return second.get("a") == "1" })
-	if age := late.Age(time.Now()); age < relayAge {
+	within(t, 2*changeBound, "what the first knows is old", func() bool { return m.Age(time.Now()) > relayMaxAge })
+	late, second := startMirror(t, address, Peers{Relays: noPeers.Relays, Others: withRelay(listen(t, m)).Others})
+	within(t, changeBound, "the second knows a", func() bool { return second.get("a") == "1" })
+	if age := late.Age(time.Now()); age < relayMaxAge {
 		t.Errorf("got knowledge %s old, want it as old as the first's", age)
 	}
 	fake.SetFaults(store.Faults{})
 	fake.Put("a", []byte("2"))
-	within(t, 2*bound, "the second knows a change", func() bool { return second.get("a") == "2" })
+	within(t, 2*changeBound, "the second knows a change", func() bool { return second.get("a") == "2" })
 }
 
 // An answer is made once for all peers that know the same, and compressed for those
 // that take that.
 func TestAnswers(t *testing.T) {
-	var a answers
+	var a answerCache
 	e := excerpt{revision: at(9)}
 	for i := range 100 {
 		e.items = append(e.items, platform.Item{Key: fmt.Sprintf("key%d", i), Value: []byte("value"), Changed: at(uint64(i + 1))})
@@ -105,7 +105,7 @@
 		w, r := httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil)
 		r.Header.Set("Accept-Encoding", encoding)
 		first.write(w, r)
-		var got relayed
+		var got relayAnswer
 		body := json.NewDecoder(w.Body)
 		if packed {
 			z, err := gzip.NewReader(w.Body)
@@ -118,7 +118,7 @@
 			t.Errorf("%q: got %d events at %s, %v, want 100 at 9", encoding, len(got.Events), got.Revision, err)
 		}
 	}
-	if few, _ := a.encode(at(8), excerpt{revision: at(9), known: true}); few.packed != nil {
+	if few, _ := a.encode(at(8), excerpt{revision: at(9), covered: true}); few.compressed != nil {
 		t.Error("got a short answer compressed")
 	}
 }
@@ -128,16 +128,16 @@
 func TestRelayOfARelay(t *testing.T) {
 	fake, address := newStore(t)
 	fake.Put("a", []byte("1"))
-	m, _ := startMirror(t, address, nobody)
-	middle, _ := startMirror(t, address, after(listen(t, m)))
-	_, last := startMirror(t, address, after(listen(t, middle)))
-	within(t, bound, "the last knows a", func() bool { return last.get("a") == "1" })
-	time.Sleep(2 * gather) // all have gone over to their relays
+	m, _ := startMirror(t, address, noPeers)
+	middle, _ := startMirror(t, address, withRelay(listen(t, m)))
+	_, last := startMirror(t, address, withRelay(listen(t, middle)))
+	within(t, changeBound, "the last knows a", func() bool { return last.get("a") == "1" })
+	time.Sleep(2 * batchDelay) // all have gone over to their relays
 	watches := fake.Calls("/kv-watch")
 	for i := range 3 {
 		value := fmt.Sprint(i)
 		fake.Put("a", []byte(value))
-		within(t, bound, "a is "+value, func() bool { return last.get("a") == value })
+		within(t, changeBound, "a is "+value, func() bool { return last.get("a") == value })
 	}
 	if got := fake.Calls("/kv-watch") - watches; got > 4 {
 		t.Errorf("got %d watches for 3 changes, want those of the first alone", got)
--- a/internal/mirror/beliefs_test.go
+++ b/internal/mirror/beliefs_test.go
@@ -8,77 +8,77 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// was and then are revisions of two epochs; the store came back from a copy between them.
-func was(count uint64) platform.Revision  { return platform.NewRevision(1, count) }
-func then(count uint64) platform.Revision { return platform.NewRevision(2, count) }
+// epoch1 and then are revisions of two epochs; the store came back from a copy between them.
+func epoch1(count uint64) platform.Revision { return platform.NewRevision(1, count) }
+func epoch2(count uint64) platform.Revision { return platform.NewRevision(2, count) }
 
-func is(key, value string, at platform.Revision) platform.Event {
+func putEvent(key, value string, at platform.Revision) platform.Event {
 	return platform.Event{Item: platform.Item{Key: key, Value: []byte(value), Changed: at}}
 }
 
-func gone(key string, at platform.Revision) platform.Event {
+func removeEvent(key string, at platform.Revision) platform.Event {
 	return platform.Event{Item: platform.Item{Key: key, Changed: at}, Removed: true}
 }
 
 // What was known before the store came back from a copy stays while it is written again.
-func TestBeliefsAfterRestore(t *testing.T) {
+func TestOverridesAfterRestore(t *testing.T) {
 	type told []struct {
 		after  time.Duration // since the store is back
 		events []platform.Event
 		want   string // changes
 	}
-	known := []platform.Event{is("config", "7", was(7)), is("gone", "x", was(3)), gone("gone", was(8)), is("late", "x", was(9))}
+	known := []platform.Event{putEvent("config", "7", epoch1(7)), putEvent("gone", "x", epoch1(3)), removeEvent("gone", epoch1(8)), putEvent("late", "x", epoch1(9))}
 	tests := map[string]told{
 		"an older state is not taken": {
-			{0, []platform.Event{is("config", "5", then(5))}, ""},
-			{settle, []platform.Event{is("config", "6", then(6))}, ""},
-			{hideTime, []platform.Event{is("config", "7", then(7)), is("config", "8", then(8))}, "+config=8 "},
+			{0, []platform.Event{putEvent("config", "5", epoch2(5))}, ""},
+			{removalDelay, []platform.Event{putEvent("config", "6", epoch2(6))}, ""},
+			{hideDuration, []platform.Event{putEvent("config", "7", epoch2(7)), putEvent("config", "8", epoch2(8))}, "+config=8 "},
 		},
 		"a key with an older state is removed": {
-			{0, []platform.Event{is("config", "5", then(5))}, ""},
-			{settle, []platform.Event{gone("config", then(6))}, "-config "},
+			{0, []platform.Event{putEvent("config", "5", epoch2(5))}, ""},
+			{removalDelay, []platform.Event{removeEvent("config", epoch2(6))}, "-config "},
 		},
 		"a key that the store lacks is written again": {
-			{0, []platform.Event{gone("late", then(6))}, ""},
-			{settle / 2, []platform.Event{is("late", "x", then(7))}, ""},
-			{settle, nil, ""},
+			{0, []platform.Event{removeEvent("late", epoch2(6))}, ""},
+			{removalDelay / 2, []platform.Event{putEvent("late", "x", epoch2(7))}, ""},
+			{removalDelay, nil, ""},
 		},
 		"one with another state": {
-			{0, []platform.Event{gone("late", then(6))}, ""},
-			{settle / 2, []platform.Event{is("late", "y", then(7))}, "+late=y "},
+			{0, []platform.Event{removeEvent("late", epoch2(6))}, ""},
+			{removalDelay / 2, []platform.Event{putEvent("late", "y", epoch2(7))}, "+late=y "},
 		},
 		"one that is not": {
-			{0, []platform.Event{gone("late", then(6))}, ""},
-			{settle - 1, nil, ""},
-			{settle, nil, "-late "},
+			{0, []platform.Event{removeEvent("late", epoch2(6))}, ""},
+			{removalDelay - 1, nil, ""},
+			{removalDelay, nil, "-late "},
 		},
 		"a key that had gone is removed once more": {
-			{0, []platform.Event{is("gone", "x", then(3))}, ""},
-			{settle, []platform.Event{gone("gone", then(8))}, ""},
-			{hideTime, nil, ""},
+			{0, []platform.Event{putEvent("gone", "x", epoch2(3))}, ""},
+			{removalDelay, []platform.Event{removeEvent("gone", epoch2(8))}, ""},
+			{hideDuration, nil, ""},
 		},
 		"one that is written anew": {
-			{0, []platform.Event{is("gone", "x", then(3))}, ""},
-			{settle, []platform.Event{is("gone", "x", then(8))}, "+gone=x "},
+			{0, []platform.Event{putEvent("gone", "x", epoch2(3))}, ""},
+			{removalDelay, []platform.Event{putEvent("gone", "x", epoch2(8))}, "+gone=x "},
 		},
 		"one that stays": {
-			{0, []platform.Event{is("gone", "x", then(3))}, ""},
-			{hideTime - 1, []platform.Event{is("gone", "x", then(3))}, ""},
-			{hideTime, nil, "+gone=x "},
-			{2 * hideTime, nil, ""},
+			{0, []platform.Event{putEvent("gone", "x", epoch2(3))}, ""},
+			{hideDuration - 1, []platform.Event{putEvent("gone", "x", epoch2(3))}, ""},
+			{hideDuration, nil, "+gone=x "},
+			{2 * hideDuration, nil, ""},
 		},
 		"a new key": {
-			{0, []platform.Event{is("new", "x", then(3))}, "+new=x "},
+			{0, []platform.Event{putEvent("new", "x", epoch2(3))}, "+new=x "},
 		},
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := NewCopy(byNumber)
+			c := NewReplica(byNumber)
 			c.Apply(start, known)
-			c.Outage(start)
+			c.MarkOutage(start)
 			for _, step := range steps {
 				now, got := start.Add(step.after), ""
-				for _, ch := range append(c.Apply(now, step.events), c.Due(now, then(9))...) {
+				for _, ch := range append(c.Apply(now, step.events), c.Due(now, epoch2(9))...) {
 					if ch.Removed {
 						got += "-" + ch.Key + " "
 					} else {
@@ -94,45 +94,45 @@
 }
 
 // What a peer tells of all that it knows, to one that knows something.
-func TestAdoptAll(t *testing.T) {
+func TestApplyWholePeerUpdate(t *testing.T) {
 	tests := map[string]struct {
 		events []platform.Event // known, at then(5)
-		peer   news
+		peer   peerUpdate
 		later  []platform.Event // and after the peer's
 		want   string
 	}{
 		"a peer that is behind": {
-			[]platform.Event{is("a", "2", then(5))},
-			news{revision: was(9), events: []platform.Event{is("a", "1", was(3)), is("b", "1", was(4))}},
+			[]platform.Event{putEvent("a", "2", epoch2(5))},
+			peerUpdate{revision: epoch1(9), events: []platform.Event{putEvent("a", "1", epoch1(3)), putEvent("b", "1", epoch1(4))}},
 			nil, "",
 		},
 		"a state that nobody has changed since an epoch before": {
-			[]platform.Event{is("a", "1", then(5))},
-			news{revision: platform.NewRevision(3, 4), events: []platform.Event{is("a", "2", was(3))}},
+			[]platform.Event{putEvent("a", "1", epoch2(5))},
+			peerUpdate{revision: platform.NewRevision(3, 4), events: []platform.Event{putEvent("a", "2", epoch1(3))}},
 			nil, "+a@4 ",
 		},
 		"a state from before one of an epoch between": {
-			[]platform.Event{is("x", "new", then(5))},
-			news{revision: platform.NewRevision(3, 4), events: []platform.Event{is("x", "old", then(3))}},
+			[]platform.Event{putEvent("x", "new", epoch2(5))},
+			peerUpdate{revision: platform.NewRevision(3, 4), events: []platform.Event{putEvent("x", "old", epoch2(3))}},
 			nil, "+x@4 ",
 		},
 		"a key that had gone, and that the peer keeps": {
-			[]platform.Event{is("a", "4", was(3)), gone("a", then(4))},
-			news{
-				revision: platform.NewRevision(3, 4), events: []platform.Event{is("a", "4", platform.NewRevision(3, 3))},
-				beliefs: Beliefs{Kept: []platform.Item{is("a", "5", then(2)).Item}},
+			[]platform.Event{putEvent("a", "4", epoch1(3)), removeEvent("a", epoch2(4))},
+			peerUpdate{
+				revision: platform.NewRevision(3, 4), events: []platform.Event{putEvent("a", "4", platform.NewRevision(3, 3))},
+				overrides: Overrides{Kept: []platform.Item{putEvent("a", "5", epoch2(2)).Item}},
 			},
-			[]platform.Event{is("a", "5", platform.NewRevision(3, 5)), gone("a", platform.NewRevision(3, 6))},
+			[]platform.Event{putEvent("a", "5", platform.NewRevision(3, 5)), removeEvent("a", platform.NewRevision(3, 6))},
 			"+a@2 -a@6 ",
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			k := newKnowledge(byNumber)
-			k.take(start, growth{events: tt.events, revision: then(5)})
+			k := newView(byNumber)
+			k.applyBatch(start, batch{events: tt.events, revision: epoch2(5)})
 			tt.peer.whole = true
-			changes := k.adopt(start, tt.peer)
-			changes = append(changes, k.take(start, growth{events: tt.later, revision: platform.NewRevision(3, 9)})...)
+			changes := k.applyPeer(start, tt.peer)
+			changes = append(changes, k.applyBatch(start, batch{events: tt.later, revision: platform.NewRevision(3, 9)})...)
 			if got := show(changes); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
@@ -142,37 +142,37 @@
 
 // What all that a peer knows brings is passed on, also if nobody has changed it since an epoch
 // before.
-func TestPassOnAll(t *testing.T) {
-	k := newKnowledge(byNumber)
-	k.take(start, growth{revision: then(4)})
-	k.take(start, growth{events: []platform.Event{is("a", "1", then(5))}, revision: then(5)})
+func TestWholeUpdateIsRelayed(t *testing.T) {
+	k := newView(byNumber)
+	k.applyBatch(start, batch{revision: epoch2(4)})
+	k.applyBatch(start, batch{events: []platform.Event{putEvent("a", "1", epoch2(5))}, revision: epoch2(5)})
 	at := platform.NewRevision(3, 4)
-	k.adopt(start, news{whole: true, revision: at, events: []platform.Event{is("a", "2", was(3)), is("b", "1", was(4))}})
-	e := k.history.since(start, then(5))
-	if !e.known || len(e.events) != 2 || e.events[0].Changed != at || e.events[1].Changed != at {
-		t.Errorf("got %+v, known %t, want a and b at %s", e.events, e.known, at)
+	k.applyPeer(start, peerUpdate{whole: true, revision: at, events: []platform.Event{putEvent("a", "2", epoch1(3)), putEvent("b", "1", epoch1(4))}})
+	e := k.history.since(start, epoch2(5))
+	if !e.covered || len(e.events) != 2 || e.events[0].Changed != at || e.events[1].Changed != at {
+		t.Errorf("got %+v, known %t, want a and b at %s", e.events, e.covered, at)
 	}
 }
 
 // A list of a store that came back from a copy takes nothing away at once.
 func TestListAfterRestore(t *testing.T) {
-	k := newKnowledge(byNumber)
+	k := newView(byNumber)
 	list := func(now time.Time, at platform.Revision, items ...platform.Event) []Change {
 		var all []platform.Item
 		for _, e := range items {
 			all = append(all, e.Item)
 		}
-		_, changes := k.list(now, all, at, now)
+		_, changes := k.applyList(now, all, at, now)
 		return changes
 	}
-	list(start, was(9), is("kept", "x", was(3)), is("late", "x", was(9)))
-	if got := show(list(start.Add(settle), then(5), is("kept", "x", then(3)))); got != "" {
+	list(start, epoch1(9), putEvent("kept", "x", epoch1(3)), putEvent("late", "x", epoch1(9)))
+	if got := show(list(start.Add(removalDelay), epoch2(5), putEvent("kept", "x", epoch2(3)))); got != "" {
 		t.Errorf("got %q at once, want nothing", got)
 	}
-	if got, want := show(list(start.Add(2*settle), then(6), is("kept", "x", then(3)))), "-late@6 "; got != want {
-		t.Errorf("got %q after %s, want %q", got, settle, want)
+	if got, want := show(list(start.Add(2*removalDelay), epoch2(6), putEvent("kept", "x", epoch2(3)))), "-late@6 "; got != want {
+		t.Errorf("got %q after %s, want %q", got, removalDelay, want)
 	}
-	if got, want := show(list(start.Add(2*settle), then(7))), "-kept@7 "; got != want {
+	if got, want := show(list(start.Add(2*removalDelay), epoch2(7))), "-kept@7 "; got != want {
 		t.Errorf("got %q without another return, want %q", got, want)
 	}
 }
@@ -180,33 +180,33 @@
 // An instance that starts while a store that came back from a copy is behind learns from
 // others what that has lost: all at once from a seed, or when it follows a relay after it has
 // read the store.
-func TestBeginAfterRestore(t *testing.T) {
+func TestBootstrapAfterRestore(t *testing.T) {
 	for name, seed := range map[string]bool{"from a seed": true, "from the store": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			fake, address := newStore(t)
 			fake.Put("config", []byte("1"))
 			fake.Put("gone", []byte("x"))
-			m, first := startMirror(t, address, nobody)
-			within(t, bound, "the first knows all", func() bool { return first.get("gone") == "x" })
+			m, first := startMirror(t, address, noPeers)
+			within(t, changeBound, "the first knows all", func() bool { return first.get("gone") == "x" })
 			c := fake.Copy()
 			fake.Put("config", []byte("2"))
 			fake.Remove("gone")
-			within(t, bound, "the first knows the changes", func() bool { return first.get("config") == "2" && first.get("gone") == "" })
+			within(t, changeBound, "the first knows the changes", func() bool { return first.get("config") == "2" && first.get("gone") == "" })
 			fake.GoBack(c)
-			within(t, bound, "the first knows of the return", func() bool { return m.Revision().Epoch() == 2 })
+			within(t, changeBound, "the first knows of the return", func() bool { return m.Revision().Epoch() == 2 })
 			relay := listen(t, m)
-			peers := after(relay)
+			peers := withRelay(relay)
 			if seed {
 				peers.Seeds = peers.Relays()
 			}
 			_, second := startMirror(t, address, peers)
-			within(t, bound, "the second knows the later state", func() bool { return second.get("config") == "2" })
+			within(t, changeBound, "the second knows the later state", func() bool { return second.get("config") == "2" })
 			if got := second.get("gone"); seed && got != "" {
 				t.Errorf("got gone=%q, want it gone", got)
 			}
 			fake.Rewrite()
-			time.Sleep(settle)
+			time.Sleep(removalDelay)
 			for i, out := range []*sink{first, second} {
 				if out.get("config") != "2" || out.get("gone") != "" {
 					t.Errorf("%d: got config=%q gone=%q, want 2 and none", i, out.get("config"), out.get("gone"))
--- a/internal/mirror/check.go
+++ b/internal/mirror/check.go
@@ -8,15 +8,15 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// check asks the store for its revision now and then. Changes that the watch has
+// runChecks asks the store for its revision now and then. Changes that the watch has
 // not delivered though it had the time are read by a list. When the store answers
 // again after it did not, a waiting watch begins anew on another connection; when
 // it does not answer, the watch ends too, as it may wait in vain.
 //
 // A store that gives no answer is asked as often as one that refuses: with pauses from
-// the end of each check, relays noticed its return after up to 1.9 s, and those who wait
+// the end of each runChecks, relays noticed its return after up to 1.9 s, and those who wait
 // 1.4 s for them listed it themselves.
-func (m *Mirror) check(ctx context.Context) {
+func (m *Mirror) runChecks(ctx context.Context) {
 	failed := false
 	last := boottime.Now() // the end of the last check that was answered, or the begin of one that failed
 	for ctx.Err() == nil {
@@ -24,12 +24,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.soon:
+		case <-m.checkNow:
 		case <-resumed:
-		case <-time.After(boottime.Until(last.Add(m.checkPause(failed)))):
+		case <-time.After(boottime.Until(last.Add(m.checkDelay(failed)))):
 		}
 		last = boottime.Now()
-		if m.isFollowing() && !m.isLost() {
+		if m.isFollowing() && !m.isUnreachable() {
 			continue // the relay checks
 		}
 		err := m.checkOnce(ctx)
@@ -38,27 +38,27 @@
 		}
 		switch {
 		case err != nil:
-			m.fail(err)
-		case failed || m.isLost():
-			m.reach()
+			m.markCheckFailed(err)
+		case failed || m.isUnreachable():
+			m.markAnswering()
 		}
 		failed = err != nil
 	}
 }
 
-// checkPause is how long until the next check. A check that failed tells of the loss
+// checkDelay is how long until the next check. A check that failed tells of the loss
 // before the watch that it ends does: with the watch alone, each instance of a region
 // asked a silent store once more, 1 s after the first check.
-func (m *Mirror) checkPause(failed bool) time.Duration {
-	if (failed || m.isLost()) && len(m.peers.Relays()) >= Relays {
-		return lostCheck
+func (m *Mirror) checkDelay(failed bool) time.Duration {
+	if (failed || m.isUnreachable()) && len(m.peers.Relays()) >= Relays {
+		return outageCheckInterval
 	}
-	return checkEvery
+	return checkInterval
 }
 
 func (m *Mirror) checkOnce(ctx context.Context) error {
 	begin := boottime.Now()
-	inner, cancel := context.WithTimeout(ctx, checkTime)
+	inner, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	revision, err := m.store.Revision(inner)
 	if err != nil {
@@ -68,97 +68,97 @@
 		sleep(ctx, checkGrace)
 	}
 	if m.behind(revision) {
-		m.miss()
+		m.markMissed()
 		return nil
 	}
-	m.known.history.confirm(revision, begin)
+	m.view.history.confirm(revision, begin)
 	return nil
 }
 
 // behind says whether the copy lacks changes up to a revision.
 func (m *Mirror) behind(revision platform.Revision) bool {
-	at := m.known.history.at()
+	at := m.view.history.latest()
 	return !at.IsZero() && revision.After(at)
 }
 
-// miss ends the watch that waits, for a list instead.
-func (m *Mirror) miss() {
+// markMissed ends the watch that waits, for a list instead.
+func (m *Mirror) markMissed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.missed = true
+	m.watchMissed = true
 	m.endWatch()
 }
 
-// fail ends the watch that waits, as the store does not answer.
-func (m *Mirror) fail(err error) {
+// markCheckFailed ends the watch that waits, as the store does not answer.
+func (m *Mirror) markCheckFailed(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failed = err
+	m.checkErr = err
 	m.endWatch()
 }
 
-// takeFailed returns why a check failed since the last call, or nil.
-func (m *Mirror) takeFailed() error {
+// takeCheckErr returns why a check failed since the last call, or nil.
+func (m *Mirror) takeCheckErr() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	err := m.failed
-	m.failed = nil
+	err := m.checkErr
+	m.checkErr = nil
 	return err
 }
 
-// reach notes that the store answers.
-func (m *Mirror) reach() {
+// markAnswering notes that the store answers.
+func (m *Mirror) markAnswering() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reached = m.lost
-	m.failed = nil
+	m.answeredAgain = m.unreachable
+	m.checkErr = nil
 	m.endWatch()
 	select {
-	case m.back <- struct{}{}:
+	case m.storeBack <- struct{}{}:
 	default:
 	}
 }
 
 // endWatch ends the watch that waits. m.mu is held.
 func (m *Mirror) endWatch() {
-	if m.kick != nil {
-		m.kick()
+	if m.cancelWatch != nil {
+		m.cancelWatch()
 	}
 }
 
-// setLost sets whether the store is out of reach, and returns what was set before.
-func (m *Mirror) setLost(lost bool) bool {
+// setUnreachable sets whether the store is out of reach, and returns what was set before.
+func (m *Mirror) setUnreachable(lost bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before := m.lost
-	m.lost = lost
-	m.reached = false
+	before := m.unreachable
+	m.unreachable = lost
+	m.answeredAgain = false
 	return before
 }
 
-func (m *Mirror) isLost() bool {
+func (m *Mirror) isUnreachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.lost
+	return m.unreachable
 }
 
-func (m *Mirror) isReached() bool {
+func (m *Mirror) hasAnsweredAgain() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.reached
+	return m.answeredAgain
 }
 
-func (m *Mirror) clearReached() {
+func (m *Mirror) clearAnsweredAgain() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reached = false
+	m.answeredAgain = false
 }
 
 func (m *Mirror) takeMissed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	missed := m.missed
-	m.missed = false
+	missed := m.watchMissed
+	m.watchMissed = false
 	return missed
 }
 
@@ -175,7 +175,7 @@
 }
 
 // Age is how long ago the store confirmed what is known of it.
-func (m *Mirror) Age(now time.Time) time.Duration { return m.known.history.age(now) }
+func (m *Mirror) Age(now time.Time) time.Duration { return m.view.history.age(now) }
 
 // Revision is the store's revision up to which all changes are known.
-func (m *Mirror) Revision() platform.Revision { return m.known.history.at() }
+func (m *Mirror) Revision() platform.Revision { return m.view.history.latest() }
--- a/internal/mirror/converge_test.go
+++ b/internal/mirror/converge_test.go
@@ -17,9 +17,9 @@
 
 // member is an instance of a fleet: what it knows, and what it was told of changes.
 type member struct {
-	knowledge
-	client *platform.Store
-	told   map[string]string // by key
+	view
+	client   *platform.Store
+	notified map[string]string // by key
 }
 
 // fleet is some instances that follow a store or each other, in virtual time.
@@ -36,7 +36,7 @@
 	f := &fleet{T: t, store: store.New(), now: start}
 	for range rapid.IntRange(1, 4).Draw(t, "members") {
 		f.members = append(f.members, &member{
-			knowledge: newKnowledge(byNumber), client: platform.NewStoreOver("stand-in", f.store), told: make(map[string]string),
+			view: newView(byNumber), client: platform.NewStoreOver("stand-in", f.store), notified: make(map[string]string),
 		})
 	}
 	return f
@@ -61,8 +61,8 @@
 	return f.members[rapid.IntRange(0, len(f.members)-1).Draw(f.T, what)]
 }
 
-// learn lets a member learn from the store by a list or a watch, or from another.
-func (f *fleet) learn() {
+// syncMember lets a member syncMember from the store by a list or a watch, or from another.
+func (f *fleet) syncMember() {
 	m := f.member("member")
 	switch rapid.IntRange(0, 3).Draw(f.T, "from") {
 	case 0:
@@ -79,17 +79,17 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	_, changes := m.list(f.now, items, at, f.now)
-	f.tell(m, changes)
+	_, changes := m.applyList(f.now, items, at, f.now)
+	f.checkNotified(m, changes)
 }
 
 func (f *fleet) watch(m *member) {
-	events, at, err := m.client.Watch(context.Background(), "", m.history.at(), 0)
+	events, at, err := m.client.Watch(context.Background(), "", m.history.latest(), 0)
 	if err != nil {
 		f.list(m)
 		return
 	}
-	f.tell(m, m.take(f.now, growth{events: events, revision: at, confirmed: f.now}))
+	f.checkNotified(m, m.applyBatch(f.now, batch{events: events, revision: at, confirmedAt: f.now}))
 }
 
 func (f *fleet) follow(m, peer *member) {
@@ -101,27 +101,27 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	var r relayed
+	var r relayAnswer
 	if err := json.Unmarshal(a.plain, &r); err != nil {
 		f.Fatal(err)
 	}
-	n := r.news()
-	n.confirmed, n.settled, n.ahead = f.now.Add(-e.age), f.now.Add(e.settling), e.ahead
-	f.tell(m, m.adopt(f.now, n))
+	n := r.update()
+	n.confirmedAt, n.removeAfter, n.storeBehind = f.now.Add(-e.age), f.now.Add(e.removeDelay), e.storeBehind
+	f.checkNotified(m, m.applyPeer(f.now, n))
 }
 
-// tell checks that what was told of a key never comes back older.
-func (f *fleet) tell(m *member, changes []Change) {
+// checkNotified checks that what was told of a key never comes back older.
+func (f *fleet) checkNotified(m *member, changes []Change) {
 	for _, c := range changes {
 		if c.Removed {
-			delete(m.told, c.Key)
+			delete(m.notified, c.Key)
 			continue
 		}
-		before, _ := strconv.Atoi(m.told[c.Key])
+		before, _ := strconv.Atoi(m.notified[c.Key])
 		if n, err := strconv.Atoi(string(c.Value)); err == nil && n < before {
 			f.Errorf("got %s from %d to %d", c.Key, before, n)
 		}
-		m.told[c.Key] = string(c.Value)
+		m.notified[c.Key] = string(c.Value)
 	}
 }
 
@@ -149,7 +149,7 @@
 		f.copies = append(f.copies, f.store.Copy())
 		f.copies = f.copies[max(0, len(f.copies)-3):]
 	default:
-		f.learn()
+		f.syncMember()
 	}
 }
 
@@ -173,7 +173,7 @@
 		f.now = f.now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 	}
 	f.store.Put("last", nil)
-	for _, wait := range []time.Duration{0, settle, hideTime, hideTime} {
+	for _, wait := range []time.Duration{0, removalDelay, hideDuration, hideDuration} {
 		f.now = f.now.Add(wait)
 		f.list(f.members[0])
 		for _, m := range f.members[1:] {
@@ -190,8 +190,8 @@
 		want[item.Key] = string(item.Value)
 	}
 	for i, m := range f.members {
-		if !maps.Equal(m.told, want) {
-			t.Errorf("member %d: got %v, want %v", i, m.told, want)
+		if !maps.Equal(m.notified, want) {
+			t.Errorf("member %d: got %v, want %v", i, m.notified, want)
 		}
 	}
 }
--- a/internal/mirror/copy_test.go
+++ b/internal/mirror/copy_test.go
@@ -49,7 +49,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			if got := show(NewCopy(byNumber).Apply(start, tt.events)); got != tt.want {
+			if got := show(NewReplica(byNumber).Apply(start, tt.events)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
@@ -57,7 +57,7 @@
 }
 
 func TestDifference(t *testing.T) {
-	c := NewCopy(byNumber)
+	c := NewReplica(byNumber)
 	c.Apply(start, []platform.Event{put("a", 1), put("b", 2), put("c", 5), put("e", 9)})
 	items := []platform.Item{{Key: "a", Changed: at(3)}, {Key: "c", Changed: at(4)}, {Key: "d", Changed: at(4)}}
 	want := "+a@3 +d@4 -b@6 " // e was written after the list
@@ -77,18 +77,18 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := NewCopy(byNumber)
+			c := NewReplica(byNumber)
 			c.Apply(start, []platform.Event{put("a", 1)})
-			c.Outage(start)
+			c.MarkOutage(start)
 			got := c.Apply(start.Add(time.Second), []platform.Event{removed("a", 8)})
 			if tt.back {
 				got = append(got, c.Apply(start.Add(time.Second), []platform.Event{put("a", 9)})...)
 			}
-			got = append(got, c.Due(start.Add(settle-time.Millisecond), at(8))...)
+			got = append(got, c.Due(start.Add(removalDelay-time.Millisecond), at(8))...)
 			if !tt.back && len(got) != 0 {
 				t.Errorf("got %q before the time is over", show(got))
 			}
-			got = append(got, c.Due(start.Add(settle), at(8))...)
+			got = append(got, c.Due(start.Add(removalDelay), at(8))...)
 			if show(got) != tt.want {
 				t.Errorf("got %q, want %q", show(got), tt.want)
 			}
@@ -98,13 +98,13 @@
 
 // A list that lacks a key after an outage counts like its removal.
 func TestOutageList(t *testing.T) {
-	c := NewCopy(byNumber)
+	c := NewReplica(byNumber)
 	c.Apply(start, []platform.Event{put("a", 1), put("b", 2)})
-	c.Outage(start)
+	c.MarkOutage(start)
 	if got := show(c.Apply(start, c.Difference([]platform.Item{{Key: "b", Changed: at(2)}}, at(3)))); got != "" {
 		t.Errorf("got %q at once", got)
 	}
-	if got, want := show(c.Due(start.Add(settle), at(3))), "-a@3 "; got != want {
+	if got, want := show(c.Due(start.Add(removalDelay), at(3))), "-a@3 "; got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- a/internal/mirror/due_test.go
+++ b/internal/mirror/due_test.go
@@ -14,26 +14,26 @@
 		t.Parallel()
 		fake, first, second, _ := relays(t)
 		fake.Put("gone", []byte("1"))
-		within(t, bound, "the second knows it", func() bool { return second.get("gone") == "1" })
+		within(t, changeBound, "the second knows it", func() bool { return second.get("gone") == "1" })
 		c := fake.Copy()
 		fake.Remove("gone")
-		within(t, bound, "the second knows that it went", func() bool { return second.get("gone") == "" })
-		away(fake, c, func() {})
+		within(t, changeBound, "the second knows that it went", func() bool { return second.get("gone") == "" })
+		restoreAfterOutage(fake, c, func() {})
 		for i, out := range []*sink{first, second} {
-			within(t, hideTime+bound, fmt.Sprintf("it is back at %d", i), func() bool { return out.get("gone") == "1" })
+			within(t, hideDuration+changeBound, fmt.Sprintf("it is back at %d", i), func() bool { return out.get("gone") == "1" })
 		}
 	})
 	t.Run("a key that went in an outage", func(t *testing.T) {
 		t.Parallel()
 		fake, first, second, _ := relays(t)
 		fake.SetFaults(store.Faults{Refuse: true})
-		within(t, 2*bound, "the first has lost the store", func() bool { return first.losses() > 0 })
+		within(t, 2*changeBound, "the first has lost the store", func() bool { return first.losses() > 0 })
 		fake.Remove("a")
 		fake.SetFaults(store.Faults{})
-		within(t, 2*bound, "the first has found it", func() bool { return first.finds() > 0 })
+		within(t, 2*changeBound, "the first has found it", func() bool { return first.finds() > 0 })
 		watches := fake.Calls("/kv-watch")
 		for i, out := range []*sink{first, second} {
-			within(t, settle+bound, fmt.Sprintf("it is gone at %d", i), func() bool { return out.get("a") == "" })
+			within(t, removalDelay+changeBound, fmt.Sprintf("it is gone at %d", i), func() bool { return out.get("a") == "" })
 		}
 		if got := fake.Calls("/kv-watch") - watches; got > 4 {
 			t.Errorf("got %d watches for one delay, want 4 at most", got)
@@ -43,15 +43,15 @@
 		t.Parallel()
 		fake, first, second, cut := relays(t)
 		fake.SetFaults(store.Faults{Refuse: true})
-		within(t, 2*bound, "the first has lost the store", func() bool { return first.losses() > 0 })
+		within(t, 2*changeBound, "the first has lost the store", func() bool { return first.losses() > 0 })
 		fake.Remove("a")
 		fake.SetFaults(store.Faults{})
-		within(t, 2*bound, "the first has found it", func() bool { return first.finds() > 0 })
+		within(t, 2*changeBound, "the first has found it", func() bool { return first.finds() > 0 })
 		time.Sleep(2 * relayWait) // the second has heard of it
 		fake.SetFaults(store.Faults{Refuse: true})
 		cut()
 		for i, out := range []*sink{first, second} {
-			within(t, settle+bound, fmt.Sprintf("it is gone at %d", i), func() bool { return out.get("a") == "" })
+			within(t, removalDelay+changeBound, fmt.Sprintf("it is gone at %d", i), func() bool { return out.get("a") == "" })
 		}
 	})
 }
--- a/internal/mirror/former.go
+++ b/internal/mirror/former.go
@@ -6,13 +6,13 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// former holds the last states of keys that were replaced or removed, so that they are known
+// previousStates holds the last states of keys that were replaced or removed, so that they are known
 // again when the store has them again.
-type former struct {
+type previousStates struct {
 	epochs map[state]uint64 // in which the state was there last
 	ring   []state          // the keys of epochs, the oldest at next when it is full
 	next   int
-	most   int // entries of ring
+	max    int // entries of ring
 }
 
 // state is what a key held from a change on.
@@ -22,30 +22,32 @@
 	value uint64 // hash
 }
 
-func newFormer(most int) former { return former{epochs: make(map[state]uint64), most: most} }
+func newPreviousStates(most int) previousStates {
+	return previousStates{epochs: make(map[state]uint64), max: most}
+}
 
 func stateOf(item platform.Item) state {
 	return state{key: item.Key, count: item.Changed.Count(), value: xxhash.Sum64(item.Value)}
 }
 
 // add notes a state that is no more.
-func (f *former) add(item platform.Item) {
+func (f *previousStates) add(item platform.Item) {
 	s := stateOf(item)
 	_, known := f.epochs[s]
 	f.epochs[s] = item.Changed.Epoch()
 	switch {
 	case known:
-	case len(f.ring) < f.most:
+	case len(f.ring) < f.max:
 		f.ring = append(f.ring, s)
 	default:
 		delete(f.epochs, f.ring[f.next])
 		f.ring[f.next] = s
-		f.next = (f.next + 1) % f.most
+		f.next = (f.next + 1) % f.max
 	}
 }
 
 // epoch is that in which an item was there before; false if it was not, as far as is known.
-func (f *former) epoch(item platform.Item) (uint64, bool) {
+func (f *previousStates) epoch(item platform.Item) (uint64, bool) {
 	epoch, ok := f.epochs[stateOf(item)]
 	return epoch, ok
 }
--- a/internal/mirror/knowledge.go
+++ b/internal/mirror/knowledge.go
@@ -15,74 +15,74 @@
 	Behind   int               // items that are older states than what is known
 }
 
-// knowledge is what a mirror knows of the store, and what it passes on of that. It does no
+// view is what a mirror knows of the store, and what it passes on of that. It does no
 // input or output; its history alone is safe for concurrent use.
-type knowledge struct {
-	copy    *Copy
-	history *history
-	own     bool // the store was read here since a peer told all that it knows
-	askAll  bool // all that a peer knows is to be asked for
+type view struct {
+	replica   *Replica
+	history   *history
+	readStore bool // the store was read here since a peer told all that it knows
+	needWhole bool // all that a peer knows is to be asked for
 }
 
-func newKnowledge(order Order) knowledge {
-	return knowledge{copy: NewCopy(order), history: newHistory()}
+func newView(order Order) view {
+	return view{replica: NewReplica(order), history: newHistory()}
 }
 
-// restored says whether the store has come back from a copy of itself between what is known
+// isRestored says whether the store has come back from a copy of itself between what is known
 // and a revision.
-func (k *knowledge) restored(at platform.Revision) bool {
-	known := k.history.at()
+func (k *view) isRestored(at platform.Revision) bool {
+	known := k.history.latest()
 	return !known.IsZero() && at.Epoch() > known.Epoch()
 }
 
-// list takes in all that the store held at a revision, as it confirmed at a time. What the
+// applyList takes in all that the store held at a revision, as it confirmed at a time. What the
 // store has lost since it was known is written again, as after an outage.
-func (k *knowledge) list(now time.Time, items []platform.Item, at platform.Revision, confirmed time.Time) (Reading, []Change) {
-	if k.restored(at) {
-		k.copy.Outage(now)
+func (k *view) applyList(now time.Time, items []platform.Item, at platform.Revision, confirmed time.Time) (Reading, []Change) {
+	if k.isRestored(at) {
+		k.replica.MarkOutage(now)
 	}
-	r := Reading{Revision: at, Known: k.history.at(), Items: len(items), Behind: k.copy.Behind(items)}
-	events := k.copy.Difference(items, at)
+	r := Reading{Revision: at, Known: k.history.latest(), Items: len(items), Behind: k.replica.CountBehind(items)}
+	events := k.replica.Difference(items, at)
 	r.Changes = len(events)
-	k.own = true
-	return r, k.take(now, growth{events: events, revision: at, confirmed: confirmed, gaps: true})
+	k.readStore = true
+	return r, k.applyBatch(now, batch{events: events, revision: at, confirmedAt: confirmed, gaps: true})
 }
 
 // since is the revision after which changes are to be asked of a peer.
-func (k *knowledge) since() platform.Revision {
-	if k.askAll {
+func (k *view) since() platform.Revision {
+	if k.needWhole {
 		return platform.Revision{}
 	}
-	return k.history.at()
+	return k.history.latest()
 }
 
-// adopt takes in what a peer knows. If some of that is lost to the store, which was read here
+// applyPeer takes in what a peer knows. If some of that is lost to the store, which was read here
 // meanwhile, all that the peer knows is asked for once.
-func (k *knowledge) adopt(now time.Time, n news) []Change {
-	k.askAll = n.ahead && k.own && !n.whole
-	k.own = k.own && !n.whole
-	k.copy.Settle(n.settled)
+func (k *view) applyPeer(now time.Time, n peerUpdate) []Change {
+	k.needWhole = n.storeBehind && k.readStore && !n.whole
+	k.readStore = k.readStore && !n.whole
+	k.replica.DelayRemovals(n.removeAfter)
 	if !n.whole {
-		return k.take(now, growth{events: n.events, revision: n.revision, confirmed: n.confirmed, gaps: n.gaps})
+		return k.applyBatch(now, batch{events: n.events, revision: n.revision, confirmedAt: n.confirmedAt, gaps: n.gaps})
 	}
-	if k.history.at().After(n.revision) {
-		return k.take(now, growth{}) // the peer is behind
+	if k.history.latest().After(n.revision) {
+		return k.applyBatch(now, batch{}) // the peer is behind
 	}
 	all := make([]platform.Item, 0, len(n.events))
 	for _, e := range n.events {
 		all = append(all, e.Item)
 	}
-	k.copy.Hide(n.beliefs)
-	events := k.copy.Difference(all, n.revision)
-	k.lift(events, n.revision)
-	changes := append(k.copy.Apply(now, events), k.copy.Keep(now, n.beliefs)...)
-	return k.grow(now, changes, growth{events: events, revision: n.revision, confirmed: n.confirmed, gaps: true})
+	k.replica.AdoptHidden(n.overrides)
+	events := k.replica.Difference(all, n.revision)
+	k.restamp(events, n.revision)
+	changes := append(k.replica.Apply(now, events), k.replica.AdoptKept(now, n.overrides)...)
+	return k.record(now, changes, batch{events: events, revision: n.revision, confirmedAt: n.confirmedAt, gaps: true})
 }
 
-// lift gives a revision to events by a peer's list that it has by earlier ones than what is known,
+// restamp gives a revision to events by a peer's list that it has by earlier ones than what is known,
 // as nobody has changed them since: they are news here, and for those who follow this instance.
-func (k *knowledge) lift(events []platform.Event, at platform.Revision) {
-	known := k.history.at()
+func (k *view) restamp(events []platform.Event, at platform.Revision) {
+	known := k.history.latest()
 	for i := range events {
 		if !events[i].Changed.After(known) {
 			events[i].Changed = at
@@ -90,15 +90,15 @@
 	}
 }
 
-// take takes in a growth of what is known.
-func (k *knowledge) take(now time.Time, g growth) []Change {
-	return k.grow(now, k.copy.Apply(now, g.events), g)
+// applyBatch takes in a growth of what is known.
+func (k *view) applyBatch(now time.Time, g batch) []Change {
+	return k.record(now, k.replica.Apply(now, g.events), g)
 }
 
-// grow notes a growth that the copy has taken, and returns all changes.
-func (k *knowledge) grow(now time.Time, changes []Change, g growth) []Change {
-	changes = append(changes, k.copy.Due(now, platform.Later(k.history.at(), g.revision))...)
+// record notes a growth that the copy has taken, and returns all changes.
+func (k *view) record(now time.Time, changes []Change, g batch) []Change {
+	changes = append(changes, k.replica.Due(now, platform.Later(k.history.latest(), g.revision))...)
 	g.changed = len(changes) > 0
-	k.history.add(g, k.copy)
+	k.history.add(g, k.replica)
 	return changes
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// gather is how long changes are left to gather between two watches. A watch is
+	// batchDelay is how long changes are left to batchDelay between two watches. A watch is
 	// priced by the call; bounds on changes are two seconds and more.
-	gather = 150 * time.Millisecond
+	batchDelay = 150 * time.Millisecond
 	// watchWait is how long a watch waits for changes, and answerTime how long its
 	// answer may take beyond that: a slow store needs a quarter of a second.
-	watchWait  = 20 * time.Second
-	answerTime = 2 * time.Second
-	// retryFirst and retryMost bound the pause after a call that failed.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// checkEvery is how often the store is asked for its revision, as a watch may
+	watchWait    = 20 * time.Second
+	answerMargin = 2 * time.Second
+	// retryMin and retryMost bound the pause after a call that failed.
+	retryMin = 50 * time.Millisecond
+	retryMax = 500 * time.Millisecond
+	// checkInterval is how often the store is asked for its revision, as a watch may
 	// wait on and miss changes: a bound of 2 s on changes leaves this, a list, and
 	// checkGrace, in which the watch may still deliver them.
-	checkEvery = time.Second
-	checkGrace = 200 * time.Millisecond
-	// checkTime is how long a check may take: a slow store needs a quarter of a
+	checkInterval = time.Second
+	checkGrace    = 200 * time.Millisecond
+	// checkTimeout is how long a check may take: a slow store needs a quarter of a
 	// second, and a silent one is noticed within 2 s.
-	checkTime = 900 * time.Millisecond
-	// lostCheck is how often those that come after all relays ask a store that is out of
+	checkTimeout = 900 * time.Millisecond
+	// outageCheckInterval is how often those that come after all relays ask a store that is out of
 	// reach: the relays ask it each checkEvery, a moment sooner, and are asked themselves.
 	// It leaves a part of the 3 s after an outage in which nothing is held against an
 	// instance.
-	lostCheck = 2*checkEvery + 300*time.Millisecond
-	// firstTime is how long an instance asks the seeds when the whole system starts for
+	outageCheckInterval = 2*checkInterval + 300*time.Millisecond
+	// firstStartTimeout is how long an instance asks the seeds when the whole system starts for
 	// the first time: all start within 0.3 s, seconds before callers come.
-	firstTime = 800 * time.Millisecond
-	// againTime is the same at any later start, when callers wait: some round trips between
+	firstStartTimeout = 800 * time.Millisecond
+	// restartTimeout is the same at any later start, when callers wait: some round trips between
 	// regions. With firstTime, 1,300 more of 4,600 requests were refused in the 2 s after
 	// a power loss of 195 instances, as the seeds came back last.
-	againTime  = 150 * time.Millisecond
-	beginPause = 50 * time.Millisecond // between two questions
-	// firstWatch is how long the first watch after an outage waits, to show soon that the
+	restartTimeout = 150 * time.Millisecond
+	seedRetryDelay = 50 * time.Millisecond // between two questions
+	// recoveryWatchWait is how long the first watch after an outage waits, to show soon that the
 	// store is back.
-	firstWatch = 200 * time.Millisecond
+	recoveryWatchWait = 200 * time.Millisecond
 )
 
 // Sink takes what the mirror finds. Its methods are called by one goroutine, but for
@@ -99,28 +99,28 @@
 // Mirror follows the store, or an instance that does. It is an http.Handler for
 // the peers that follow it.
 type Mirror struct {
-	store   *platform.Store
-	sink    Sink
-	peers   Peers
-	client  *http.Client  // calls peers
-	soon    chan struct{} // asks for a check at once
-	back    chan struct{} // ends a pause, as the store answers again
-	known   knowledge
-	answers answers
+	store     *platform.Store
+	sink      Sink
+	peers     Peers
+	client    *http.Client  // calls peers
+	checkNow  chan struct{} // asks for a check at once
+	storeBack chan struct{} // ends a pause, as the store answers again
+	view      view
+	answers   answerCache
 
-	listed  bool
-	avoided map[string]time.Time // relays that failed are not asked before
-	via     string               // the peer that is followed while the store and all relays are out of reach
-	asked   int                  // peers that were asked for that
-	patient time.Time            // until when relays are waited for after the store has answered again; zero if it has not
+	listed       bool
+	avoidUntil   map[string]time.Time // relays that failed are not asked before
+	fallbackPeer string               // the peer that is followed while the store and all relays are out of reach
+	peersAsked   int                  // peers that were asked for that
+	relayWaitEnd time.Time            // until when relays are waited for after the store has answered again; zero if it has not
 
-	mu        sync.Mutex
-	kick      context.CancelFunc // ends the watch that waits; guarded by mu
-	missed    bool               // the watch has missed changes; guarded by mu
-	failed    error              // of a check, for which the watch was ended; guarded by mu
-	following bool               // a peer is followed; guarded by mu
-	lost      bool               // the store is out of reach; guarded by mu
-	reached   bool               // the store has answered a check since it was lost; guarded by mu
+	mu            sync.Mutex
+	cancelWatch   context.CancelFunc // ends the watch that waits; guarded by mu
+	watchMissed   bool               // the watch has missed changes; guarded by mu
+	checkErr      error              // of a check, for which the watch was ended; guarded by mu
+	following     bool               // a peer is followed; guarded by mu
+	unreachable   bool               // the store is out of reach; guarded by mu
+	answeredAgain bool               // the store has answered a check since it was lost; guarded by mu
 }
 
 // New makes a mirror of a store.
@@ -128,36 +128,36 @@
 	transport := &http.Transport{DialContext: tcp.NewDialer("").DialContext, MaxIdleConnsPerHost: 1}
 	return &Mirror{
 		store: store, sink: sink, peers: peers, client: &http.Client{Transport: transport},
-		soon: make(chan struct{}, 1), back: make(chan struct{}, 1),
-		known: newKnowledge(order), avoided: make(map[string]time.Time),
+		checkNow: make(chan struct{}, 1), storeBack: make(chan struct{}, 1),
+		view: newView(order), avoidUntil: make(map[string]time.Time),
 	}
 }
 
 // Run follows the store until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	var checks sync.WaitGroup
-	checks.Go(func() { m.check(ctx) })
+	checks.Go(func() { m.runChecks(ctx) })
 	defer checks.Wait()
-	m.begin(ctx)
-	pause := retryFirst
+	m.bootstrap(ctx)
+	pause := retryMin
 	for ctx.Err() == nil {
-		next := m.follow(ctx)
+		next := m.followPeer(ctx)
 		if next == stepPeer {
-			pause = retryFirst
+			pause = retryMin
 			continue
 		}
 		if next == stepStore && m.read(ctx) == nil {
-			pause = retryFirst
-			sleep(ctx, gather)
+			pause = retryMin
+			sleep(ctx, batchDelay)
 			continue
 		}
-		m.rest(ctx, pause)
-		pause = min(2*pause, retryMost)
+		m.backOff(ctx, pause)
+		pause = min(2*pause, retryMax)
 	}
 }
 
-// begun notes that the whole store is known.
-func (m *Mirror) begun() {
+// markListed notes that the whole store is known.
+func (m *Mirror) markListed() {
 	if !m.listed {
 		m.listed = true
 		m.sink.Listed()
@@ -166,18 +166,18 @@
 
 // read lists the store if that is due, or watches it once.
 func (m *Mirror) read(ctx context.Context) error {
-	err := m.ask(ctx)
+	err := m.sync(ctx)
 	if ctx.Err() != nil {
 		return err // the instance stops: nothing is lost
 	}
-	return m.outcome(err)
+	return m.handleOutcome(err)
 }
 
-func (m *Mirror) ask(ctx context.Context) error {
-	if m.isLost() {
+func (m *Mirror) sync(ctx context.Context) error {
+	if m.isUnreachable() {
 		// What lapsed meanwhile may come back: the first list after an outage of over
 		// settle must not take it away.
-		m.known.copy.Outage(boottime.Now())
+		m.view.replica.MarkOutage(boottime.Now())
 	}
 	if !m.listed || m.takeMissed() {
 		return m.list(ctx)
@@ -185,35 +185,35 @@
 	err := m.watch(ctx)
 	var gone *platform.HistoryError
 	if errors.As(err, &gone) {
-		m.sink.Forgotten(m.known.history.at())
+		m.sink.Forgotten(m.view.history.latest())
 		return m.list(ctx)
 	}
 	return err
 }
 
-// outcome tells the sink and the peers whether the store is in reach.
-func (m *Mirror) outcome(err error) error {
+// handleOutcome tells the sink and the peers whether the store is in reach.
+func (m *Mirror) handleOutcome(err error) error {
 	switch {
 	case err == nil:
-		m.found()
-	case errors.Is(err, errKicked):
+		m.markReachable()
+	case errors.Is(err, errWatchCanceled):
 		return nil
 	default:
-		m.known.copy.Outage(boottime.Now())
-		if !m.setLost(true) {
+		m.view.replica.MarkOutage(boottime.Now())
+		if !m.setUnreachable(true) {
 			m.sink.Lost(err)
 		}
 	}
 	return err
 }
 
-// found notes that the store is back, if it was lost.
-func (m *Mirror) found() {
-	if !m.setLost(false) {
+// markReachable notes that the store is back, if it was lost.
+func (m *Mirror) markReachable() {
+	if !m.setUnreachable(false) {
 		return
 	}
-	m.via = ""
-	m.known.copy.Outage(boottime.Now())
+	m.fallbackPeer = ""
+	m.view.replica.MarkOutage(boottime.Now())
 	m.sink.Found()
 }
 
@@ -224,52 +224,52 @@
 	var items []platform.Item
 	var at platform.Revision
 	var err error
-	m.during(func() { items, at, err = m.store.List(ctx, "", false) })
+	m.runNotifying(func() { items, at, err = m.store.List(ctx, "", false) })
 	if err != nil {
 		return err
 	}
-	m.enter(at)
-	reading, changes := m.known.list(boottime.Now(), items, at, begin)
+	m.noteEpoch(at)
+	reading, changes := m.view.applyList(boottime.Now(), items, at, begin)
 	m.sink.Read(reading)
-	m.tell(changes)
-	m.begun()
+	m.notify(changes)
+	m.markListed()
 	return nil
 }
 
-// enter notes that the store was at a revision.
-func (m *Mirror) enter(at platform.Revision) {
-	if !m.known.restored(at) {
+// noteEpoch notes that the store was at a revision.
+func (m *Mirror) noteEpoch(at platform.Revision) {
+	if !m.view.isRestored(at) {
 		return
 	}
 	m.store.Reached(at.Epoch())
 	m.sink.Restored(m.Revision(), at.Epoch())
 }
 
-// errKicked says that a watch was ended as its connection may be dead, or as it has
+// errWatchCanceled says that a watch was ended as its connection may be dead, or as it has
 // missed changes.
-var errKicked = errors.New("mirror: watch ended to begin anew")
+var errWatchCanceled = errors.New("mirror: watch ended to begin anew")
 
 // watch waits for changes once.
 func (m *Mirror) watch(ctx context.Context) error {
 	wait := watchWait
-	if m.isLost() {
-		wait = firstWatch
+	if m.isUnreachable() {
+		wait = recoveryWatchWait
 	}
-	inner, cancel := context.WithTimeout(ctx, wait+answerTime)
+	inner, cancel := context.WithTimeout(ctx, wait+answerMargin)
 	defer cancel()
 	m.mu.Lock()
-	m.kick = cancel
+	m.cancelWatch = cancel
 	m.mu.Unlock()
 	begin := boottime.Now()
 	var events []platform.Event
 	var since platform.Revision
 	var err error
-	m.during(func() { events, since, err = m.store.Watch(inner, "", m.known.history.at(), wait) })
+	m.runNotifying(func() { events, since, err = m.store.Watch(inner, "", m.view.history.latest(), wait) })
 	if errors.Is(inner.Err(), context.Canceled) && ctx.Err() == nil {
-		if failed := m.takeFailed(); failed != nil {
+		if failed := m.takeCheckErr(); failed != nil {
 			return failed
 		}
-		return errKicked
+		return errWatchCanceled
 	}
 	if err != nil {
 		return err
@@ -277,20 +277,20 @@
 	if len(events) == 0 {
 		begin = time.Time{} // an empty answer may come from a deaf watch
 	}
-	m.tell(m.known.take(boottime.Now(), growth{events: events, revision: since, confirmed: begin}))
+	m.notify(m.view.applyBatch(boottime.Now(), batch{events: events, revision: since, confirmedAt: begin}))
 	return nil
 }
 
-// tell tells of changes, if there are any.
-func (m *Mirror) tell(changes []Change) {
+// notify tells of changes, if there are any.
+func (m *Mirror) notify(changes []Change) {
 	if len(changes) > 0 {
 		m.sink.Changed(changes)
 	}
 }
 
-// during runs a call that waits for others, and meanwhile tells of the changes whose delay
+// runNotifying runs a call that waits for others, and meanwhile tells of the changes whose delay
 // ends. The call must leave the copy alone.
-func (m *Mirror) during(call func()) {
+func (m *Mirror) runNotifying(call func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -301,28 +301,28 @@
 		select {
 		case <-done:
 			return
-		case <-m.due():
-			m.tell(m.known.take(boottime.Now(), growth{}))
+		case <-m.dueTimer():
+			m.notify(m.view.applyBatch(boottime.Now(), batch{}))
 		case <-resumed: // the delay may be over
 		}
 	}
 }
 
-// due fires when the next delay ends. It is nil if nothing is delayed.
-func (m *Mirror) due() <-chan time.Time {
-	next := m.known.copy.NextDue()
+// dueTimer fires when the next delay ends. It is nil if nothing is delayed.
+func (m *Mirror) dueTimer() <-chan time.Time {
+	next := m.view.replica.NextDue()
 	if next.IsZero() {
 		return nil
 	}
 	return time.After(boottime.Until(next))
 }
 
-// rest waits for a pause, or until the store answers again.
-func (m *Mirror) rest(ctx context.Context, pause time.Duration) {
-	m.during(func() {
+// backOff waits for a pause, or until the store answers again.
+func (m *Mirror) backOff(ctx context.Context, pause time.Duration) {
+	m.runNotifying(func() {
 		select {
 		case <-ctx.Done():
-		case <-m.back:
+		case <-m.storeBack:
 		case <-time.After(pause):
 		}
 	})
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -113,18 +113,18 @@
 	return m, out
 }
 
-// nobody are no peers to follow.
-var nobody = Peers{Relays: func() []string { return nil }, Others: func() []string { return nil }}
+// noPeers are no peers to follow.
+var noPeers = Peers{Relays: func() []string { return nil }, Others: func() []string { return nil }}
 
-// after are peers of whom one is the relay.
-func after(relay string) Peers {
+// withRelay are peers of whom one is the relay.
+func withRelay(relay string) Peers {
 	return Peers{Relays: func() []string { return []string{relay} }, Others: func() []string { return []string{relay} }}
 }
 
-func run(t *testing.T) (*store.Store, *sink) {
+func startSingle(t *testing.T) (*store.Store, *sink) {
 	t.Helper()
 	fake, address := newStore(t)
-	_, out := startMirror(t, address, nobody)
+	_, out := startMirror(t, address, noPeers)
 	return fake, out
 }
 
@@ -149,37 +149,37 @@
 	t.Errorf("not within %s: %s", limit, what)
 }
 
-// bound is the shortest time until a change has to be in force.
-const bound = 2 * time.Second
+// changeBound is the shortest time until a change has to be in force.
+const changeBound = 2 * time.Second
 
 func TestFollows(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.Put("a", []byte("2"))
-	within(t, bound, "a is 2", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2", func() bool { return out.get("a") == "2" })
 	fake.Remove("a")
-	within(t, bound, "a is gone", func() bool { return out.get("a") == "" })
+	within(t, changeBound, "a is gone", func() bool { return out.get("a") == "" })
 }
 
 // Changes that a watch does not deliver are found in time.
 func TestDeafWatch(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.SetFaults(store.Faults{Deaf: true})
 	fake.Put("a", []byte("2"))
-	within(t, bound, "a is 2 though the watch hears nothing", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2 though the watch hears nothing", func() bool { return out.get("a") == "2" })
 }
 
 func TestForgottenHistory(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.SetFaults(store.Faults{Deaf: true})
 	fake.Put("a", []byte("2"))
 	fake.Forget()
-	within(t, bound, "a is 2 by a list", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2 by a list", func() bool { return out.get("a") == "2" })
 }
 
 // A store that gives no answer is asked each second, as one that refuses is.
@@ -190,12 +190,12 @@
 			t.Parallel()
 			fake, address := newStore(t)
 			fake.Put("a", []byte("1"))
-			_, out := startMirror(t, address, nobody)
-			within(t, bound, "a is known", func() bool { return out.get("a") == "1" })
+			_, out := startMirror(t, address, noPeers)
+			within(t, changeBound, "a is known", func() bool { return out.get("a") == "1" })
 			calls := fake.Calls("/kv-range")
 			fake.SetFaults(faults)
 			time.Sleep(outage)
-			got, most := fake.Calls("/kv-range")-calls, int(outage/checkEvery)
+			got, most := fake.Calls("/kv-range")-calls, int(outage/checkInterval)
 			if got < most-1 || got > most+1 {
 				t.Errorf("got %d checks in %s, want %d", got, outage, most)
 			}
@@ -207,15 +207,15 @@
 	tests := map[string]store.Faults{"refuses": {Refuse: true}, "silent": {Silent: true}}
 	for name, faults := range tests {
 		t.Run(name, func(t *testing.T) {
-			fake, out := run(t)
+			fake, out := startSingle(t)
 			fake.Put("a", []byte("1"))
-			within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+			within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 			fake.SetFaults(faults)
 			fake.Put("b", []byte("1")) // wakes the watch
 			time.Sleep(50 * time.Millisecond)
 			fake.SetFaults(store.Faults{})
 			fake.Put("a", []byte("2"))
-			within(t, 2*bound, "a is 2", func() bool { return out.get("a") == "2" })
+			within(t, 2*changeBound, "a is 2", func() bool { return out.get("a") == "2" })
 		})
 	}
 }
--- a/internal/mirror/region_test.go
+++ b/internal/mirror/region_test.go
@@ -16,7 +16,7 @@
 type region struct {
 	store *store.Store
 	gates []*gate
-	outs  []*sink
+	sinks []*sink
 }
 
 // newRegion starts so many instances, the relays first.
@@ -37,33 +37,33 @@
 		m, out := startMirror(t, listen(t, g), peers)
 		addresses = append(addresses, listen(t, m))
 		mirrors = append(mirrors, m)
-		r.gates, r.outs = append(r.gates, g), append(r.outs, out)
-		within(t, bound, "a is known", func() bool { return out.get("a") == "1" })
+		r.gates, r.sinks = append(r.gates, g), append(r.sinks, out)
+		within(t, changeBound, "a is known", func() bool { return out.get("a") == "1" })
 	}
 	all.Store(&addresses)
-	r.follow(t, mirrors[1:])
+	r.awaitFollowing(t, mirrors[1:])
 	return r
 }
 
-// follow waits until all have gone over to a relay. One whose relay failed follows the
+// awaitFollowing waits until all have gone over to a relay. One whose relay failed follows the
 // store until that tells it something, and looks for a relay then.
-func (r *region) follow(t *testing.T, mirrors []*Mirror) {
+func (r *region) awaitFollowing(t *testing.T, mirrors []*Mirror) {
 	t.Helper()
 	alone := func(m *Mirror) bool { return !m.isFollowing() }
 	for begin := time.Now(); slices.ContainsFunc(mirrors, alone); {
-		if time.Since(begin) > 5*bound {
+		if time.Since(begin) > 5*changeBound {
 			t.Fatalf("got instances that follow no relay after %s, want none", time.Since(begin))
 		}
 		r.store.Put("a", []byte("1"))
-		time.Sleep(2 * gather)
+		time.Sleep(2 * batchDelay)
 	}
 }
 
-// know waits until all instances know a value of a.
-func (r *region) know(t *testing.T, value string) {
+// awaitValue waits until all instances awaitValue a value of a.
+func (r *region) awaitValue(t *testing.T, value string) {
 	t.Helper()
-	for i, out := range r.outs {
-		within(t, bound, fmt.Sprintf("a is %s at %d", value, i), func() bool { return out.get("a") == value })
+	for i, out := range r.sinks {
+		within(t, changeBound, fmt.Sprintf("a is %s at %d", value, i), func() bool { return out.get("a") == value })
 	}
 }
 
@@ -83,16 +83,16 @@
 	calls := r.calls()
 	for i := range Relays - 1 {
 		r.gates[i].open.Store(false)
-		time.Sleep(relayAge)
+		time.Sleep(relayMaxAge)
 		r.store.Put("a", fmt.Append(nil, i+2))
-		r.know(t, fmt.Sprint(i+2))
+		r.awaitValue(t, fmt.Sprint(i+2))
 	}
 	for i := range Relays - 1 {
 		r.gates[i].open.Store(true)
 	}
-	time.Sleep(staleSoon)
+	time.Sleep(staleBackoff)
 	r.store.Put("a", []byte("9"))
-	r.know(t, "9")
+	r.awaitValue(t, "9")
 	if got := r.calls() - calls; got != 0 {
 		t.Errorf("got %d calls of instances that are no relays, want none", got)
 	}
@@ -110,14 +110,14 @@
 			time.Sleep(outage)
 			r.store.SetFaults(store.Faults{})
 			r.store.Put("a", []byte("2"))
-			r.know(t, "2")
+			r.awaitValue(t, "2")
 			// A watch and a check to find that it is away, and a check each lostCheck.
-			most := int64(5 * (2 + outage/lostCheck + 1))
+			most := int64(5 * (2 + outage/outageCheckInterval + 1))
 			if got := r.calls() - calls; got > most {
 				t.Errorf("got %d calls of 5 instances that are no relays, want %d at most", got, most)
 			}
 			r.store.Put("a", []byte("3"))
-			r.know(t, "3")
+			r.awaitValue(t, "3")
 		})
 	}
 }
@@ -127,21 +127,21 @@
 func TestRelayedRemovalSettles(t *testing.T) {
 	r := newRegion(t, Relays+2)
 	r.store.SetFaults(store.Faults{Refuse: true})
-	time.Sleep(settle + time.Second) // what the others saw of the outage themselves is over
+	time.Sleep(removalDelay + time.Second) // what the others saw of the outage themselves is over
 	r.store.Remove("a")
 	r.store.SetFaults(store.Faults{})
 	back := time.Now()
-	for time.Since(back) < settle-200*time.Millisecond {
-		for i, out := range r.outs {
+	for time.Since(back) < removalDelay-200*time.Millisecond {
+		for i, out := range r.sinks {
 			got := out.get("a")
-			if got == "" && time.Since(back) < settle {
-				t.Fatalf("got a gone at %d after %s, want it kept for %s", i, time.Since(back), settle)
+			if got == "" && time.Since(back) < removalDelay {
+				t.Fatalf("got a gone at %d after %s, want it kept for %s", i, time.Since(back), removalDelay)
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	for i, out := range r.outs {
-		within(t, 3*bound, fmt.Sprintf("a is gone at %d", i), func() bool { return out.get("a") == "" })
+	for i, out := range r.sinks {
+		within(t, 3*changeBound, fmt.Sprintf("a is gone at %d", i), func() bool { return out.get("a") == "" })
 	}
 }
 
@@ -154,16 +154,16 @@
 		failed, lost bool
 		want         time.Duration
 	}{
-		"in reach":             {three, false, false, checkEvery},
-		"the check has failed": {three, true, false, lostCheck},
-		"lost":                 {three, false, true, lostCheck},
-		"a relay itself":       {three[:2], true, true, checkEvery},
+		"in reach":             {three, false, false, checkInterval},
+		"the check has failed": {three, true, false, outageCheckInterval},
+		"lost":                 {three, false, true, outageCheckInterval},
+		"a relay itself":       {three[:2], true, true, checkInterval},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			m := New(nil, &sink{}, Peers{Relays: func() []string { return tt.relays }}, byNumber)
-			m.setLost(tt.lost)
-			if got := m.checkPause(tt.failed); got != tt.want {
+			m.setUnreachable(tt.lost)
+			if got := m.checkDelay(tt.failed); got != tt.want {
 				t.Errorf("got %s, want %s", got, tt.want)
 			}
 		})
@@ -175,12 +175,12 @@
 func TestReturnWhileAPeerIsAsked(t *testing.T) {
 	fake, address := newStore(t)
 	fake.Put("a", []byte("1"))
-	first, _ := startMirror(t, address, nobody)
-	within(t, bound, "the relay knows a", func() bool { return first.Age(time.Now()) < time.Second })
+	first, _ := startMirror(t, address, noPeers)
+	within(t, changeBound, "the relay knows a", func() bool { return first.Age(time.Now()) < time.Second })
 	relay := listen(t, first)
 	var m *Mirror
 	other := listen(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		m.reach()
+		m.markAnswering()
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	m = New(platform.NewStore(address), &sink{keys: make(map[string]string)}, Peers{
@@ -188,14 +188,14 @@
 		Others: func() []string { return []string{other} },
 	}, byNumber)
 	m.listed = true
-	m.setLost(true)
-	m.avoided[relay] = time.Now().Add(time.Minute)
+	m.setUnreachable(true)
+	m.avoidUntil[relay] = time.Now().Add(time.Minute)
 	for range 2 {
-		if got := m.follow(t.Context()); got != stepPeer {
+		if got := m.followPeer(t.Context()); got != stepPeer {
 			t.Errorf("got step %d, want %d", got, stepPeer)
 		}
 	}
-	if m.isLost() || !m.isFollowing() {
-		t.Errorf("got lost %t, following %t, want false, true", m.isLost(), m.isFollowing())
+	if m.isUnreachable() || !m.isFollowing() {
+		t.Errorf("got lost %t, following %t, want false, true", m.isUnreachable(), m.isFollowing())
 	}
 }
--- a/internal/mirror/relay.go
+++ b/internal/mirror/relay.go
@@ -20,51 +20,51 @@
 	// relayWait is how long a peer waits for changes. Its answer also says that
 	// the relay lives and how old its knowledge is.
 	relayWait = 700 * time.Millisecond
-	// relayTime is how long an answer may take: relayWait and some round trips
+	// relayTimeout is how long an answer may take: relayWait and some round trips
 	// between regions. A dead relay is given up by then, which leaves half a second
 	// of a bound of 2 s to ask the store.
-	relayTime = 1200 * time.Millisecond
-	// relayAge is how old a relay's knowledge may be for those that come after all
+	relayTimeout = 1200 * time.Millisecond
+	// relayMaxAge is how old a relay's knowledge may be for those that come after all
 	// relays: it asks the store each second, and lists it if its watch has missed
 	// something. Whoever gives up an older one checks at once, so that changes are known
 	// within 1.7 s.
-	relayAge = checkEvery + checkGrace + 200*time.Millisecond
-	// ahead is by how much sooner each relay gives up those before it than the next one
+	relayMaxAge = checkInterval + checkGrace + 200*time.Millisecond
+	// relayStagger is by how much sooner each relay gives up those before it than the next one
 	// does: it has asked the store by the time at which it is asked itself.
-	ahead = 100 * time.Millisecond
-	// relayPause is how long a relay is left alone that gave no answer, and staleSoon
+	relayStagger = 100 * time.Millisecond
+	// relayBackoff is how long a relay is left alone that gave no answer, and staleSoon
 	// one whose knowledge was too old: it mostly finds a peer within a second. An
 	// instance by itself calls the store up to 7 times a second; with 5 s for both, 91
 	// instances made 4,476 calls on a day with outages instead of 3,001.
-	relayPause = 5 * time.Second
-	staleSoon  = time.Second
-	// anyAge is the parameter by which a peer takes knowledge of any age.
-	anyAge = "any"
-	// maxAge is the parameter that bounds the age of what a peer takes, in milliseconds.
-	maxAge = "age"
+	relayBackoff = 5 * time.Second
+	staleBackoff = time.Second
+	// paramAnyAge is the parameter by which a peer takes knowledge of any age.
+	paramAnyAge = "any"
+	// paramMaxAge is the parameter that bounds the age of what a peer takes, in milliseconds.
+	paramMaxAge = "age"
 	// headerAge says how old the knowledge of an answer is, and headerSettling for how
 	// long removals in it are still delayed, in milliseconds.
-	headerAge      = "Firlever-Age"
-	headerSettling = "Firlever-Settling"
-	// headerAhead is set if the relay knows something that the store has lost: who has read
+	headerAge         = "Firlever-Age"
+	headerRemoveDelay = "Firlever-Settling"
+	// headerStoreBehind is set if the relay knows something that the store has lost: who has read
 	// the store by itself since needs all that is known.
-	headerAhead = "Firlever-Ahead"
-	// maxRelayed bounds an answer of a relay, in bytes: the whole history of today's
+	headerStoreBehind = "Firlever-Ahead"
+	// maxAnswerBytes bounds an answer of a relay, in bytes: the whole history of today's
 	// sizes, and some configurations of 1 MB.
-	maxRelayed = 16 << 20
+	maxAnswerBytes = 16 << 20
 )
 
-// relayed is an answer of a relay.
-type relayed struct {
+// relayAnswer is an answer of a relay.
+type relayAnswer struct {
 	Whole    bool              `json:"whole"`          // the events are all that is known, not what has changed
 	Gaps     bool              `json:"gaps,omitempty"` // they are not all changes since
-	Events   []relayedEvent    `json:"events"`
-	Kept     []relayedEvent    `json:"kept,omitempty"`   // of a whole answer: what is believed in spite of what the store holds
-	Hidden   []relayedEvent    `json:"hidden,omitempty"` // of a whole answer: what it holds that is not believed
+	Events   []relayEvent      `json:"events"`
+	Kept     []relayEvent      `json:"kept,omitempty"`   // of a whole answer: what is believed in spite of what the store holds
+	Hidden   []relayEvent      `json:"hidden,omitempty"` // of a whole answer: what it holds that is not believed
 	Revision platform.Revision `json:"revision"`
 }
 
-type relayedEvent struct {
+type relayEvent struct {
 	Key     string            `json:"key"`
 	Text    string            `json:"text,omitempty"`  // the value, if it is UTF-8
 	Value   []byte            `json:"value,omitempty"` // the value otherwise
@@ -84,14 +84,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	limit := relayAge
-	if ms, err := strconv.ParseUint(r.URL.Query().Get(maxAge), 10, 16); err == nil {
+	limit := relayMaxAge
+	if ms, err := strconv.ParseUint(r.URL.Query().Get(paramMaxAge), 10, 16); err == nil {
 		limit = min(limit, time.Duration(ms)*time.Millisecond)
 	}
-	e := m.known.history.since(boottime.Now(), since)
-	atAnyAge := r.URL.Query().Get(anyAge) != "" && !e.revision.IsZero()
+	e := m.view.history.since(boottime.Now(), since)
+	atAnyAge := r.URL.Query().Get(paramAnyAge) != "" && !e.revision.IsZero()
 	if !atAnyAge {
-		e = m.await(r.Context(), since, limit)
+		e = m.awaitChanges(r.Context(), since, limit)
 	}
 	if e.age > limit && !atAnyAge {
 		http.Error(w, "what is known is too old", http.StatusServiceUnavailable)
@@ -104,32 +104,32 @@
 		return
 	}
 	w.Header().Set(headerAge, strconv.FormatInt(e.age.Milliseconds(), 10))
-	if e.ahead {
-		w.Header().Set(headerAhead, "1")
+	if e.storeBehind {
+		w.Header().Set(headerStoreBehind, "1")
 	}
-	w.Header().Set(headerSettling, strconv.FormatInt(e.settling.Milliseconds(), 10))
+	w.Header().Set(headerRemoveDelay, strconv.FormatInt(e.removeDelay.Milliseconds(), 10))
 	a.write(w, r)
 }
 
-// await waits for changes, or for the end of the time, which is over when the
+// awaitChanges waits for changes, or for the end of the time, which is over when the
 // knowledge gets too old: the peer then asks elsewhere at once. Who knows nothing yet
 // will soon.
-func (m *Mirror) await(ctx context.Context, since platform.Revision, limit time.Duration) excerpt {
+func (m *Mirror) awaitChanges(ctx context.Context, since platform.Revision, limit time.Duration) excerpt {
 	wait := relayWait
-	if !m.known.history.at().IsZero() {
-		wait = min(wait, limit-m.known.history.age(boottime.Now()))
+	if !m.view.history.latest().IsZero() {
+		wait = min(wait, limit-m.view.history.age(boottime.Now()))
 	}
 	over := time.NewTimer(wait)
 	defer over.Stop()
 	for {
-		e := m.known.history.since(boottime.Now(), since)
-		if !e.revision.IsZero() && (len(e.events) > 0 || !e.known || e.revision.Epoch() > since.Epoch()) {
+		e := m.view.history.since(boottime.Now(), since)
+		if !e.revision.IsZero() && (len(e.events) > 0 || !e.covered || e.revision.Epoch() > since.Epoch()) {
 			return e
 		}
 		select {
-		case <-e.grown:
+		case <-e.updated:
 		case <-over.C:
-			return m.known.history.since(boottime.Now(), since)
+			return m.view.history.since(boottime.Now(), since)
 		case <-ctx.Done():
 			return e
 		}
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	fake, address := newStore(t)
 	fake.Put("a", []byte("1"))
-	m, first := startMirror(t, address, nobody)
+	m, first := startMirror(t, address, noPeers)
 	server := httptest.NewServer(m)
 	cut = func() {
 		server.CloseClientConnections()
@@ -26,24 +26,24 @@
 	}
 	t.Cleanup(cut)
 	relay := strings.TrimPrefix(server.URL, "http://")
-	_, second = startMirror(t, address, after(relay))
-	within(t, bound, "both know a", func() bool { return first.get("a") == "1" && second.get("a") == "1" })
+	_, second = startMirror(t, address, withRelay(relay))
+	within(t, changeBound, "both know a", func() bool { return first.get("a") == "1" && second.get("a") == "1" })
 	return fake, first, second, cut
 }
 
 // Who follows a relay learns of changes in time and does not ask the store.
 func TestRelay(t *testing.T) {
 	fake, _, second, _ := relays(t)
-	time.Sleep(2 * gather) // the second has gone over to the relay
+	time.Sleep(2 * batchDelay) // the second has gone over to the relay
 	calls := fake.Calls("/kv-range")
 	watches := fake.Calls("/kv-watch")
 	for i := range 5 {
 		value := fmt.Sprint(i)
 		fake.Put("a", []byte(value))
-		within(t, bound, "a is "+value, func() bool { return second.get("a") == value })
+		within(t, changeBound, "a is "+value, func() bool { return second.get("a") == value })
 	}
 	fake.Remove("a")
-	within(t, bound, "a is gone", func() bool { return second.get("a") == "" })
+	within(t, changeBound, "a is gone", func() bool { return second.get("a") == "" })
 	// The first alone: a watch for each change, and a check a second.
 	if got := fake.Calls("/kv-watch") - watches; got > 8 {
 		t.Errorf("got %d watches for 6 changes", got)
@@ -63,10 +63,10 @@
 	for name, fail := range tests {
 		t.Run(name, func(t *testing.T) {
 			fake, _, second, cut := relays(t)
-			time.Sleep(2 * gather)
+			time.Sleep(2 * batchDelay)
 			fail(fake, cut)
 			fake.Put("a", []byte("2"))
-			within(t, bound, "a is 2", func() bool { return second.get("a") == "2" })
+			within(t, changeBound, "a is 2", func() bool { return second.get("a") == "2" })
 		})
 	}
 }
@@ -84,16 +84,16 @@
 	for i := range servers {
 		other := servers[1-i].Listener.Addr().String()
 		var m *Mirror
-		m, outs[i] = startMirror(t, address, after(other))
+		m, outs[i] = startMirror(t, address, withRelay(other))
 		servers[i].Config.Handler = m
 	}
 	for i := range servers {
 		servers[i].Start()
 	}
-	time.Sleep(3 * gather)
+	time.Sleep(3 * batchDelay)
 	fake.Put("a", []byte("2"))
 	for i, out := range outs {
-		within(t, bound, fmt.Sprintf("a is 2 at %d", i), func() bool { return out.get("a") == "2" })
+		within(t, changeBound, fmt.Sprintf("a is 2 at %d", i), func() bool { return out.get("a") == "2" })
 	}
 }
 
@@ -126,47 +126,47 @@
 			for i := range 60 {
 				fake.Put(fmt.Sprintf("a%02d", i), []byte("1"))
 			}
-			m, first := startMirror(t, address, nobody)
-			within(t, bound, "the first knows all", func() bool { return first.get("a59") == "1" })
+			m, first := startMirror(t, address, noPeers)
+			within(t, changeBound, "the first knows all", func() bool { return first.get("a59") == "1" })
 			closed := &gate{store: fake, silent: silent}
 			relay, front := listen(t, m), listen(t, closed)
-			_, second := startMirror(t, front, Peers{Relays: nobody.Relays, Others: after(relay).Others})
-			within(t, 2*bound, "the second knows all", func() bool { return second.get("a00") == "1" && second.get("a59") == "1" })
+			_, second := startMirror(t, front, Peers{Relays: noPeers.Relays, Others: withRelay(relay).Others})
+			within(t, 2*changeBound, "the second knows all", func() bool { return second.get("a00") == "1" && second.get("a59") == "1" })
 			fake.Put("a00", []byte("2"))
-			within(t, bound, "the second knows a change", func() bool { return second.get("a00") == "2" })
+			within(t, changeBound, "the second knows a change", func() bool { return second.get("a00") == "2" })
 			closed.open.Store(true)
-			within(t, 2*bound, "the second is back at the store", func() bool {
+			within(t, 2*changeBound, "the second is back at the store", func() bool {
 				second.mu.Lock()
 				defer second.mu.Unlock()
 				return second.found == 1
 			})
 			fake.Put("a00", []byte("3"))
-			within(t, bound, "the second knows another", func() bool { return second.get("a00") == "3" })
+			within(t, changeBound, "the second knows another", func() bool { return second.get("a00") == "3" })
 		})
 	}
 }
 
 // An instance whose watch waits at a store that has gone silent notices it, and
 // goes on through a peer.
-func TestGoneSilent(t *testing.T) {
+func TestStoreTurnsSilent(t *testing.T) {
 	fake, address := newStore(t)
 	fake.Put("a", []byte("1"))
-	m, _ := startMirror(t, address, nobody)
+	m, _ := startMirror(t, address, noPeers)
 	g := &gate{store: fake, silent: true}
 	g.open.Store(true)
-	_, second := startMirror(t, listen(t, g), Peers{Relays: nobody.Relays, Others: after(listen(t, m)).Others})
-	within(t, bound, "the second knows a", func() bool { return second.get("a") == "1" })
-	time.Sleep(2 * gather) // its watch waits
+	_, second := startMirror(t, listen(t, g), Peers{Relays: noPeers.Relays, Others: withRelay(listen(t, m)).Others})
+	within(t, changeBound, "the second knows a", func() bool { return second.get("a") == "1" })
+	time.Sleep(2 * batchDelay) // its watch waits
 	g.open.Store(false)
 	// The watch that waits passed the gate before; it hears nothing any more.
 	fake.SetFaults(store.Faults{Deaf: true})
-	within(t, 2*bound, "the loss is noticed", func() bool {
+	within(t, 2*changeBound, "the loss is noticed", func() bool {
 		second.mu.Lock()
 		defer second.mu.Unlock()
 		return second.lost == 1
 	})
 	fake.Put("a", []byte("2"))
-	within(t, 2*bound, "the second knows the change through its peer", func() bool { return second.get("a") == "2" })
+	within(t, 2*changeBound, "the second knows the change through its peer", func() bool { return second.get("a") == "2" })
 }
 
 // listen serves until the test ends, and returns the address.
--- a/internal/mirror/restore_test.go
+++ b/internal/mirror/restore_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// away lets the store be away for a moment and come back from a copy.
-func away(fake *store.Store, c *store.Copy, meanwhile func()) {
+// restoreAfterOutage lets the store be restoreAfterOutage for a moment and come back from a copy.
+func restoreAfterOutage(fake *store.Store, c *store.Copy, meanwhile func()) {
 	fake.SetFaults(store.Faults{Refuse: true})
 	time.Sleep(100 * time.Millisecond)
 	fake.GoBack(c)
@@ -24,29 +24,29 @@
 func TestRestored(t *testing.T) {
 	tests := map[string]func(fake *store.Store, c *store.Copy){
 		"behind what is known": func(fake *store.Store, c *store.Copy) {
-			away(fake, c, func() {})
+			restoreAfterOutage(fake, c, func() {})
 		},
 		"past what is known": func(fake *store.Store, c *store.Copy) {
-			away(fake, c, func() {
+			restoreAfterOutage(fake, c, func() {
 				for i := range 20 {
 					fake.Put("filler", fmt.Append(nil, i))
 				}
 			})
 		},
 		"just at what is known": func(fake *store.Store, c *store.Copy) {
-			away(fake, c, func() {
+			restoreAfterOutage(fake, c, func() {
 				for i := range 8 {
 					fake.Put("filler", fmt.Append(nil, i))
 				}
 			})
 		},
 		"twice at once": func(fake *store.Store, c *store.Copy) {
-			away(fake, c, func() { fake.Put("filler", nil); fake.GoBack(c) })
+			restoreAfterOutage(fake, c, func() { fake.Put("filler", nil); fake.GoBack(c) })
 		},
 		"twice": func(fake *store.Store, c *store.Copy) {
-			away(fake, c, func() {})
+			restoreAfterOutage(fake, c, func() {})
 			time.Sleep(500 * time.Millisecond)
-			away(fake, c, func() {})
+			restoreAfterOutage(fake, c, func() {})
 		},
 		"without being away": func(fake *store.Store, c *store.Copy) { fake.GoBack(c) },
 	}
@@ -56,21 +56,21 @@
 			fake, first, second, _ := relays(t)
 			fake.Put("kept", []byte("1"))
 			fake.Put("changed", []byte("1"))
-			within(t, bound, "the second knows it", func() bool { return second.get("changed") == "1" })
+			within(t, changeBound, "the second knows it", func() bool { return second.get("changed") == "1" })
 			c := fake.Copy()
 			for i := range 7 {
 				fake.Put("changed", fmt.Append(nil, i+2))
 			}
 			fake.Put("later", []byte("1"))
-			within(t, bound, "the second knows all", func() bool { return second.get("later") == "1" })
+			within(t, changeBound, "the second knows all", func() bool { return second.get("later") == "1" })
 			restore(fake, c)
 			fake.Put("changed", []byte("new"))
 			fake.Put("added", []byte("1"))
 			for i, out := range []*sink{first, second} {
-				within(t, 2*bound, fmt.Sprintf("changes are known at %d", i), func() bool {
+				within(t, 2*changeBound, fmt.Sprintf("changes are known at %d", i), func() bool {
 					return out.get("changed") == "new" && out.get("added") == "1"
 				})
-				within(t, settle+bound, fmt.Sprintf("what is lost is gone at %d", i), func() bool { return out.get("later") == "" })
+				within(t, removalDelay+changeBound, fmt.Sprintf("what is lost is gone at %d", i), func() bool { return out.get("later") == "" })
 				if got := out.get("kept"); got != "1" {
 					t.Errorf("got kept=%q at %d, want 1", got, i)
 				}
@@ -81,13 +81,13 @@
 
 // What a relay tells a peer that has come to a revision of another epoch.
 func TestHistoryOfEpochs(t *testing.T) {
-	h, c := newHistory(), NewCopy(byNumber)
+	h, c := newHistory(), NewReplica(byNumber)
 	event := func(key string, r platform.Revision) platform.Event {
 		return platform.Event{Item: platform.Item{Key: key, Changed: r}}
 	}
 	rev := platform.NewRevision
 	add := func(at platform.Revision, events ...platform.Event) {
-		h.add(growth{events: events, revision: at, confirmed: start, gaps: at.Epoch() == 2 && len(events) == 2}, c)
+		h.add(batch{events: events, revision: at, confirmedAt: start, gaps: at.Epoch() == 2 && len(events) == 2}, c)
 	}
 	add(rev(1, 50))
 	add(rev(1, 57), event("a", rev(1, 55)), event("b", rev(1, 57)))
@@ -110,14 +110,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			e := h.since(start, tt.since)
-			if e.known != (tt.keys != nil) {
-				t.Fatalf("got changes: %t, want %t", e.known, tt.keys != nil)
+			if e.covered != (tt.keys != nil) {
+				t.Fatalf("got changes: %t, want %t", e.covered, tt.keys != nil)
 			}
 			got := []string{}
 			for _, event := range e.events {
 				got = append(got, event.Key)
 			}
-			if e.known && !slices.Equal(got, tt.keys) {
+			if e.covered && !slices.Equal(got, tt.keys) {
 				t.Errorf("got %v, want %v", got, tt.keys)
 			}
 		})
@@ -127,7 +127,7 @@
 // What was confirmed of an earlier epoch says nothing of what is known of a later one.
 func TestConfirmedInAnotherEpoch(t *testing.T) {
 	h := newHistory()
-	h.add(growth{revision: platform.NewRevision(2, 5), confirmed: start}, NewCopy(byNumber))
+	h.add(batch{revision: platform.NewRevision(2, 5), confirmedAt: start}, NewReplica(byNumber))
 	h.confirm(platform.NewRevision(1, 90), start.Add(time.Second))
 	if got := h.age(start.Add(time.Second)); got != time.Second {
 		t.Errorf("got age %s after an answer of an earlier epoch, want %s", got, time.Second)
@@ -140,7 +140,7 @@
 
 // Items that a store has kept through its loss are no changes.
 func TestKeptItems(t *testing.T) {
-	c := NewCopy(byNumber)
+	c := NewReplica(byNumber)
 	rev := platform.NewRevision
 	item := func(key, value string, r platform.Revision) platform.Item {
 		return platform.Item{Key: key, Value: []byte(value), Changed: r}
--- a/internal/mirror/values_test.go
+++ b/internal/mirror/values_test.go
@@ -27,11 +27,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var r relayed
+			var r relayAnswer
 			if err := json.Unmarshal(a.plain, &r); err != nil {
 				t.Fatal(err)
 			}
-			got := r.news().events
+			got := r.update().events
 			if len(got) != 1 || got[0].Key != "k" || got[0].Changed != at(7) || got[0].Created != at(5) || !bytes.Equal(got[0].Value, value) {
 				t.Errorf("got %+v, want %+v", got, item)
 			}
@@ -60,7 +60,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		sent = len(a.packed)
+		sent = len(a.compressed)
 	}
 	b.ReportMetric(float64(sent), "sent-bytes")
 }
@@ -72,10 +72,10 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		var r relayed
+		var r relayAnswer
 		if err := json.Unmarshal(a.plain, &r); err != nil {
 			b.Fatal(err)
 		}
-		r.news()
+		r.update()
 	}
 }
