--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -8,19 +8,19 @@
 // bucket holds the tokens of a workspace at one instance. Tokens come in at its own rate,
 // less what it lends, and at rates that it borrows.
 type bucket struct {
-	share  share   // its own part of the quota; none if the instance is no holder
-	lent   []loan  // parts of it that others use
-	rates  []loan  // parts of others that it uses
-	tokens []batch // single tokens of others, by their ends
+	share          share        // its own part of the quota; none if the instance is no holder
+	lent           []loan       // parts of it that others use
+	borrowed       []loan       // parts of others that it uses
+	borrowedTokens []tokenBatch // single tokens of others, by their ends
 
-	stock  float64   // tokens; 0 to most
-	filled time.Time // until when tokens came in
+	stock       float64   // tokens; 0 to most
+	filledUntil time.Time // until when tokens came in
 }
 
 // share is a part of a quota.
 type share struct {
-	rate float64 // tokens a second
-	most float64 // tokens that it lets a bucket hold
+	rate     float64 // tokens a second
+	maxStock float64 // tokens that it lets a bucket hold
 }
 
 // loan is a part of a share that another instance uses for a while.
@@ -30,43 +30,43 @@
 	until time.Time
 }
 
-// batch is tokens that another instance gave.
-type batch struct {
+// tokenBatch is tokens that another instance gave.
+type tokenBatch struct {
 	count int
 	until time.Time
 }
 
-// now returns what the bucket may use at a time.
-func (b *bucket) now(at time.Time) share {
+// available returns what the bucket may use at a time.
+func (b *bucket) available(at time.Time) share {
 	s := b.share
 	for _, l := range b.lent {
 		if at.Before(l.until) {
-			s.rate, s.most = s.rate-l.rate, s.most-l.most
+			s.rate, s.maxStock = s.rate-l.rate, s.maxStock-l.maxStock
 		}
 	}
-	for _, l := range b.rates {
+	for _, l := range b.borrowed {
 		if at.Before(l.until) {
-			s.rate, s.most = s.rate+l.rate, s.most+l.most
+			s.rate, s.maxStock = s.rate+l.rate, s.maxStock+l.maxStock
 		}
 	}
-	return share{rate: max(0, s.rate), most: max(0, s.most)}
+	return share{rate: max(0, s.rate), maxStock: max(0, s.maxStock)}
 }
 
 // fill lets tokens come in from a time on; those from before are there already.
 func (b *bucket) fill(from, now time.Time) {
-	if from.Before(b.filled) {
-		from = b.filled
+	if from.Before(b.filledUntil) {
+		from = b.filledUntil
 	}
 	if now.After(from) {
 		b.stock += b.share.rate * now.Sub(from).Seconds()
 		b.stock -= inflow(b.lent, from, now)
-		b.stock += inflow(b.rates, from, now)
-		b.filled = now
+		b.stock += inflow(b.borrowed, from, now)
+		b.filledUntil = now
 	}
 	over := func(l loan) bool { return !now.Before(l.until) }
 	b.lent = slices.DeleteFunc(b.lent, over)
-	b.rates = slices.DeleteFunc(b.rates, over)
-	b.stock = max(0, min(b.stock, b.now(now).most))
+	b.borrowed = slices.DeleteFunc(b.borrowed, over)
+	b.stock = max(0, min(b.stock, b.available(now).maxStock))
 }
 
 // inflow is how many tokens loans are worth within a span.
@@ -86,13 +86,13 @@
 
 // take takes a token, of those of others first: they don't last.
 func (b *bucket) take(now time.Time) bool {
-	for len(b.tokens) > 0 {
-		first := &b.tokens[0]
+	for len(b.borrowedTokens) > 0 {
+		first := &b.borrowedTokens[0]
 		if first.count > 0 && now.Before(first.until) {
 			first.count--
 			return true
 		}
-		b.tokens = b.tokens[1:]
+		b.borrowedTokens = b.borrowedTokens[1:]
 	}
 	if b.stock < 1 {
 		return false
@@ -115,21 +115,21 @@
 // lend gives away a part of the share, as large a part of the rate as of the stock, and
 // at most a rate.
 func (b *bucket) lend(now time.Time, rate float64) share {
-	left := b.now(now)
+	left := b.available(now)
 	if b.share.rate <= 0 || rate <= 0 {
 		return share{}
 	}
 	rate = min(rate, left.rate)
-	part := share{rate: rate, most: min(left.most, b.share.most*rate/b.share.rate)}
-	b.lent = append(b.lent, loan{share: part, until: now.Add(rateTime)})
-	b.stock = min(b.stock, b.now(now).most)
+	part := share{rate: rate, maxStock: min(left.maxStock, b.share.maxStock*rate/b.share.rate)}
+	b.lent = append(b.lent, loan{share: part, until: now.Add(rateLoanDuration)})
+	b.stock = min(b.stock, b.available(now).maxStock)
 	return part
 }
 
-// left is how many tokens are here.
-func (b *bucket) left(now time.Time) float64 {
+// tokensLeft is how many tokens are here.
+func (b *bucket) tokensLeft(now time.Time) float64 {
 	left := b.stock
-	for _, t := range b.tokens {
+	for _, t := range b.borrowedTokens {
 		if now.Before(t.until) {
 			left += float64(t.count)
 		}
--- a/internal/quota/capacity_test.go
+++ b/internal/quota/capacity_test.go
@@ -9,8 +9,8 @@
 // workspaces is how many have a quota: those of a large deployment.
 const workspaces = 5000
 
-// large is a ledger with many workspaces among so many instances.
-func large(b *testing.B, instances int) (*Ledger, []Member) {
+// largeLedger is a ledger with many workspaces among so many instances.
+func largeLedger(b *testing.B, instances int) (*Ledger, []Member) {
 	b.Helper()
 	l, err := New(Config{Self: "i0000", Domain: "d00", Region: "r0", Bounds: Bounds{Over: 0.1, Slack: 20}})
 	if err != nil {
@@ -37,7 +37,7 @@
 func BenchmarkCapacityToken(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, _ := large(b, n)
+			l, _ := largeLedger(b, n)
 			names := make([]string, 100)
 			for i := range names {
 				names[i] = fmt.Sprintf("w%04d", i*50)
@@ -56,11 +56,11 @@
 func BenchmarkCapacityDivide(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, members := large(b, n)
+			l, members := largeLedger(b, n)
 			now := time.Unix(1, 0)
 			for i := 0; b.Loop(); i++ {
 				members[n-1].Name = fmt.Sprint("j", i%2)
-				now = now.Add(lapseTime)
+				now = now.Add(holderExpiry)
 				l.Peers(now, members)
 				l.Take(now, fmt.Sprintf("w%04d", i%workspaces))
 			}
--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -44,37 +44,37 @@
 const (
 	// defaultWindow is the window of the platforms of today.
 	defaultWindow = 5 * time.Second
-	// used is the part of a bound that is divided into buckets. The rest is for instances
+	// boundShare is the part of a bound that is divided into buckets. The rest is for instances
 	// that don't know of each other yet: a newcomer has no tokens for settleTime, in which
 	// all in touch hear of it, and one of 12 holders that is cut off then keeps a twelfth
 	// of its own too much.
-	used = 0.95
-	// loanTime is how long a token from another instance counts, from when it was asked
+	boundShare = 0.95
+	// tokenLifetime is how long a token from another instance counts, from when it was asked
 	// for: some round trips between regions. Tokens that are on their way count beside
-	// those in buckets, so that a window holds what comes in within Window and loanTime.
-	loanTime = 200 * time.Millisecond
-	// rateTime is how long a part of a share is lent: as long as callers need to be named
+	// those in buckets, so that a window holds what comes in within Window and tokenLifetime.
+	tokenLifetime = 200 * time.Millisecond
+	// rateLoanDuration is how long a part of a share is lent: as long as callers need to be named
 	// other instances.
-	rateTime = 2 * time.Second
-	// leastDemand is the demand from which an instance borrows a part of a share, in
+	rateLoanDuration = 2 * time.Second
+	// minBorrowDemand is the demand from which an instance borrows a part of a share, in
 	// requests a second; with less it asks for single tokens.
-	leastDemand = 5.0
+	minBorrowDemand = 5.0
 	// headroom is how much more than its demand an instance wants to have, or to keep: the
 	// demand of a second differs so much from that of the next.
 	headroom = 1.3
-	// leastStock is the least that a holder's bucket can hold, in tokens: with one, a
+	// minStock is the least that a holder's bucket can hold, in tokens: with one, a
 	// second request within a second finds none.
-	leastStock = 4.0
-	// stockShare is the least part of a bound that buckets can hold; a workspace without
+	minStock = 4.0
+	// minStockShare is the least part of a bound that buckets can hold; a workspace without
 	// a burst has no other.
-	stockShare = 0.1
-	// lapseTime is how long an instance counts as a holder after its record went: it may
+	minStockShare = 0.1
+	// holderExpiry is how long an instance counts as a holder after its record went: it may
 	// be cut off and serve on. Longer cuts can exceed the bound by the part of those that
 	// are cut off.
-	lapseTime = 5 * time.Minute
-	// settleTime is how long a newcomer's buckets stay empty: until all in touch have
+	holderExpiry = 5 * time.Minute
+	// newcomerDelay is how long a newcomer's buckets stay empty: until all in touch have
 	// heard of it and hold less.
-	settleTime = 2 * time.Second
+	newcomerDelay = 2 * time.Second
 )
 
 // ConfigError lists all faults of a Config.
@@ -107,8 +107,8 @@
 // budget divides what a window may hold at all buckets: what comes in each second, and
 // what they can hold together.
 func (b Bounds) budget(l Limit) (rate, stock float64) {
-	most := used * ((l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack)
-	span := (b.Window + loanTime).Seconds()
-	stock = max((most-l.Rate*span)/2, stockShare*most)
+	most := boundShare * ((l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack)
+	span := (b.Window + tokenLifetime).Seconds()
+	stock = max((most-l.Rate*span)/2, minStockShare*most)
 	return (most - stock) / span, stock
 }
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -15,8 +15,8 @@
 	exchanges []*Exchange
 	servers   []*httptest.Server
 
-	mu     sync.Mutex
-	failed int // questions without an answer; guarded by mu
+	mu       sync.Mutex
+	failures int // questions without an answer; guarded by mu
 }
 
 func newFleet(t *testing.T, limit Limit) *fleet {
@@ -31,7 +31,7 @@
 		x := NewExchange(l, "", func(error) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			f.failed++
+			f.failures++
 		})
 		server := httptest.NewServer(x)
 		t.Cleanup(server.Close)
@@ -104,8 +104,8 @@
 	n := f.takeAll(t, 0)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n < 18 || f.failed != 1 {
-		t.Errorf("got %d tokens and %d failed questions, want more than the 16 of one instance, and one", n, f.failed)
+	if n < 18 || f.failures != 1 {
+		t.Errorf("got %d tokens and %d failed questions, want more than the 16 of one instance, and one", n, f.failures)
 	}
 }
 
@@ -113,7 +113,7 @@
 func TestCallerLeaves(t *testing.T) {
 	f := newFleet(t, Limit{Rate: 1, Burst: 60})
 	x := f.exchanges[0]
-	x.flights["w"] = make(chan struct{}) // somebody asks, for ever
+	x.inFlight["w"] = make(chan struct{}) // somebody asks, for ever
 	drain(x.ledger, time.Now())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -19,8 +19,8 @@
 // ranked is a member in the order in which a workspace's holders are chosen.
 type ranked struct {
 	Member
-	draw  uint64 // by the hash of workspace and member
-	place int    // among those of its failure domain
+	hash       uint64 // by the hash of workspace and member
+	domainRank int    // among those of its failure domain
 }
 
 // rank orders members for a workspace: the largest of each failure domain first, as most
@@ -29,24 +29,24 @@
 func rank(members []Member, workspace string) []ranked {
 	list := make([]ranked, 0, len(members))
 	for _, m := range members {
-		list = append(list, ranked{Member: m, draw: xxhash.Sum64String(workspace + " " + m.Name)})
+		list = append(list, ranked{Member: m, hash: xxhash.Sum64String(workspace + " " + m.Name)})
 	}
 	bySize := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(a.draw, b.draw), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 	}
 	slices.SortFunc(list, bySize)
 	seen := make(map[string]int)
 	for i := range list {
-		list[i].place = seen[list[i].Domain]
+		list[i].domainRank = seen[list[i].Domain]
 		seen[list[i].Domain]++
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.place, b.place), bySize(a, b)) })
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.domainRank, b.domainRank), bySize(a, b)) })
 	return list
 }
 
-// holders returns the members among which a stock is divided by size, and the sum of
+// chooseHolders returns the members among which a stock is divided by size, and the sum of
 // their sizes: as many as can be without one that holds less than leastStock.
-func holders(members []Member, workspace string, stock float64) ([]Member, float64) {
+func chooseHolders(members []Member, workspace string, stock float64) ([]Member, float64) {
 	list := rank(members, workspace)
 	most, sizes, least := 0, 0.0, 0.0
 	sum := 0.0
@@ -55,7 +55,7 @@
 		if i == 0 || m.Size < least {
 			least = m.Size
 		}
-		if i == 0 || stock*least/sum >= leastStock {
+		if i == 0 || stock*least/sum >= minStock {
 			most, sizes = i+1, sum
 		}
 	}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,11 +12,11 @@
 
 // Ledger holds this instance's tokens of all workspaces.
 type Ledger struct {
-	cfg     Config
-	begin   time.Time            // buckets fill from then on; zero until it is known
-	members []Member             // this instance and those that it knows or knew not long ago, by name
-	lapsed  map[string]time.Time // members whose records are gone: they count until then
-	quotas  map[string]*quota    // by workspace; those that have a limit
+	cfg      Config
+	fillFrom time.Time            // buckets fill from then on; zero until it is known
+	members  []Member             // this instance and those that it knows or knew not long ago, by name
+	expiry   map[string]time.Time // members whose records are gone: they count until then
+	quotas   map[string]*quota    // by workspace; those that have a limit
 }
 
 // Want is what an instance asks another one for.
@@ -27,19 +27,19 @@
 
 // Grant is what an instance gives to another one.
 type Grant struct {
-	Tokens int
-	Rate   float64       // tokens a second, for rateTime
-	Most   float64       // tokens that may be kept of that rate
-	Again  time.Duration // until it has more; if it gave less than was wanted
+	Tokens     int
+	Rate       float64       // tokens a second, for rateTime
+	MaxStock   float64       // tokens that may be kept of that rate
+	RetryAfter time.Duration // until it has more; if it gave less than was wanted
 }
 
 const (
-	// partPause is how long a holder that gave less than was wanted is not asked again, at
+	// partialBackoff is how long a holder that gave less than was wanted is not asked again, at
 	// most, and emptyPause one that gave nothing: with 60 holders and a workspace whose
 	// callers are all in one failure domain, those of that domain are asked first, and
 	// would be asked again before any other.
-	partPause  = 200 * time.Millisecond
-	emptyPause = time.Second
+	partialBackoff = 200 * time.Millisecond
+	emptyBackoff   = time.Second
 )
 
 // New makes a ledger that knows no other instance. It returns a *ConfigError.
@@ -48,18 +48,18 @@
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "quota.New")
 	}
-	return &Ledger{cfg: cfg, lapsed: make(map[string]time.Time), quotas: make(map[string]*quota)}, nil
+	return &Ledger{cfg: cfg, expiry: make(map[string]time.Time), quotas: make(map[string]*quota)}, nil
 }
 
 // Begin lets the buckets fill. A newcomer's do so later, when all have heard of it; one
 // that ran before under its name was known all the while.
 func (l *Ledger) Begin(now time.Time, newcomer bool) {
-	if !l.begin.IsZero() {
+	if !l.fillFrom.IsZero() {
 		return
 	}
-	l.begin = now
+	l.fillFrom = now
 	if newcomer {
-		l.begin = now.Add(settleTime)
+		l.fillFrom = now.Add(newcomerDelay)
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	if l.cfg != cfg {
 		l.cfg = cfg
-		l.divide()
+		l.invalidateShares()
 	}
 	return nil
 }
@@ -84,46 +84,46 @@
 	next := make(map[string]Member, len(running))
 	for _, m := range running {
 		next[m.Name] = m
-		delete(l.lapsed, m.Name)
+		delete(l.expiry, m.Name)
 	}
 	for _, m := range l.members {
 		if _, runs := next[m.Name]; runs {
 			continue
 		}
-		if _, gone := l.lapsed[m.Name]; !gone {
-			l.lapsed[m.Name] = now.Add(lapseTime)
+		if _, gone := l.expiry[m.Name]; !gone {
+			l.expiry[m.Name] = now.Add(holderExpiry)
 		}
 		next[m.Name] = m
 	}
-	l.count(slices.Collect(maps.Values(next)))
-	l.forget(now)
+	l.setMembers(slices.Collect(maps.Values(next)))
+	l.dropExpired(now)
 }
 
-// forget leaves out the instances that have been gone for lapseTime.
-func (l *Ledger) forget(now time.Time) {
+// dropExpired leaves out the instances that have been gone for lapseTime.
+func (l *Ledger) dropExpired(now time.Time) {
 	over := make(map[string]bool)
-	for name, until := range l.lapsed {
+	for name, until := range l.expiry {
 		if !now.Before(until) {
 			over[name] = true
-			delete(l.lapsed, name)
+			delete(l.expiry, name)
 		}
 	}
 	if len(over) > 0 {
-		l.count(slices.DeleteFunc(slices.Clone(l.members), func(m Member) bool { return over[m.Name] }))
+		l.setMembers(slices.DeleteFunc(slices.Clone(l.members), func(m Member) bool { return over[m.Name] }))
 	}
 }
 
-// count sets among whom the quotas are divided.
-func (l *Ledger) count(members []Member) {
+// setMembers sets among whom the quotas are divided.
+func (l *Ledger) setMembers(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	if !slices.Equal(members, l.members) {
 		l.members = members
-		l.divide()
+		l.invalidateShares()
 	}
 }
 
-// divide has all quotas divided anew.
-func (l *Ledger) divide() {
+// invalidateShares has all quotas divided anew.
+func (l *Ledger) invalidateShares() {
 	for _, q := range l.quotas {
 		q.divided = false
 	}
@@ -139,7 +139,7 @@
 	for name, limit := range limits {
 		q, known := l.quotas[name]
 		if !known {
-			q = &quota{avoided: make(map[string]time.Time)}
+			q = &quota{avoidUntil: make(map[string]time.Time)}
 			l.quotas[name] = q
 		}
 		if q.limit != limit {
@@ -166,10 +166,10 @@
 	if !limited {
 		return Decision{Allowed: true}
 	}
-	q.count(now)
+	q.countRequest(now)
 	d := l.take(now, workspace, q)
 	if !d.Allowed {
-		d.Ask, d.Want = q.worthAsking(now), q.wants(now)
+		d.Ask, d.Want = q.holdersToAsk(now), q.want(now)
 	}
 	return d
 }
@@ -183,7 +183,7 @@
 	}
 	d := l.take(now, workspace, q)
 	if !d.Allowed {
-		d.Again = q.again(now)
+		d.Again = q.retryAfter(now)
 	}
 	return d
 }
@@ -191,7 +191,7 @@
 func (l *Ledger) take(now time.Time, workspace string, q *quota) Decision {
 	l.fill(now, workspace, q)
 	allowed := q.take(now)
-	return Decision{Allowed: allowed, Limited: true, Left: q.left(now), Rate: q.now(now).rate, Demand: q.demand}
+	return Decision{Allowed: allowed, Limited: true, Left: q.tokensLeft(now), Rate: q.available(now).rate, Demand: q.demand}
 }
 
 // Give gives tokens to another instance, and lends it a part of this one's share that its
@@ -199,17 +199,17 @@
 func (l *Ledger) Give(now time.Time, workspace string, want Want) Grant {
 	q, limited := l.quotas[workspace]
 	if !limited {
-		return Grant{Again: partPause}
+		return Grant{RetryAfter: partialBackoff}
 	}
 	l.fill(now, workspace, q)
-	q.fade(now)
+	q.decayDemand(now)
 	g := Grant{Tokens: q.give(want.Tokens)}
-	if !now.Before(l.begin) && !l.begin.IsZero() {
-		part := q.lend(now, min(want.Rate, q.now(now).rate-headroom*q.demand))
-		g.Rate, g.Most = part.rate, part.most
+	if !now.Before(l.fillFrom) && !l.fillFrom.IsZero() {
+		part := q.lend(now, min(want.Rate, q.available(now).rate-headroom*q.demand))
+		g.Rate, g.MaxStock = part.rate, part.maxStock
 	}
 	if g.Tokens < want.Tokens {
-		g.Again = q.next(now)
+		g.RetryAfter = q.untilNextToken(now)
 	}
 	return g
 }
@@ -224,55 +224,55 @@
 	l.fill(now, workspace, q)
 	switch {
 	case g.Tokens == 0 && g.Rate == 0:
-		q.avoided[from.Name] = now.Add(emptyPause)
+		q.avoidUntil[from.Name] = now.Add(emptyBackoff)
 	case g.Tokens < want.Tokens:
-		q.avoided[from.Name] = now.Add(min(max(g.Again, againLeast), partPause))
+		q.avoidUntil[from.Name] = now.Add(min(max(g.RetryAfter, retryAfterMin), partialBackoff))
 	}
-	if until := asked.Add(loanTime); g.Tokens > 0 && now.Before(until) {
-		q.tokens = append(q.tokens, batch{count: g.Tokens, until: until})
+	if until := asked.Add(tokenLifetime); g.Tokens > 0 && now.Before(until) {
+		q.borrowedTokens = append(q.borrowedTokens, tokenBatch{count: g.Tokens, until: until})
 	}
-	if until := asked.Add(rateTime); g.Rate > 0 && now.Before(until) {
-		q.rates = append(q.rates, loan{share: share{rate: g.Rate, most: g.Most}, until: until})
+	if until := asked.Add(rateLoanDuration); g.Rate > 0 && now.Before(until) {
+		q.borrowed = append(q.borrowed, loan{share: share{rate: g.Rate, maxStock: g.MaxStock}, until: until})
 	}
 }
 
 // Return gives back the token of a request that was refused and never ran.
 func (l *Ledger) Return(now time.Time, workspace string) {
 	if q, limited := l.quotas[workspace]; limited {
-		q.stock = min(q.now(now).most, q.stock+1)
+		q.stock = min(q.available(now).maxStock, q.stock+1)
 	}
 }
 
 // fill lets tokens come in.
 func (l *Ledger) fill(now time.Time, workspace string, q *quota) {
-	l.forget(now)
+	l.dropExpired(now)
 	if !q.divided {
-		l.divideOne(workspace, q)
+		l.assignShare(workspace, q)
 	}
-	if !l.begin.IsZero() {
-		q.bucket.fill(l.begin, now)
+	if !l.fillFrom.IsZero() {
+		q.bucket.fill(l.fillFrom, now)
 	}
 }
 
-// divideOne finds the holders of a quota and this instance's part.
-func (l *Ledger) divideOne(workspace string, q *quota) {
+// assignShare finds the holders of a quota and this instance's part.
+func (l *Ledger) assignShare(workspace string, q *quota) {
 	q.divided = true
 	rate, stock := l.cfg.budget(q.limit)
-	chosen, sizes := holders(l.members, workspace, stock)
-	q.share, q.ask = share{}, nil
+	chosen, sizes := chooseHolders(l.members, workspace, stock)
+	q.share, q.holders = share{}, nil
 	for _, m := range chosen {
 		if m.Name == l.cfg.Self {
-			q.share = share{rate: rate * m.Size / sizes, most: stock * m.Size / sizes}
+			q.share = share{rate: rate * m.Size / sizes, maxStock: stock * m.Size / sizes}
 		} else {
-			q.ask = append(q.ask, m)
+			q.holders = append(q.holders, m)
 		}
 	}
 	// Of those that are equally near, each instance asks another one first.
 	order := func(m Member) uint64 { return xxhash.Sum64String(l.cfg.Self + " " + workspace + " " + m.Name) }
-	slices.SortFunc(q.ask, func(a, b Member) int {
+	slices.SortFunc(q.holders, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(l.distance(a), l.distance(b)), cmp.Compare(order(a), order(b)))
 	})
-	q.forget()
+	q.pruneAvoided()
 }
 
 // distance is how far a member is: in the own failure domain, region, or another.
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -40,9 +40,9 @@
 }
 
 func TestNoLimit(t *testing.T) {
-	l := newLedger(t, worldBegin, "a", Limit{Rate: 1})
+	l := newLedger(t, simulationStart, "a", Limit{Rate: 1})
 	for range 1000 {
-		if d := l.Take(worldBegin, "another"); !d.Allowed || d.Limited {
+		if d := l.Take(simulationStart, "another"); !d.Allowed || d.Limited {
 			t.Fatalf("got %+v for a workspace without a limit", d)
 		}
 	}
@@ -57,14 +57,14 @@
 				t.Fatal(err)
 			}
 			l.Limit(map[string]Limit{"w": {Rate: 10, Burst: 10}})
-			l.Peers(worldBegin, []Member{{Name: "a", Size: 1}})
-			if got := drain(l, worldBegin.Add(time.Hour)); got != 0 {
+			l.Peers(simulationStart, []Member{{Name: "a", Size: 1}})
+			if got := drain(l, simulationStart.Add(time.Hour)); got != 0 {
 				t.Errorf("got %d tokens before the begin, want none", got)
 			}
-			l.Begin(worldBegin, newcomer)
-			got := drain(l, worldBegin.Add(settleTime))
+			l.Begin(simulationStart, newcomer)
+			got := drain(l, simulationStart.Add(newcomerDelay))
 			if (got == 0) != newcomer {
-				t.Errorf("got %d tokens after %s, want none: %t", got, settleTime, newcomer)
+				t.Errorf("got %d tokens after %s, want none: %t", got, newcomerDelay, newcomer)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 
 // What one instance gives or lends, it has no more.
 func TestGive(t *testing.T) {
-	now := worldBegin
+	now := simulationStart
 	a, b := newLedger(t, now, "a", Limit{Rate: 90, Burst: 90}), newLedger(t, now, "b", Limit{Rate: 90, Burst: 90})
 	c := newLedger(t, now, "c", Limit{Rate: 90, Burst: 90})
 	whole := drain(c, now)
@@ -97,7 +97,7 @@
 	}
 	late := newLedger(t, now, "a", Limit{Rate: 90, Burst: 90})
 	drain(late, now)
-	late.Receive(now, now.Add(-loanTime), "w", d.Ask[0], d.Want, Grant{Tokens: 5})
+	late.Receive(now, now.Add(-tokenLifetime), "w", d.Ask[0], d.Want, Grant{Tokens: 5})
 	if got := late.Retry(now, "w"); got.Allowed {
 		t.Errorf("got %+v by tokens that came too late", got)
 	}
@@ -105,26 +105,26 @@
 
 // Who gave nothing is not asked again at once, and after some have been asked others are.
 func TestAsksOthers(t *testing.T) {
-	l := newLedger(t, worldBegin, "a", Limit{Rate: 90, Burst: 90})
-	drain(l, worldBegin)
-	first := l.Take(worldBegin, "w").Ask
-	l.Receive(worldBegin, worldBegin, "w", first[0], Want{Tokens: 1}, Grant{Again: time.Second})
-	if next := l.Take(worldBegin, "w").Ask; len(next) != 1 || next[0] != first[1] {
+	l := newLedger(t, simulationStart, "a", Limit{Rate: 90, Burst: 90})
+	drain(l, simulationStart)
+	first := l.Take(simulationStart, "w").Ask
+	l.Receive(simulationStart, simulationStart, "w", first[0], Want{Tokens: 1}, Grant{RetryAfter: time.Second})
+	if next := l.Take(simulationStart, "w").Ask; len(next) != 1 || next[0] != first[1] {
 		t.Errorf("got %v asked after %v gave nothing", next, first[0])
 	}
-	if again := l.Take(worldBegin.Add(emptyPause), "w"); !again.Allowed && len(again.Ask) != 2 {
+	if again := l.Take(simulationStart.Add(emptyBackoff), "w"); !again.Allowed && len(again.Ask) != 2 {
 		t.Errorf("got %v asked a while later, want both", again.Ask)
 	}
 }
 
 // Refused callers are told times that lie apart, none of them beyond what callers follow.
-func TestAgainIsSpread(t *testing.T) {
-	l := newLedger(t, worldBegin, "a", Limit{Rate: 30, Burst: 30})
-	drain(l, worldBegin)
+func TestRetryAfterIsSpread(t *testing.T) {
+	l := newLedger(t, simulationStart, "a", Limit{Rate: 30, Burst: 30})
+	drain(l, simulationStart)
 	seen := make(map[time.Duration]int)
 	for range 10 {
-		d := l.Retry(worldBegin, "w")
-		if d.Allowed || d.Again < againLeast || d.Again > againMost {
+		d := l.Retry(simulationStart, "w")
+		if d.Allowed || d.Again < retryAfterMin || d.Again > retryAfterMax {
 			t.Fatalf("got %+v", d)
 		}
 		seen[d.Again]++
@@ -136,16 +136,16 @@
 
 // The token of a request that never ran is there for another one.
 func TestReturn(t *testing.T) {
-	l := newLedger(t, worldBegin, "a", Limit{Rate: 30, Burst: 30})
-	whole := drain(l, worldBegin)
-	l.Return(worldBegin, "w")
-	if got := drain(l, worldBegin); got != 1 {
+	l := newLedger(t, simulationStart, "a", Limit{Rate: 30, Burst: 30})
+	whole := drain(l, simulationStart)
+	l.Return(simulationStart, "w")
+	if got := drain(l, simulationStart); got != 1 {
 		t.Errorf("got %d tokens after one came back, want 1", got)
 	}
 	for range 2 * whole {
-		l.Return(worldBegin, "w")
+		l.Return(simulationStart, "w")
 	}
-	if got := drain(l, worldBegin); got > whole {
+	if got := drain(l, simulationStart); got > whole {
 		t.Errorf("got %d tokens, want %d at most", got, whole)
 	}
 }
@@ -172,7 +172,7 @@
 		"much":    {stock: 10000, want: 60, wantLarge: 12},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, sizes := holders(members, "w", tt.stock)
+			got, sizes := chooseHolders(members, "w", tt.stock)
 			large, domains, sum := 0, make(map[string]bool), 0.0
 			for _, m := range got {
 				sum += m.Size
@@ -194,7 +194,7 @@
 	if !errors.As(err, &got) || len(got.Faults) != 2 {
 		t.Errorf("got %v, want two faults", err)
 	}
-	l := newLedger(t, worldBegin, "a", Limit{Rate: 1})
+	l := newLedger(t, simulationStart, "a", Limit{Rate: 1})
 	if err := l.Bound(Bounds{Over: -1}); !errors.As(err, &got) || l.cfg.Over != 0.1 {
 		t.Errorf("got %v and %g, want an error and no change", err, l.cfg.Over)
 	}
@@ -210,12 +210,12 @@
 	l.Limit(map[string]Limit{"w": {Rate: 100, Burst: 100}})
 	for i := range 50 {
 		other := Member{Name: fmt.Sprint("b", i), Domain: "d", Region: "r", Size: 1}
-		now = now.Add(lapseTime + time.Second)
+		now = now.Add(holderExpiry + time.Second)
 		l.Peers(now, []Member{{Name: "a", Domain: "d", Region: "r", Size: 1}, other})
 		l.Take(now, "w")
 		l.Receive(now, now, "w", other, Want{Tokens: 1}, Grant{})
 	}
-	if got := len(l.quotas["w"].avoided); got > 3 {
+	if got := len(l.quotas["w"].avoidUntil); got > 3 {
 		t.Errorf("got %d instances remembered after 50 were replaced, want 3 at most", got)
 	}
 }
@@ -228,8 +228,8 @@
 		after time.Duration
 		part  float64
 	}{
-		"before the end": {lapseTime - time.Second, 0.5},
-		"at the end":     {lapseTime, 1},
+		"before the end": {holderExpiry - time.Second, 0.5},
+		"at the end":     {holderExpiry, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1_000_000, 0)
--- a/internal/quota/world_run_test.go
+++ b/internal/quota/world_run_test.go
@@ -22,38 +22,38 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds) {
-				w := trouble(seed, limit)
-				if got, most := w.fullest(worldBegin), w.bound(); float64(got) > most {
+				w := simulateFailures(seed, limit)
+				if got, most := w.maxInWindow(simulationStart), w.bound(); float64(got) > most {
 					t.Errorf("seed %d: got %d requests in a window, want %.1f at most", seed, got, most)
 				}
-				if w.refused == 0 || len(w.spent) == 0 {
-					t.Errorf("seed %d: got %d refused and %d served, want some", seed, w.refused, len(w.spent))
+				if w.refused == 0 || len(w.served) == 0 {
+					t.Errorf("seed %d: got %d refused and %d served, want some", seed, w.refused, len(w.served))
 				}
 			}
 		})
 	}
 }
 
-// trouble is a world in which a workspace sends several times its limit while instances
+// simulateFailures is a world in which a workspace sends several times its limit while instances
 // come, go and are cut off.
-func trouble(seed uint64, limit Limit) *world {
-	w := newWorld(seed, 12+int(seed%5)*12, limit)
+func simulateFailures(seed uint64, limit Limit) *simulation {
+	w := newSimulation(seed, 12+int(seed%5)*12, limit)
 	for i, n := range w.nodes {
 		late := time.Duration(0)
 		if i%9 == 8 {
-			late = w.random(20 * time.Second) // a newcomer
+			late = w.randomDuration(20 * time.Second) // a newcomer
 		}
-		w.after(late+w.random(300*time.Millisecond), n.start)
+		w.after(late+w.randomDuration(300*time.Millisecond), n.start)
 	}
 	for range len(w.nodes) / 2 {
-		w.disturb(w.nodes[w.rng.IntN(len(w.nodes))], w.random(30*time.Second), w.random(8*time.Second))
+		w.disturb(w.nodes[w.rng.IntN(len(w.nodes))], w.randomDuration(30*time.Second), w.randomDuration(8*time.Second))
 	}
-	at := w.random(30 * time.Second)
+	at := w.randomDuration(30 * time.Second)
 	for _, n := range w.nodes {
 		switch {
 		case seed%3 == 0: // all at once
 			w.after(at, n.kill)
-			w.after(at+time.Second+w.random(400*time.Millisecond), n.start)
+			w.after(at+time.Second+w.randomDuration(400*time.Millisecond), n.start)
 		case seed%3 == 1 && n.member.Domain == "d2": // a failure domain
 			w.after(at, func() { n.cut = true })
 			w.after(at+6*time.Second, func() { n.cut = false })
@@ -61,14 +61,14 @@
 	}
 	w.load(0, 30*time.Second, limit.Rate*0.6, bySize)
 	w.load(4*time.Second, 24*time.Second, limit.Rate*(1+3*w.rng.Float64())+limit.Burst/10, bySize)
-	w.load(w.random(30*time.Second), 5*time.Second, limit.Rate*2, inRegion)
+	w.load(w.randomDuration(30*time.Second), 5*time.Second, limit.Rate*2, inRegion)
 	w.run(30 * time.Second)
 	return w
 }
 
 // disturb kills an instance or cuts it off at a time, for a while, or kills it again and
 // again.
-func (w *world) disturb(n *node, at, down time.Duration) {
+func (w *simulation) disturb(n *node, at, down time.Duration) {
 	switch w.rng.IntN(3) {
 	case 0:
 		w.after(at, n.kill)
@@ -88,18 +88,18 @@
 // lent by the one before has ended.
 func TestLowerLimit(t *testing.T) {
 	for seed := range uint64(seeds) {
-		w := newWorld(seed, 36, Limit{Rate: 200, Burst: 200})
+		w := newSimulation(seed, 36, Limit{Rate: 200, Burst: 200})
 		for _, n := range w.nodes {
 			w.after(0, n.start)
 		}
 		const change = 10 * time.Second
 		w.after(change, func() { w.limit = Limit{Rate: 10, Burst: 10} })
 		for _, n := range w.nodes {
-			w.after(change+w.random(viewLag), func() { n.ledger.Limit(map[string]Limit{workspaceName: w.limit}) })
+			w.after(change+w.randomDuration(viewLag), func() { n.ledger.Limit(map[string]Limit{workspaceName: w.limit}) })
 		}
 		w.load(3*time.Second, 27*time.Second, 300, bySize)
 		w.run(30 * time.Second)
-		got, most := w.fullest(worldBegin.Add(change+viewLag+rateTime)), w.bound()
+		got, most := w.maxInWindow(simulationStart.Add(change+viewLag+rateLoanDuration)), w.bound()
 		if float64(got) > most {
 			t.Errorf("seed %d: got %d requests in a window, want %.1f at most", seed, got, most)
 		}
@@ -113,23 +113,23 @@
 	const from, length = 8 * time.Second, 16 * time.Second
 	loads := map[string]struct {
 		most float64 // part that may be refused
-		play func(w *world)
+		play func(w *simulation)
 	}{
-		"usual":      {most: 0.02, play: func(w *world) { w.load(from, length, 0.6*w.limit.Rate, bySize) }},
-		"one domain": {most: 0.06, play: func(w *world) { w.load(from, length, 0.6*w.limit.Rate, inDomain) }},
-		"near":       {most: 0.02, play: func(w *world) { w.load(from, length, 0.9*w.limit.Rate, bySize) }},
-		"moves": {most: 0.02, play: func(w *world) {
+		"usual":      {most: 0.02, play: func(w *simulation) { w.load(from, length, 0.6*w.limit.Rate, bySize) }},
+		"one domain": {most: 0.06, play: func(w *simulation) { w.load(from, length, 0.6*w.limit.Rate, inDomain) }},
+		"near":       {most: 0.02, play: func(w *simulation) { w.load(from, length, 0.9*w.limit.Rate, bySize) }},
+		"moves": {most: 0.02, play: func(w *simulation) {
 			w.load(from, length, 0.4*w.limit.Rate, bySize)
 			w.load(from+length/2, length/4, 0.4*w.limit.Rate, inDomain)
 		}},
-		"rolling restart": {most: 0.02, play: func(w *world) {
+		"rolling restart": {most: 0.02, play: func(w *simulation) {
 			w.load(from, length, 0.6*w.limit.Rate, bySize)
 			for i, n := range w.nodes {
 				w.after(from+time.Duration(i)*time.Second, n.kill)
 				w.after(from+time.Duration(i)*time.Second+500*time.Millisecond, n.start)
 			}
 		}},
-		"all killed": {most: 0.02, play: func(w *world) {
+		"all killed": {most: 0.02, play: func(w *simulation) {
 			w.load(from, length, 0.6*w.limit.Rate, bySize)
 			for _, n := range w.nodes {
 				w.after(from+length/2, n.kill)
@@ -141,15 +141,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for _, rate := range []float64{4, 16, 60, 300} {
-				w := newWorld(1, 48, Limit{Rate: rate, Burst: rate})
+				w := newSimulation(1, 48, Limit{Rate: rate, Burst: rate})
 				for _, n := range w.nodes {
 					w.after(0, n.start)
 				}
 				tt.play(w)
 				w.run(25 * time.Second)
 				few := 1.5 // a fault of one request is none of the way
-				if most := tt.most*float64(w.requests) + few; float64(w.falsely) > most {
-					t.Errorf("%.0f requests a second: got %d of %d refused, want %.1f at most", rate, w.falsely, w.requests, most)
+				if most := tt.most*float64(w.requests) + few; float64(w.wronglyRefused) > most {
+					t.Errorf("%.0f requests a second: got %d of %d refused, want %.1f at most", rate, w.wronglyRefused, w.requests, most)
 				}
 			}
 		})
@@ -160,13 +160,13 @@
 func TestUsesLimit(t *testing.T) {
 	for name, spread := range map[string]func(n *node) float64{"by size": bySize, "one region": inRegion} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1, 60, Limit{Rate: 100, Burst: 100})
+			w := newSimulation(1, 60, Limit{Rate: 100, Burst: 100})
 			for _, n := range w.nodes {
 				w.after(0, n.start)
 			}
 			w.load(5*time.Second, 20*time.Second, 400, spread)
 			w.run(25 * time.Second)
-			if got, want := len(w.spent), 100*20*9/10; got < want {
+			if got, want := len(w.served), 100*20*9/10; got < want {
 				t.Errorf("got %d served, want %d or more", got, want)
 			}
 		})
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// world plays instances with their ledgers in virtual time: records of instances under
+// simulation plays instances with their ledgers in virtual time: records of instances under
 // leases, seen with a lag; questions that take time or get lost; kills and cuts.
-type world struct {
-	rng    *rand.Rand
-	now    time.Time
-	events events
-	bounds Bounds
-	limit  Limit
-	nodes  []*node
-	lend   bool // instances ask each other for tokens
-	even   bool // all machines count as equally large
-
-	spent    []time.Time // when requests were let through, in order
-	first    int         // of spent within the window that ends now
-	refused  int
-	falsely  int // refused though the limit allowed them
-	requests int
+type simulation struct {
+	rng        *rand.Rand
+	now        time.Time
+	events     events
+	bounds     Bounds
+	limit      Limit
+	nodes      []*node
+	lend       bool // instances ask each other for tokens
+	equalSizes bool // all machines count as equally large
+
+	served         []time.Time // when requests were let through, in order
+	windowStart    int         // of spent within the window that ends now
+	refused        int
+	wronglyRefused int // refused though the limit allowed them
+	requests       int
 }
 
 // node is an instance of a world.
 type node struct {
-	w       *world
+	w       *simulation
 	member  Member
 	ledger  *Ledger
 	up      bool
@@ -40,12 +40,12 @@
 
 const (
 	workspaceName = "w"
-	leaseOfNode   = 5 * time.Second
+	nodeLease     = 5 * time.Second
 	viewLag       = 1500 * time.Millisecond // until all in touch have heard of a record
-	lookEvery     = 500 * time.Millisecond
+	viewInterval  = 500 * time.Millisecond
 )
 
-var worldBegin = time.Unix(1_900_000_000, 0)
+var simulationStart = time.Unix(1_900_000_000, 0)
 
 // event is something that happens at a time.
 type event struct {
@@ -65,10 +65,10 @@
 	return last
 }
 
-// newWorld makes a world of so many instances, a fifth of them five times as large.
-func newWorld(seed uint64, size int, limit Limit) *world {
-	w := &world{
-		rng: rand.New(rand.NewPCG(seed, 1)), now: worldBegin, limit: limit, lend: true,
+// newSimulation makes a world of so many instances, a fifth of them five times as large.
+func newSimulation(seed uint64, size int, limit Limit) *simulation {
+	w := &simulation{
+		rng: rand.New(rand.NewPCG(seed, 1)), now: simulationStart, limit: limit, lend: true,
 		bounds: Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20},
 	}
 	for i := range size {
@@ -83,23 +83,23 @@
 	return w
 }
 
-// random is a length of time below most.
-func (w *world) random(most time.Duration) time.Duration {
+// randomDuration is a length of time below most.
+func (w *simulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(most)))
 }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	heap.Push(&w.events, event{at: w.now.Add(d), do: do})
 }
 
 // run plays until a time after the begin.
-func (w *world) run(until time.Duration) {
-	for len(w.events) > 0 && !w.events[0].at.After(worldBegin.Add(until)) {
+func (w *simulation) run(until time.Duration) {
+	for len(w.events) > 0 && !w.events[0].at.After(simulationStart.Add(until)) {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
 		e.do()
 	}
-	w.now = worldBegin.Add(until)
+	w.now = simulationStart.Add(until)
 }
 
 // start starts an instance and has it hear of the others now and then.
@@ -116,23 +116,23 @@
 	n.ledger = ledger
 	n.ledger.Limit(map[string]Limit{workspaceName: n.w.limit})
 	run := n.run
-	n.first(run)
+	n.listStore(run)
 }
 
-// first lists the store, as soon as it is in reach.
-func (n *node) first(run int) {
+// listStore lists the store, as soon as it is in reach.
+func (n *node) listStore(run int) {
 	if !n.up || n.run != run {
 		return
 	}
 	if n.cut {
-		n.w.after(200*time.Millisecond, func() { n.first(run) })
+		n.w.after(200*time.Millisecond, func() { n.listStore(run) })
 		return
 	}
 	known := n.w.now.Before(n.expires)
 	n.renew(run)
-	n.see(n.w.members())
+	n.updateView(n.w.members())
 	n.ledger.Begin(n.w.now, !known)
-	n.look(run)
+	n.observe(run)
 }
 
 // renew keeps the record while the store is in reach.
@@ -141,51 +141,51 @@
 		return
 	}
 	if !n.cut {
-		n.expires = n.w.now.Add(leaseOfNode)
+		n.expires = n.w.now.Add(nodeLease)
 	}
 	n.w.after(2*time.Second, func() { n.renew(run) })
 }
 
-// look hears of the records that were there a moment ago.
-func (n *node) look(run int) {
+// observe hears of the records that were there a moment ago.
+func (n *node) observe(run int) {
 	if !n.up || n.run != run {
 		return
 	}
 	if !n.cut {
 		seen := n.w.members()
-		n.w.after(n.w.random(viewLag-lookEvery), func() {
+		n.w.after(n.w.randomDuration(viewLag-viewInterval), func() {
 			if n.up && n.run == run && !n.cut {
-				n.see(seen)
+				n.updateView(seen)
 			}
 		})
 	}
-	n.w.after(lookEvery, func() { n.look(run) })
+	n.w.after(viewInterval, func() { n.observe(run) })
 }
 
-func (n *node) see(members []Member) {
+func (n *node) updateView(members []Member) {
 	self := false
 	for _, m := range members {
 		self = self || m.Name == n.member.Name
 	}
 	if !self {
-		members = append(members, n.w.sized(n.member))
+		members = append(members, n.w.withSize(n.member))
 	}
 	n.ledger.Peers(n.w.now, members)
 }
 
 // members lists the instances whose records are there.
-func (w *world) members() []Member {
+func (w *simulation) members() []Member {
 	var list []Member
 	for _, n := range w.nodes {
 		if w.now.Before(n.expires) {
-			list = append(list, w.sized(n.member))
+			list = append(list, w.withSize(n.member))
 		}
 	}
 	return list
 }
 
-func (w *world) sized(m Member) Member {
-	if w.even {
+func (w *simulation) withSize(m Member) Member {
+	if w.equalSizes {
 		m.Size = 1
 	}
 	return m
@@ -193,8 +193,8 @@
 
 func (n *node) kill() { n.up = false }
 
-// ask is a request of a caller at an instance.
-func (n *node) ask() {
+// request is a request of a caller at an instance.
+func (n *node) request() {
 	w := n.w
 	if !n.up {
 		return
@@ -222,8 +222,8 @@
 		n.retry()
 		return
 	}
-	asked, holder := w.now, w.named(list[0].Name)
-	trip := w.random(60 * time.Millisecond)
+	asked, holder := w.now, w.nodeNamed(list[0].Name)
+	trip := w.randomDuration(60 * time.Millisecond)
 	lost := w.rng.IntN(50) == 0
 	answered := false
 	w.after(trip, func() {
@@ -232,7 +232,7 @@
 		}
 		g := holder.ledger.Give(w.now, workspaceName, want)
 		w.after(trip, func() {
-			if !n.up || n.run != run || n.cut || w.now.Sub(asked) > askTime {
+			if !n.up || n.run != run || n.cut || w.now.Sub(asked) > askTimeout {
 				return
 			}
 			answered = true
@@ -244,7 +244,7 @@
 			n.askNext(list[1:], want, run)
 		})
 	})
-	w.after(askTime+time.Millisecond, func() {
+	w.after(askTimeout+time.Millisecond, func() {
 		if !answered {
 			n.askNext(list[1:], want, run)
 		}
@@ -264,29 +264,29 @@
 	w := n.w
 	w.refused++
 	if float64(w.inWindow()+1) <= w.limit.Rate*w.bounds.Window.Seconds()+w.limit.Burst {
-		w.falsely++
+		w.wronglyRefused++
 	}
 }
 
-func (w *world) spend() { w.spent = append(w.spent, w.now) }
+func (w *simulation) spend() { w.served = append(w.served, w.now) }
 
 // inWindow counts what was let through in the window that ends now.
-func (w *world) inWindow() int {
-	for w.first < len(w.spent) && w.now.Sub(w.spent[w.first]) >= w.bounds.Window {
-		w.first++
+func (w *simulation) inWindow() int {
+	for w.windowStart < len(w.served) && w.now.Sub(w.served[w.windowStart]) >= w.bounds.Window {
+		w.windowStart++
 	}
-	return len(w.spent) - w.first
+	return len(w.served) - w.windowStart
 }
 
-// fullest is the most that was let through in any window that begins at a time or later.
-func (w *world) fullest(from time.Time) int {
+// maxInWindow is the most that was let through in any window that begins at a time or later.
+func (w *simulation) maxInWindow(from time.Time) int {
 	most, first := 0, 0
-	for i, at := range w.spent {
+	for i, at := range w.served {
 		if at.Before(from) {
 			first = i + 1
 			continue
 		}
-		for at.Sub(w.spent[first]) >= w.bounds.Window {
+		for at.Sub(w.served[first]) >= w.bounds.Window {
 			first++
 		}
 		most = max(most, i-first+1)
@@ -295,11 +295,11 @@
 }
 
 // bound is what a window may hold by a limit.
-func (w *world) bound() float64 {
+func (w *simulation) bound() float64 {
 	return (w.limit.Rate*w.bounds.Window.Seconds()+w.limit.Burst)*(1+w.bounds.Over) + w.bounds.Slack
 }
 
-func (w *world) named(name string) *node {
+func (w *simulation) nodeNamed(name string) *node {
 	for _, n := range w.nodes {
 		if n.member.Name == name {
 			return n
@@ -310,7 +310,7 @@
 
 // load sends requests at a rate to the instances, to each as its weight says, from one
 // time on for a while.
-func (w *world) load(from, length time.Duration, rate float64, weight func(n *node) float64) {
+func (w *simulation) load(from, length time.Duration, rate float64, weight func(n *node) float64) {
 	sum := 0.0
 	for _, n := range w.nodes {
 		sum += weight(n)
@@ -322,7 +322,7 @@
 			if at > from+length {
 				break
 			}
-			w.after(at, n.ask)
+			w.after(at, n.request)
 		}
 	}
 }
