--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// bucket holds the tokens of a workspace at one instance. Tokens come in at its own rate,
+// bucket holds the tokens of a workspace at one instance. It fills at the rate of its own share,
 // less what it lends, and at rates that it borrows.
 type bucket struct {
-	share          share        // its own part of the quota; none if the instance is no holder
-	lent           []loan       // parts of it that others use
-	borrowed       []loan       // parts of others that it uses
-	borrowedTokens []tokenBatch // single tokens of others, by their ends
+	share          share        // its own part of the quota; zero if the instance is no holder
+	lent           []loan       // parts of the share that others use
+	borrowed       []loan       // parts of others' shares that it uses
+	borrowedTokens []tokenBatch // single tokens of others, in order of their expiry
 
-	stock       float64   // tokens; 0 to most
-	filledUntil time.Time // until when tokens came in
+	stock       float64   // tokens; from 0 to the maximum stock
+	filledUntil time.Time // the time up to which the stock is filled
 }
 
 // share is a part of a quota.
 type share struct {
-	rate     float64 // tokens a second
-	maxStock float64 // tokens that it lets a bucket hold
+	rate     float64 // tokens per second
+	maxStock float64 // tokens by which it raises the capacity of a bucket
 }
 
-// loan is a part of a share that another instance uses for a while.
+// loan is a part of a share that another instance uses until a time.
 type loan struct {
 	share
 
 	until time.Time
 }
 
-// tokenBatch is tokens that another instance gave.
+// tokenBatch is a number of tokens that another instance gave.
 type tokenBatch struct {
 	count int
 	until time.Time
 }
 
-// available returns what the bucket may use at a time.
+// available returns the rate and capacity of the bucket at a time, with its loans.
 func (b *bucket) available(at time.Time) share {
 	s := b.share
 	for _, l := range b.lent {
@@ -52,7 +52,7 @@
 	return share{rate: max(0, s.rate), maxStock: max(0, s.maxStock)}
 }
 
-// fill lets tokens come in from a time on; those from before are there already.
+// fill adds the tokens since a time, or since the last fill if that is later.
 func (b *bucket) fill(from, now time.Time) {
 	if from.Before(b.filledUntil) {
 		from = b.filledUntil
@@ -63,13 +63,13 @@
 		b.stock += inflow(b.borrowed, from, now)
 		b.filledUntil = now
 	}
-	over := func(l loan) bool { return !now.Before(l.until) }
-	b.lent = slices.DeleteFunc(b.lent, over)
-	b.borrowed = slices.DeleteFunc(b.borrowed, over)
+	expired := func(l loan) bool { return !now.Before(l.until) }
+	b.lent = slices.DeleteFunc(b.lent, expired)
+	b.borrowed = slices.DeleteFunc(b.borrowed, expired)
 	b.stock = max(0, min(b.stock, b.available(now).maxStock))
 }
 
-// inflow is how many tokens loans are worth within a span.
+// inflow returns how many tokens loans are worth within a span.
 func inflow(loans []loan, from, to time.Time) float64 {
 	sum := 0.0
 	for _, l := range loans {
@@ -84,7 +84,7 @@
 	return sum
 }
 
-// take takes a token, of those of others first: they don't last.
+// take takes a token, preferably a borrowed one, because those expire.
 func (b *bucket) take(now time.Time) bool {
 	for len(b.borrowedTokens) > 0 {
 		first := &b.borrowedTokens[0]
@@ -101,8 +101,8 @@
 	return true
 }
 
-// give takes out tokens for another instance: as many as are wanted, and at most half of
-// the stock, but for the last one.
+// give removes tokens for another instance: as many as it requests, and at most half of the stock,
+// or the last one.
 func (b *bucket) give(want int) int {
 	if b.stock < 1 {
 		return 0
@@ -112,8 +112,8 @@
 	return given
 }
 
-// lend gives away a part of the share, as large a part of the rate as of the stock, and
-// at most a rate.
+// lend lends a part of the share, at most the given rate. It covers as large a part of the capacity
+// as of the rate.
 func (b *bucket) lend(now time.Time, rate float64) share {
 	left := b.available(now)
 	if b.share.rate <= 0 || rate <= 0 {
@@ -126,7 +126,7 @@
 	return part
 }
 
-// tokensLeft is how many tokens are here.
+// tokensLeft returns how many tokens the bucket holds, borrowed ones included.
 func (b *bucket) tokensLeft(now time.Time) float64 {
 	left := b.stock
 	for _, t := range b.borrowedTokens {
--- a/internal/quota/capacity_test.go
+++ b/internal/quota/capacity_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// workspaces is how many have a quota: those of a large deployment.
+// workspaces is the number of workspaces with a quota, as in a large deployment.
 const workspaces = 5000
 
-// largeLedger is a ledger with many workspaces among so many instances.
+// largeLedger returns a ledger with many workspaces among a number of instances.
 func largeLedger(b *testing.B, instances int) (*Ledger, []Member) {
 	b.Helper()
 	l, err := New(Config{Self: "i0000", Domain: "d00", Region: "r0", Bounds: Bounds{Over: 0.1, Slack: 20}})
@@ -33,7 +33,7 @@
 	return l, members
 }
 
-// What a token costs when the quota is divided already.
+// BenchmarkCapacityToken measures the cost of a token of a quota that is divided already.
 func BenchmarkCapacityToken(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -52,7 +52,8 @@
 	}
 }
 
-// What the first token of a workspace costs after an instance has come or gone.
+// BenchmarkCapacityDivide measures the cost of a workspace's first token after an instance was
+// added or removed.
 func BenchmarkCapacityDivide(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -1,11 +1,11 @@
-// Package quota keeps the requests of a workspace within its quota over all instances,
-// without a coordinator.
+// Package quota keeps the requests of a workspace within its quota over all instances, without a
+// coordinator.
 //
-// The quota is divided into buckets of tokens at some of the instances, its holders. A
-// bucket begins empty and fills at its part of the rate; a request takes a token. Tokens
-// move: who has none asks holders, and what a holder gives away it has no more. So in any
-// window no more tokens are spent than all buckets hold and take in, whatever instances
-// are killed, restarted or cut off, and however late a message comes. See
+// The quota is divided into token buckets at some of the instances, its holders. A bucket starts
+// empty and fills at its part of the rate; each request takes a token. Tokens move: an instance
+// without tokens requests some from holders, and what a holder gives away is removed from its
+// bucket. So in any window no more tokens are spent than all buckets hold and take in, whichever
+// instances are killed, restarted or partitioned, and however late a message arrives. See
 // docs/design/quotas.md.
 //
 // Ledger does no input or output and is not safe for concurrent use; Exchange is both.
@@ -18,21 +18,20 @@
 	"github.com/juju/errors"
 )
 
-// Limit is what a workspace may send.
+// Limit is the rate limit of a workspace.
 type Limit struct {
-	Rate  float64 // requests a second
-	Burst float64 // requests besides
+	Rate  float64 // requests per second
+	Burst float64 // requests beyond the rate
 }
 
-// Bounds say how far the requests of a workspace, over all instances, may exceed its
-// limit.
+// Bounds limit how far the requests of a workspace, over all instances, may exceed its limit.
 type Bounds struct {
-	Window time.Duration // in any span of this length; 0: the default
-	Over   float64       // part of the limit
-	Slack  float64       // requests besides
+	Window time.Duration // in any span of this length; 0 for the default
+	Over   float64       // fraction of the limit
+	Slack  float64       // requests in addition
 }
 
-// Config sets up a Ledger.
+// Config configures a Ledger.
 type Config struct {
 	Self   string // name of this instance
 	Domain string // its failure domain
@@ -42,38 +41,38 @@
 }
 
 const (
-	// defaultWindow is the window of the platforms of today.
+	// defaultWindow is the window of today's platforms.
 	defaultWindow = 5 * time.Second
-	// boundShare is the part of a bound that is divided into buckets. The rest is for instances
-	// that don't know of each other yet: a newcomer has no tokens for settleTime, in which
-	// all in touch hear of it, and one of 12 holders that is cut off then keeps a twelfth
-	// of its own too much.
+	// boundShare is the part of a bound that is divided into buckets. The rest covers instances
+	// that don't know of each other yet: a newcomer has no tokens for newcomerDelay, within which
+	// all connected instances learn of it, and one of 12 holders that is partitioned then keeps a
+	// twelfth of its own share too much.
 	boundShare = 0.95
-	// tokenLifetime is how long a token from another instance counts, from when it was asked
-	// for: some round trips between regions. Tokens that are on their way count beside
-	// those in buckets, so that a window holds what comes in within Window and tokenLifetime.
+	// tokenLifetime is how long a token from another instance is valid, from the time of the
+	// request for it: some round trips between regions. Tokens in transit count in addition to
+	// those in buckets, so a window can hold the tokens of Window plus tokenLifetime.
 	tokenLifetime = 200 * time.Millisecond
-	// rateLoanDuration is how long a part of a share is lent: as long as callers need to be named
-	// other instances.
+	// rateLoanDuration is how long a part of a share is lent: as long as it takes until callers are
+	// directed to other instances.
 	rateLoanDuration = 2 * time.Second
-	// minBorrowDemand is the demand from which an instance borrows a part of a share, in
-	// requests a second; with less it asks for single tokens.
+	// minBorrowDemand is the demand from which an instance borrows a part of a share, in requests
+	// per second; below it, it requests single tokens.
 	minBorrowDemand = 5.0
-	// headroom is how much more than its demand an instance wants to have, or to keep: the
-	// demand of a second differs so much from that of the next.
+	// headroom is the factor by which the rate that an instance borrows or keeps exceeds its
+	// demand, because the demand varies that much from one second to the next.
 	headroom = 1.3
-	// minStock is the least that a holder's bucket can hold, in tokens: with one, a
-	// second request within a second finds none.
+	// minStock is the smallest capacity of a holder's bucket, in tokens: with a capacity of one, a
+	// second request within a second is refused.
 	minStock = 4.0
-	// minStockShare is the least part of a bound that buckets can hold; a workspace without
-	// a burst has no other.
+	// minStockShare is the smallest part of a bound that is left for the capacity of buckets; a
+	// workspace without a burst has no other.
 	minStockShare = 0.1
-	// holderExpiry is how long an instance counts as a holder after its record went: it may
-	// be cut off and serve on. Longer cuts can exceed the bound by the part of those that
-	// are cut off.
+	// holderExpiry is how long an instance counts as a holder after its record was removed, because
+	// it may be partitioned and still serve. A longer partition can exceed the bound by the share
+	// of the partitioned instances.
 	holderExpiry = 5 * time.Minute
-	// newcomerDelay is how long a newcomer's buckets stay empty: until all in touch have
-	// heard of it and hold less.
+	// newcomerDelay is how long the buckets of a new instance stay empty: until all connected
+	// instances know of it and have reduced their shares.
 	newcomerDelay = 2 * time.Second
 )
 
@@ -82,14 +81,14 @@
 
 func (e *ConfigError) Error() string { return "quota: " + strings.Join(e.Faults, "; ") }
 
-// Defaults fills what is not set.
+// Defaults sets the default for what is not set.
 func (b *Bounds) Defaults() {
 	if b.Window == 0 {
 		b.Window = defaultWindow
 	}
 }
 
-// Validate returns a *ConfigError that names every fault.
+// Validate returns a *ConfigError that lists all faults.
 func (c *Config) Validate() error {
 	var faults []string
 	if c.Self == "" {
@@ -104,8 +103,8 @@
 	return errors.Trace(&ConfigError{Faults: faults})
 }
 
-// budget divides what a window may hold at all buckets: what comes in each second, and
-// what they can hold together.
+// budget divides what a window may hold into the rate at which all buckets fill, in tokens per
+// second, and their capacity, in tokens.
 func (b Bounds) budget(l Limit) (rate, stock float64) {
 	most := boundShare * ((l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack)
 	span := (b.Window + tokenLifetime).Seconds()
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// demandWindow is the time over which the demand of a workspace is smoothed.
+	// demandWindow is the time constant with which the demand of a workspace is smoothed.
 	demandWindow = time.Second
-	// maxAsked is how many holders are asked for one token, in turn: with 3, 6% of what a
-	// workspace asked below its limit were refused when its callers were all in one of six
-	// failure domains, with 5 it is 1%.
+	// maxAsked is how many holders are asked for one token, one after the other. With 3, 6% of the
+	// requests of a workspace below its limit were refused when its callers were all in one of six
+	// failure domains; with 5, 1%.
 	maxAsked = 5
-	// retryAfterMin and againMost bound when a refused caller is told to come back: a caller
-	// follows that for a third of its time, which is 4 s and more.
+	// retryAfterMin and retryAfterMax bound the time after which a refused caller is told to retry.
+	// A caller follows that for a third of its timeout, which is 4 s or more.
 	retryAfterMin = 50 * time.Millisecond
 	retryAfterMax = 1500 * time.Millisecond
 )
 
-// quota is what this instance knows of a workspace's quota.
+// quota is this instance's state of a workspace's quota.
 type quota struct {
 	bucket
 
 	limit   Limit
-	divided bool     // the share and who to ask are as the members are
+	divided bool     // share and holders match the current members and bounds
 	holders []Member // the other holders, the nearest first
 
-	avoidUntil map[string]time.Time // by name: holders that gave less than wanted are not asked before
+	avoidUntil map[string]time.Time // by name: holders that gave less than requested aren't asked before
 
-	demand      float64   // requests a second, smoothed over demandTime
-	demandAt    time.Time // until when demand is smoothed
-	lastRetryAt time.Time // refused callers were told to come back until then
+	demand      float64   // requests per second, smoothed over demandWindow
+	demandAt    time.Time // the time of demand
+	lastRetryAt time.Time // the latest time at which a refused caller was told to retry
 }
 
-// decayDemand lets the demand decayDemand to a time.
+// decayDemand decays the demand to a time.
 func (q *quota) decayDemand(now time.Time) {
 	if passed := now.Sub(q.demandAt); passed > 0 {
 		q.demand *= math.Exp(-passed.Seconds() / demandWindow.Seconds())
@@ -43,14 +43,14 @@
 	}
 }
 
-// countRequest takes a request into the demand.
+// countRequest adds a request to the demand.
 func (q *quota) countRequest(now time.Time) {
 	q.decayDemand(now)
 	q.demand += 1 / demandWindow.Seconds()
 }
 
-// want is what to ask others for: tokens for the requests of loanTime, and what the
-// share lacks for the demand.
+// want returns what to request from others: tokens for the demand of tokenLifetime, and the rate
+// that the share lacks for the demand.
 func (q *quota) want(now time.Time) Want {
 	w := Want{Tokens: 1 + int(q.demand*tokenLifetime.Seconds())}
 	if q.demand >= minBorrowDemand {
@@ -59,7 +59,7 @@
 	return w
 }
 
-// holdersToAsk lists the holders that may have tokens, askMost at most.
+// holdersToAsk returns the holders that may have tokens, at most maxAsked.
 func (q *quota) holdersToAsk(now time.Time) []Member {
 	var list []Member
 	for _, m := range q.holders {
@@ -70,15 +70,15 @@
 	return list
 }
 
-// pruneAvoided drops what is known of instances that hold nothing of this quota any more:
-// they are replaced all the time.
+// pruneAvoided removes instances that hold nothing of this quota any more. Instances are replaced
+// all the time, so the map would grow.
 func (q *quota) pruneAvoided() {
 	maps.DeleteFunc(q.avoidUntil, func(name string, _ time.Time) bool {
 		return !slices.ContainsFunc(q.holders, func(m Member) bool { return m.Name == name })
 	})
 }
 
-// untilNextToken is how long until the bucket holds a token.
+// untilNextToken returns how long it takes until the bucket holds a token.
 func (q *quota) untilNextToken(now time.Time) time.Duration {
 	rate := q.available(now).rate
 	if rate <= 0 {
@@ -87,8 +87,8 @@
 	return time.Duration(max(0, 1-q.stock) / rate * float64(time.Second))
 }
 
-// retryAfter is when a refused caller should come back: each is told the time of a token of
-// its own, so that they don't come back at once.
+// retryAfter returns after how long a refused caller should retry. Each caller gets the time of a
+// token of its own, so that they don't all retry at once.
 func (q *quota) retryAfter(now time.Time) time.Duration {
 	at := now.Add(q.untilNextToken(now))
 	if rate := q.available(now).rate; rate > 0 && q.lastRetryAt.After(now) {
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -16,56 +16,56 @@
 	"github.com/firlever/firlever/internal/peerhttp"
 )
 
-// Path is where an instance gives tokens to others.
+// Path is the path under which an instance gives tokens to others.
 const Path = "/tokens"
 
 const (
-	// askTimeout is how long an answer may take: some round trips between regions, and less
-	// than loanTime, after which what it gives is lost.
+	// askTimeout is how long an answer may take: some round trips between regions, and less than
+	// tokenLifetime, after which the tokens of an answer have expired.
 	askTimeout = 120 * time.Millisecond
 	// silentBackoff is how long a holder that gave no answer is not asked again.
 	silentBackoff = 2 * time.Second
-	// maxAnswerBytes bounds what is read of an answer, in bytes.
+	// maxAnswerBytes bounds what is read of an answer.
 	maxAnswerBytes = 1 << 10
-	// maxWanted bounds the tokens of one question.
+	// maxWanted bounds the tokens of one request to a holder.
 	maxWanted = 1000
 )
 
-// Exchange takes tokens for requests, from the ledger or from other instances, and is
-// an http.Handler that gives tokens to others. It is safe for concurrent use.
+// Exchange takes tokens for requests, from the ledger or from other instances. As an http.Handler
+// it gives tokens to others. It is safe for concurrent use.
 type Exchange struct {
 	client    *peerhttp.Client
-	onFailure func(err error) // tells that a holder could not be asked
+	onFailure func(err error) // reports that a holder could not be asked
 
 	mu          sync.Mutex
 	ledger      *Ledger                  // guarded by mu
-	inFlight    map[string]chan struct{} // by workspace: closed when the holders were asked; guarded by mu
-	silentUntil map[string]time.Time     // by address: holders that gave no answer are not asked before; guarded by mu
+	inFlight    map[string]chan struct{} // by workspace: closed when the holders have answered; guarded by mu
+	silentUntil map[string]time.Time     // by address: holders that gave no answer aren't asked before; guarded by mu
 }
 
-// NewExchange makes an exchange of a ledger, which is the exchange's from then on.
-// Questions come from ip; "" lets the system choose.
-func NewExchange(ledger *Ledger, ip string, failed func(err error)) *Exchange {
+// NewExchange returns an exchange for a ledger, which belongs to the exchange from then on.
+// Requests to holders are sent from ip; "" lets the system choose.
+func NewExchange(ledger *Ledger, ip string, onFailure func(err error)) *Exchange {
 	return &Exchange{
-		client: peerhttp.New(ip, 2, maxAnswerBytes), onFailure: failed, ledger: ledger,
+		client: peerhttp.New(ip, 2, maxAnswerBytes), onFailure: onFailure, ledger: ledger,
 		inFlight: make(map[string]chan struct{}), silentUntil: make(map[string]time.Time),
 	}
 }
 
-// Change changes the ledger.
+// Change runs change on the ledger, under the lock.
 func (x *Exchange) Change(change func(l *Ledger)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	change(x.ledger)
 }
 
-// Return gives back the token of a request that was refused and never ran.
+// Return returns the token of a request that was refused and never ran.
 func (x *Exchange) Return(workspace string) {
 	x.Change(func(l *Ledger) { l.Return(boottime.Now(), workspace) })
 }
 
-// Take takes a token for a request of a workspace, if need be one of another instance.
-// Requests that wait for the same holders' answers share them.
+// Take takes a token for a request of a workspace, from another instance if necessary. Requests
+// that wait for the same holders' answers share them.
 func (x *Exchange) Take(ctx context.Context, workspace string) Decision {
 	now := boottime.Now()
 	x.mu.Lock()
@@ -85,18 +85,19 @@
 	return d
 }
 
-// askOnce asks the holders of a quota, or waits for the answers to who asks them already.
+// askOnce asks the holders of a quota, or waits for the answers if another request is asking them
+// already.
 func (x *Exchange) askOnce(ctx context.Context, workspace string, d Decision) {
 	x.mu.Lock()
-	flight, flying := x.inFlight[workspace]
-	if !flying {
-		flight = make(chan struct{})
-		x.inFlight[workspace] = flight
+	done, pending := x.inFlight[workspace]
+	if !pending {
+		done = make(chan struct{})
+		x.inFlight[workspace] = done
 	}
 	x.mu.Unlock()
-	if flying {
+	if pending {
 		select {
-		case <-flight:
+		case <-done:
 		case <-ctx.Done():
 		}
 		return
@@ -105,11 +106,11 @@
 	x.mu.Lock()
 	delete(x.inFlight, workspace)
 	x.mu.Unlock()
-	close(flight)
+	close(done)
 }
 
-// askHolders asks one holder after the other until one gives something. It goes on when the
-// caller leaves, as others may wait for it.
+// askHolders asks one holder after the other until one gives tokens. It continues when the caller
+// disconnects, because other requests may wait for the answers.
 func (x *Exchange) askHolders(workspace string, d Decision) {
 	for _, m := range d.Ask {
 		asked := boottime.Now()
@@ -142,11 +143,11 @@
 	x.silentUntil[address] = now.Add(silentBackoff)
 }
 
-// answer is what a holder says to who asks it.
+// answer is a holder's answer.
 type answer struct {
 	Tokens       int     `json:"tokens"`
-	Rate         float64 `json:"rate"`  // tokens a second that it lends
-	MaxStock     float64 `json:"most"`  // tokens that may be kept of that rate
+	Rate         float64 `json:"rate"`  // tokens per second that it lends
+	MaxStock     float64 `json:"most"`  // capacity that goes with the rate, in tokens
 	RetryAfterMs int64   `json:"again"` // milliseconds until it has more
 }
 
@@ -154,12 +155,12 @@
 	return Grant{Tokens: a.Tokens, Rate: a.Rate, MaxStock: a.MaxStock, RetryAfter: time.Duration(a.RetryAfterMs) * time.Millisecond}
 }
 
-// fitsWant says whether an answer gives no more than was wanted.
+// fitsWant reports whether an answer gives no more than was requested.
 func (a answer) fitsWant(want Want) bool {
 	return a.Tokens >= 0 && a.Tokens <= want.Tokens && a.Rate >= 0 && a.Rate <= want.Rate && a.MaxStock >= 0 && a.RetryAfterMs >= 0
 }
 
-// ask asks a holder for tokens. It returns a *peerhttp.Error.
+// ask requests tokens from a holder. It returns a *peerhttp.Error.
 func (x *Exchange) ask(address, workspace string, want Want) (answer, error) {
 	want.Tokens = min(want.Tokens, maxWanted)
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
@@ -182,7 +183,7 @@
 	tokens, err := strconv.Atoi(query.Get("tokens"))
 	rate, fault := strconv.ParseFloat(query.Get("rate"), 64)
 	if err != nil || fault != nil || tokens < 1 || tokens > maxWanted || !(rate >= 0) {
-		http.Error(w, "tokens or rate is no number that can be wanted", http.StatusBadRequest)
+		http.Error(w, "tokens or rate is not a valid number", http.StatusBadRequest)
 		return
 	}
 	x.mu.Lock()
@@ -194,5 +195,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(b) // a peer that has left notices by itself
+	w.Write(b) // an error means that the peer has disconnected
 }
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -16,7 +16,7 @@
 	servers   []*httptest.Server
 
 	mu       sync.Mutex
-	failures int // questions without an answer; guarded by mu
+	failures int // requests to holders without an answer; guarded by mu
 }
 
 func newFleet(t *testing.T, limit Limit) *fleet {
@@ -48,7 +48,7 @@
 	return f
 }
 
-// takeAll is how many tokens an instance gets within a second.
+// takeAll returns how many tokens an instance gets within a second.
 func (f *fleet) takeAll(t *testing.T, instance int) int {
 	n := 0
 	for end := time.Now().Add(time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
@@ -59,7 +59,7 @@
 	return n
 }
 
-// An instance that has no token takes those of the others, which then have fewer.
+// An instance without tokens takes those of the others, which then have fewer.
 func TestTakesOthersTokens(t *testing.T) {
 	f := newFleet(t, Limit{Rate: 1, Burst: 60})
 	all, own := f.takeAll(t, 0), f.takeAll(t, 1)
@@ -67,11 +67,11 @@
 	alone.servers[1].Close()
 	alone.servers[2].Close()
 	if few := alone.takeAll(t, 0); all < few*3/2 || own > few/2 {
-		t.Errorf("got %d at one instance and then %d at another, want half as many again as the %d of one alone, and few", all, own, few)
+		t.Errorf("got %d tokens at one instance and then %d at another, want half as many again as the %d of a single one, and few", all, own, few)
 	}
 }
 
-// Requests at once share what others are asked.
+// Concurrent requests share the answers of holders.
 func TestAsksOnce(t *testing.T) {
 	f := newFleet(t, Limit{Rate: 1, Burst: 60})
 	asked := 0
@@ -82,7 +82,7 @@
 			mu.Lock()
 			asked++
 			mu.Unlock()
-			time.Sleep(20 * time.Millisecond) // as a holder in another region does
+			time.Sleep(20 * time.Millisecond) // as a holder in another region takes
 			inner.ServeHTTP(w, r)
 		})
 	}
@@ -93,11 +93,11 @@
 	}
 	work.Wait()
 	if asked > 4 {
-		t.Errorf("got %d questions for 20 requests at once, want 4 at most", asked)
+		t.Errorf("got %d calls of holders for 20 concurrent requests, want 4 at most", asked)
 	}
 }
 
-// A holder that gives no answer costs one question, and the next one is asked.
+// A holder that gives no answer is asked once, and then the next one is.
 func TestSilentHolder(t *testing.T) {
 	f := newFleet(t, Limit{Rate: 1, Burst: 60})
 	f.servers[1].Close()
@@ -105,15 +105,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if n < 18 || f.failures != 1 {
-		t.Errorf("got %d tokens and %d failed questions, want more than the 16 of one instance, and one", n, f.failures)
+		t.Errorf("got %d tokens and %d failed calls, want more than the 16 of one instance, and one", n, f.failures)
 	}
 }
 
-// A caller that leaves doesn't wait for others' answers.
+// A caller that disconnects doesn't wait for others' answers.
 func TestCallerLeaves(t *testing.T) {
 	f := newFleet(t, Limit{Rate: 1, Burst: 60})
 	x := f.exchanges[0]
-	x.inFlight["w"] = make(chan struct{}) // somebody asks, for ever
+	x.inFlight["w"] = make(chan struct{}) // a request to holders that never ends
 	drain(x.ledger, time.Now())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -13,19 +13,19 @@
 	Domain  string // failure domain
 	Region  string
 	Address string  // for peers, IP:port
-	Size    float64 // of its machine, as a part of the largest; above 0
+	Size    float64 // of its machine, as a fraction of the largest; above 0
 }
 
-// ranked is a member in the order in which a workspace's holders are chosen.
+// ranked is a member with its sort keys for the choice of a workspace's holders.
 type ranked struct {
 	Member
-	hash       uint64 // by the hash of workspace and member
-	domainRank int    // among those of its failure domain
+	hash       uint64 // hash of workspace and member
+	domainRank int    // rank among the members of its failure domain
 }
 
-// rank orders members for a workspace: the largest of each failure domain first, as most
-// callers are there, then the second of each, and so on; equals by hash. All instances
-// that know the same members agree on it.
+// rank sorts members for a workspace: the largest of each failure domain first, because most
+// callers are there, then the second of each, and so on; equal sizes by hash. All instances with
+// the same members agree on the order.
 func rank(members []Member, workspace string) []ranked {
 	list := make([]ranked, 0, len(members))
 	for _, m := range members {
@@ -44,8 +44,9 @@
 	return list
 }
 
-// chooseHolders returns the members among which a stock is divided by size, and the sum of
-// their sizes: as many as can be without one that holds less than leastStock.
+// chooseHolders returns the members among which a stock is divided in proportion to their sizes,
+// and the sum of their sizes. It chooses as many as possible such that none holds less than
+// minStock.
 func chooseHolders(members []Member, workspace string, stock float64) ([]Member, float64) {
 	list := rank(members, workspace)
 	most, sizes, least := 0, 0.0, 0.0
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -14,35 +14,35 @@
 type Ledger struct {
 	cfg      Config
 	fillFrom time.Time            // buckets fill from then on; zero until it is known
-	members  []Member             // this instance and those that it knows or knew not long ago, by name
-	expiry   map[string]time.Time // members whose records are gone: they count until then
-	quotas   map[string]*quota    // by workspace; those that have a limit
+	members  []Member             // this instance and the others that run or did so within holderExpiry, by name
+	expiry   map[string]time.Time // members whose records were removed: they count until then
+	quotas   map[string]*quota    // by workspace; only those that have a limit
 }
 
-// Want is what an instance asks another one for.
+// Want is what an instance requests from another one.
 type Want struct {
 	Tokens int
-	Rate   float64 // tokens a second, for rateTime; 0 if single tokens do
+	Rate   float64 // tokens per second, for rateLoanDuration; 0 if single tokens suffice
 }
 
 // Grant is what an instance gives to another one.
 type Grant struct {
 	Tokens     int
-	Rate       float64       // tokens a second, for rateTime
-	MaxStock   float64       // tokens that may be kept of that rate
-	RetryAfter time.Duration // until it has more; if it gave less than was wanted
+	Rate       float64       // tokens per second, for rateLoanDuration
+	MaxStock   float64       // capacity that goes with the rate, in tokens
+	RetryAfter time.Duration // until it has more; set if it gave less than was requested
 }
 
 const (
-	// partialBackoff is how long a holder that gave less than was wanted is not asked again, at
-	// most, and emptyPause one that gave nothing: with 60 holders and a workspace whose
-	// callers are all in one failure domain, those of that domain are asked first, and
-	// would be asked again before any other.
+	// partialBackoff is the longest time for which a holder that gave less than was requested is
+	// not asked again, and emptyBackoff the time for one that gave nothing. Without the latter,
+	// with 60 holders and a workspace whose callers are all in one failure domain, the holders of
+	// that domain are asked first, and would be asked again before any other.
 	partialBackoff = 200 * time.Millisecond
 	emptyBackoff   = time.Second
 )
 
-// New makes a ledger that knows no other instance. It returns a *ConfigError.
+// New returns a ledger without other instances. It returns a *ConfigError.
 func New(cfg Config) (*Ledger, error) {
 	cfg.Bounds.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -51,8 +51,8 @@
 	return &Ledger{cfg: cfg, expiry: make(map[string]time.Time), quotas: make(map[string]*quota)}, nil
 }
 
-// Begin lets the buckets fill. A newcomer's do so later, when all have heard of it; one
-// that ran before under its name was known all the while.
+// Begin starts filling the buckets. Those of a newcomer fill later, when all others know of it; an
+// instance that ran before under its name was known all the while.
 func (l *Ledger) Begin(now time.Time, newcomer bool) {
 	if !l.fillFrom.IsZero() {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// Bound takes new bounds. It returns a *ConfigError, and then changes nothing.
+// Bound sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
 func (l *Ledger) Bound(b Bounds) error {
 	b.Defaults()
 	cfg := l.cfg
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Peers takes all instances whose records are there, this one among them. Others that
-// were known count on for lapseTime.
+// Peers sets the instances whose records exist, including this one. Others that were known still
+// count for holderExpiry.
 func (l *Ledger) Peers(now time.Time, running []Member) {
 	next := make(map[string]Member, len(running))
 	for _, m := range running {
@@ -99,21 +99,21 @@
 	l.dropExpired(now)
 }
 
-// dropExpired leaves out the instances that have been gone for lapseTime.
+// dropExpired removes the instances whose records were removed holderExpiry ago.
 func (l *Ledger) dropExpired(now time.Time) {
-	over := make(map[string]bool)
+	expired := make(map[string]bool)
 	for name, until := range l.expiry {
 		if !now.Before(until) {
-			over[name] = true
+			expired[name] = true
 			delete(l.expiry, name)
 		}
 	}
-	if len(over) > 0 {
-		l.setMembers(slices.DeleteFunc(slices.Clone(l.members), func(m Member) bool { return over[m.Name] }))
+	if len(expired) > 0 {
+		l.setMembers(slices.DeleteFunc(slices.Clone(l.members), func(m Member) bool { return expired[m.Name] }))
 	}
 }
 
-// setMembers sets among whom the quotas are divided.
+// setMembers sets the members among which the quotas are divided.
 func (l *Ledger) setMembers(members []Member) {
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	if !slices.Equal(members, l.members) {
@@ -122,14 +122,14 @@
 	}
 }
 
-// invalidateShares has all quotas divided anew.
+// invalidateShares marks all quotas to be divided anew.
 func (l *Ledger) invalidateShares() {
 	for _, q := range l.quotas {
 		q.divided = false
 	}
 }
 
-// Limit takes the limits of all workspaces that have one.
+// Limit sets the limits of all workspaces that have one.
 func (l *Ledger) Limit(limits map[string]Limit) {
 	for name := range l.quotas {
 		if _, limited := limits[name]; !limited {
@@ -148,19 +148,19 @@
 	}
 }
 
-// Decision is what became of a request's question for a token.
+// Decision is the result of a request for a token.
 type Decision struct {
 	Allowed bool
 	Limited bool          // the workspace has a limit
-	Left    float64       // tokens that are left here
-	Rate    float64       // tokens a second that come in here
-	Demand  float64       // requests a second of the workspace here
-	Ask     []Member      // who may have tokens, to be asked in this order; none if nobody is worth it now
-	Want    Want          // of those that are asked
-	Again   time.Duration // when it is worth coming back; set if not allowed
+	Left    float64       // tokens left at this instance
+	Rate    float64       // tokens per second at this instance
+	Demand  float64       // requests per second of the workspace at this instance
+	Ask     []Member      // holders that may have tokens, in the order in which to ask them; empty if none is worth asking now
+	Want    Want          // what to request from them
+	Again   time.Duration // time after which to retry; set if not allowed
 }
 
-// Take takes a token for a request of a workspace, if there is one here.
+// Take takes a token for a request of a workspace, if there is one at this instance.
 func (l *Ledger) Take(now time.Time, workspace string) Decision {
 	q, limited := l.quotas[workspace]
 	if !limited {
@@ -174,8 +174,8 @@
 	return d
 }
 
-// Retry takes a token after others were asked for some, without counting the request
-// again. A request that gets none is refused.
+// Retry takes a token after others were asked for some, without counting the request again. A
+// request that gets none is refused.
 func (l *Ledger) Retry(now time.Time, workspace string) Decision {
 	q, limited := l.quotas[workspace]
 	if !limited {
@@ -194,8 +194,8 @@
 	return Decision{Allowed: allowed, Limited: true, Left: q.tokensLeft(now), Rate: q.available(now).rate, Demand: q.demand}
 }
 
-// Give gives tokens to another instance, and lends it a part of this one's share that its
-// own callers don't need.
+// Give gives tokens to another instance, and lends it a part of this one's share that its own
+// callers don't need.
 func (l *Ledger) Give(now time.Time, workspace string, want Want) Grant {
 	q, limited := l.quotas[workspace]
 	if !limited {
@@ -214,8 +214,8 @@
 	return g
 }
 
-// Receive takes what another instance gave that was asked at a time. What comes too late
-// is lost.
+// Receive adds what another instance gave in answer to a request that was sent at asked. Expired
+// tokens and loans are dropped.
 func (l *Ledger) Receive(now, asked time.Time, workspace string, from Member, want Want, g Grant) {
 	q, limited := l.quotas[workspace]
 	if !limited {
@@ -236,14 +236,14 @@
 	}
 }
 
-// Return gives back the token of a request that was refused and never ran.
+// Return returns the token of a request that was refused and never ran.
 func (l *Ledger) Return(now time.Time, workspace string) {
 	if q, limited := l.quotas[workspace]; limited {
 		q.stock = min(q.available(now).maxStock, q.stock+1)
 	}
 }
 
-// fill lets tokens come in.
+// fill brings the quota's share and stock up to date.
 func (l *Ledger) fill(now time.Time, workspace string, q *quota) {
 	l.dropExpired(now)
 	if !q.divided {
@@ -254,7 +254,7 @@
 	}
 }
 
-// assignShare finds the holders of a quota and this instance's part.
+// assignShare determines the holders of a quota and this instance's share.
 func (l *Ledger) assignShare(workspace string, q *quota) {
 	q.divided = true
 	rate, stock := l.cfg.budget(q.limit)
@@ -267,7 +267,7 @@
 			q.holders = append(q.holders, m)
 		}
 	}
-	// Of those that are equally near, each instance asks another one first.
+	// Among holders at the same distance, each instance starts with a different one.
 	order := func(m Member) uint64 { return xxhash.Sum64String(l.cfg.Self + " " + workspace + " " + m.Name) }
 	slices.SortFunc(q.holders, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(l.distance(a), l.distance(b)), cmp.Compare(order(a), order(b)))
@@ -275,7 +275,8 @@
 	q.pruneAvoided()
 }
 
-// distance is how far a member is: in the own failure domain, region, or another.
+// distance returns 0 for a member of the same failure domain, 1 for one of the same region, and 2
+// for others.
 func (l *Ledger) distance(m Member) int {
 	switch {
 	case m.Domain == l.cfg.Domain:
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// newLedger makes a ledger of one of three equal instances, whose bucket has been filling
-// for a while.
+// newLedger returns a ledger of one of three equal instances, whose bucket has been filling for a
+// minute.
 func newLedger(t *testing.T, now time.Time, self string, limit Limit) *Ledger {
 	t.Helper()
 	l, err := New(Config{Self: self, Domain: self, Region: "r", Bounds: Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20}})
@@ -30,7 +30,7 @@
 	}
 }
 
-// drain takes tokens until there are none.
+// drain takes tokens until there are none, and returns how many it took.
 func drain(l *Ledger, now time.Time) int {
 	n := 0
 	for l.Take(now, "w").Allowed {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Buckets are empty at the start, a newcomer's for longer.
+// Buckets are empty at the start, and those of a newcomer for longer.
 func TestBegin(t *testing.T) {
 	for name, newcomer := range map[string]bool{"newcomer": true, "known before": false} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 			l.Limit(map[string]Limit{"w": {Rate: 10, Burst: 10}})
 			l.Peers(simulationStart, []Member{{Name: "a", Size: 1}})
 			if got := drain(l, simulationStart.Add(time.Hour)); got != 0 {
-				t.Errorf("got %d tokens before the begin, want none", got)
+				t.Errorf("got %d tokens before the start, want none", got)
 			}
 			l.Begin(simulationStart, newcomer)
 			got := drain(l, simulationStart.Add(newcomerDelay))
@@ -70,7 +70,7 @@
 	}
 }
 
-// What one instance gives or lends, it has no more.
+// What an instance gives or lends is removed from its own bucket.
 func TestGive(t *testing.T) {
 	now := simulationStart
 	a, b := newLedger(t, now, "a", Limit{Rate: 90, Burst: 90}), newLedger(t, now, "b", Limit{Rate: 90, Burst: 90})
@@ -89,7 +89,7 @@
 	}
 	a.Receive(now, now, "w", d.Ask[0], d.Want, g)
 	if got := drain(a, now) + drain(b, now); got > whole {
-		t.Errorf("got %d tokens of the bucket that gave and the one that got, want %d at most", got, whole)
+		t.Errorf("got %d tokens of the giving and the receiving bucket, want %d at most", got, whole)
 	}
 	later := now.Add(time.Second)
 	if got, want := drain(a, later)+drain(b, later), 2*drain(c, later); math.Abs(float64(got-want)) > 2 {
@@ -99,11 +99,11 @@
 	drain(late, now)
 	late.Receive(now, now.Add(-tokenLifetime), "w", d.Ask[0], d.Want, Grant{Tokens: 5})
 	if got := late.Retry(now, "w"); got.Allowed {
-		t.Errorf("got %+v by tokens that came too late", got)
+		t.Errorf("got %+v with tokens that arrived too late", got)
 	}
 }
 
-// Who gave nothing is not asked again at once, and after some have been asked others are.
+// A holder that gave nothing is not asked again at once; the others are asked meanwhile.
 func TestAsksOthers(t *testing.T) {
 	l := newLedger(t, simulationStart, "a", Limit{Rate: 90, Burst: 90})
 	drain(l, simulationStart)
@@ -113,11 +113,11 @@
 		t.Errorf("got %v asked after %v gave nothing", next, first[0])
 	}
 	if again := l.Take(simulationStart.Add(emptyBackoff), "w"); !again.Allowed && len(again.Ask) != 2 {
-		t.Errorf("got %v asked a while later, want both", again.Ask)
+		t.Errorf("got %v asked after the back-off, want both", again.Ask)
 	}
 }
 
-// Refused callers are told times that lie apart, none of them beyond what callers follow.
+// Refused callers get different times to retry, none of them beyond what callers follow.
 func TestRetryAfterIsSpread(t *testing.T) {
 	l := newLedger(t, simulationStart, "a", Limit{Rate: 30, Burst: 30})
 	drain(l, simulationStart)
@@ -134,13 +134,13 @@
 	}
 }
 
-// The token of a request that never ran is there for another one.
+// The token of a request that never ran is available to another one.
 func TestReturn(t *testing.T) {
 	l := newLedger(t, simulationStart, "a", Limit{Rate: 30, Burst: 30})
 	whole := drain(l, simulationStart)
 	l.Return(simulationStart, "w")
 	if got := drain(l, simulationStart); got != 1 {
-		t.Errorf("got %d tokens after one came back, want 1", got)
+		t.Errorf("got %d tokens after one was returned, want 1", got)
 	}
 	for range 2 * whole {
 		l.Return(simulationStart, "w")
@@ -150,8 +150,8 @@
 	}
 }
 
-// All instances choose the same holders, as many as can hold some tokens each, in all
-// failure domains before twice in one, the large machines first.
+// All instances choose the same holders: as many as can hold some tokens each, one in each failure
+// domain before a second in any, and the large machines first.
 func TestHolders(t *testing.T) {
 	var members []Member
 	for i := range 60 {
@@ -200,7 +200,7 @@
 	}
 }
 
-// What is known of instances that hold nothing any more is dropped.
+// Entries of instances that no longer hold anything are removed.
 func TestReplacedHoldersAreForgotten(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	l, err := New(Config{Self: "a", Domain: "d", Region: "r"})
@@ -216,12 +216,12 @@
 		l.Receive(now, now, "w", other, Want{Tokens: 1}, Grant{})
 	}
 	if got := len(l.quotas["w"].avoidUntil); got > 3 {
-		t.Errorf("got %d instances remembered after 50 were replaced, want 3 at most", got)
+		t.Errorf("got entries of %d instances after 50 were replaced, want 3 at most", got)
 	}
 }
 
-// The part of an instance that has been gone for long is the others' again, though nothing is
-// heard of any instance since.
+// The share of an instance that was removed long ago is divided among the others, even if no update
+// of the members arrives.
 func TestLapsedPartIsDividedWithoutNews(t *testing.T) {
 	self, other := Member{Name: "a", Domain: "d", Region: "r", Size: 1}, Member{Name: "b", Domain: "d", Region: "r", Size: 1}
 	for name, tt := range map[string]struct {
--- a/internal/quota/world_run_test.go
+++ b/internal/quota/world_run_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// seeds is how many random worlds a test plays.
+// seeds is the number of random simulations of a test.
 const seeds = 6
 
-// No window holds more than the bound, whatever is killed, restarted, cut off or added,
-// however late messages come and wherever the load goes.
+// No window holds more requests than the bound, whichever instances are killed, restarted,
+// partitioned or added, however late messages arrive and wherever the load moves.
 func TestBoundHolds(t *testing.T) {
 	limits := map[string]Limit{
 		"small":      {Rate: 4, Burst: 4},
@@ -34,8 +34,8 @@
 	}
 }
 
-// simulateFailures is a world in which a workspace sends several times its limit while instances
-// come, go and are cut off.
+// simulateFailures runs a simulation in which a workspace sends several times its limit while
+// instances start, stop and are partitioned.
 func simulateFailures(seed uint64, limit Limit) *simulation {
 	w := newSimulation(seed, 12+int(seed%5)*12, limit)
 	for i, n := range w.nodes {
@@ -55,8 +55,8 @@
 			w.after(at, n.kill)
 			w.after(at+time.Second+w.randomDuration(400*time.Millisecond), n.start)
 		case seed%3 == 1 && n.member.Domain == "d2": // a failure domain
-			w.after(at, func() { n.cut = true })
-			w.after(at+6*time.Second, func() { n.cut = false })
+			w.after(at, func() { n.partitioned = true })
+			w.after(at+6*time.Second, func() { n.partitioned = false })
 		}
 	}
 	w.load(0, 30*time.Second, limit.Rate*0.6, bySize)
@@ -66,16 +66,15 @@
 	return w
 }
 
-// disturb kills an instance or cuts it off at a time, for a while, or kills it again and
-// again.
+// disturb kills or partitions an instance at a time, for a while, or kills it repeatedly.
 func (w *simulation) disturb(n *node, at, down time.Duration) {
 	switch w.rng.IntN(3) {
 	case 0:
 		w.after(at, n.kill)
 		w.after(at+down, n.start)
 	case 1:
-		w.after(at, func() { n.cut = true })
-		w.after(at+down, func() { n.cut = false })
+		w.after(at, func() { n.partitioned = true })
+		w.after(at+down, func() { n.partitioned = false })
 	case 2:
 		for k := range time.Duration(4) {
 			w.after(at+k*700*time.Millisecond, n.kill)
@@ -84,8 +83,8 @@
 	}
 }
 
-// A lower limit holds in all windows that begin after all have heard of it and what was
-// lent by the one before has ended.
+// A lower limit holds in all windows that begin after all instances have received it and the loans
+// of the previous limit have ended.
 func TestLowerLimit(t *testing.T) {
 	for seed := range uint64(seeds) {
 		w := newSimulation(seed, 36, Limit{Rate: 200, Burst: 200})
@@ -106,13 +105,13 @@
 	}
 }
 
-// What a workspace asks below its limit is served, however its callers are spread: at
-// most 2% of it are refused, 6% if they are all in one of six failure domains. Buckets
-// that lend nothing refuse 45% to 92%.
+// The requests of a workspace below its limit are served, however its callers are distributed: at
+// most 2% of them are refused, or 6% if all callers are in one of six failure domains. Without any
+// exchange between instances, 45% to 92% are refused.
 func TestServedBelowLimit(t *testing.T) {
 	const from, length = 8 * time.Second, 16 * time.Second
 	loads := map[string]struct {
-		most float64 // part that may be refused
+		most float64 // fraction that may be refused
 		play func(w *simulation)
 	}{
 		"usual":      {most: 0.02, play: func(w *simulation) { w.load(from, length, 0.6*w.limit.Rate, bySize) }},
@@ -147,7 +146,7 @@
 				}
 				tt.play(w)
 				w.run(25 * time.Second)
-				few := 1.5 // a fault of one request is none of the way
+				few := 1.5 // tolerates a single refusal in a small run
 				if most := tt.most*float64(w.requests) + few; float64(w.wronglyRefused) > most {
 					t.Errorf("%.0f requests a second: got %d of %d refused, want %.1f at most", rate, w.wronglyRefused, w.requests, most)
 				}
@@ -156,7 +155,7 @@
 	}
 }
 
-// What is over the limit is refused, and all that the limit allows is served.
+// Requests over the limit are refused, and 90% of what the limit allows is served.
 func TestUsesLimit(t *testing.T) {
 	for name, spread := range map[string]func(n *node) float64{"by size": bySize, "one region": inRegion} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// simulation plays instances with their ledgers in virtual time: records of instances under
-// leases, seen with a lag; questions that take time or get lost; kills and cuts.
+// simulation runs instances with their ledgers in virtual time. Instances have records under
+// leases, which others observe with a lag; requests between them take time or get lost; instances
+// are killed and partitioned.
 type simulation struct {
 	rng        *rand.Rand
 	now        time.Time
@@ -17,37 +18,37 @@
 	bounds     Bounds
 	limit      Limit
 	nodes      []*node
-	lend       bool // instances ask each other for tokens
+	lend       bool // instances request tokens from each other
 	equalSizes bool // all machines count as equally large
 
-	served         []time.Time // when requests were let through, in order
-	windowStart    int         // of spent within the window that ends now
+	served         []time.Time // times of the served requests, in order
+	windowStart    int         // index in served of the first request within the window that ends now
 	refused        int
-	wronglyRefused int // refused though the limit allowed them
+	wronglyRefused int // refused although the limit allowed them
 	requests       int
 }
 
-// node is an instance of a world.
+// node is an instance of a simulation.
 type node struct {
-	w       *simulation
-	member  Member
-	ledger  *Ledger
-	up      bool
-	cut     bool      // from the store and all others
-	expires time.Time // of its record's lease
-	run     int       // grows with each start
+	w           *simulation
+	member      Member
+	ledger      *Ledger
+	up          bool
+	partitioned bool      // partitioned from the store and all others
+	expires     time.Time // expiry of its record's lease
+	run         int       // incremented with each start
 }
 
 const (
 	workspaceName = "w"
 	nodeLease     = 5 * time.Second
-	viewLag       = 1500 * time.Millisecond // until all in touch have heard of a record
+	viewLag       = 1500 * time.Millisecond // until all connected instances have observed a record
 	viewInterval  = 500 * time.Millisecond
 )
 
 var simulationStart = time.Unix(1_900_000_000, 0)
 
-// event is something that happens at a time.
+// event is an action at a time.
 type event struct {
 	at time.Time
 	do func()
@@ -65,7 +66,8 @@
 	return last
 }
 
-// newSimulation makes a world of so many instances, a fifth of them five times as large.
+// newSimulation returns a simulation of a number of instances, a fifth of them five times as large
+// as the others.
 func newSimulation(seed uint64, size int, limit Limit) *simulation {
 	w := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: simulationStart, limit: limit, lend: true,
@@ -83,7 +85,7 @@
 	return w
 }
 
-// randomDuration is a length of time below most.
+// randomDuration returns a duration below most.
 func (w *simulation) randomDuration(most time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(most)))
 }
@@ -92,7 +94,7 @@
 	heap.Push(&w.events, event{at: w.now.Add(d), do: do})
 }
 
-// run plays until a time after the begin.
+// run runs the events until a time after the start.
 func (w *simulation) run(until time.Duration) {
 	for len(w.events) > 0 && !w.events[0].at.After(simulationStart.Add(until)) {
 		e := heap.Pop(&w.events).(event)
@@ -102,7 +104,7 @@
 	w.now = simulationStart.Add(until)
 }
 
-// start starts an instance and has it hear of the others now and then.
+// start starts an instance, which then observes the others periodically.
 func (n *node) start() {
 	if n.up {
 		return
@@ -119,12 +121,12 @@
 	n.listStore(run)
 }
 
-// listStore lists the store, as soon as it is in reach.
+// listStore lists the store as soon as it is reachable.
 func (n *node) listStore(run int) {
 	if !n.up || n.run != run {
 		return
 	}
-	if n.cut {
+	if n.partitioned {
 		n.w.after(200*time.Millisecond, func() { n.listStore(run) })
 		return
 	}
@@ -135,26 +137,26 @@
 	n.observe(run)
 }
 
-// renew keeps the record while the store is in reach.
+// renew renews the record's lease while the store is reachable.
 func (n *node) renew(run int) {
 	if !n.up || n.run != run {
 		return
 	}
-	if !n.cut {
+	if !n.partitioned {
 		n.expires = n.w.now.Add(nodeLease)
 	}
 	n.w.after(2*time.Second, func() { n.renew(run) })
 }
 
-// observe hears of the records that were there a moment ago.
+// observe updates the node's view, with a random lag, to the records that exist now.
 func (n *node) observe(run int) {
 	if !n.up || n.run != run {
 		return
 	}
-	if !n.cut {
+	if !n.partitioned {
 		seen := n.w.members()
 		n.w.after(n.w.randomDuration(viewLag-viewInterval), func() {
-			if n.up && n.run == run && !n.cut {
+			if n.up && n.run == run && !n.partitioned {
 				n.updateView(seen)
 			}
 		})
@@ -173,7 +175,7 @@
 	n.ledger.Peers(n.w.now, members)
 }
 
-// members lists the instances whose records are there.
+// members returns the instances whose records exist.
 func (w *simulation) members() []Member {
 	var list []Member
 	for _, n := range w.nodes {
@@ -227,12 +229,12 @@
 	lost := w.rng.IntN(50) == 0
 	answered := false
 	w.after(trip, func() {
-		if !holder.up || holder.cut != n.cut || n.cut || lost {
+		if !holder.up || holder.partitioned != n.partitioned || n.partitioned || lost {
 			return
 		}
 		g := holder.ledger.Give(w.now, workspaceName, want)
 		w.after(trip, func() {
-			if !n.up || n.run != run || n.cut || w.now.Sub(asked) > askTimeout {
+			if !n.up || n.run != run || n.partitioned || w.now.Sub(asked) > askTimeout {
 				return
 			}
 			answered = true
@@ -270,7 +272,7 @@
 
 func (w *simulation) spend() { w.served = append(w.served, w.now) }
 
-// inWindow counts what was let through in the window that ends now.
+// inWindow counts the requests served in the window that ends now.
 func (w *simulation) inWindow() int {
 	for w.windowStart < len(w.served) && w.now.Sub(w.served[w.windowStart]) >= w.bounds.Window {
 		w.windowStart++
@@ -278,7 +280,8 @@
 	return len(w.served) - w.windowStart
 }
 
-// maxInWindow is the most that was let through in any window that begins at a time or later.
+// maxInWindow returns the most requests that were served in any window that begins at a time or
+// later.
 func (w *simulation) maxInWindow(from time.Time) int {
 	most, first := 0, 0
 	for i, at := range w.served {
@@ -294,7 +297,7 @@
 	return most
 }
 
-// bound is what a window may hold by a limit.
+// bound returns how many requests a window may hold under the current limit.
 func (w *simulation) bound() float64 {
 	return (w.limit.Rate*w.bounds.Window.Seconds()+w.limit.Burst)*(1+w.bounds.Over) + w.bounds.Slack
 }
@@ -308,8 +311,7 @@
 	return nil
 }
 
-// load sends requests at a rate to the instances, to each as its weight says, from one
-// time on for a while.
+// load sends requests at a rate for a while, distributed over the instances by their weights.
 func (w *simulation) load(from, length time.Duration, rate float64, weight func(n *node) float64) {
 	sum := 0.0
 	for _, n := range w.nodes {
@@ -327,5 +329,5 @@
 	}
 }
 
-// bySize is the usual spread of callers.
+// bySize weights instances by the size of their machines, the default distribution of callers.
 func bySize(n *node) float64 { return n.member.Size }
