--- a/internal/loads/board.go
+++ b/internal/loads/board.go
@@ -11,36 +11,38 @@
 	"time"
 )
 
-// keep is how long a report is passed on: about as long as it counts.
-const keep = 5 * time.Second
+// maxReportAge is how long a report is passed on: about as long as it counts.
+const maxReportAge = 5 * time.Second
 
-// about is what instances tell each other of a target.
-type about interface {
+// report is what instances tell each other of a target.
+type report interface {
 	// About is the hash of the target's ID.
 	About() uint64
 	// Made is when it was so.
 	Made() time.Time
 }
 
-// board holds the newest report of each target at the instance that collects. It is safe
+// reportTable holds the newest report of each target at the instance that collects. It is safe
 // for concurrent use.
-type board[R about] struct {
+type reportTable[R report] struct {
 	mu   sync.Mutex
 	rows map[uint64]row[R] // by target; guarded by mu
 	last uint64            // number of the newest row; guarded by mu
 }
 
 // row is the newest report of a target.
-type row[R about] struct {
-	report R
-	from   uint64 // who told it
-	number uint64 // grows with each row that is written
+type row[R report] struct {
+	report   R
+	from     uint64 // who told it
+	sequence uint64 // grows with each row that is written
 }
 
-func newBoard[R about]() *board[R] { return &board[R]{rows: make(map[uint64]row[R])} }
+func newReportTable[R report]() *reportTable[R] {
+	return &reportTable[R]{rows: make(map[uint64]row[R])}
+}
 
-// add takes reports in, and returns those that are newer than what was known.
-func (b *board[R]) add(from uint64, reports []R) []R {
+// merge takes reports in, and returns those that are newer than what was known.
+func (b *reportTable[R]) merge(from uint64, reports []R) []R {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var news []R
@@ -49,7 +51,7 @@
 			continue
 		}
 		b.last++
-		b.rows[r.About()] = row[R]{report: r, from: from, number: b.last}
+		b.rows[r.About()] = row[R]{report: r, from: from, sequence: b.last}
 		news = append(news, r)
 	}
 	return news
@@ -57,20 +59,20 @@
 
 // since returns what others than one have told after a number, at most so many, the
 // newest first if there are more. It returns the number up to which all is told then.
-func (b *board[R]) since(now time.Time, number, but uint64, most int) ([]R, uint64) {
+func (b *reportTable[R]) since(now time.Time, number, but uint64, most int) ([]R, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var rows []row[R]
 	for target, r := range b.rows {
 		switch {
-		case now.Sub(r.report.Made()) > keep:
+		case now.Sub(r.report.Made()) > maxReportAge:
 			delete(b.rows, target)
-		case r.number > number && r.from != but:
+		case r.sequence > number && r.from != but:
 			rows = append(rows, r)
 		}
 	}
 	if len(rows) > most {
-		slices.SortFunc(rows, func(x, y row[R]) int { return cmp.Compare(y.number, x.number) })
+		slices.SortFunc(rows, func(x, y row[R]) int { return cmp.Compare(y.sequence, x.sequence) })
 		rows = rows[:most]
 	}
 	reports := make([]R, 0, len(rows))
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -18,15 +18,15 @@
 const Path = "/loads"
 
 const (
-	// every is how often an instance tells and asks: a request takes a second of work
+	// exchangeInterval is how often an instance tells and asks: a request takes a second of work
 	// where reports matter most, so that what is known is younger than the work.
-	every = 500 * time.Millisecond
-	// answerTime is how long an answer may take: some round trips between regions.
-	answerTime = 400 * time.Millisecond
-	// pause is how long a collector is left alone that gave no answer.
-	pause = 2 * time.Second
-	// maxMessage bounds what is read of a message, in bytes.
-	maxMessage = 32 << 10
+	exchangeInterval = 500 * time.Millisecond
+	// answerTimeout is how long an answer may take: some round trips between regions.
+	answerTimeout = 400 * time.Millisecond
+	// collectorBackoff is how long a collector is left alone that gave no answer.
+	collectorBackoff = 2 * time.Second
+	// maxMessageBytes bounds what is read of a message, in bytes.
+	maxMessageBytes = 32 << 10
 )
 
 // Peers is what an Exchange needs of its instance. The functions must be safe for
@@ -49,77 +49,77 @@
 	peers       Peers
 	name        uint64 // hash of the instance's name
 	run         uint64 // of this process
-	loads       *board[steer.Report]
-	constraints *board[steer.Constraint]
+	loads       *reportTable[steer.Report]
+	constraints *reportTable[steer.Constraint]
 	client      *peerhttp.Client
 
 	// Used by the goroutine of Run alone.
-	told    time.Time // what came until then was told
-	heard   head      // of the collector's last answer
-	address string    // of the collector that gave it
-	alone   time.Time // no collector is asked before
+	sentUntil    time.Time // what came until then was told
+	lastAnswer   head      // of the collector's last answer
+	collector    string    // of the collector that gave it
+	backoffUntil time.Time // no collector is asked before
 }
 
 // New makes an exchange.
 func New(peers Peers) *Exchange {
 	return &Exchange{
-		peers: peers, name: xxhash.Sum64String(peers.Name), run: uint64(time.Now().UnixNano()), loads: newBoard[steer.Report](), constraints: newBoard[steer.Constraint](),
-		client: peerhttp.New("", 1, maxMessage),
+		peers: peers, name: xxhash.Sum64String(peers.Name), run: uint64(time.Now().UnixNano()), loads: newReportTable[steer.Report](), constraints: newReportTable[steer.Constraint](),
+		client: peerhttp.New("", 1, maxMessageBytes),
 	}
 }
 
 // Run tells and asks until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			x.turn(ctx, boottime.Now())
+			x.exchangeOnce(ctx, boottime.Now())
 		}
 	}
 }
 
-// turn tells and asks once.
-func (x *Exchange) turn(ctx context.Context, now time.Time) {
-	told := x.peers.Told(x.told)
+// exchangeOnce tells and asks once.
+func (x *Exchange) exchangeOnce(ctx context.Context, now time.Time) {
+	told := x.peers.Told(x.sentUntil)
 	address := x.peers.Collector()
 	if address == "" {
-		x.told = now
-		x.add(x.name, told)
+		x.sentUntil = now
+		x.merge(x.name, told)
 		return
 	}
-	if now.Before(x.alone) {
+	if now.Before(x.backoffUntil) {
 		return
 	}
-	if address != x.address {
-		x.address, x.heard = address, head{}
+	if address != x.collector {
+		x.collector, x.lastAnswer = address, head{}
 	}
 	answer, err := x.ask(ctx, address, message{
-		head: head{From: x.name, Run: x.heard.Run, Loads: x.heard.Loads, Constraints: x.heard.Constraints}, told: told,
+		head: head{From: x.name, Run: x.lastAnswer.Run, Loads: x.lastAnswer.Loads, Constraints: x.lastAnswer.Constraints}, told: told,
 	})
 	if err != nil {
-		x.alone = now.Add(pause)
+		x.backoffUntil = now.Add(collectorBackoff)
 		if ctx.Err() == nil {
 			x.peers.Failed(err)
 		}
 		return
 	}
-	x.told, x.heard = now, answer.head
+	x.sentUntil, x.lastAnswer = now, answer.head
 	x.peers.Hear(answer.told)
 }
 
-// add takes in what an instance was told, and returns what is new of it.
-func (x *Exchange) add(from uint64, told steer.Told) steer.Told {
-	return steer.Told{Loads: x.loads.add(from, told.Loads), Constraints: x.constraints.add(from, told.Constraints)}
+// merge takes in what an instance was told, and returns what is new of it.
+func (x *Exchange) merge(from uint64, told steer.Told) steer.Told {
+	return steer.Told{Loads: x.loads.merge(from, told.Loads), Constraints: x.constraints.merge(from, told.Constraints)}
 }
 
 // ask sends a message to the collector and reads its answer. It returns a
 // *peerhttp.Error, or the error of a message that can't be encoded.
 func (x *Exchange) ask(ctx context.Context, address string, m message) (message, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTime)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	body, err := m.encode(boottime.Now())
 	if err != nil {
@@ -139,7 +139,7 @@
 // ServeHTTP takes what an instance was told, and answers with what others were told
 // since its last message.
 func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, maxMessage))
+	b, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -150,7 +150,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if news := x.add(m.From, m.told); len(news.Loads)+len(news.Constraints) > 0 {
+	if news := x.merge(m.From, m.told); len(news.Loads)+len(news.Constraints) > 0 {
 		x.peers.Hear(news)
 	}
 	known := m.head
@@ -158,8 +158,8 @@
 		known = head{} // it asks for what another process, or none, has told it
 	}
 	answer := message{head: head{From: x.name, Run: x.run}}
-	answer.told.Loads, answer.Loads = x.loads.since(now, known.Loads, m.From, mostLoads)
-	answer.told.Constraints, answer.Constraints = x.constraints.since(now, known.Constraints, m.From, mostConstraints)
+	answer.told.Loads, answer.Loads = x.loads.since(now, known.Loads, m.From, maxLoads)
+	answer.told.Constraints, answer.Constraints = x.constraints.since(now, known.Constraints, m.From, maxConstraints)
 	body, err := answer.encode(now)
 	if err != nil {
 		x.peers.Failed(err)
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -20,17 +20,17 @@
 var start = time.UnixMilli(1_800_000_000_000)
 
 func TestBoard(t *testing.T) {
-	b := newBoard[steer.Report]()
+	b := newReportTable[steer.Report]()
 	first := steer.Report{Target: 1, Load: 3, At: start}
 	later := steer.Report{Target: 1, Load: 5, At: start.Add(time.Second)}
 	other := steer.Report{Target: 2, Load: 7, At: start}
-	if got := b.add(10, []steer.Report{first, other}); len(got) != 2 {
+	if got := b.merge(10, []steer.Report{first, other}); len(got) != 2 {
 		t.Errorf("got news %v, want both", got)
 	}
-	if got := b.add(11, []steer.Report{later, other}); len(got) != 1 || got[0] != later {
+	if got := b.merge(11, []steer.Report{later, other}); len(got) != 1 || got[0] != later {
 		t.Errorf("got news %v, want %v", got, later)
 	}
-	if got := b.add(12, []steer.Report{first}); got != nil {
+	if got := b.merge(12, []steer.Report{first}); got != nil {
 		t.Errorf("got news %v of an older report, want none", got)
 	}
 	tests := map[string]struct {
@@ -92,7 +92,7 @@
 	if !slices.EqualFunc(got.told.Constraints, wantConstraints, sameConstraint) {
 		t.Errorf("got %+v, want %+v", got.told.Constraints, wantConstraints)
 	}
-	for _, size := range []int{0, 23, 25, 33, 35, 34 + 12*(mostLoads+1)} {
+	for _, size := range []int{0, 23, 25, 33, 35, 34 + 12*(maxLoads+1)} {
 		var fault *MessageError
 		if _, err := decode(start, make([]byte, size)); !errors.As(err, &fault) {
 			t.Errorf("%d bytes: got %v, want a *MessageError", size, err)
@@ -152,10 +152,10 @@
 }
 
 func TestBoardForgets(t *testing.T) {
-	b := newBoard[steer.Report]()
-	b.add(10, []steer.Report{{Target: 1, Load: 3, At: start}})
-	if got, _ := b.since(start.Add(keep+1), 0, 0, mostLoads); len(got) != 0 || len(b.rows) != 0 {
-		t.Errorf("got %v and %d rows, want none that is older than %s", got, len(b.rows), keep)
+	b := newReportTable[steer.Report]()
+	b.merge(10, []steer.Report{{Target: 1, Load: 3, At: start}})
+	if got, _ := b.since(start.Add(maxReportAge+1), 0, 0, maxLoads); len(got) != 0 || len(b.rows) != 0 {
+		t.Errorf("got %v and %d rows, want none that is older than %s", got, len(b.rows), maxReportAge)
 	}
 }
 
@@ -222,7 +222,7 @@
 	a.constraints = []steer.Constraint{{Target: 1, Limit: 9, Limited: true, At: now}}
 	for i := range 3 {
 		for _, p := range []*peer{collector, a, b, a} {
-			p.turn(context.Background(), now.Add(time.Duration(i+1)*time.Millisecond))
+			p.exchangeOnce(context.Background(), now.Add(time.Duration(i+1)*time.Millisecond))
 		}
 	}
 	for p, want := range map[*peer]string{collector: "1:3 2:4", a: "2:4 3:5", b: "1:3 3:5"} {
@@ -253,19 +253,19 @@
 	p := newPeer("a", strings.TrimPrefix(server.URL, "http://"))
 	now := time.Now()
 	p.told = []steer.Report{{Target: 1, Load: 3, At: now}}
-	collector.Exchange.loads.add(9, []steer.Report{{Target: 2, Load: 4, At: now}})
-	p.turn(context.Background(), now.Add(1))
+	collector.Exchange.loads.merge(9, []steer.Report{{Target: 2, Load: 4, At: now}})
+	p.exchangeOnce(context.Background(), now.Add(1))
 	broken = false
-	p.turn(context.Background(), now.Add(pause-1))
+	p.exchangeOnce(context.Background(), now.Add(collectorBackoff-1))
 	if got := p.loads(); got != "" || p.failed != 1 {
 		t.Errorf("got %q heard and %d failures, want none and 1", got, p.failed)
 	}
-	p.turn(context.Background(), now.Add(pause+1))
+	p.exchangeOnce(context.Background(), now.Add(collectorBackoff+1))
 	if got := collector.loads() + ", " + p.loads(); got != "1:3, 2:4" {
 		t.Errorf("got %q, want what was told before and after", got)
 	}
 	collector.run++ // another process
-	p.turn(context.Background(), now.Add(pause+2))
+	p.exchangeOnce(context.Background(), now.Add(collectorBackoff+2))
 	if got := p.loads(); got != "2:4 2:4" {
 		t.Errorf("got %q, want all once more", got)
 	}
--- a/internal/loads/message.go
+++ b/internal/loads/message.go
@@ -12,12 +12,12 @@
 	"github.com/firlever/firlever/internal/steer"
 )
 
-// mostLoads is how many reports of load a message holds at most: 12 KB. 8 instances of today's
-// sizes hear from fewer targets in a second; at 65 of them 250 come in half a second. mostConstraints
+// maxLoads is how many reports of load a message holds at most: 12 KB. 8 instances of today's
+// sizes hear from fewer targets in a second; at 65 of them 250 come in half a second. maxConstraints
 // is how many reports it holds of what targets ask for: 14 KB.
 const (
-	mostLoads       = 1024
-	mostConstraints = 512
+	maxLoads       = 1024
+	maxConstraints = 512
 )
 
 // head begins a message of either direction.
@@ -65,11 +65,11 @@
 // encode writes a message. Reports beyond its bounds are left out.
 func (m message) encode(now time.Time) ([]byte, error) {
 	constraints := make([]constraintEntry, 0, len(m.told.Constraints))
-	for _, r := range m.told.Constraints[:min(len(m.told.Constraints), mostConstraints)] {
+	for _, r := range m.told.Constraints[:min(len(m.told.Constraints), maxConstraints)] {
 		constraints = append(constraints, encodeConstraint(now, r))
 	}
 	loads := make([]loadEntry, 0, len(m.told.Loads))
-	for _, r := range m.told.Loads[:min(len(m.told.Loads), mostLoads)] {
+	for _, r := range m.told.Loads[:min(len(m.told.Loads), maxLoads)] {
 		loads = append(loads, loadEntry{Target: r.Target, Load: clamp(int64(r.Load)), Age: age(now, r.At)})
 	}
 	var b bytes.Buffer
@@ -101,8 +101,8 @@
 // age is how old a report is, in milliseconds.
 func age(now, at time.Time) uint16 { return clamp(now.Sub(at).Milliseconds() + 1) }
 
-// made is when a report of an age was made.
-func made(now time.Time, age uint16) time.Time {
+// madeAt is when a report of an age was madeAt.
+func madeAt(now time.Time, age uint16) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
@@ -117,7 +117,7 @@
 		}
 	}
 	left, each := r.Len()-int(count)*binary.Size(constraintEntry{}), binary.Size(loadEntry{})
-	if count > mostConstraints || left < 0 || left%each != 0 || left/each > mostLoads {
+	if count > maxConstraints || left < 0 || left%each != 0 || left/each > maxLoads {
 		return message{}, errors.Trace(&MessageError{Reason: fmt.Sprintf("%d bytes", len(b))})
 	}
 	constraints, loads := make([]constraintEntry, count), make([]loadEntry, left/each)
@@ -134,7 +134,7 @@
 		m.told.Constraints = append(m.told.Constraints, c)
 	}
 	for _, e := range loads {
-		m.told.Loads = append(m.told.Loads, steer.Report{Target: e.Target, Load: int(e.Load), At: made(now, e.Age)})
+		m.told.Loads = append(m.told.Loads, steer.Report{Target: e.Target, Load: int(e.Load), At: madeAt(now, e.Age)})
 	}
 	return m, nil
 }
@@ -142,7 +142,7 @@
 // decodeConstraint reads what a target asks for; false if that can't be.
 func decodeConstraint(now time.Time, e constraintEntry) (steer.Constraint, bool) {
 	r := steer.Constraint{
-		Target: e.Target, Limit: e.Limit, Leaving: e.Flags&flagLeaving != 0, Limited: e.Flags&flagLimited != 0, At: made(now, e.Age),
+		Target: e.Target, Limit: e.Limit, Leaving: e.Flags&flagLeaving != 0, Limited: e.Flags&flagLimited != 0, At: madeAt(now, e.Age),
 	}
 	if e.Started != 0 {
 		r.Started = time.UnixMilli(e.Started)
