--- a/internal/loads/board.go
+++ b/internal/loads/board.go
@@ -1,7 +1,8 @@
-// Package loads passes on what targets say of themselves, of their load and of the requests
-// that they want, between the instances of a region. One of them collects: each tells it now and then what it was told itself, and
-// gets what the others were told since. Nothing rests on it: what comes late or not at
-// all leaves an instance with what it hears by itself.
+// Package loads exchanges the reports of targets, on their load and on the requests that they
+// accept, between the instances of a region. One instance collects: each other one periodically
+// sends it the reports that it received from targets itself, and gets those that other instances
+// have sent since. Nothing depends on it: if reports are late or missing, an instance is left with
+// those that it receives itself.
 package loads
 
 import (
@@ -11,63 +12,64 @@
 	"time"
 )
 
-// maxReportAge is how long a report is passed on: about as long as it counts.
+// maxReportAge is the age up to which a report is passed on: about as long as it is used.
 const maxReportAge = 5 * time.Second
 
-// report is what instances tell each other of a target.
+// report is what instances exchange about a target.
 type report interface {
-	// About is the hash of the target's ID.
+	// About returns the hash of the target's ID.
 	About() uint64
-	// Made is when it was so.
+	// Made returns when the target was in the reported state.
 	Made() time.Time
 }
 
-// reportTable holds the newest report of each target at the instance that collects. It is safe
-// for concurrent use.
+// reportTable holds the newest report of each target at the instance that collects. It is safe for
+// concurrent use.
 type reportTable[R report] struct {
 	mu   sync.Mutex
 	rows map[uint64]row[R] // by target; guarded by mu
-	last uint64            // number of the newest row; guarded by mu
+	last uint64            // sequence number of the newest row; guarded by mu
 }
 
 // row is the newest report of a target.
 type row[R report] struct {
 	report   R
-	from     uint64 // who told it
-	sequence uint64 // grows with each row that is written
+	from     uint64 // hash of the name of the instance that sent it
+	sequence uint64 // increases with each row that is written
 }
 
 func newReportTable[R report]() *reportTable[R] {
 	return &reportTable[R]{rows: make(map[uint64]row[R])}
 }
 
-// merge takes reports in, and returns those that are newer than what was known.
-func (b *reportTable[R]) merge(from uint64, reports []R) []R {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	var news []R
+// merge adds reports, and returns those that are newer than the known ones.
+func (t *reportTable[R]) merge(from uint64, reports []R) []R {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var newer []R
 	for _, r := range reports {
-		if old, ok := b.rows[r.About()]; ok && !r.Made().After(old.report.Made()) {
+		if old, ok := t.rows[r.About()]; ok && !r.Made().After(old.report.Made()) {
 			continue
 		}
-		b.last++
-		b.rows[r.About()] = row[R]{report: r, from: from, sequence: b.last}
-		news = append(news, r)
+		t.last++
+		t.rows[r.About()] = row[R]{report: r, from: from, sequence: t.last}
+		newer = append(newer, r)
 	}
-	return news
+	return newer
 }
 
-// since returns what others than one have told after a number, at most so many, the
-// newest first if there are more. It returns the number up to which all is told then.
-func (b *reportTable[R]) since(now time.Time, number, but uint64, most int) ([]R, uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// since returns the reports after a sequence number that other instances than except have sent. If
+// there are more than most, it returns the newest. It also returns the sequence number that the
+// reports lead up to.
+func (t *reportTable[R]) since(now time.Time, sequence, except uint64, most int) ([]R, uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var rows []row[R]
-	for target, r := range b.rows {
+	for target, r := range t.rows {
 		switch {
 		case now.Sub(r.report.Made()) > maxReportAge:
-			delete(b.rows, target)
-		case r.sequence > number && r.from != but:
+			delete(t.rows, target)
+		case r.sequence > sequence && r.from != except:
 			rows = append(rows, r)
 		}
 	}
@@ -79,5 +81,5 @@
 	for _, r := range rows {
 		reports = append(reports, r.report)
 	}
-	return reports, b.last
+	return reports, t.last
 }
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -14,53 +14,53 @@
 	"github.com/firlever/firlever/internal/steer"
 )
 
-// Path is where an instance takes what others were told.
+// Path is the path under which an instance accepts the reports that others received.
 const Path = "/loads"
 
 const (
-	// exchangeInterval is how often an instance tells and asks: a request takes a second of work
-	// where reports matter most, so that what is known is younger than the work.
+	// exchangeInterval is how often an instance exchanges reports with the collector: a request
+	// takes a second of work where reports matter most, so reports are younger than the work.
 	exchangeInterval = 500 * time.Millisecond
 	// answerTimeout is how long an answer may take: some round trips between regions.
 	answerTimeout = 400 * time.Millisecond
-	// collectorBackoff is how long a collector is left alone that gave no answer.
+	// collectorBackoff is how long a collector that gave no answer is not called.
 	collectorBackoff = 2 * time.Second
-	// maxMessageBytes bounds what is read of a message, in bytes.
+	// maxMessageBytes bounds what is read of a message.
 	maxMessageBytes = 32 << 10
 )
 
-// Peers is what an Exchange needs of its instance. The functions must be safe for
-// concurrent use.
+// Peers is the interface of an Exchange to its instance. The functions must be safe for concurrent
+// use.
 type Peers struct {
 	Name string // of this instance
-	// Collector is the address of the instance to tell; "" if this one collects.
+	// Collector returns the address of the instance that collects; "" if it is this one.
 	Collector func() string
-	// Told lists what targets have told this instance itself since a time.
+	// Told returns the reports that this instance has received from targets itself since a time.
 	Told func(since time.Time) steer.Told
-	// Hear takes what others were told.
-	Hear func(told steer.Told)
-	// Failed tells that the collector could not be asked, or an answer not be made.
+	// Hear is called with reports that other instances received.
+	Hear func(reports steer.Told)
+	// Failed is called if the collector could not be called or an answer could not be encoded.
 	Failed func(err error)
 }
 
-// Exchange tells and asks the instance that collects, and is an http.Handler that
-// collects for others.
+// Exchange exchanges reports with the instance that collects. As an http.Handler it collects for
+// others.
 type Exchange struct {
 	peers       Peers
 	name        uint64 // hash of the instance's name
-	run         uint64 // of this process
+	run         uint64 // identifies this process
 	loads       *reportTable[steer.Report]
 	constraints *reportTable[steer.Constraint]
 	client      *peerhttp.Client
 
 	// Used by the goroutine of Run alone.
-	sentUntil    time.Time // what came until then was told
-	lastAnswer   head      // of the collector's last answer
-	collector    string    // of the collector that gave it
-	backoffUntil time.Time // no collector is asked before
+	sentUntil    time.Time // reports received until then have been sent
+	lastAnswer   head      // head of the collector's last answer
+	collector    string    // address of the collector that gave it
+	backoffUntil time.Time // no collector is called before
 }
 
-// New makes an exchange.
+// New returns an exchange.
 func New(peers Peers) *Exchange {
 	return &Exchange{
 		peers: peers, name: xxhash.Sum64String(peers.Name), run: uint64(time.Now().UnixNano()), loads: newReportTable[steer.Report](), constraints: newReportTable[steer.Constraint](),
@@ -68,7 +68,7 @@
 	}
 }
 
-// Run tells and asks until ctx ends.
+// Run exchanges reports periodically until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -82,13 +82,13 @@
 	}
 }
 
-// exchangeOnce tells and asks once.
+// exchangeOnce exchanges reports once.
 func (x *Exchange) exchangeOnce(ctx context.Context, now time.Time) {
-	told := x.peers.Told(x.sentUntil)
+	reports := x.peers.Told(x.sentUntil)
 	address := x.peers.Collector()
 	if address == "" {
 		x.sentUntil = now
-		x.merge(x.name, told)
+		x.merge(x.name, reports)
 		return
 	}
 	if now.Before(x.backoffUntil) {
@@ -98,7 +98,7 @@
 		x.collector, x.lastAnswer = address, head{}
 	}
 	answer, err := x.ask(ctx, address, message{
-		head: head{From: x.name, Run: x.lastAnswer.Run, Loads: x.lastAnswer.Loads, Constraints: x.lastAnswer.Constraints}, told: told,
+		head: head{From: x.name, Run: x.lastAnswer.Run, Loads: x.lastAnswer.Loads, Constraints: x.lastAnswer.Constraints}, reports: reports,
 	})
 	if err != nil {
 		x.backoffUntil = now.Add(collectorBackoff)
@@ -108,12 +108,12 @@
 		return
 	}
 	x.sentUntil, x.lastAnswer = now, answer.head
-	x.peers.Hear(answer.told)
+	x.peers.Hear(answer.reports)
 }
 
-// merge takes in what an instance was told, and returns what is new of it.
-func (x *Exchange) merge(from uint64, told steer.Told) steer.Told {
-	return steer.Told{Loads: x.loads.merge(from, told.Loads), Constraints: x.constraints.merge(from, told.Constraints)}
+// merge adds the reports of an instance, and returns the new ones.
+func (x *Exchange) merge(from uint64, reports steer.Told) steer.Told {
+	return steer.Told{Loads: x.loads.merge(from, reports.Loads), Constraints: x.constraints.merge(from, reports.Constraints)}
 }
 
 // ask sends a message to the collector and reads its answer. It returns a
@@ -136,8 +136,8 @@
 	return answer, nil
 }
 
-// ServeHTTP takes what an instance was told, and answers with what others were told
-// since its last message.
+// ServeHTTP accepts the reports that an instance has received, and answers with those that others
+// have sent since its last message.
 func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxMessageBytes))
 	if err != nil {
@@ -150,16 +150,16 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if news := x.merge(m.From, m.told); len(news.Loads)+len(news.Constraints) > 0 {
-		x.peers.Hear(news)
+	if newer := x.merge(m.From, m.reports); len(newer.Loads)+len(newer.Constraints) > 0 {
+		x.peers.Hear(newer)
 	}
 	known := m.head
 	if m.Run != x.run {
-		known = head{} // it asks for what another process, or none, has told it
+		known = head{} // its sequence numbers are those of another process, or of none
 	}
 	answer := message{head: head{From: x.name, Run: x.run}}
-	answer.told.Loads, answer.Loads = x.loads.since(now, known.Loads, m.From, maxLoads)
-	answer.told.Constraints, answer.Constraints = x.constraints.since(now, known.Constraints, m.From, maxConstraints)
+	answer.reports.Loads, answer.Loads = x.loads.since(now, known.Loads, m.From, maxLoads)
+	answer.reports.Constraints, answer.Constraints = x.constraints.since(now, known.Constraints, m.From, maxConstraints)
 	body, err := answer.encode(now)
 	if err != nil {
 		x.peers.Failed(err)
@@ -167,5 +167,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	w.Write(body) // a peer that has left notices by itself
+	w.Write(body) // an error means that the peer has disconnected
 }
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -25,20 +25,20 @@
 	later := steer.Report{Target: 1, Load: 5, At: start.Add(time.Second)}
 	other := steer.Report{Target: 2, Load: 7, At: start}
 	if got := b.merge(10, []steer.Report{first, other}); len(got) != 2 {
-		t.Errorf("got news %v, want both", got)
+		t.Errorf("got new reports %v, want both", got)
 	}
 	if got := b.merge(11, []steer.Report{later, other}); len(got) != 1 || got[0] != later {
-		t.Errorf("got news %v, want %v", got, later)
+		t.Errorf("got new reports %v, want %v", got, later)
 	}
 	if got := b.merge(12, []steer.Report{first}); got != nil {
-		t.Errorf("got news %v of an older report, want none", got)
+		t.Errorf("got new reports %v from an older one, want none", got)
 	}
 	tests := map[string]struct {
-		now    time.Time
-		number uint64
-		but    uint64
-		most   int
-		want   []int // loads
+		now      time.Time
+		sequence uint64
+		except   uint64
+		most     int
+		want     []int // loads
 	}{
 		"all":            {start, 0, 0, 9, []int{5, 7}},
 		"but one's own":  {start, 0, 11, 9, []int{7}},
@@ -48,21 +48,21 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			reports, number := b.since(tt.now, tt.number, tt.but, tt.most)
+			reports, last := b.since(tt.now, tt.sequence, tt.except, tt.most)
 			var got []int
 			for _, r := range reports {
 				got = append(got, r.Load)
 			}
 			slices.Sort(got)
-			if !slices.Equal(got, tt.want) || number != 3 {
-				t.Errorf("got %v up to %d, want %v up to 3", got, number, tt.want)
+			if !slices.Equal(got, tt.want) || last != 3 {
+				t.Errorf("got %v up to %d, want %v up to 3", got, last, tt.want)
 			}
 		})
 	}
 }
 
 func TestMessage(t *testing.T) {
-	m := message{head: head{From: 1, Run: 2, Loads: 3, Constraints: 4}, told: steer.Told{
+	m := message{head: head{From: 1, Run: 2, Loads: 3, Constraints: 4}, reports: steer.Told{
 		Loads: []steer.Report{
 			{Target: 7, Load: 4, At: start.Add(-time.Second)}, {Target: 8, Load: 1 << 20, At: start.Add(-time.Hour)},
 		},
@@ -82,15 +82,15 @@
 	want := []steer.Report{
 		{Target: 7, Load: 4, At: start.Add(-1001 * time.Millisecond)}, {Target: 8, Load: 65535, At: start.Add(-65535 * time.Millisecond)},
 	}
-	if got.head != m.head || !slices.Equal(got.told.Loads, want) {
+	if got.head != m.head || !slices.Equal(got.reports.Loads, want) {
 		t.Errorf("got %+v, want head %+v and %v", got, m.head, want)
 	}
 	wantConstraints := []steer.Constraint{
 		{Target: 7, Started: start.Add(-time.Minute), Limit: 9.1, Limited: true, At: start.Add(-1001 * time.Millisecond)},
 		{Target: 8, Leaving: true, At: start.Add(-65535 * time.Millisecond)},
 	}
-	if !slices.EqualFunc(got.told.Constraints, wantConstraints, sameConstraint) {
-		t.Errorf("got %+v, want %+v", got.told.Constraints, wantConstraints)
+	if !slices.EqualFunc(got.reports.Constraints, wantConstraints, sameConstraint) {
+		t.Errorf("got %+v, want %+v", got.reports.Constraints, wantConstraints)
 	}
 	for _, size := range []int{0, 23, 25, 33, 35, 34 + 12*(maxLoads+1)} {
 		var fault *MessageError
@@ -108,15 +108,15 @@
 	return a == b
 }
 
-// A message whose counts or limits can't be is refused as a whole.
+// A message with an invalid count or limit is rejected as a whole.
 func TestUnreadableMessage(t *testing.T) {
-	limited := message{told: steer.Told{Constraints: []steer.Constraint{{Target: 7, Limit: math.NaN(), Limited: true, At: start}}}}
-	nan, err := limited.encode(start)
+	m := message{reports: steer.Told{Constraints: []steer.Constraint{{Target: 7, Limit: math.NaN(), Limited: true, At: start}}}}
+	nan, err := m.encode(start)
 	if err != nil {
 		t.Fatal(err)
 	}
-	limited.told.Constraints[0].Limit = -1
-	negative, err := limited.encode(start)
+	m.reports.Constraints[0].Limit = -1
+	negative, err := m.encode(start)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -138,12 +138,12 @@
 		if err != nil {
 			return
 		}
-		for _, r := range m.told.Loads {
+		for _, r := range m.reports.Loads {
 			if r.Load < 0 || r.At.After(start) {
 				t.Errorf("got %+v", r)
 			}
 		}
-		for _, r := range m.told.Constraints {
+		for _, r := range m.reports.Constraints {
 			if !(r.Limit >= 0) || r.At.After(start) {
 				t.Errorf("got %+v", r)
 			}
@@ -159,16 +159,16 @@
 	}
 }
 
-// peer is an instance that has been told of targets.
+// peer is an instance that has received reports of targets.
 type peer struct {
 	*Exchange
-	mu     sync.Mutex
-	told   []steer.Report
-	heard  []steer.Report
-	failed int
+	mu       sync.Mutex
+	own      []steer.Report
+	received []steer.Report
+	failures int
 
-	constraints []steer.Constraint // that it was told
-	limits      []float64          // that it heard of
+	ownConstraints []steer.Constraint // received from targets
+	receivedLimits []float64          // received from other instances
 }
 
 func newPeer(name, collector string) *peer {
@@ -179,36 +179,36 @@
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return steer.Told{
-				Loads:       slices.DeleteFunc(slices.Clone(p.told), func(r steer.Report) bool { return !r.At.After(since) }),
-				Constraints: slices.DeleteFunc(slices.Clone(p.constraints), func(c steer.Constraint) bool { return !c.At.After(since) }),
+				Loads:       slices.DeleteFunc(slices.Clone(p.own), func(r steer.Report) bool { return !r.At.After(since) }),
+				Constraints: slices.DeleteFunc(slices.Clone(p.ownConstraints), func(c steer.Constraint) bool { return !c.At.After(since) }),
 			}
 		},
-		Hear: func(told steer.Told) {
+		Hear: func(reports steer.Told) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.heard = append(p.heard, told.Loads...)
-			for _, c := range told.Constraints {
-				p.limits = append(p.limits, c.Limit)
+			p.received = append(p.received, reports.Loads...)
+			for _, c := range reports.Constraints {
+				p.receivedLimits = append(p.receivedLimits, c.Limit)
 			}
 		},
-		Failed: func(error) { p.failed++ },
+		Failed: func(error) { p.failures++ },
 	})
 	return p
 }
 
-// loads lists what was heard, by target and load.
+// loads returns the load reports received from other instances, as target and load.
 func (p *peer) loads() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []string
-	for _, r := range p.heard {
+	for _, r := range p.received {
 		list = append(list, fmt.Sprintf("%d:%d", r.Target, r.Load))
 	}
 	slices.Sort(list)
 	return strings.Join(list, " ")
 }
 
-// What one instance is told, the others know after they have asked; each once.
+// The reports that one instance receives reach the others with their next exchange, each once.
 func TestExchange(t *testing.T) {
 	collector := newPeer("c", "")
 	server := httptest.NewServer(collector)
@@ -216,10 +216,10 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	a, b := newPeer("a", address), newPeer("b", address)
 	now := time.Now()
-	a.told = []steer.Report{{Target: 1, Load: 3, At: now}}
-	b.told = []steer.Report{{Target: 2, Load: 4, At: now}}
-	collector.told = []steer.Report{{Target: 3, Load: 5, At: now}}
-	a.constraints = []steer.Constraint{{Target: 1, Limit: 9, Limited: true, At: now}}
+	a.own = []steer.Report{{Target: 1, Load: 3, At: now}}
+	b.own = []steer.Report{{Target: 2, Load: 4, At: now}}
+	collector.own = []steer.Report{{Target: 3, Load: 5, At: now}}
+	a.ownConstraints = []steer.Constraint{{Target: 1, Limit: 9, Limited: true, At: now}}
 	for i := range 3 {
 		for _, p := range []*peer{collector, a, b, a} {
 			p.exchangeOnce(context.Background(), now.Add(time.Duration(i+1)*time.Millisecond))
@@ -231,14 +231,14 @@
 		}
 	}
 	for p, want := range map[*peer][]float64{collector: {9}, a: nil, b: {9}} {
-		if !slices.Equal(p.limits, want) {
-			t.Errorf("got limits %v, want %v", p.limits, want)
+		if !slices.Equal(p.receivedLimits, want) {
+			t.Errorf("got limits %v, want %v", p.receivedLimits, want)
 		}
 	}
 }
 
-// A collector that fails is left alone for a while, and what could not be told is told
-// then; one that has started again tells all that it knows.
+// A collector that fails is not called for a while, and the reports that could not be sent
+// meanwhile are sent then; one that has restarted sends all of its reports again.
 func TestCollectorFails(t *testing.T) {
 	collector := newPeer("c", "")
 	broken := true
@@ -252,21 +252,21 @@
 	defer server.Close()
 	p := newPeer("a", strings.TrimPrefix(server.URL, "http://"))
 	now := time.Now()
-	p.told = []steer.Report{{Target: 1, Load: 3, At: now}}
+	p.own = []steer.Report{{Target: 1, Load: 3, At: now}}
 	collector.Exchange.loads.merge(9, []steer.Report{{Target: 2, Load: 4, At: now}})
 	p.exchangeOnce(context.Background(), now.Add(1))
 	broken = false
 	p.exchangeOnce(context.Background(), now.Add(collectorBackoff-1))
-	if got := p.loads(); got != "" || p.failed != 1 {
-		t.Errorf("got %q heard and %d failures, want none and 1", got, p.failed)
+	if got := p.loads(); got != "" || p.failures != 1 {
+		t.Errorf("got %q received and %d failures, want none and 1", got, p.failures)
 	}
 	p.exchangeOnce(context.Background(), now.Add(collectorBackoff+1))
 	if got := collector.loads() + ", " + p.loads(); got != "1:3, 2:4" {
-		t.Errorf("got %q, want what was told before and after", got)
+		t.Errorf("got %q, want the reports from before and after", got)
 	}
 	collector.run++ // another process
 	p.exchangeOnce(context.Background(), now.Add(collectorBackoff+2))
 	if got := p.loads(); got != "2:4 2:4" {
-		t.Errorf("got %q, want all once more", got)
+		t.Errorf("got %q, want all reports once more", got)
 	}
 }
--- a/internal/loads/message.go
+++ b/internal/loads/message.go
@@ -12,30 +12,30 @@
 	"github.com/firlever/firlever/internal/steer"
 )
 
-// maxLoads is how many reports of load a message holds at most: 12 KB. 8 instances of today's
-// sizes hear from fewer targets in a second; at 65 of them 250 come in half a second. maxConstraints
-// is how many reports it holds of what targets ask for: 14 KB.
+// maxLoads is how many load reports a message holds at most: 12 KB. 8 instances of today's sizes
+// receive reports from fewer targets in a second; 65 of them receive 250 in half a second.
+// maxConstraints is how many constraint reports it holds at most: 14 KB.
 const (
 	maxLoads       = 1024
 	maxConstraints = 512
 )
 
-// head begins a message of either direction.
+// head is the head of a message in either direction.
 type head struct {
-	From        uint64 // who sends it: a hash of its name
-	Run         uint64 // of the process that collects; 0 if not known
-	Loads       uint64 // number of the newest report of load that is known, in the collector's order
-	Constraints uint64 // the same of what targets ask for
+	From        uint64 // hash of the sender's name
+	Run         uint64 // identifies the process that collects; 0 if not known
+	Loads       uint64 // sequence number of the newest known load report, assigned by the collector
+	Constraints uint64 // the same for constraint reports
 }
 
-// loadEntry is a report of load in a message, of fixed size: 12 bytes instead of the 60 of a text.
+// loadEntry is the encoding of a load report, of fixed size: 12 bytes, where text takes 60.
 type loadEntry struct {
 	Target uint64
 	Load   uint16
-	Age    uint16 // in milliseconds when the message was made
+	Age    uint16 // age when the message was encoded, in milliseconds
 }
 
-// constraintEntry is a report of what a target asks for, of fixed size: 27 bytes.
+// constraintEntry is the encoding of a constraint report, of fixed size: 27 bytes.
 type constraintEntry struct {
 	Target  uint64
 	Started int64 // in Unix milliseconds; 0 if not known
@@ -44,32 +44,32 @@
 	Age     uint16
 }
 
-// Flags of an constraintEntry.
+// Flags of a constraintEntry.
 const (
 	flagLeaving = 1 << iota
 	flagLimited
 )
 
-// message is what two instances tell each other: a head, the count of constraintEntries, those, and
-// loadEntries up to its end.
+// message is a message between two instances: a head, the number of constraintEntries, the
+// constraintEntries, and loadEntries up to its end.
 type message struct {
 	head
-	told steer.Told
+	reports steer.Told
 }
 
-// MessageError says that a message can't be read.
+// MessageError is returned for a message that can't be decoded.
 type MessageError struct{ Reason string }
 
 func (e *MessageError) Error() string { return "loads: message: " + e.Reason }
 
-// encode writes a message. Reports beyond its bounds are left out.
+// encode encodes a message. Reports beyond the maximum numbers are left out.
 func (m message) encode(now time.Time) ([]byte, error) {
-	constraints := make([]constraintEntry, 0, len(m.told.Constraints))
-	for _, r := range m.told.Constraints[:min(len(m.told.Constraints), maxConstraints)] {
+	constraints := make([]constraintEntry, 0, len(m.reports.Constraints))
+	for _, r := range m.reports.Constraints[:min(len(m.reports.Constraints), maxConstraints)] {
 		constraints = append(constraints, encodeConstraint(now, r))
 	}
-	loads := make([]loadEntry, 0, len(m.told.Loads))
-	for _, r := range m.told.Loads[:min(len(m.told.Loads), maxLoads)] {
+	loads := make([]loadEntry, 0, len(m.reports.Loads))
+	for _, r := range m.reports.Loads[:min(len(m.reports.Loads), maxLoads)] {
 		loads = append(loads, loadEntry{Target: r.Target, Load: clamp(int64(r.Load)), Age: age(now, r.At)})
 	}
 	var b bytes.Buffer
@@ -95,18 +95,19 @@
 	return e
 }
 
-// clamp keeps a count within what an entry holds.
+// clamp limits a count to the range of an entry's field.
 func clamp(n int64) uint16 { return uint16(min(max(n, 0), math.MaxUint16)) }
 
-// age is how old a report is, in milliseconds.
+// age returns the age of a report in whole milliseconds plus one, so that it never appears younger
+// than it is.
 func age(now, at time.Time) uint16 { return clamp(now.Sub(at).Milliseconds() + 1) }
 
-// madeAt is when a report of an age was madeAt.
+// madeAt returns when a report of an age was made.
 func madeAt(now time.Time, age uint16) time.Time {
 	return now.Add(-time.Duration(age) * time.Millisecond)
 }
 
-// decode reads a message that came at now. It returns a *MessageError.
+// decode decodes a message that was received at now. It returns a *MessageError.
 func decode(now time.Time, b []byte) (message, error) {
 	var m message
 	var count uint16
@@ -131,15 +132,15 @@
 		if !ok {
 			return message{}, errors.Trace(&MessageError{Reason: fmt.Sprintf("limit %g", e.Limit)})
 		}
-		m.told.Constraints = append(m.told.Constraints, c)
+		m.reports.Constraints = append(m.reports.Constraints, c)
 	}
 	for _, e := range loads {
-		m.told.Loads = append(m.told.Loads, steer.Report{Target: e.Target, Load: int(e.Load), At: madeAt(now, e.Age)})
+		m.reports.Loads = append(m.reports.Loads, steer.Report{Target: e.Target, Load: int(e.Load), At: madeAt(now, e.Age)})
 	}
 	return m, nil
 }
 
-// decodeConstraint reads what a target asks for; false if that can't be.
+// decodeConstraint decodes a constraint report; false if its limit is invalid.
 func decodeConstraint(now time.Time, e constraintEntry) (steer.Constraint, bool) {
 	r := steer.Constraint{
 		Target: e.Target, Limit: e.Limit, Leaving: e.Flags&flagLeaving != 0, Limited: e.Flags&flagLimited != 0, At: madeAt(now, e.Age),
