--- a/internal/block/bench_test.go
+++ b/internal/block/bench_test.go
@@ -19,9 +19,9 @@
 
 var sizes = []int{1_000, 10_000, 100_000, 260_000}
 
-// documentsOf returns n distinct prefixes, /24s and one in eight a /48 of IPv6,
+// randomDocuments returns n distinct prefixes, /24s and one in eight a /48 of IPv6,
 // spread over the address space.
-func documentsOf(n int) map[string][]settings.Block {
+func randomDocuments(n int) map[string][]settings.Block {
 	r := rand.New(rand.NewPCG(1, 1))
 	seen := map[netip.Prefix]bool{}
 	documents := map[string][]settings.Block{}
@@ -59,7 +59,7 @@
 	return table
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -72,13 +72,13 @@
 func BenchmarkCapacityBuild(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			documents := documentsOf(n)
+			documents := randomDocuments(n)
 			var table *Table
-			before := heap()
+			before := heapInUse()
 			for b.Loop() {
 				table = tableOf(b, documents)
 			}
-			b.ReportMetric(float64(heap()-before)/float64(n), "bytes/prefix")
+			b.ReportMetric(float64(heapInUse()-before)/float64(n), "bytes/prefix")
 			runtime.KeepAlive(table)
 			runtime.KeepAlive(documents)
 		})
@@ -88,7 +88,7 @@
 func BenchmarkCapacityLookup(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := tableOf(b, documentsOf(n))
+			table := tableOf(b, randomDocuments(n))
 			r := rand.New(rand.NewPCG(2, 2))
 			addrs := make([]netip.Addr, 1<<12)
 			for i := range addrs {
@@ -107,7 +107,7 @@
 func BenchmarkCapacityUpdate(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			documents := documentsOf(n)
+			documents := randomDocuments(n)
 			table := tableOf(b, documents)
 			blocks := documents["/blocks/0"]
 			i := 0
--- a/internal/block/claim.go
+++ b/internal/block/claim.go
@@ -18,7 +18,7 @@
 	high, low uint64 // the address; IPv4 as mapped into IPv6
 	place     uint16
 	bits      uint8 // of the prefix in its own family
-	four      bool
+	is4       bool
 }
 
 func newClaim(p netip.Prefix, place uint16) claim {
@@ -28,7 +28,7 @@
 		low:   binary.BigEndian.Uint64(b[8:]),
 		place: place,
 		bits:  uint8(p.Bits()),
-		four:  p.Addr().Is4(),
+		is4:   p.Addr().Is4(),
 	}
 }
 
@@ -37,7 +37,7 @@
 	binary.BigEndian.PutUint64(b[:8], c.high)
 	binary.BigEndian.PutUint64(b[8:], c.low)
 	addr := netip.AddrFrom16(b)
-	if c.four {
+	if c.is4 {
 		addr = addr.Unmap()
 	}
 	return netip.PrefixFrom(addr, int(c.bits))
@@ -49,7 +49,7 @@
 		cmp.Compare(c.high, o.high),
 		cmp.Compare(c.low, o.low),
 		cmp.Compare(c.bits, o.bits),
-		compareBool(c.four, o.four),
+		compareBool(c.is4, o.is4),
 	)
 }
 
@@ -78,14 +78,14 @@
 			faults = append(faults, Fault{Block: i, Prefix: b.Prefix, Reason: reason})
 			continue
 		}
-		place, err := t.number(b.Place)
+		place, err := t.placePosition(b.Place)
 		if err != nil {
 			return nil, err
 		}
 		claims = append(claims, newClaim(p, place))
 	}
 	slices.SortFunc(claims, claim.compare)
-	faults = append(faults, twice(claims)...)
+	faults = append(faults, duplicates(claims)...)
 	if len(faults) > 0 {
 		return nil, &DocumentError{Document: path, Faults: faults}
 	}
@@ -108,12 +108,12 @@
 	return p, ""
 }
 
-// twice returns a fault for each prefix that sorted claims hold again.
-func twice(claims []claim) []Fault {
+// duplicates returns a fault for each prefix that sorted claims hold again.
+func duplicates(claims []claim) []Fault {
 	var faults []Fault
 	for i := 1; i < len(claims); i++ {
 		if claims[i].compare(claims[i-1]) == 0 {
-			faults = append(faults, Fault{Block: -1, Prefix: claims[i].prefix().String(), Reason: ReasonTwice})
+			faults = append(faults, Fault{Block: -1, Prefix: claims[i].prefix().String(), Reason: ReasonDuplicate})
 		}
 	}
 	return faults
--- a/internal/block/edit.go
+++ b/internal/block/edit.go
@@ -8,10 +8,10 @@
 
 // edit applies the difference of one document to a table that nobody reads yet.
 type edit struct {
-	next     *Table
-	document uint16
-	bulk     bool // next.prefixes is a copy of our own
-	owned    bool // next.contested is a copy of our own
+	next            *Table
+	document        uint16
+	bulk            bool // next.prefixes is a copy of our own
+	contestedCopied bool // next.contested is a copy of our own
 }
 
 func (e *edit) apply(gone, set []claim) {
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	e.insert(p, home{place: c.place, document: e.document})
+	e.insert(p, entry{place: c.place, document: e.document})
 }
 
 // contest adds the document to those that claim the prefix and returns them all.
@@ -52,7 +52,7 @@
 	}
 	documents = append(slices.Clip(documents), e.document)
 	slices.SortFunc(documents, e.next.byPath)
-	e.claimants(p, documents)
+	e.setClaimants(p, documents)
 	return documents
 }
 
@@ -66,9 +66,9 @@
 		return
 	}
 	rest := slices.DeleteFunc(slices.Clone(documents), func(n uint16) bool { return n == e.document })
-	e.claimants(p, rest)
+	e.setClaimants(p, rest)
 	if documents[0] == e.document {
-		e.insert(p, home{place: e.placeOf(rest[0], c), document: rest[0]})
+		e.insert(p, entry{place: e.placeOf(rest[0], c), document: rest[0]})
 	}
 }
 
@@ -79,10 +79,10 @@
 	return claims[i].place
 }
 
-// claimants notes which documents claim the prefix; a single one is no conflict.
-func (e *edit) claimants(p netip.Prefix, documents []uint16) {
-	if !e.owned {
-		e.owned = true
+// setClaimants notes which documents claim the prefix; a single one is no conflict.
+func (e *edit) setClaimants(p netip.Prefix, documents []uint16) {
+	if !e.contestedCopied {
+		e.contestedCopied = true
 		e.next.contested = maps.Clone(e.next.contested)
 	}
 	if len(documents) > 1 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *edit) insert(p netip.Prefix, h home) {
+func (e *edit) insert(p netip.Prefix, h entry) {
 	if e.bulk {
 		e.next.prefixes.Insert(p, h)
 	} else {
--- a/internal/block/errors.go
+++ b/internal/block/errors.go
@@ -10,10 +10,10 @@
 
 // Reasons of a fault.
 const (
-	ReasonPrefix Reason = "not a prefix in CIDR form"
-	ReasonHost   Reason = "bits set below the length of the prefix"
-	ReasonPlace  Reason = "names no place"
-	ReasonTwice  Reason = "prefix stands twice in the document"
+	ReasonPrefix    Reason = "not a prefix in CIDR form"
+	ReasonHost      Reason = "bits set below the length of the prefix"
+	ReasonPlace     Reason = "names no place"
+	ReasonDuplicate Reason = "prefix stands twice in the document"
 )
 
 // Fault is one fault of a document.
@@ -45,5 +45,5 @@
 
 // Error names what there is too much of.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("block table holds no more than %d %s", most, e.What)
+	return fmt.Sprintf("block table holds no more than %d %s", maxPositions, e.What)
 }
--- a/internal/block/table.go
+++ b/internal/block/table.go
@@ -16,17 +16,17 @@
 	"github.com/gaissmai/bart"
 )
 
-// most is how many documents, and how many names of places, a table can number.
-const most = 1 << 16
+// maxPositions is how many documents, and how many names of places, a table can number.
+const maxPositions = 1 << 16
 
 // bulkShare is the share of the table, one part in bulkShare, from which on a
 // changed document is applied to one copy of the table rather than to one copy
 // of a path for each prefix.
 const bulkShare = 16
 
-// home is what the table holds for a prefix: the place, and the document whose
+// entry is what the table holds for a prefix: the place, and the document whose
 // claim is in force. Both are positions in the table's lists.
-type home struct {
+type entry struct {
 	place    uint16
 	document uint16
 }
@@ -40,21 +40,21 @@
 // Table maps prefixes to places. The zero value is not usable; see New. It is
 // immutable, and so safe for concurrent use.
 type Table struct {
-	prefixes  *bart.Table[home]
-	documents []document                // position is home.document; one is reused only when no prefix names it
-	positions map[string]uint16         // path of a document to its position
-	places    []string                  // position is home.place; only grows
-	numbers   map[string]uint16         // name of a place to its position
-	contested map[netip.Prefix][]uint16 // prefixes that two or more documents claim; sorted by path, the first is in force
+	prefixes          *bart.Table[entry]
+	documents         []document                // position is home.document; one is reused only when no prefix names it
+	documentPositions map[string]uint16         // path of a document to its position
+	places            []string                  // position is home.place; only grows
+	placePositions    map[string]uint16         // name of a place to its position
+	contested         map[netip.Prefix][]uint16 // prefixes that two or more documents claim; sorted by path, the first is in force
 }
 
 // New returns an empty table.
 func New() *Table {
 	return &Table{
-		prefixes:  new(bart.Table[home]),
-		positions: map[string]uint16{},
-		numbers:   map[string]uint16{},
-		contested: map[netip.Prefix][]uint16{},
+		prefixes:          new(bart.Table[entry]),
+		documentPositions: map[string]uint16{},
+		placePositions:    map[string]uint16{},
+		contested:         map[netip.Prefix][]uint16{},
 	}
 }
 
@@ -108,12 +108,12 @@
 	if err != nil {
 		return t, err
 	}
-	n, known := t.positions[path]
+	n, known := t.documentPositions[path]
 	if !known && len(claims) == 0 {
 		return t, nil
 	}
 	if !known {
-		if n, err = next.add(path); err != nil {
+		if n, err = next.addDocument(path); err != nil {
 			return t, err
 		}
 	}
@@ -126,18 +126,18 @@
 	e := edit{next: &next, document: n}
 	e.apply(gone, set)
 	if len(claims) == 0 {
-		next.remove(n)
+		next.removeDocument(n)
 	}
 	return &next, nil
 }
 
-// add gives a new document a position. It leaves the lists of t alone.
-func (t *Table) add(path string) (uint16, error) {
+// addDocument gives a new document a position. It leaves the lists of t alone.
+func (t *Table) addDocument(path string) (uint16, error) {
 	n := slices.IndexFunc(t.documents, func(d document) bool { return d.path == "" })
 	if n < 0 {
 		n = len(t.documents)
 	}
-	if n >= most {
+	if n >= maxPositions {
 		return 0, &FullError{What: "documents"}
 	}
 	t.documents = slices.Clone(t.documents)
@@ -145,30 +145,30 @@
 		t.documents = append(t.documents, document{})
 	}
 	t.documents[n].path = path
-	t.positions = maps.Clone(t.positions)
-	t.positions[path] = uint16(n)
+	t.documentPositions = maps.Clone(t.documentPositions)
+	t.documentPositions[path] = uint16(n)
 	return uint16(n), nil
 }
 
-// remove frees the position of a document that claims nothing any more.
-func (t *Table) remove(n uint16) {
-	t.positions = maps.Clone(t.positions)
-	delete(t.positions, t.documents[n].path)
+// removeDocument frees the position of a document that claims nothing any more.
+func (t *Table) removeDocument(n uint16) {
+	t.documentPositions = maps.Clone(t.documentPositions)
+	delete(t.documentPositions, t.documents[n].path)
 	t.documents[n] = document{}
 }
 
-// number returns the position of a place's name and adds it when it is new.
-func (t *Table) number(place string) (uint16, error) {
-	if n, ok := t.numbers[place]; ok {
+// placePosition returns the position of a place's name and adds it when it is new.
+func (t *Table) placePosition(place string) (uint16, error) {
+	if n, ok := t.placePositions[place]; ok {
 		return n, nil
 	}
-	if len(t.places) >= most {
+	if len(t.places) >= maxPositions {
 		return 0, &FullError{What: "places"}
 	}
 	n := uint16(len(t.places))
 	t.places = append(slices.Clip(t.places), place)
-	t.numbers = maps.Clone(t.numbers)
-	t.numbers[place] = n
+	t.placePositions = maps.Clone(t.placePositions)
+	t.placePositions[place] = n
 	return n, nil
 }
 
--- a/internal/block/table_test.go
+++ b/internal/block/table_test.go
@@ -56,7 +56,7 @@
 		"no prefix": {[]settings.Block{{Prefix: "10.0.0.1", Place: "a"}}, ReasonPrefix},
 		"host bits": {[]settings.Block{{Prefix: "10.0.0.1/8", Place: "a"}}, ReasonHost},
 		"no place":  {[]settings.Block{{Prefix: "10.0.0.0/8"}}, ReasonPlace},
-		"twice":     {[]settings.Block{{Prefix: "10.0.0.0/8", Place: "a"}, {Prefix: "::ffff:10.0.0.0/104", Place: "b"}}, ReasonTwice},
+		"twice":     {[]settings.Block{{Prefix: "10.0.0.0/8", Place: "a"}, {Prefix: "::ffff:10.0.0.0/104", Place: "b"}}, ReasonDuplicate},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -147,11 +147,11 @@
 	}
 }
 
-func TestTableAgreesWithModel(t *testing.T) { rapid.Check(t, agrees) }
+func TestTableAgreesWithModel(t *testing.T) { rapid.Check(t, checkAgainstModel) }
 
-func FuzzTable(f *testing.F) { f.Fuzz(rapid.MakeFuzz(agrees)) }
+func FuzzTable(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkAgainstModel)) }
 
-func agrees(r *rapid.T) {
+func checkAgainstModel(r *rapid.T) {
 	table, m := New(), model{}
 	for range rapid.IntRange(1, 12).Draw(r, "updates") {
 		path := rapid.SampledFrom([]string{"/blocks/a", "/blocks/b", "/blocks/c"}).Draw(r, "path")
--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -20,23 +20,23 @@
 	// the kernel is asked whether the machine was suspended: more than adjustments of the
 	// time of day make of it in recheck.
 	tolerance = 5 * time.Millisecond
-	// recheck is after how long the kernel is asked anyway, as the time of day may have
+	// recheckInterval is after how long the kernel is asked anyway, as the time of day may have
 	// been set meanwhile.
-	recheck = time.Second
-	// look is how often a suspension is looked for.
-	look = 200 * time.Millisecond
+	recheckInterval = time.Second
+	// pollInterval is how often a suspension is looked for.
+	pollInterval = 200 * time.Millisecond
 )
 
 // clock knows for how long the machine was suspended since the process started.
 type clock struct {
-	base   time.Time     // by the steady clock and the time of day
-	offset time.Duration // of the kernel's two clocks at base
-	kernel func() (time.Duration, error)
+	base       time.Time     // by the steady clock and the time of day
+	baseOffset time.Duration // of the kernel's two clocks at base
+	readOffset func() (time.Duration, error)
 
-	emulated  atomic.Int64 // nanoseconds that the kernel does not know of
-	suspended atomic.Int64 // nanoseconds; grows only
-	drift     atomic.Int64 // of the time of day from the steady clock when the kernel was asked last, in nanoseconds
-	asked     atomic.Int64 // when that was, in nanoseconds of the steady clock since base
+	emulated     atomic.Int64 // nanoseconds that the kernel does not know of
+	suspended    atomic.Int64 // nanoseconds; grows only
+	checkedDrift atomic.Int64 // of the time of day from the steady clock when the kernel was asked last, in nanoseconds
+	checkedAt    atomic.Int64 // when that was, in nanoseconds of the steady clock since base
 
 	mu      sync.Mutex
 	resumed chan struct{} // closed when the next suspension is found; guarded by mu
@@ -45,8 +45,8 @@
 var system = newClock(kernelOffset)
 
 func newClock(kernel func() (time.Duration, error)) *clock {
-	c := &clock{base: time.Now(), kernel: kernel, resumed: make(chan struct{})}
-	c.offset, _ = kernel() // without it the clock is the steady one
+	c := &clock{base: time.Now(), readOffset: kernel, resumed: make(chan struct{})}
+	c.baseOffset, _ = kernel() // without it the clock is the steady one
 	return c
 }
 
@@ -67,24 +67,24 @@
 	t := time.Now()
 	steady := t.Sub(c.base)
 	drift := t.Round(0).Sub(c.base.Round(0)) - steady
-	away := drift - time.Duration(c.drift.Load())
-	if away > tolerance || away < -tolerance || steady-time.Duration(c.asked.Load()) > recheck {
-		c.ask(steady, drift)
+	away := drift - time.Duration(c.checkedDrift.Load())
+	if away > tolerance || away < -tolerance || steady-time.Duration(c.checkedAt.Load()) > recheckInterval {
+		c.update(steady, drift)
 	}
 	return t.Add(time.Duration(c.suspended.Load()))
 }
 
-// ask asks the kernel for how long the machine was suspended.
-func (c *clock) ask(steady, drift time.Duration) {
-	c.asked.Store(int64(steady))
-	c.drift.Store(int64(drift))
-	offset, err := c.kernel()
+// update asks the kernel for how long the machine was suspended.
+func (c *clock) update(steady, drift time.Duration) {
+	c.checkedAt.Store(int64(steady))
+	c.checkedDrift.Store(int64(drift))
+	offset, err := c.readOffset()
 	if err != nil {
 		return // as far as is known, it was not
 	}
 	for {
 		old := c.suspended.Load()
-		grown := int64(offset-c.offset) + c.emulated.Load()
+		grown := int64(offset-c.baseOffset) + c.emulated.Load()
 		if grown-old < int64(tolerance) {
 			return
 		}
@@ -98,15 +98,15 @@
 	c.resumed = make(chan struct{})
 }
 
-// wake returns a channel that is closed when the machine has been suspended.
-func (c *clock) wake() <-chan struct{} {
+// nextResume returns a channel that is closed when the machine has been suspended.
+func (c *clock) nextResume() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.resumed
 }
 
 func (c *clock) watch(ctx context.Context) {
-	ticker := time.NewTicker(look)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -143,7 +143,7 @@
 // for tests and stand-ins, which can't suspend their machine.
 func Suspend(d time.Duration) {
 	system.emulated.Add(int64(d))
-	system.asked.Store(-int64(2 * recheck)) // the kernel is asked the next time
+	system.checkedAt.Store(-int64(2 * recheckInterval)) // the kernel is asked the next time
 }
 
 // Watch looks for suspensions until ctx ends, as nobody may ask for the time meanwhile.
@@ -151,7 +151,7 @@
 
 // Resumed returns a channel that is closed when the machine has been suspended and somebody
 // has asked for the time since.
-func Resumed() <-chan struct{} { return system.wake() }
+func Resumed() <-chan struct{} { return system.nextResume() }
 
 // Sleep waits until t, or until ctx ends.
 func Sleep(ctx context.Context, t time.Time) {
--- a/internal/boottime/clock_test.go
+++ b/internal/boottime/clock_test.go
@@ -36,7 +36,7 @@
 		"suspended":       {func(m *machine, _ *clock) { m.suspend(3 * time.Second) }, 3 * time.Second},
 		"suspended twice": {func(m *machine, c *clock) {
 			m.suspend(time.Second)
-			time.Sleep(2 * recheck)
+			time.Sleep(2 * recheckInterval)
 			c.now()
 			m.suspend(time.Second)
 		}, 2 * time.Second},
@@ -52,7 +52,7 @@
 				c := newClock(m.kernel)
 				before, steady := c.now(), time.Now()
 				tt.play(m, c)
-				time.Sleep(2 * recheck)
+				time.Sleep(2 * recheckInterval)
 				if got := c.now().Sub(before) - time.Since(steady); got != tt.want {
 					t.Errorf("got %s beyond the steady clock, want %s", got, tt.want)
 				}
@@ -66,9 +66,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := &machine{}
 		c := newClock(m.kernel)
-		resumed := c.wake()
+		resumed := c.nextResume()
 		begin := time.Now()
-		ctx, cancel := context.WithTimeout(context.Background(), 10*recheck)
+		ctx, cancel := context.WithTimeout(context.Background(), 10*recheckInterval)
 		defer cancel()
 		go c.watch(ctx)
 		m.suspend(time.Minute)
@@ -77,7 +77,7 @@
 		case <-ctx.Done():
 			t.Fatal("got no word of a suspension")
 		}
-		if got := time.Since(begin); got > 2*recheck {
+		if got := time.Since(begin); got > 2*recheckInterval {
 			t.Errorf("got word of a suspension after %s", got)
 		}
 	})
--- a/internal/deadline/heap_test.go
+++ b/internal/deadline/heap_test.go
@@ -9,11 +9,11 @@
 
 type item struct {
 	at    time.Time
-	place int
+	index int
 }
 
 func (i *item) Deadline() time.Time { return i.at }
-func (i *item) Place() *int         { return &i.place }
+func (i *item) Place() *int         { return &i.index }
 
 func TestHeapAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,8 +38,8 @@
 				x := h.items[rapid.IntRange(0, h.Len()-1).Draw(t, "which")]
 				h.Remove(x)
 				delete(held, x)
-				if x.place != Absent {
-					t.Fatalf("got place %d after removal", x.place)
+				if x.index != Absent {
+					t.Fatalf("got place %d after removal", x.index)
 				}
 			default:
 				if got := h.Pop(); got != first || !got.at.Equal(earliest()) {
