--- a/internal/block/bench_test.go
+++ b/internal/block/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// perDocument is how many blocks a document of the benchmarks has; places are
-// as many as letter 1 expects.
+// perDocument is how many blocks a document of the benchmarks has; places is the number of places
+// in the requirements (letter 1).
 const (
 	perDocument = 1000
 	places      = 230
@@ -19,8 +19,8 @@
 
 var sizes = []int{1_000, 10_000, 100_000, 260_000}
 
-// randomDocuments returns n distinct prefixes, /24s and one in eight a /48 of IPv6,
-// spread over the address space.
+// randomDocuments returns n distinct prefixes spread over the address space: /24s of IPv4, and one
+// in eight a /48 of IPv6.
 func randomDocuments(n int) map[string][]settings.Block {
 	r := rand.New(rand.NewPCG(1, 1))
 	seen := map[netip.Prefix]bool{}
@@ -67,8 +67,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkCapacityBuild builds the table from all documents and reports the
-// memory that it holds for a prefix.
+// BenchmarkCapacityBuild builds the table from all documents and reports the memory that it takes
+// per prefix.
 func BenchmarkCapacityBuild(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/block/claim.go
+++ b/internal/block/claim.go
@@ -9,13 +9,13 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// mappedBits is the length of the prefix that holds IPv4 mapped into IPv6.
+// mappedBits is the length of the prefix of IPv4-mapped IPv6 addresses.
 const mappedBits = 96
 
-// claim is one block of a document, kept small because a table keeps each of
-// them: 24 bytes, where a netip.Prefix with a place takes 40.
+// claim is one block of a document. A table holds all of them, so it is compact: 24 bytes, where a
+// netip.Prefix with a place takes 40.
 type claim struct {
-	high, low uint64 // the address; IPv4 as mapped into IPv6
+	high, low uint64 // the address; IPv4 as IPv4-mapped IPv6
 	place     uint16
 	bits      uint8 // of the prefix in its own family
 	is4       bool
@@ -43,7 +43,7 @@
 	return netip.PrefixFrom(addr, int(c.bits))
 }
 
-// compare orders claims by their prefixes alone.
+// compare orders claims by their prefixes only.
 func (c claim) compare(o claim) int {
 	return cmp.Or(
 		cmp.Compare(c.high, o.high),
@@ -64,8 +64,8 @@
 	}
 }
 
-// parse reads the blocks of a document and numbers their places. It reports
-// every fault at once.
+// parse parses the blocks of a document and maps their places to positions. Its error lists every
+// fault.
 func (t *Table) parse(path string, blocks []settings.Block) ([]claim, error) {
 	claims := make([]claim, 0, len(blocks))
 	var faults []Fault
@@ -92,8 +92,8 @@
 	return claims, nil
 }
 
-// parsePrefix reads a prefix and returns the reason when it is refused. An
-// IPv4 prefix mapped into IPv6 is read as the IPv4 prefix.
+// parsePrefix parses a prefix, and returns the reason if it is invalid. An IPv4-mapped IPv6 prefix
+// is converted to IPv4.
 func parsePrefix(s string) (netip.Prefix, Reason) {
 	p, err := netip.ParsePrefix(s)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return p, ""
 }
 
-// duplicates returns a fault for each prefix that sorted claims hold again.
+// duplicates returns a fault for each repeated prefix in sorted claims.
 func duplicates(claims []claim) []Fault {
 	var faults []Fault
 	for i := 1; i < len(claims); i++ {
@@ -119,13 +119,13 @@
 	return faults
 }
 
-// difference returns the claims that are gone and those that are new or have
-// another place. Both lists are sorted.
-func difference(old, claims []claim) (gone, set []claim) {
+// difference returns the claims that were removed, and those that are new or have another place.
+// Both lists are sorted.
+func difference(old, claims []claim) (removed, set []claim) {
 	for len(old) > 0 && len(claims) > 0 {
 		switch order := old[0].compare(claims[0]); {
 		case order < 0:
-			gone = append(gone, old[0])
+			removed = append(removed, old[0])
 			old = old[1:]
 		case order > 0:
 			set = append(set, claims[0])
@@ -137,5 +137,5 @@
 			old, claims = old[1:], claims[1:]
 		}
 	}
-	return append(gone, old...), append(set, claims...)
+	return append(removed, old...), append(set, claims...)
 }
--- a/internal/block/edit.go
+++ b/internal/block/edit.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// edit applies the difference of one document to a table that nobody reads yet.
+// edit applies the difference of one document to a table that isn't published yet.
 type edit struct {
 	next            *Table
 	document        uint16
-	bulk            bool // next.prefixes is a copy of our own
-	contestedCopied bool // next.contested is a copy of our own
+	bulk            bool // next.prefixes is a private copy
+	contestedCopied bool // next.contested is a private copy
 }
 
-func (e *edit) apply(gone, set []claim) {
-	if (len(gone)+len(set))*bulkShare > e.next.prefixes.Size() {
+func (e *edit) apply(removed, set []claim) {
+	if (len(removed)+len(set))*bulkShare > e.next.prefixes.Size() {
 		e.bulk = true
 		e.next.prefixes = e.next.prefixes.Clone()
 	}
-	for _, c := range gone {
+	for _, c := range removed {
 		e.drop(c)
 	}
 	for _, c := range set {
@@ -27,8 +27,8 @@
 	}
 }
 
-// set puts the document's claim into force unless a document that sorts before
-// it claims the prefix too.
+// set puts the document's claim into force unless a document that sorts before it claims the prefix
+// too.
 func (e *edit) set(c claim) {
 	p := c.prefix()
 	now, ok := e.next.prefixes.Get(p)
@@ -41,7 +41,7 @@
 	e.insert(p, entry{place: c.place, document: e.document})
 }
 
-// contest adds the document to those that claim the prefix and returns them all.
+// contest adds the document to those that claim the prefix, and returns all of them.
 func (e *edit) contest(p netip.Prefix, holder uint16) []uint16 {
 	documents, ok := e.next.contested[p]
 	if !ok {
@@ -56,8 +56,8 @@
 	return documents
 }
 
-// drop takes the document's claim away; the next document that claims the
-// prefix, if there is one, comes into force.
+// drop removes the document's claim. The claim of the next document for the prefix, if any, comes
+// into force.
 func (e *edit) drop(c claim) {
 	p := c.prefix()
 	documents, ok := e.next.contested[p]
@@ -72,14 +72,14 @@
 	}
 }
 
-// placeOf returns the place that a document claims for the prefix of c.
+// placeOf returns the position of the place that a document claims for the prefix of c.
 func (e *edit) placeOf(n uint16, c claim) uint16 {
 	claims := e.next.documents[n].claims
 	i, _ := slices.BinarySearchFunc(claims, c, claim.compare)
 	return claims[i].place
 }
 
-// setClaimants notes which documents claim the prefix; a single one is no conflict.
+// setClaimants records which documents claim the prefix; a single one is no conflict.
 func (e *edit) setClaimants(p netip.Prefix, documents []uint16) {
 	if !e.contestedCopied {
 		e.contestedCopied = true
--- a/internal/block/errors.go
+++ b/internal/block/errors.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Reason says what is wrong with a block.
+// Reason is the kind of a fault.
 type Reason string
 
 // Reasons of a fault.
@@ -18,12 +18,12 @@
 
 // Fault is one fault of a document.
 type Fault struct {
-	Block  int // position in the document, from 0; -1 where it is a matter of two
+	Block  int // position in the document, from 0; -1 if the fault concerns two blocks
 	Prefix string
 	Reason Reason
 }
 
-// DocumentError refuses a document with all of its faults.
+// DocumentError is returned for an invalid document and lists all of its faults.
 type DocumentError struct {
 	Document string
 	Faults   []Fault
@@ -38,7 +38,7 @@
 	return fmt.Sprintf("%s: %s", e.Document, strings.Join(parts, "; "))
 }
 
-// FullError says that a table can number no more documents or places.
+// FullError is returned if a table has no positions left for documents or places.
 type FullError struct {
 	What string // documents or places
 }
--- a/internal/block/table.go
+++ b/internal/block/table.go
@@ -1,9 +1,8 @@
-// Package block holds the table of callers' addresses: which place is home to
-// the callers of a prefix, found by longest-prefix match.
+// Package block maps the addresses of callers to places: the home place of the callers of a prefix,
+// found by longest-prefix match.
 //
-// A table never changes: Update returns another that shares all but the changed
-// paths with the first, so readers need no lock and keep what they hold. The
-// package does no input or output.
+// A table is immutable: Update returns another one that shares all but the changed paths with it,
+// so readers need no lock and can keep their table. The package does no input or output.
 package block
 
 import (
@@ -16,36 +15,35 @@
 	"github.com/gaissmai/bart"
 )
 
-// maxPositions is how many documents, and how many names of places, a table can number.
+// maxPositions is how many documents, and how many names of places, a table can hold.
 const maxPositions = 1 << 16
 
-// bulkShare is the share of the table, one part in bulkShare, from which on a
-// changed document is applied to one copy of the table rather than to one copy
-// of a path for each prefix.
+// bulkShare bounds the updates that copy a path of the table for each changed prefix. One that
+// changes more than one part in bulkShare of the table copies the whole table once instead.
 const bulkShare = 16
 
-// entry is what the table holds for a prefix: the place, and the document whose
-// claim is in force. Both are positions in the table's lists.
+// entry is the value of a prefix: its place, and the document whose claim is in force. Both are
+// positions in the table's lists.
 type entry struct {
 	place    uint16
 	document uint16
 }
 
-// document is what one document claims.
+// document is a document with its claims.
 type document struct {
-	path   string  // empty while the position is free
-	claims []claim // sorted, each prefix once
+	path   string  // empty if the position is free
+	claims []claim // sorted; each prefix occurs once
 }
 
-// Table maps prefixes to places. The zero value is not usable; see New. It is
-// immutable, and so safe for concurrent use.
+// Table maps prefixes to places. The zero value is not usable; see New. It is immutable, and so
+// safe for concurrent use.
 type Table struct {
 	prefixes          *bart.Table[entry]
-	documents         []document                // position is home.document; one is reused only when no prefix names it
-	documentPositions map[string]uint16         // path of a document to its position
-	places            []string                  // position is home.place; only grows
-	placePositions    map[string]uint16         // name of a place to its position
-	contested         map[netip.Prefix][]uint16 // prefixes that two or more documents claim; sorted by path, the first is in force
+	documents         []document                // by entry.document; a position is reused only when no prefix refers to it
+	documentPositions map[string]uint16         // position of a document by its path
+	places            []string                  // by entry.place; only grows
+	placePositions    map[string]uint16         // position of a place by its name
+	contested         map[netip.Prefix][]uint16 // documents of prefixes that two or more claim; sorted by path, the first is in force
 }
 
 // New returns an empty table.
@@ -58,12 +56,11 @@
 	}
 }
 
-// Len returns how many prefixes the table holds.
+// Len returns the number of prefixes in the table.
 func (t *Table) Len() int { return t.prefixes.Size() }
 
-// Lookup returns the place that is home to the address, by the longest prefix
-// that holds it. An IPv4 address mapped into IPv6 counts as the IPv4 address,
-// and a zone is left out of account.
+// Lookup returns the home place of the address, by the longest prefix that contains it. An
+// IPv4-mapped IPv6 address is treated as the IPv4 address, and a zone is ignored.
 func (t *Table) Lookup(addr netip.Addr) (place string, ok bool) {
 	h, ok := t.prefixes.Lookup(addr.Unmap())
 	if !ok {
@@ -79,9 +76,8 @@
 	Documents []string // sorted; the first one's claim is in force
 }
 
-// Conflicts returns the prefixes that more than one document claims, sorted.
-// The claim of the document whose path sorts first is in force, whatever the
-// order in which the documents came.
+// Conflicts returns the prefixes that more than one document claims, sorted. The claim of the
+// document whose path sorts first is in force, in whichever order the documents were added.
 func (t *Table) Conflicts() []Conflict {
 	list := make([]Conflict, 0, len(t.contested))
 	for prefix, documents := range t.contested {
@@ -96,12 +92,12 @@
 	return list
 }
 
-// Update returns the table in which the document claims just these blocks; none
-// removes the document. Only the prefixes that differ from what the document
-// claimed before are touched, and t itself stays as it is.
+// Update returns a table in which the document claims exactly these blocks; if there are none, the
+// document is removed. Only prefixes that differ from the document's previous claims are touched,
+// and t itself is not modified.
 //
-// Errors are a *DocumentError that names each fault of the blocks, and a
-// *FullError; t is then returned.
+// On an error, which is a *DocumentError that lists all faults of the blocks or a *FullError, it
+// returns t.
 func (t *Table) Update(path string, blocks []settings.Block) (*Table, error) {
 	next := *t
 	claims, err := next.parse(path, blocks)
@@ -117,21 +113,22 @@
 			return t, err
 		}
 	}
-	gone, set := difference(next.documents[n].claims, claims)
-	if len(gone)+len(set) == 0 {
+	removed, set := difference(next.documents[n].claims, claims)
+	if len(removed)+len(set) == 0 {
 		return t, nil
 	}
 	next.documents = slices.Clone(next.documents)
 	next.documents[n].claims = claims
 	e := edit{next: &next, document: n}
-	e.apply(gone, set)
+	e.apply(removed, set)
 	if len(claims) == 0 {
 		next.removeDocument(n)
 	}
 	return &next, nil
 }
 
-// addDocument gives a new document a position. It leaves the lists of t alone.
+// addDocument assigns a position to a new document. The lists that t shares with other tables are
+// copied first.
 func (t *Table) addDocument(path string) (uint16, error) {
 	n := slices.IndexFunc(t.documents, func(d document) bool { return d.path == "" })
 	if n < 0 {
@@ -150,14 +147,14 @@
 	return uint16(n), nil
 }
 
-// removeDocument frees the position of a document that claims nothing any more.
+// removeDocument frees the position of a document without claims.
 func (t *Table) removeDocument(n uint16) {
 	t.documentPositions = maps.Clone(t.documentPositions)
 	delete(t.documentPositions, t.documents[n].path)
 	t.documents[n] = document{}
 }
 
-// placePosition returns the position of a place's name and adds it when it is new.
+// placePosition returns the position of a place's name, and adds it if it is new.
 func (t *Table) placePosition(place string) (uint16, error) {
 	if n, ok := t.placePositions[place]; ok {
 		return n, nil
--- a/internal/block/table_test.go
+++ b/internal/block/table_test.go
@@ -76,10 +76,10 @@
 	}
 }
 
-// model is the plainest table: all claims of all documents.
+// model is a simple reference table: all claims of all documents.
 type model map[string]map[netip.Prefix]string
 
-// claim returns the place in force for just this prefix.
+// claim returns the place in force for exactly this prefix, and the documents that claim it.
 func (m model) claim(p netip.Prefix) (place string, documents []string) {
 	for _, path := range slices.Sorted(maps.Keys(m)) {
 		if claimed, ok := m[path][p]; ok {
@@ -102,7 +102,7 @@
 	return "", false
 }
 
-// drawPrefix draws from few enough prefixes that documents often claim the same.
+// drawPrefix draws from so few prefixes that documents often claim the same one.
 func drawPrefix(r *rapid.T) netip.Prefix {
 	if rapid.Bool().Draw(r, "four") {
 		addr := netip.AddrFrom4([4]byte{10, rapid.Byte().Draw(r, "a") & 3, 0, 0})
@@ -165,14 +165,14 @@
 			claims[p] = fmt.Sprint("place", rapid.IntRange(0, 3).Draw(r, "place"))
 			blocks = append(blocks, settings.Block{Prefix: p.String(), Place: claims[p]})
 		}
-		before, was := table, maps.Clone(m)
+		before, modelBefore := table, maps.Clone(m)
 		next, err := table.Update(path, blocks)
 		if err != nil {
 			r.Fatal(err)
 		}
 		table, m[path] = next, claims
 		checkTable(r, table, m)
-		checkTable(r, before, was)
+		checkTable(r, before, modelBefore)
 	}
 }
 
--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -1,9 +1,9 @@
-// Package boottime is a clock that goes on while the machine is suspended. The steady clock
-// of the standard library stands still meanwhile, so that whatever is measured by it, such as
-// the age of what is known or what is left of a lease, looks younger than it is.
+// Package boottime is a clock that continues while the machine is suspended. The monotonic clock of
+// the standard library stops meanwhile, so that whatever is measured by it, such as the age of
+// cached state or the rest of a lease, appears younger than it is.
 //
-// Its times are compared with each other alone. A timer, a context or a connection takes
-// what Runtime makes of them.
+// Its times can only be compared with each other. For timers, contexts and connections, they have
+// to be converted to the clock of the runtime.
 package boottime
 
 import (
@@ -16,42 +16,42 @@
 )
 
 const (
-	// tolerance is by how much the time of day may run away from the steady clock until
-	// the kernel is asked whether the machine was suspended: more than adjustments of the
-	// time of day make of it in recheck.
+	// tolerance is by how much the time of day may drift from the monotonic clock before the kernel
+	// is asked whether the machine was suspended: more than clock adjustments cause in
+	// recheckInterval.
 	tolerance = 5 * time.Millisecond
-	// recheckInterval is after how long the kernel is asked anyway, as the time of day may have
-	// been set meanwhile.
+	// recheckInterval is the time after which the kernel is asked in any case, because the time of
+	// day may have been set during a suspension and hide it.
 	recheckInterval = time.Second
-	// pollInterval is how often a suspension is looked for.
+	// pollInterval is how often Watch checks for a suspension.
 	pollInterval = 200 * time.Millisecond
 )
 
-// clock knows for how long the machine was suspended since the process started.
+// clock tracks for how long the machine was suspended since the process started.
 type clock struct {
-	base       time.Time     // by the steady clock and the time of day
-	baseOffset time.Duration // of the kernel's two clocks at base
+	base       time.Time     // start of the clock, with monotonic reading and time of day
+	baseOffset time.Duration // difference of the kernel's two clocks at base
 	readOffset func() (time.Duration, error)
 
-	emulated     atomic.Int64 // nanoseconds that the kernel does not know of
-	suspended    atomic.Int64 // nanoseconds; grows only
-	checkedDrift atomic.Int64 // of the time of day from the steady clock when the kernel was asked last, in nanoseconds
-	checkedAt    atomic.Int64 // when that was, in nanoseconds of the steady clock since base
+	emulated     atomic.Int64 // emulated suspensions, in nanoseconds
+	suspended    atomic.Int64 // nanoseconds; only increases
+	checkedDrift atomic.Int64 // drift of the time of day from the monotonic clock at the last check, in nanoseconds
+	checkedAt    atomic.Int64 // time of the last check, in nanoseconds of the monotonic clock since base
 
 	mu      sync.Mutex
-	resumed chan struct{} // closed when the next suspension is found; guarded by mu
+	resumed chan struct{} // closed when the next suspension is detected; guarded by mu
 }
 
 var system = newClock(kernelOffset)
 
-func newClock(kernel func() (time.Duration, error)) *clock {
-	c := &clock{base: time.Now(), readOffset: kernel, resumed: make(chan struct{})}
-	c.baseOffset, _ = kernel() // without it the clock is the steady one
+func newClock(readOffset func() (time.Duration, error)) *clock {
+	c := &clock{base: time.Now(), readOffset: readOffset, resumed: make(chan struct{})}
+	c.baseOffset, _ = readOffset() // on an error, the clock is the monotonic one
 	return c
 }
 
-// kernelOffset returns by how much the kernel's clock that counts suspensions is ahead of the
-// one that doesn't; a little less if the process has to wait between the two.
+// kernelOffset returns by how much CLOCK_BOOTTIME, which counts suspensions, is ahead of
+// CLOCK_MONOTONIC; a little less if the process is preempted between the two calls.
 func kernelOffset() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
@@ -67,8 +67,8 @@
 	t := time.Now()
 	steady := t.Sub(c.base)
 	drift := t.Round(0).Sub(c.base.Round(0)) - steady
-	away := drift - time.Duration(c.checkedDrift.Load())
-	if away > tolerance || away < -tolerance || steady-time.Duration(c.checkedAt.Load()) > recheckInterval {
+	change := drift - time.Duration(c.checkedDrift.Load())
+	if change > tolerance || change < -tolerance || steady-time.Duration(c.checkedAt.Load()) > recheckInterval {
 		c.update(steady, drift)
 	}
 	return t.Add(time.Duration(c.suspended.Load()))
@@ -80,15 +80,15 @@
 	c.checkedDrift.Store(int64(drift))
 	offset, err := c.readOffset()
 	if err != nil {
-		return // as far as is known, it was not
+		return // without a reading, assume that it was not suspended
 	}
 	for {
 		old := c.suspended.Load()
-		grown := int64(offset-c.baseOffset) + c.emulated.Load()
-		if grown-old < int64(tolerance) {
+		measured := int64(offset-c.baseOffset) + c.emulated.Load()
+		if measured-old < int64(tolerance) {
 			return
 		}
-		if c.suspended.CompareAndSwap(old, grown) {
+		if c.suspended.CompareAndSwap(old, measured) {
 			break
 		}
 	}
@@ -98,7 +98,7 @@
 	c.resumed = make(chan struct{})
 }
 
-// nextResume returns a channel that is closed when the machine has been suspended.
+// nextResume returns a channel that is closed when the next suspension is detected.
 func (c *clock) nextResume() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,42 +118,43 @@
 	}
 }
 
-// Now returns the time. Its steady reading counts suspensions.
+// Now returns the time. Its monotonic reading includes suspensions.
 func Now() time.Time { return system.now() }
 
-// Suspended returns for how long the machine was suspended since the process started, as far
-// as that is known.
+// Suspended returns for how long the machine was suspended since the process started, as detected
+// so far.
 func Suspended() time.Duration { return time.Duration(system.suspended.Load()) }
 
-// Until returns how long it is until t.
+// Until returns the duration until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Since returns how long ago t was.
+// Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Runtime returns when t comes by the clock of the runtime, for timers, contexts and
-// connections, if the machine is not suspended before: not sooner, so that who is woken by it
-// finds that t has come.
+// Runtime converts t to the clock of the runtime, for timers, contexts and connections, assuming
+// that the machine is not suspended before. The result is never too early, so whatever it wakes
+// finds that t has passed.
 func Runtime(t time.Time) time.Time {
 	left := Until(t)
 	return time.Now().Add(left)
 }
 
-// Suspend has the clock go on as if the machine had been suspended for d until now. It is
-// for tests and stand-ins, which can't suspend their machine.
+// Suspend advances the clock as if the machine had been suspended for d until now. It is for tests
+// and emulators, which can't suspend their machine.
 func Suspend(d time.Duration) {
 	system.emulated.Add(int64(d))
-	system.checkedAt.Store(-int64(2 * recheckInterval)) // the kernel is asked the next time
+	system.checkedAt.Store(-int64(2 * recheckInterval)) // the next call of Now asks the kernel
 }
 
-// Watch looks for suspensions until ctx ends, as nobody may ask for the time meanwhile.
+// Watch checks for suspensions periodically until ctx ends, because there may be no call of Now
+// meanwhile.
 func Watch(ctx context.Context) { system.watch(ctx) }
 
-// Resumed returns a channel that is closed when the machine has been suspended and somebody
-// has asked for the time since.
+// Resumed returns a channel that is closed when a suspension of the machine is detected, by Watch
+// or by a call of Now.
 func Resumed() <-chan struct{} { return system.nextResume() }
 
-// Sleep waits until t, or until ctx ends.
+// Sleep waits until t or until ctx ends, and counts suspensions.
 func Sleep(ctx context.Context, t time.Time) {
 	for {
 		resumed := Resumed()
--- a/internal/boottime/clock_test.go
+++ b/internal/boottime/clock_test.go
@@ -26,11 +26,11 @@
 
 func (m *machine) suspend(d time.Duration) { m.offset.Add(int64(d)) }
 
-// What was suspended counts, and nothing else.
+// The clock counts suspensions, and is equal to the monotonic clock otherwise.
 func TestNow(t *testing.T) {
 	tests := map[string]struct {
 		play func(m *machine, c *clock)
-		want time.Duration // beyond the steady clock
+		want time.Duration // beyond the monotonic clock
 	}{
 		"never suspended": {func(*machine, *clock) {}, 0},
 		"suspended":       {func(m *machine, _ *clock) { m.suspend(3 * time.Second) }, 3 * time.Second},
@@ -40,15 +40,15 @@
 			c.now()
 			m.suspend(time.Second)
 		}, 2 * time.Second},
-		"the kernel's clocks read apart": {func(m *machine, _ *clock) { m.suspend(time.Millisecond) }, 0},
-		"read apart the other way":       {func(m *machine, _ *clock) { m.suspend(-time.Second) }, 0},
-		"the kernel does not tell":       {func(m *machine, _ *clock) { m.suspend(time.Second); m.fails.Store(true) }, 0},
+		"the kernel clocks read apart": {func(m *machine, _ *clock) { m.suspend(time.Millisecond) }, 0},
+		"read apart the other way":     {func(m *machine, _ *clock) { m.suspend(-time.Second) }, 0},
+		"the kernel clock fails":       {func(m *machine, _ *clock) { m.suspend(time.Second); m.fails.Store(true) }, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m := &machine{}
-				m.offset.Store(int64(time.Hour)) // of suspensions before the process started
+				m.offset.Store(int64(time.Hour)) // suspensions before the process started
 				c := newClock(m.kernel)
 				before, steady := c.now(), time.Now()
 				tt.play(m, c)
@@ -61,7 +61,7 @@
 	}
 }
 
-// Whoever waits hears of a suspension though nobody asks for the time.
+// A suspension is detected even if nothing asks for the time.
 func TestResumed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &machine{}
@@ -75,15 +75,15 @@
 		select {
 		case <-resumed:
 		case <-ctx.Done():
-			t.Fatal("got no word of a suspension")
+			t.Fatal("suspension not detected")
 		}
 		if got := time.Since(begin); got > 2*recheckInterval {
-			t.Errorf("got word of a suspension after %s", got)
+			t.Errorf("suspension detected after %s", got)
 		}
 	})
 }
 
-// The clock of this machine goes, and its times can be handed to the runtime.
+// The clock of this machine runs, and its times can be converted to the clock of the runtime.
 func TestSystem(t *testing.T) {
 	at := Now().Add(20 * time.Millisecond)
 	first, last := Runtime(at), Runtime(at)
@@ -91,11 +91,11 @@
 		t.Errorf("got %s by the clock of the runtime, want 20ms at most", got)
 	}
 	if early := at.Sub(first); early > 0 {
-		t.Errorf("got woken %s too soon", early)
+		t.Errorf("woken %s too soon", early)
 	}
 	Sleep(context.Background(), at)
 	if Until(at) > 0 || Since(at) < 0 {
-		t.Errorf("got awake %s too soon", Until(at))
+		t.Errorf("returned from sleep %s too soon", Until(at))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/boottime/soak.go
+++ b/internal/boottime/soak.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Suspension is by how much the clock of a program that is built for the soak goes on with
-// each SIGUSR2: a soak can stop a process, and can't suspend its machine.
+// Suspension is by how much each SIGUSR2 advances the clock of a program that is built with the
+// soak tag: a soak test can stop a process, but can't suspend its machine.
 const Suspension = 3 * time.Second
 
 func init() {
--- a/internal/deadline/heap.go
+++ b/internal/deadline/heap.go
@@ -1,4 +1,4 @@
-// Package deadline keeps items in the order of their deadlines.
+// Package deadline provides a heap of items ordered by deadline.
 package deadline
 
 import (
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Absent is the place of an item that is in no heap.
+// Absent is the index of an item that is in no heap.
 const Absent = -1
 
-// Item is what a Heap holds. Its deadline must not change while it is held.
+// Item is an element of a Heap. Its deadline must not change while it is in the heap.
 type Item interface {
 	Deadline() time.Time
-	// Place is where the heap keeps the item's index; Absent outside of it.
+	// Place returns where the heap stores the item's index; Absent if it is in no heap.
 	Place() *int
 }
 
-// Heap holds items, the earliest deadline first. Its zero value is empty. It is
-// not safe for concurrent use.
+// Heap is a heap of items, the earliest deadline first. Its zero value is empty. It is not safe for
+// concurrent use.
 type Heap[T Item] struct{ items items[T] }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (h *Heap[T]) Len() int { return len(h.items) }
 
-// First is the item with the earliest deadline, if there is one.
+// First returns the item with the earliest deadline, if there is one.
 func (h *Heap[T]) First() (T, bool) {
 	if len(h.items) == 0 {
 		var none T
@@ -32,7 +32,7 @@
 	return h.items[0], true
 }
 
-// Due is the first item if its deadline has come.
+// Due returns the first item if its deadline has passed.
 func (h *Heap[T]) Due(now time.Time) (T, bool) {
 	first, ok := h.First()
 	if !ok || now.Before(first.Deadline()) {
@@ -42,7 +42,7 @@
 	return first, true
 }
 
-// Next is the earliest deadline; zero if there is none.
+// Next returns the earliest deadline; zero if there is none.
 func (h *Heap[T]) Next() time.Time {
 	first, ok := h.First()
 	if !ok {
@@ -54,13 +54,13 @@
 // Push adds an item.
 func (h *Heap[T]) Push(x T) { heap.Push(&h.items, x) }
 
-// Pop takes out the first item. The heap must not be empty.
+// Pop removes and returns the first item. The heap must not be empty.
 func (h *Heap[T]) Pop() T { return heap.Pop(&h.items).(T) }
 
-// Remove takes out an item that the heap holds.
+// Remove removes an item that is in the heap.
 func (h *Heap[T]) Remove(x T) { heap.Remove(&h.items, *x.Place()) }
 
-// items is the heap as container/heap wants it.
+// items implements heap.Interface.
 type items[T Item] []T
 
 func (s items[T]) Len() int           { return len(s) }
@@ -71,14 +71,14 @@
 	*s[i].Place(), *s[j].Place() = i, j
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (s *items[T]) Push(x any) {
 	item := x.(T)
 	*item.Place() = len(*s)
 	*s = append(*s, item)
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (s *items[T]) Pop() any {
 	var none T
 	last := len(*s) - 1
--- a/internal/deadline/heap_test.go
+++ b/internal/deadline/heap_test.go
@@ -39,7 +39,7 @@
 				h.Remove(x)
 				delete(held, x)
 				if x.index != Absent {
-					t.Fatalf("got place %d after removal", x.index)
+					t.Fatalf("got index %d after removal", x.index)
 				}
 			default:
 				if got := h.Pop(); got != first || !got.at.Equal(earliest()) {
