--- a/internal/mirror/former.go
+++ b/internal/mirror/former.go
@@ -9,10 +9,10 @@
 // previousStates holds the last states of keys that were replaced or removed, so that they are
 // recognized when a restored store has them again.
 type previousStates struct {
-	epochs map[state]uint64 // the epoch in which the state existed last
-	ring   []state          // the keys of epochs; once it is full, the oldest is at next
-	next   int
-	max    int // capacity of ring
+	epochs   map[state]uint64 // the epoch in which the state existed last
+	ring     []state          // the keys of epochs; once it is full, the oldest is at next
+	next     int
+	capacity int // of ring
 }
 
 // state identifies a value of a key by the change that wrote it.
@@ -22,8 +22,8 @@
 	value uint64 // hash
 }
 
-func newPreviousStates(most int) previousStates {
-	return previousStates{epochs: make(map[state]uint64), max: most}
+func newPreviousStates(capacity int) previousStates {
+	return previousStates{epochs: make(map[state]uint64), capacity: capacity}
 }
 
 func stateOf(item platform.Item) state {
@@ -37,12 +37,12 @@
 	p.epochs[s] = item.Changed.Epoch()
 	switch {
 	case known:
-	case len(p.ring) < p.max:
+	case len(p.ring) < p.capacity:
 		p.ring = append(p.ring, s)
 	default:
 		delete(p.epochs, p.ring[p.next])
 		p.ring[p.next] = s
-		p.next = (p.next + 1) % p.max
+		p.next = (p.next + 1) % p.capacity
 	}
 }
 
--- a/internal/mirror/knowledge.go
+++ b/internal/mirror/knowledge.go
@@ -18,14 +18,14 @@
 // view is a mirror's state of the store, and the history that it passes on to peers. It does no
 // input or output; only its history is safe for concurrent use.
 type view struct {
-	replica   *Replica
+	copy      *Replica
 	history   *history
 	readStore bool // the store was read directly since the last whole update of a peer
 	needWhole bool // the next poll of a peer requests its whole view
 }
 
 func newView(order Order) view {
-	return view{replica: NewReplica(order), history: newHistory()}
+	return view{copy: NewReplica(order), history: newHistory()}
 }
 
 // isRestored reports whether the store was restored from a snapshot between what is known and a
@@ -40,10 +40,10 @@
 // outage.
 func (v *view) applyList(now time.Time, items []platform.Item, at platform.Revision, confirmed time.Time) (Reading, []Change) {
 	if v.isRestored(at) {
-		v.replica.MarkOutage(now)
+		v.copy.MarkOutage(now)
 	}
-	r := Reading{Revision: at, Known: v.history.latest(), Items: len(items), Behind: v.replica.CountBehind(items)}
-	events := v.replica.Difference(items, at)
+	r := Reading{Revision: at, Known: v.history.latest(), Items: len(items), Behind: v.copy.CountBehind(items)}
+	events := v.copy.Difference(items, at)
 	r.Changes = len(events)
 	v.readStore = true
 	return r, v.applyBatch(now, batch{events: events, revision: at, confirmedAt: confirmed, gaps: true})
@@ -62,7 +62,7 @@
 func (v *view) applyPeer(now time.Time, n peerUpdate) []Change {
 	v.needWhole = n.storeBehind && v.readStore && !n.whole
 	v.readStore = v.readStore && !n.whole
-	v.replica.DelayRemovals(n.removeAfter)
+	v.copy.DelayRemovals(n.removeAfter)
 	if !n.whole {
 		return v.applyBatch(now, batch{events: n.events, revision: n.revision, confirmedAt: n.confirmedAt, gaps: n.gaps})
 	}
@@ -73,10 +73,10 @@
 	for _, e := range n.events {
 		all = append(all, e.Item)
 	}
-	v.replica.AdoptHidden(n.overrides)
-	events := v.replica.Difference(all, n.revision)
+	v.copy.AdoptHidden(n.overrides)
+	events := v.copy.Difference(all, n.revision)
 	v.restamp(events, n.revision)
-	changes := append(v.replica.Apply(now, events), v.replica.AdoptKept(now, n.overrides)...)
+	changes := append(v.copy.Apply(now, events), v.copy.AdoptKept(now, n.overrides)...)
 	return v.record(now, changes, batch{events: events, revision: n.revision, confirmedAt: n.confirmedAt, gaps: true})
 }
 
@@ -94,14 +94,14 @@
 
 // applyBatch applies a batch of changes and returns the resulting changes of the view.
 func (v *view) applyBatch(now time.Time, g batch) []Change {
-	return v.record(now, v.replica.Apply(now, g.events), g)
+	return v.record(now, v.copy.Apply(now, g.events), g)
 }
 
 // record adds a batch, which the replica has applied already, to the history. It returns all
 // changes, with those whose delay has ended.
 func (v *view) record(now time.Time, changes []Change, g batch) []Change {
-	changes = append(changes, v.replica.Due(now, platform.Later(v.history.latest(), g.revision))...)
+	changes = append(changes, v.copy.Due(now, platform.Later(v.history.latest(), g.revision))...)
 	g.changed = len(changes) > 0
-	v.history.add(g, v.replica)
+	v.history.add(g, v.copy)
 	return changes
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -178,7 +178,7 @@
 	if m.isUnreachable() {
 		// Keys whose leases expired during the outage may be written again, so the first list must
 		// not remove them at once, even if the outage lasted longer than removalDelay.
-		m.view.replica.MarkOutage(boottime.Now())
+		m.view.copy.MarkOutage(boottime.Now())
 	}
 	if !m.listed || m.takeMissed() {
 		return m.list(ctx)
@@ -200,7 +200,7 @@
 	case errors.Is(err, errWatchCanceled):
 		return nil
 	default:
-		m.view.replica.MarkOutage(boottime.Now())
+		m.view.copy.MarkOutage(boottime.Now())
 		if !m.setUnreachable(true) {
 			m.sink.Lost(err)
 		}
@@ -214,7 +214,7 @@
 		return
 	}
 	m.fallbackPeer = ""
-	m.view.replica.MarkOutage(boottime.Now())
+	m.view.copy.MarkOutage(boottime.Now())
 	m.sink.Found()
 }
 
@@ -312,7 +312,7 @@
 
 // dueTimer returns a channel that fires when the next delay ends; nil if nothing is delayed.
 func (m *Mirror) dueTimer() <-chan time.Time {
-	next := m.view.replica.NextDue()
+	next := m.view.copy.NextDue()
 	if next.IsZero() {
 		return nil
 	}
