--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -20,9 +20,9 @@
 	// take beyond that: a slow store needs a quarter of a second.
 	watchWait    = 20 * time.Second
 	answerMargin = 2 * time.Second
-	// retryMin and retryMax bound the back-off after a failed call.
-	retryMin = 50 * time.Millisecond
-	retryMax = 500 * time.Millisecond
+	// minBackoff and maxBackoff bound the back-off after a failed call.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 	// checkInterval is how often the store is asked for its revision, because a watch may stay open
 	// and miss changes. With a bound of 2 s on changes, this leaves time for a list and for
 	// checkGrace, within which the watch may still deliver them.
@@ -140,20 +140,20 @@
 	checks.Go(func() { m.runChecks(ctx) })
 	defer checks.Wait()
 	m.bootstrap(ctx)
-	pause := retryMin
+	pause := minBackoff
 	for ctx.Err() == nil {
 		next := m.followPeer(ctx)
 		if next == stepPeer {
-			pause = retryMin
+			pause = minBackoff
 			continue
 		}
 		if next == stepStore && m.read(ctx) == nil {
-			pause = retryMin
+			pause = minBackoff
 			sleep(ctx, batchDelay)
 			continue
 		}
 		m.backOff(ctx, pause)
-		pause = min(2*pause, retryMax)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
--- a/internal/mirror/region_test.go
+++ b/internal/mirror/region_test.go
@@ -33,8 +33,8 @@
 	for range instances {
 		g := &gate{store: fake}
 		g.open.Store(true)
-		before := slices.Clone(addresses[:min(len(addresses), Relays)])
-		peers := Peers{Relays: func() []string { return before }, Others: func() []string { return *all.Load() }}
+		earlier := slices.Clone(addresses[:min(len(addresses), Relays)])
+		peers := Peers{Relays: func() []string { return earlier }, Others: func() []string { return *all.Load() }}
 		m, out := startMirror(t, listen(t, g), peers)
 		addresses = append(addresses, listen(t, m))
 		mirrors = append(mirrors, m)
@@ -50,8 +50,8 @@
 // until that delivers a change, and only then tries a relay again.
 func (r *region) awaitFollowing(t *testing.T, mirrors []*Mirror) {
 	t.Helper()
-	alone := func(m *Mirror) bool { return !m.isFollowing() }
-	for begin := time.Now(); slices.ContainsFunc(mirrors, alone); {
+	notFollowing := func(m *Mirror) bool { return !m.isFollowing() }
+	for begin := time.Now(); slices.ContainsFunc(mirrors, notFollowing); {
 		if time.Since(begin) > 5*changeBound {
 			t.Fatalf("got instances that follow no relay after %s, want none", time.Since(begin))
 		}
--- a/internal/quota/demand.go
+++ b/internal/quota/demand.go
@@ -14,10 +14,10 @@
 	// requests of a workspace below its limit were refused when its callers were all in one of six
 	// failure domains; with 5, 1%.
 	maxAsked = 5
-	// retryAfterMin and retryAfterMax bound the time after which a refused caller is told to retry.
+	// minRetryAfter and maxRetryAfter bound the time after which a refused caller is told to retry.
 	// A caller follows that for a third of its timeout, which is 4 s or more.
-	retryAfterMin = 50 * time.Millisecond
-	retryAfterMax = 1500 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
 // quota is this instance's state of a workspace's quota.
@@ -94,9 +94,9 @@
 	if rate := q.available(now).rate; rate > 0 && q.lastRetryAt.After(now) {
 		at = q.lastRetryAt.Add(time.Duration(float64(time.Second) / rate))
 	}
-	if most := now.Add(retryAfterMax); at.After(most) {
+	if most := now.Add(maxRetryAfter); at.After(most) {
 		at = most
 	}
 	q.lastRetryAt = at
-	return max(retryAfterMin, at.Sub(now))
+	return max(minRetryAfter, at.Sub(now))
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -226,7 +226,7 @@
 	case g.Tokens == 0 && g.Rate == 0:
 		q.avoidUntil[from.Name] = now.Add(emptyBackoff)
 	case g.Tokens < want.Tokens:
-		q.avoidUntil[from.Name] = now.Add(min(max(g.RetryAfter, retryAfterMin), partialBackoff))
+		q.avoidUntil[from.Name] = now.Add(min(max(g.RetryAfter, minRetryAfter), partialBackoff))
 	}
 	if until := asked.Add(tokenLifetime); g.Tokens > 0 && now.Before(until) {
 		q.borrowedTokens = append(q.borrowedTokens, tokenBatch{count: g.Tokens, until: until})
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -124,7 +124,7 @@
 	seen := make(map[time.Duration]int)
 	for range 10 {
 		d := l.Retry(simulationStart, "w")
-		if d.Allowed || d.Again < retryAfterMin || d.Again > retryAfterMax {
+		if d.Allowed || d.Again < minRetryAfter || d.Again > maxRetryAfter {
 			t.Fatalf("got %+v", d)
 		}
 		seen[d.Again]++
