--- a/internal/block/bench_test.go
+++ b/internal/block/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// perDocument is how many blocks a document of the benchmarks has; places are
-// as many as letter 1 expects.
+// perDocument is how many blocks a document of the benchmarks has; places is the number of places
+// in the requirements (letter 1).
 const (
 	perDocument = 1000
 	places      = 230
@@ -19,9 +19,9 @@
 
 var sizes = []int{1_000, 10_000, 100_000, 260_000}
 
-// documentsOf returns n distinct prefixes, /24s and one in eight a /48 of IPv6,
-// spread over the address space.
-func documentsOf(n int) map[string][]settings.Block {
+// randomDocuments returns n distinct prefixes spread over the address space: /24s of IPv4, and one
+// in eight a /48 of IPv6.
+func randomDocuments(n int) map[string][]settings.Block {
 	r := rand.New(rand.NewPCG(1, 1))
 	seen := map[netip.Prefix]bool{}
 	documents := map[string][]settings.Block{}
@@ -59,7 +59,7 @@
 	return table
 }
 
-func heap() uint64 {
+func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -67,18 +67,18 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkCapacityBuild builds the table from all documents and reports the
-// memory that it holds for a prefix.
+// BenchmarkCapacityBuild builds the table from all documents and reports the memory that it takes
+// per prefix.
 func BenchmarkCapacityBuild(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			documents := documentsOf(n)
+			documents := randomDocuments(n)
 			var table *Table
-			before := heap()
+			before := heapInUse()
 			for b.Loop() {
 				table = tableOf(b, documents)
 			}
-			b.ReportMetric(float64(heap()-before)/float64(n), "bytes/prefix")
+			b.ReportMetric(float64(heapInUse()-before)/float64(n), "bytes/prefix")
 			runtime.KeepAlive(table)
 			runtime.KeepAlive(documents)
 		})
@@ -88,7 +88,7 @@
 func BenchmarkCapacityLookup(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			table := tableOf(b, documentsOf(n))
+			table := tableOf(b, randomDocuments(n))
 			r := rand.New(rand.NewPCG(2, 2))
 			addrs := make([]netip.Addr, 1<<12)
 			for i := range addrs {
@@ -107,7 +107,7 @@
 func BenchmarkCapacityUpdate(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			documents := documentsOf(n)
+			documents := randomDocuments(n)
 			table := tableOf(b, documents)
 			blocks := documents["/blocks/0"]
 			i := 0
--- a/internal/block/edit.go
+++ b/internal/block/edit.go
@@ -6,20 +6,20 @@
 	"slices"
 )
 
-// edit applies the difference of one document to a table that nobody reads yet.
+// edit applies the difference of one document to a table that isn't published yet.
 type edit struct {
-	next     *Table
-	document uint16
-	bulk     bool // next.prefixes is a copy of our own
-	owned    bool // next.contested is a copy of our own
+	next            *Table
+	document        uint16
+	bulk            bool // next.prefixes is a private copy
+	contestedCopied bool // next.contested is a private copy
 }
 
-func (e *edit) apply(gone, set []claim) {
-	if (len(gone)+len(set))*bulkShare > e.next.prefixes.Size() {
+func (e *edit) apply(removed, set []claim) {
+	if (len(removed)+len(set))*bulkShare > e.next.prefixes.Size() {
 		e.bulk = true
 		e.next.prefixes = e.next.prefixes.Clone()
 	}
-	for _, c := range gone {
+	for _, c := range removed {
 		e.drop(c)
 	}
 	for _, c := range set {
@@ -27,8 +27,8 @@
 	}
 }
 
-// set puts the document's claim into force unless a document that sorts before
-// it claims the prefix too.
+// set puts the document's claim into force unless a document that sorts before it claims the prefix
+// too.
 func (e *edit) set(c claim) {
 	p := c.prefix()
 	now, ok := e.next.prefixes.Get(p)
@@ -38,10 +38,10 @@
 			return
 		}
 	}
-	e.insert(p, home{place: c.place, document: e.document})
+	e.insert(p, entry{place: c.place, document: e.document})
 }
 
-// contest adds the document to those that claim the prefix and returns them all.
+// contest adds the document to those that claim the prefix, and returns all of them.
 func (e *edit) contest(p netip.Prefix, holder uint16) []uint16 {
 	documents, ok := e.next.contested[p]
 	if !ok {
@@ -52,12 +52,12 @@
 	}
 	documents = append(slices.Clip(documents), e.document)
 	slices.SortFunc(documents, e.next.byPath)
-	e.claimants(p, documents)
+	e.setClaimants(p, documents)
 	return documents
 }
 
-// drop takes the document's claim away; the next document that claims the
-// prefix, if there is one, comes into force.
+// drop removes the document's claim. The claim of the next document for the prefix, if any, comes
+// into force.
 func (e *edit) drop(c claim) {
 	p := c.prefix()
 	documents, ok := e.next.contested[p]
@@ -66,23 +66,23 @@
 		return
 	}
 	rest := slices.DeleteFunc(slices.Clone(documents), func(n uint16) bool { return n == e.document })
-	e.claimants(p, rest)
+	e.setClaimants(p, rest)
 	if documents[0] == e.document {
-		e.insert(p, home{place: e.placeOf(rest[0], c), document: rest[0]})
+		e.insert(p, entry{place: e.placeOf(rest[0], c), document: rest[0]})
 	}
 }
 
-// placeOf returns the place that a document claims for the prefix of c.
+// placeOf returns the position of the place that a document claims for the prefix of c.
 func (e *edit) placeOf(n uint16, c claim) uint16 {
 	claims := e.next.documents[n].claims
 	i, _ := slices.BinarySearchFunc(claims, c, claim.compare)
 	return claims[i].place
 }
 
-// claimants notes which documents claim the prefix; a single one is no conflict.
-func (e *edit) claimants(p netip.Prefix, documents []uint16) {
-	if !e.owned {
-		e.owned = true
+// setClaimants records which documents claim the prefix; a single one is no conflict.
+func (e *edit) setClaimants(p netip.Prefix, documents []uint16) {
+	if !e.contestedCopied {
+		e.contestedCopied = true
 		e.next.contested = maps.Clone(e.next.contested)
 	}
 	if len(documents) > 1 {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (e *edit) insert(p netip.Prefix, h home) {
+func (e *edit) insert(p netip.Prefix, h entry) {
 	if e.bulk {
 		e.next.prefixes.Insert(p, h)
 	} else {
--- a/internal/block/table_test.go
+++ b/internal/block/table_test.go
@@ -56,7 +56,7 @@
 		"no prefix": {[]settings.Block{{Prefix: "10.0.0.1", Place: "a"}}, ReasonPrefix},
 		"host bits": {[]settings.Block{{Prefix: "10.0.0.1/8", Place: "a"}}, ReasonHost},
 		"no place":  {[]settings.Block{{Prefix: "10.0.0.0/8"}}, ReasonPlace},
-		"twice":     {[]settings.Block{{Prefix: "10.0.0.0/8", Place: "a"}, {Prefix: "::ffff:10.0.0.0/104", Place: "b"}}, ReasonTwice},
+		"twice":     {[]settings.Block{{Prefix: "10.0.0.0/8", Place: "a"}, {Prefix: "::ffff:10.0.0.0/104", Place: "b"}}, ReasonDuplicate},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -76,10 +76,10 @@
 	}
 }
 
-// model is the plainest table: all claims of all documents.
+// model is a simple reference table: all claims of all documents.
 type model map[string]map[netip.Prefix]string
 
-// claim returns the place in force for just this prefix.
+// claim returns the place in force for exactly this prefix, and the documents that claim it.
 func (m model) claim(p netip.Prefix) (place string, documents []string) {
 	for _, path := range slices.Sorted(maps.Keys(m)) {
 		if claimed, ok := m[path][p]; ok {
@@ -102,7 +102,7 @@
 	return "", false
 }
 
-// drawPrefix draws from few enough prefixes that documents often claim the same.
+// drawPrefix draws from so few prefixes that documents often claim the same one.
 func drawPrefix(r *rapid.T) netip.Prefix {
 	if rapid.Bool().Draw(r, "four") {
 		addr := netip.AddrFrom4([4]byte{10, rapid.Byte().Draw(r, "a") & 3, 0, 0})
@@ -147,11 +147,11 @@
 	}
 }
 
-func TestTableAgreesWithModel(t *testing.T) { rapid.Check(t, agrees) }
+func TestTableAgreesWithModel(t *testing.T) { rapid.Check(t, checkAgainstModel) }
 
-func FuzzTable(f *testing.F) { f.Fuzz(rapid.MakeFuzz(agrees)) }
+func FuzzTable(f *testing.F) { f.Fuzz(rapid.MakeFuzz(checkAgainstModel)) }
 
-func agrees(r *rapid.T) {
+func checkAgainstModel(r *rapid.T) {
 	table, m := New(), model{}
 	for range rapid.IntRange(1, 12).Draw(r, "updates") {
 		path := rapid.SampledFrom([]string{"/blocks/a", "/blocks/b", "/blocks/c"}).Draw(r, "path")
@@ -165,14 +165,14 @@
 			claims[p] = fmt.Sprint("place", rapid.IntRange(0, 3).Draw(r, "place"))
 			blocks = append(blocks, settings.Block{Prefix: p.String(), Place: claims[p]})
 		}
-		before, was := table, maps.Clone(m)
+		before, modelBefore := table, maps.Clone(m)
 		next, err := table.Update(path, blocks)
 		if err != nil {
 			r.Fatal(err)
 		}
 		table, m[path] = next, claims
 		checkTable(r, table, m)
-		checkTable(r, before, was)
+		checkTable(r, before, modelBefore)
 	}
 }
 
--- a/internal/mirror/former.go
+++ b/internal/mirror/former.go
@@ -6,46 +6,48 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// former holds the last states of keys that were replaced or removed, so that they are known
-// again when the store has them again.
-type former struct {
-	epochs map[state]uint64 // in which the state was there last
-	ring   []state          // the keys of epochs, the oldest at next when it is full
-	next   int
-	most   int // entries of ring
+// previousStates holds the last states of keys that were replaced or removed, so that they are
+// recognized when a restored store has them again.
+type previousStates struct {
+	epochs   map[state]uint64 // the epoch in which the state existed last
+	ring     []state          // the keys of epochs; once it is full, the oldest is at next
+	next     int
+	capacity int // of ring
 }
 
-// state is what a key held from a change on.
+// state identifies a value of a key by the change that wrote it.
 type state struct {
 	key   string
-	count uint64 // of the change, within its epoch: an older copy of the store still has it
+	count uint64 // of the change within its epoch; an older snapshot of the store has the same one
 	value uint64 // hash
 }
 
-func newFormer(most int) former { return former{epochs: make(map[state]uint64), most: most} }
+func newPreviousStates(capacity int) previousStates {
+	return previousStates{epochs: make(map[state]uint64), capacity: capacity}
+}
 
 func stateOf(item platform.Item) state {
 	return state{key: item.Key, count: item.Changed.Count(), value: xxhash.Sum64(item.Value)}
 }
 
-// add notes a state that is no more.
-func (f *former) add(item platform.Item) {
+// add records a state that was replaced or removed.
+func (p *previousStates) add(item platform.Item) {
 	s := stateOf(item)
-	_, known := f.epochs[s]
-	f.epochs[s] = item.Changed.Epoch()
+	_, known := p.epochs[s]
+	p.epochs[s] = item.Changed.Epoch()
 	switch {
 	case known:
-	case len(f.ring) < f.most:
-		f.ring = append(f.ring, s)
+	case len(p.ring) < p.capacity:
+		p.ring = append(p.ring, s)
 	default:
-		delete(f.epochs, f.ring[f.next])
-		f.ring[f.next] = s
-		f.next = (f.next + 1) % f.most
+		delete(p.epochs, p.ring[p.next])
+		p.ring[p.next] = s
+		p.next = (p.next + 1) % p.capacity
 	}
 }
 
-// epoch is that in which an item was there before; false if it was not, as far as is known.
-func (f *former) epoch(item platform.Item) (uint64, bool) {
-	epoch, ok := f.epochs[stateOf(item)]
+// epoch returns the epoch in which an item existed before; false if none is recorded.
+func (p *previousStates) epoch(item platform.Item) (uint64, bool) {
+	epoch, ok := p.epochs[stateOf(item)]
 	return epoch, ok
 }
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -13,284 +13,286 @@
 )
 
 const (
-	// gather is how long changes are left to gather between two watches. A watch is
-	// priced by the call; bounds on changes are two seconds and more.
-	gather = 150 * time.Millisecond
-	// watchWait is how long a watch waits for changes, and answerTime how long its
-	// answer may take beyond that: a slow store needs a quarter of a second.
-	watchWait  = 20 * time.Second
-	answerTime = 2 * time.Second
-	// retryFirst and retryMost bound the pause after a call that failed.
-	retryFirst = 50 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
-	// checkEvery is how often the store is asked for its revision, as a watch may
-	// wait on and miss changes: a bound of 2 s on changes leaves this, a list, and
-	// checkGrace, in which the watch may still deliver them.
-	checkEvery = time.Second
-	checkGrace = 200 * time.Millisecond
-	// checkTime is how long a check may take: a slow store needs a quarter of a
-	// second, and a silent one is noticed within 2 s.
-	checkTime = 900 * time.Millisecond
-	// lostCheck is how often those that come after all relays ask a store that is out of
-	// reach: the relays ask it each checkEvery, a moment sooner, and are asked themselves.
-	// It leaves a part of the 3 s after an outage in which nothing is held against an
-	// instance.
-	lostCheck = 2*checkEvery + 300*time.Millisecond
-	// firstTime is how long an instance asks the seeds when the whole system starts for
-	// the first time: all start within 0.3 s, seconds before callers come.
-	firstTime = 800 * time.Millisecond
-	// againTime is the same at any later start, when callers wait: some round trips between
-	// regions. With firstTime, 1,300 more of 4,600 requests were refused in the 2 s after
-	// a power loss of 195 instances, as the seeds came back last.
-	againTime  = 150 * time.Millisecond
-	beginPause = 50 * time.Millisecond // between two questions
-	// firstWatch is how long the first watch after an outage waits, to show soon that the
-	// store is back.
-	firstWatch = 200 * time.Millisecond
+	// batchDelay is the pause between two watches, in which changes accumulate. Each watch is
+	// charged as one call, and changes have to be in force within two seconds or more.
+	batchDelay = 150 * time.Millisecond
+	// watchWait is how long a watch waits for changes, and answerMargin is how long its answer may
+	// take beyond that: a slow store needs a quarter of a second.
+	watchWait    = 20 * time.Second
+	answerMargin = 2 * time.Second
+	// minBackoff and maxBackoff bound the back-off after a failed call.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// checkInterval is how often the store is asked for its revision, because a watch may stay open
+	// and miss changes. With a bound of 2 s on changes, this leaves time for a list and for
+	// checkGrace, within which the watch may still deliver them.
+	checkInterval = time.Second
+	checkGrace    = 200 * time.Millisecond
+	// checkTimeout is how long a check may take. A slow store needs a quarter of a second, and a
+	// silent one is detected within 2 s.
+	checkTimeout = 900 * time.Millisecond
+	// outageCheckInterval is how often instances that aren't relays check an unreachable store. The
+	// relays check it every checkInterval, so they detect its return a little sooner, and the other
+	// instances poll them. The interval leaves part of the 3 s after an outage in which nothing is
+	// held against an instance.
+	outageCheckInterval = 2*checkInterval + 300*time.Millisecond
+	// firstStartTimeout is how long an instance polls the seeds when the whole system starts for
+	// the first time: all instances start within 0.3 s, seconds before callers come.
+	firstStartTimeout = 800 * time.Millisecond
+	// restartTimeout is the same at any later start, when callers are waiting: some round trips
+	// between regions. With firstStartTimeout, 1,300 more of 4,600 requests were refused in the 2 s
+	// after a power loss of 195 instances, because the seeds came back last.
+	restartTimeout = 150 * time.Millisecond
+	seedRetryDelay = 50 * time.Millisecond // between two polls of seeds
+	// recoveryWatchWait is how long the first watch after an outage waits. It is short so that the
+	// recovery is reported soon.
+	recoveryWatchWait = 200 * time.Millisecond
 )
 
-// Sink takes what the mirror finds. Its methods are called by one goroutine, but for
+// Sink receives the mirror's results. Its methods are called by a single goroutine, except
 // AnswerFailed.
 type Sink interface {
-	// Changed takes changes of the copy.
+	// Changed receives changes of the replica.
 	Changed(changes []Change)
-	// Listed tells that the whole store has been read for the first time.
+	// Listed reports that the whole store has been read for the first time.
 	Listed()
-	// Read tells what each reading of the whole store brought.
+	// Read reports the result of each list of the whole store.
 	Read(r Reading)
-	// Forgotten tells that the store doesn't have the changes since a revision.
+	// Forgotten reports that the store no longer has the changes since a revision.
 	Forgotten(since platform.Revision)
-	// Restored tells that the store has come back from a copy of itself, and is in an epoch
-	// after that of the revision up to which changes were known.
+	// Restored reports that the store was restored from a snapshot, and is in a later epoch than
+	// the revision up to which changes were known.
 	Restored(known platform.Revision, epoch uint64)
-	// Lost and Found tell that the store is out of reach, and that it is back.
+	// Lost reports that the store is unreachable.
 	Lost(err error)
+	// Found reports that the store is reachable again.
 	Found()
-	// Through tells that a peer is followed while the store is out of reach.
+	// Through reports that a peer is followed while the store is unreachable.
 	Through(address string)
-	// Alone tells that the relay is given up for a while.
+	// Alone reports that a relay failed and isn't polled for a while.
 	Alone(err error)
-	// AnswerFailed tells that an answer to a peer could not be made. It is called by any
+	// AnswerFailed reports that an answer to a peer could not be encoded. It is called by any
 	// goroutine.
 	AnswerFailed(err error)
 }
 
-// Relays is how many instances of a region are followed by its others, one in place of
-// the other: with a third of the instances turned away by the store, all of them are in
-// one outage of 27.
+// Relays is how many instances of a region its other instances follow, each as a fallback for the
+// one before. With three, if the store refuses a third of the instances, it refuses all relays in
+// one of 27 outages.
 const Relays = 3
 
-// Peers tells which instances can be followed. Its functions must be safe for
-// concurrent use.
+// Peers lists the instances that can be followed. Its functions must be safe for concurrent use.
 type Peers struct {
-	// Relays are the addresses of the peers to follow instead of the store, in the order
-	// of a region on which all its instances agree, and Relays at most: those that come
-	// before this instance. Without any it follows the store itself.
+	// Relays returns the addresses of the peers to follow instead of the store: the relays of the
+	// region that come before this instance, or all of them if it is no relay, in the order on
+	// which all instances of the region agree. If there are none, this instance follows the store
+	// itself.
 	Relays func() []string
-	// Others are the addresses to ask when the store is out of reach.
+	// Others returns the addresses to poll when the store is unreachable.
 	Others func() []string
-	// Seeds are the addresses to ask at the start, before any instance is known; none if
-	// this instance is one of them, or if there are none.
+	// Seeds are the addresses to poll at the start, before any instance is known. It is empty if
+	// this instance is a seed or if there are none.
 	Seeds []string
-	// First says that the whole system starts for the first time.
+	// First is set if the whole system starts for the first time.
 	First bool
 }
 
-// Mirror follows the store, or an instance that does. It is an http.Handler for
-// the peers that follow it.
+// Mirror follows the store, or an instance that does. As an http.Handler it serves the peers that
+// follow it.
 type Mirror struct {
-	store   *platform.Store
-	sink    Sink
-	peers   Peers
-	client  *http.Client  // calls peers
-	soon    chan struct{} // asks for a check at once
-	back    chan struct{} // ends a pause, as the store answers again
-	known   knowledge
-	answers answers
+	store     *platform.Store
+	sink      Sink
+	peers     Peers
+	client    *http.Client  // for calls to peers
+	checkNow  chan struct{} // requests an immediate check
+	storeBack chan struct{} // ends a back-off when the store answers again
+	view      view
+	answers   answerCache
 
-	listed  bool
-	avoided map[string]time.Time // relays that failed are not asked before
-	via     string               // the peer that is followed while the store and all relays are out of reach
-	asked   int                  // peers that were asked for that
-	patient time.Time            // until when relays are waited for after the store has answered again; zero if it has not
+	listed       bool
+	avoidUntil   map[string]time.Time // by address: relays that failed aren't polled before
+	fallbackPeer string               // the peer that is followed while the store and all relays are unreachable
+	peersAsked   int                  // peers polled as fallback so far; selects the next one
+	relayWaitEnd time.Time            // until when relays are waited for after the store has answered again; zero if it hasn't
 
-	mu        sync.Mutex
-	kick      context.CancelFunc // ends the watch that waits; guarded by mu
-	missed    bool               // the watch has missed changes; guarded by mu
-	failed    error              // of a check, for which the watch was ended; guarded by mu
-	following bool               // a peer is followed; guarded by mu
-	lost      bool               // the store is out of reach; guarded by mu
-	reached   bool               // the store has answered a check since it was lost; guarded by mu
+	mu            sync.Mutex
+	cancelWatch   context.CancelFunc // cancels the pending watch; guarded by mu
+	watchMissed   bool               // the watch has missed changes; guarded by mu
+	checkErr      error              // error of the failed check that canceled the watch; guarded by mu
+	following     bool               // a peer is being followed; guarded by mu
+	unreachable   bool               // the store can't be reached; guarded by mu
+	answeredAgain bool               // the store has answered a check since it became unreachable; guarded by mu
 }
 
-// New makes a mirror of a store.
+// New returns a mirror of a store.
 func New(store *platform.Store, sink Sink, peers Peers, order Order) *Mirror {
 	transport := &http.Transport{DialContext: tcp.NewDialer("").DialContext, MaxIdleConnsPerHost: 1}
 	return &Mirror{
 		store: store, sink: sink, peers: peers, client: &http.Client{Transport: transport},
-		soon: make(chan struct{}, 1), back: make(chan struct{}, 1),
-		known: newKnowledge(order), avoided: make(map[string]time.Time),
+		checkNow: make(chan struct{}, 1), storeBack: make(chan struct{}, 1),
+		view: newView(order), avoidUntil: make(map[string]time.Time),
 	}
 }
 
 // Run follows the store until ctx ends.
 func (m *Mirror) Run(ctx context.Context) {
 	var checks sync.WaitGroup
-	checks.Go(func() { m.check(ctx) })
+	checks.Go(func() { m.runChecks(ctx) })
 	defer checks.Wait()
-	m.begin(ctx)
-	pause := retryFirst
+	m.bootstrap(ctx)
+	pause := minBackoff
 	for ctx.Err() == nil {
-		next := m.follow(ctx)
+		next := m.followPeer(ctx)
 		if next == stepPeer {
-			pause = retryFirst
+			pause = minBackoff
 			continue
 		}
 		if next == stepStore && m.read(ctx) == nil {
-			pause = retryFirst
-			sleep(ctx, gather)
+			pause = minBackoff
+			sleep(ctx, batchDelay)
 			continue
 		}
-		m.rest(ctx, pause)
-		pause = min(2*pause, retryMost)
+		m.backOff(ctx, pause)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-// begun notes that the whole store is known.
-func (m *Mirror) begun() {
+// markListed records that the whole store is known, and reports it the first time.
+func (m *Mirror) markListed() {
 	if !m.listed {
 		m.listed = true
 		m.sink.Listed()
 	}
 }
 
-// read lists the store if that is due, or watches it once.
+// read lists the store if that is due, and otherwise watches it once.
 func (m *Mirror) read(ctx context.Context) error {
-	err := m.ask(ctx)
+	err := m.sync(ctx)
 	if ctx.Err() != nil {
-		return err // the instance stops: nothing is lost
+		return err // the instance is stopping; this is no outage
 	}
-	return m.outcome(err)
+	return m.handleOutcome(err)
 }
 
-func (m *Mirror) ask(ctx context.Context) error {
-	if m.isLost() {
-		// What lapsed meanwhile may come back: the first list after an outage of over
-		// settle must not take it away.
-		m.known.copy.Outage(boottime.Now())
+func (m *Mirror) sync(ctx context.Context) error {
+	if m.isUnreachable() {
+		// Keys whose leases expired during the outage may be written again, so the first list must
+		// not remove them at once, even if the outage lasted longer than removalDelay.
+		m.view.copy.MarkOutage(boottime.Now())
 	}
 	if !m.listed || m.takeMissed() {
 		return m.list(ctx)
 	}
 	err := m.watch(ctx)
-	var gone *platform.HistoryError
-	if errors.As(err, &gone) {
-		m.sink.Forgotten(m.known.history.at())
+	var historyErr *platform.HistoryError
+	if errors.As(err, &historyErr) {
+		m.sink.Forgotten(m.view.history.latest())
 		return m.list(ctx)
 	}
 	return err
 }
 
-// outcome tells the sink and the peers whether the store is in reach.
-func (m *Mirror) outcome(err error) error {
+// handleOutcome updates whether the store is reachable, and reports a change to the sink.
+func (m *Mirror) handleOutcome(err error) error {
 	switch {
 	case err == nil:
-		m.found()
-	case errors.Is(err, errKicked):
+		m.markReachable()
+	case errors.Is(err, errWatchCanceled):
 		return nil
 	default:
-		m.known.copy.Outage(boottime.Now())
-		if !m.setLost(true) {
+		m.view.copy.MarkOutage(boottime.Now())
+		if !m.setUnreachable(true) {
 			m.sink.Lost(err)
 		}
 	}
 	return err
 }
 
-// found notes that the store is back, if it was lost.
-func (m *Mirror) found() {
-	if !m.setLost(false) {
+// markReachable records that the store is reachable again, if it was not.
+func (m *Mirror) markReachable() {
+	if !m.setUnreachable(false) {
 		return
 	}
-	m.via = ""
-	m.known.copy.Outage(boottime.Now())
+	m.fallbackPeer = ""
+	m.view.copy.MarkOutage(boottime.Now())
 	m.sink.Found()
 }
 
-// list reads the whole store. Pages are no snapshot: the changes since the first
-// are watched for.
+// list reads the whole store. Its pages are no consistent snapshot, so a watch follows for the
+// changes since the first page.
 func (m *Mirror) list(ctx context.Context) error {
 	begin := boottime.Now()
 	var items []platform.Item
 	var at platform.Revision
 	var err error
-	m.during(func() { items, at, err = m.store.List(ctx, "", false) })
+	m.runNotifying(func() { items, at, err = m.store.List(ctx, "", false) })
 	if err != nil {
 		return err
 	}
-	m.enter(at)
-	reading, changes := m.known.list(boottime.Now(), items, at, begin)
+	m.noteEpoch(at)
+	reading, changes := m.view.applyList(boottime.Now(), items, at, begin)
 	m.sink.Read(reading)
-	m.tell(changes)
-	m.begun()
+	m.notify(changes)
+	m.markListed()
 	return nil
 }
 
-// enter notes that the store was at a revision.
-func (m *Mirror) enter(at platform.Revision) {
-	if !m.known.restored(at) {
+// noteEpoch records that the store was at a revision. If its epoch is new, the store was restored
+// from a snapshot, which is reported to the sink.
+func (m *Mirror) noteEpoch(at platform.Revision) {
+	if !m.view.isRestored(at) {
 		return
 	}
 	m.store.Reached(at.Epoch())
 	m.sink.Restored(m.Revision(), at.Epoch())
 }
 
-// errKicked says that a watch was ended as its connection may be dead, or as it has
-// missed changes.
-var errKicked = errors.New("mirror: watch ended to begin anew")
+// errWatchCanceled is returned by a watch that was canceled because its connection may be dead or
+// because it has missed changes.
+var errWatchCanceled = errors.New("mirror: watch canceled for a restart")
 
-// watch waits for changes once.
+// watch waits for changes once and applies them.
 func (m *Mirror) watch(ctx context.Context) error {
 	wait := watchWait
-	if m.isLost() {
-		wait = firstWatch
+	if m.isUnreachable() {
+		wait = recoveryWatchWait
 	}
-	inner, cancel := context.WithTimeout(ctx, wait+answerTime)
+	inner, cancel := context.WithTimeout(ctx, wait+answerMargin)
 	defer cancel()
 	m.mu.Lock()
-	m.kick = cancel
+	m.cancelWatch = cancel
 	m.mu.Unlock()
 	begin := boottime.Now()
 	var events []platform.Event
 	var since platform.Revision
 	var err error
-	m.during(func() { events, since, err = m.store.Watch(inner, "", m.known.history.at(), wait) })
+	m.runNotifying(func() { events, since, err = m.store.Watch(inner, "", m.view.history.latest(), wait) })
 	if errors.Is(inner.Err(), context.Canceled) && ctx.Err() == nil {
-		if failed := m.takeFailed(); failed != nil {
+		if failed := m.takeCheckErr(); failed != nil {
 			return failed
 		}
-		return errKicked
+		return errWatchCanceled
 	}
 	if err != nil {
 		return err
 	}
 	if len(events) == 0 {
-		begin = time.Time{} // an empty answer may come from a deaf watch
+		begin = time.Time{} // an empty answer may come from a watch that misses changes
 	}
-	m.tell(m.known.take(boottime.Now(), growth{events: events, revision: since, confirmed: begin}))
+	m.notify(m.view.applyBatch(boottime.Now(), batch{events: events, revision: since, confirmedAt: begin}))
 	return nil
 }
 
-// tell tells of changes, if there are any.
-func (m *Mirror) tell(changes []Change) {
+// notify passes changes to the sink, if there are any.
+func (m *Mirror) notify(changes []Change) {
 	if len(changes) > 0 {
 		m.sink.Changed(changes)
 	}
 }
 
-// during runs a call that waits for others, and meanwhile tells of the changes whose delay
-// ends. The call must leave the copy alone.
-func (m *Mirror) during(call func()) {
+// runNotifying runs a blocking call, and meanwhile reports the changes whose delay ends. The call
+// must not touch the replica.
+func (m *Mirror) runNotifying(call func()) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -301,28 +303,28 @@
 		select {
 		case <-done:
 			return
-		case <-m.due():
-			m.tell(m.known.take(boottime.Now(), growth{}))
-		case <-resumed: // the delay may be over
+		case <-m.dueTimer():
+			m.notify(m.view.applyBatch(boottime.Now(), batch{}))
+		case <-resumed: // recompute the timer: the delay may have ended during a suspension
 		}
 	}
 }
 
-// due fires when the next delay ends. It is nil if nothing is delayed.
-func (m *Mirror) due() <-chan time.Time {
-	next := m.known.copy.NextDue()
+// dueTimer returns a channel that fires when the next delay ends; nil if nothing is delayed.
+func (m *Mirror) dueTimer() <-chan time.Time {
+	next := m.view.copy.NextDue()
 	if next.IsZero() {
 		return nil
 	}
 	return time.After(boottime.Until(next))
 }
 
-// rest waits for a pause, or until the store answers again.
-func (m *Mirror) rest(ctx context.Context, pause time.Duration) {
-	m.during(func() {
+// backOff waits for a pause, or until the store answers again.
+func (m *Mirror) backOff(ctx context.Context, pause time.Duration) {
+	m.runNotifying(func() {
 		select {
 		case <-ctx.Done():
-		case <-m.back:
+		case <-m.storeBack:
 		case <-time.After(pause):
 		}
 	})
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -14,13 +14,13 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// sink keeps what the mirror finds.
+// sink records the mirror's results.
 type sink struct {
-	mu    sync.Mutex
-	keys  map[string]string // guarded by mu
-	lost  int               // guarded by mu
-	found int               // guarded by mu
-	alone int               // guarded by mu
+	mu            sync.Mutex
+	keys          map[string]string // guarded by mu
+	outages       int               // guarded by mu
+	recoveries    int               // guarded by mu
+	relayFailures int               // guarded by mu
 }
 
 func (s *sink) Changed(changes []Change) {
@@ -38,7 +38,7 @@
 func (s *sink) Lost(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lost++
+	s.outages++
 }
 
 func (s *sink) Listed() {}
@@ -56,13 +56,13 @@
 func (s *sink) Alone(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.alone++
+	s.relayFailures++
 }
 
 func (s *sink) Found() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.found++
+	s.recoveries++
 }
 
 func (s *sink) get(key string) string {
@@ -71,16 +71,16 @@
 	return s.keys[key]
 }
 
-func (s *sink) losses() int {
+func (s *sink) outageCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lost
+	return s.outages
 }
 
-func (s *sink) finds() int {
+func (s *sink) recoveryCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.found
+	return s.recoveries
 }
 
 func newStore(t *testing.T) (*store.Store, string) {
@@ -113,22 +113,22 @@
 	return m, out
 }
 
-// nobody are no peers to follow.
-var nobody = Peers{Relays: func() []string { return nil }, Others: func() []string { return nil }}
+// noPeers has no peers to follow.
+var noPeers = Peers{Relays: func() []string { return nil }, Others: func() []string { return nil }}
 
-// after are peers of whom one is the relay.
-func after(relay string) Peers {
+// withRelay has a single peer, as relay and as fallback.
+func withRelay(relay string) Peers {
 	return Peers{Relays: func() []string { return []string{relay} }, Others: func() []string { return []string{relay} }}
 }
 
-func run(t *testing.T) (*store.Store, *sink) {
+func startSingle(t *testing.T) (*store.Store, *sink) {
 	t.Helper()
 	fake, address := newStore(t)
-	_, out := startMirror(t, address, nobody)
+	_, out := startMirror(t, address, noPeers)
 	return fake, out
 }
 
-// byNumber orders states by the numbers that they are, if both are.
+// byNumber orders states by their values if both are numbers.
 func byNumber(a, b platform.Item) int {
 	x, err := strconv.Atoi(string(a.Value))
 	y, fault := strconv.Atoi(string(b.Value))
@@ -149,40 +149,40 @@
 	t.Errorf("not within %s: %s", limit, what)
 }
 
-// bound is the shortest time until a change has to be in force.
-const bound = 2 * time.Second
+// changeBound is the shortest time in which a change has to be in force.
+const changeBound = 2 * time.Second
 
 func TestFollows(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.Put("a", []byte("2"))
-	within(t, bound, "a is 2", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2", func() bool { return out.get("a") == "2" })
 	fake.Remove("a")
-	within(t, bound, "a is gone", func() bool { return out.get("a") == "" })
+	within(t, changeBound, "a is removed", func() bool { return out.get("a") == "" })
 }
 
-// Changes that a watch does not deliver are found in time.
+// Changes that a watch does not deliver are found on time.
 func TestDeafWatch(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.SetFaults(store.Faults{Deaf: true})
 	fake.Put("a", []byte("2"))
-	within(t, bound, "a is 2 though the watch hears nothing", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2 though the watch receives nothing", func() bool { return out.get("a") == "2" })
 }
 
 func TestForgottenHistory(t *testing.T) {
-	fake, out := run(t)
+	fake, out := startSingle(t)
 	fake.Put("a", []byte("1"))
-	within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+	within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 	fake.SetFaults(store.Faults{Deaf: true})
 	fake.Put("a", []byte("2"))
 	fake.Forget()
-	within(t, bound, "a is 2 by a list", func() bool { return out.get("a") == "2" })
+	within(t, changeBound, "a is 2 by a list", func() bool { return out.get("a") == "2" })
 }
 
-// A store that gives no answer is asked each second, as one that refuses is.
+// A store that gives no answer is checked every second, like one that refuses.
 func TestChecksOfASilentStore(t *testing.T) {
 	const outage = 4 * time.Second
 	for name, faults := range map[string]store.Faults{"refuses": {Refuse: true}, "silent": {Silent: true}} {
@@ -190,12 +190,12 @@
 			t.Parallel()
 			fake, address := newStore(t)
 			fake.Put("a", []byte("1"))
-			_, out := startMirror(t, address, nobody)
-			within(t, bound, "a is known", func() bool { return out.get("a") == "1" })
+			_, out := startMirror(t, address, noPeers)
+			within(t, changeBound, "a is visible", func() bool { return out.get("a") == "1" })
 			calls := fake.Calls("/kv-range")
 			fake.SetFaults(faults)
 			time.Sleep(outage)
-			got, most := fake.Calls("/kv-range")-calls, int(outage/checkEvery)
+			got, most := fake.Calls("/kv-range")-calls, int(outage/checkInterval)
 			if got < most-1 || got > most+1 {
 				t.Errorf("got %d checks in %s, want %d", got, outage, most)
 			}
@@ -207,15 +207,15 @@
 	tests := map[string]store.Faults{"refuses": {Refuse: true}, "silent": {Silent: true}}
 	for name, faults := range tests {
 		t.Run(name, func(t *testing.T) {
-			fake, out := run(t)
+			fake, out := startSingle(t)
 			fake.Put("a", []byte("1"))
-			within(t, bound, "a is 1", func() bool { return out.get("a") == "1" })
+			within(t, changeBound, "a is 1", func() bool { return out.get("a") == "1" })
 			fake.SetFaults(faults)
 			fake.Put("b", []byte("1")) // wakes the watch
 			time.Sleep(50 * time.Millisecond)
 			fake.SetFaults(store.Faults{})
 			fake.Put("a", []byte("2"))
-			within(t, 2*bound, "a is 2", func() bool { return out.get("a") == "2" })
+			within(t, 2*changeBound, "a is 2", func() bool { return out.get("a") == "2" })
 		})
 	}
 }
--- a/internal/quota/capacity_test.go
+++ b/internal/quota/capacity_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// workspaces is how many have a quota: those of a large deployment.
+// workspaces is the number of workspaces with a quota, as in a large deployment.
 const workspaces = 5000
 
-// large is a ledger with many workspaces among so many instances.
-func large(b *testing.B, instances int) (*Ledger, []Member) {
+// largeLedger returns a ledger with many workspaces among a number of instances.
+func largeLedger(b *testing.B, instances int) (*Ledger, []Member) {
 	b.Helper()
 	l, err := New(Config{Self: "i0000", Domain: "d00", Region: "r0", Bounds: Bounds{Over: 0.1, Slack: 20}})
 	if err != nil {
@@ -33,11 +33,11 @@
 	return l, members
 }
 
-// What a token costs when the quota is divided already.
+// BenchmarkCapacityToken measures the cost of a token of a quota that is divided already.
 func BenchmarkCapacityToken(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, _ := large(b, n)
+			l, _ := largeLedger(b, n)
 			names := make([]string, 100)
 			for i := range names {
 				names[i] = fmt.Sprintf("w%04d", i*50)
@@ -52,15 +52,16 @@
 	}
 }
 
-// What the first token of a workspace costs after an instance has come or gone.
+// BenchmarkCapacityDivide measures the cost of a workspace's first token after an instance was
+// added or removed.
 func BenchmarkCapacityDivide(b *testing.B) {
 	for _, n := range []int{59, 300, 2000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			l, members := large(b, n)
+			l, members := largeLedger(b, n)
 			now := time.Unix(1, 0)
 			for i := 0; b.Loop(); i++ {
 				members[n-1].Name = fmt.Sprint("j", i%2)
-				now = now.Add(lapseTime)
+				now = now.Add(holderExpiry)
 				l.Peers(now, members)
 				l.Take(now, fmt.Sprintf("w%04d", i%workspaces))
 			}
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -13,40 +13,41 @@
 	Domain  string // failure domain
 	Region  string
 	Address string  // for peers, IP:port
-	Size    float64 // of its machine, as a part of the largest; above 0
+	Size    float64 // of its machine, as a fraction of the largest; above 0
 }
 
-// ranked is a member in the order in which a workspace's holders are chosen.
+// ranked is a member with its sort keys for the choice of a workspace's holders.
 type ranked struct {
 	Member
-	draw  uint64 // by the hash of workspace and member
-	place int    // among those of its failure domain
+	hash       uint64 // hash of workspace and member
+	domainRank int    // rank among the members of its failure domain
 }
 
-// rank orders members for a workspace: the largest of each failure domain first, as most
-// callers are there, then the second of each, and so on; equals by hash. All instances
-// that know the same members agree on it.
+// rank sorts members for a workspace: the largest of each failure domain first, because most
+// callers are there, then the second of each, and so on; equal sizes by hash. All instances with
+// the same members agree on the order.
 func rank(members []Member, workspace string) []ranked {
 	list := make([]ranked, 0, len(members))
 	for _, m := range members {
-		list = append(list, ranked{Member: m, draw: xxhash.Sum64String(workspace + " " + m.Name)})
+		list = append(list, ranked{Member: m, hash: xxhash.Sum64String(workspace + " " + m.Name)})
 	}
 	bySize := func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(a.draw, b.draw), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.Size, a.Size), cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 	}
 	slices.SortFunc(list, bySize)
 	seen := make(map[string]int)
 	for i := range list {
-		list[i].place = seen[list[i].Domain]
+		list[i].domainRank = seen[list[i].Domain]
 		seen[list[i].Domain]++
 	}
-	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.place, b.place), bySize(a, b)) })
+	slices.SortFunc(list, func(a, b ranked) int { return cmp.Or(cmp.Compare(a.domainRank, b.domainRank), bySize(a, b)) })
 	return list
 }
 
-// holders returns the members among which a stock is divided by size, and the sum of
-// their sizes: as many as can be without one that holds less than leastStock.
-func holders(members []Member, workspace string, stock float64) ([]Member, float64) {
+// chooseHolders returns the members among which a stock is divided in proportion to their sizes,
+// and the sum of their sizes. It chooses as many as possible such that none holds less than
+// minStock.
+func chooseHolders(members []Member, workspace string, stock float64) ([]Member, float64) {
 	list := rank(members, workspace)
 	most, sizes, least := 0, 0.0, 0.0
 	sum := 0.0
@@ -55,7 +56,7 @@
 		if i == 0 || m.Size < least {
 			least = m.Size
 		}
-		if i == 0 || stock*least/sum >= leastStock {
+		if i == 0 || stock*least/sum >= minStock {
 			most, sizes = i+1, sum
 		}
 	}
