--- a/pkg/caller/answer.go
+++ b/pkg/caller/answer.go
@@ -12,10 +12,10 @@
 
 // Limits of the answer to a look-up.
 const (
-	maxAnswer    = 1 << 20 // bytes
-	maxInstances = 256
-	maxKey       = 512 // bytes
-	maxAge       = time.Hour
+	maxAnswerBytes = 1 << 20 // bytes
+	maxInstances   = 256
+	maxKeyBytes    = 512 // bytes
+	maxAge         = time.Hour
 )
 
 // Instance is one instance that a service can be reached through.
@@ -51,11 +51,11 @@
 
 // decodeAnswer reads the answer to a look-up. Errors are an *AnswerError.
 func decodeAnswer(r io.Reader) (wireAnswer, error) {
-	b, err := io.ReadAll(io.LimitReader(r, maxAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
 	if err != nil {
 		return wireAnswer{}, &AnswerError{Reason: "cut short", Err: err}
 	}
-	if len(b) > maxAnswer {
+	if len(b) > maxAnswerBytes {
 		return wireAnswer{}, &AnswerError{Reason: "too large"}
 	}
 	var a wireAnswer
@@ -86,7 +86,7 @@
 // validKey says whether a key can stand in a header.
 func validKey(s string) bool {
 	outside := func(r rune) bool { return r <= ' ' || r > '~' }
-	return s != "" && len(s) <= maxKey && strings.IndexFunc(s, outside) < 0
+	return s != "" && len(s) <= maxKeyBytes && strings.IndexFunc(s, outside) < 0
 }
 
 // freshFor returns how long an answer may be cached from before it was asked
--- a/pkg/caller/avoided_test.go
+++ b/pkg/caller/avoided_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestAvoided(t *testing.T) {
-	const first, trial = 2 * time.Second, 500 * time.Millisecond
+	const initial, probeTimeout = 2 * time.Second, 500 * time.Millisecond
 	begin := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
 		failures int
@@ -17,20 +17,20 @@
 		second   []string // for the next request at the same time
 	}{
 		"never failed":      {0, false, 0, []string{"a", "b"}, []string{"a", "b"}},
-		"failed once":       {1, false, first - 1, []string{"b", "a"}, []string{"b", "a"}},
-		"one tries again":   {1, false, first, []string{"a", "b"}, []string{"b", "a"}},
-		"failed twice":      {2, false, 2*first - 1, []string{"b", "a"}, []string{"b", "a"}},
+		"failed once":       {1, false, initial - 1, []string{"b", "a"}, []string{"b", "a"}},
+		"one tries again":   {1, false, initial, []string{"a", "b"}, []string{"b", "a"}},
+		"failed twice":      {2, false, 2*initial - 1, []string{"b", "a"}, []string{"b", "a"}},
 		"failed very often": {40, false, maxAvoid, []string{"a", "b"}, []string{"b", "a"}},
 		"worked since":      {3, true, 0, []string{"a", "b"}, []string{"a", "b"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := newAvoided(first, trial)
+			a := newAvoidList(initial, probeTimeout)
 			for range tt.failures {
-				a.failed(begin, "a")
+				a.recordFailure(begin, "a")
 			}
 			if tt.worked {
-				a.worked("a")
+				a.recordSuccess("a")
 			}
 			for _, want := range [][]string{tt.want, tt.second} {
 				if got, _ := a.order(begin.Add(tt.at), []string{"a", "b", "a"}); !slices.Equal(got, want) {
--- a/pkg/caller/body.go
+++ b/pkg/caller/body.go
@@ -8,21 +8,21 @@
 
 // body is an answer's body that ends with io.EOF only when it is whole.
 type body struct {
-	request string
-	source  io.ReadCloser
-	cancel  context.CancelFunc // ends the attempt's context
-	got     int64
-	want    int64 // -1 when not announced
-	endless bool  // its end would look like a lost connection
-	err     error // once set, every Read returns it
+	request        string
+	source         io.ReadCloser
+	cancel         context.CancelFunc // ends the attempt's context
+	got            int64
+	want           int64 // -1 when not announced
+	closeDelimited bool  // its end would look like a lost connection
+	err            error // once set, every Read returns it
 }
 
 func newBody(k *call, resp *http.Response, cancel context.CancelFunc) *body {
 	b := &body{request: k.id, source: resp.Body, cancel: cancel, want: resp.ContentLength}
 	chunked := len(resp.TransferEncoding) > 0
-	b.endless = resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody
+	b.closeDelimited = resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody
 	if k.req.Method == http.MethodHead {
-		b.want, b.endless = 0, false
+		b.want, b.closeDelimited = 0, false
 	}
 	return b
 }
@@ -37,7 +37,7 @@
 	switch {
 	case err == nil:
 		return n, nil
-	case err == io.EOF && !b.endless && (b.want < 0 || b.got == b.want):
+	case err == io.EOF && !b.closeDelimited && (b.want < 0 || b.got == b.want):
 		b.err = io.EOF
 	case err == io.EOF:
 		b.err = b.incomplete(io.ErrUnexpectedEOF)
--- a/pkg/caller/budget.go
+++ b/pkg/caller/budget.go
@@ -5,30 +5,30 @@
 // budget bounds retries by the requests made, so that they can't amplify an
 // outage. It is safe for concurrent use.
 type budget struct {
-	mu    sync.Mutex
-	left  float64 // 0 to burst
-	burst float64
-	ratio float64
+	mu     sync.Mutex
+	tokens float64 // 0 to burst
+	burst  float64
+	ratio  float64
 }
 
 func newBudget(burst int, ratio float64) *budget {
-	return &budget{left: float64(burst), burst: float64(burst), ratio: ratio}
+	return &budget{tokens: float64(burst), burst: float64(burst), ratio: ratio}
 }
 
-// add notes a request.
-func (b *budget) add() {
+// credit notes a request.
+func (b *budget) credit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+b.ratio, b.burst)
+	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
 // take says whether a retry may be made, and counts it.
 func (b *budget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
--- a/pkg/caller/call.go
+++ b/pkg/caller/call.go
@@ -12,8 +12,8 @@
 	"github.com/juju/errors"
 )
 
-// maxRefusal is how much of a refusal's body is read to keep its connection.
-const maxRefusal = 4096
+// maxDiscardBytes is how much of a refusal's body is read to keep its connection.
+const maxDiscardBytes = 4096
 
 // Response is a target's answer. Close its body.
 type Response struct {
@@ -30,23 +30,23 @@
 // *UnknownError; see the package's comment for what they allow.
 func (c *Client) Do(ctx context.Context, service string, req *Request) (*Response, error) {
 	k := c.newCall(ctx, service, req)
-	c.budget.add()
+	c.budget.credit()
 	answer, err := c.Lookup(ctx, service)
 	if err != nil {
-		return nil, errors.Annotate(k.notRunBefore(ReasonLookup, err), "Client.Do")
+		return nil, errors.Annotate(k.errorBeforeAttempt(ReasonLookup, err), "Client.Do")
 	}
 	if !k.idempotent && k.key.Value == "" {
 		if k.key, err = c.key(ctx, service); err != nil {
-			return nil, errors.Annotate(k.notRunBefore(ReasonKey, err), "Client.Do")
+			return nil, errors.Annotate(k.errorBeforeAttempt(ReasonKey, err), "Client.Do")
 		}
 	}
 	resp, err := k.run(answer)
 	return resp, errors.Annotate(err, "Client.Do")
 }
 
-// notRunBefore is the failure of a request before its first attempt. Of a
+// errorBeforeAttempt is the failure of a request before its first attempt. Of a
 // request with a key from an earlier try nothing is known.
-func (k *call) notRunBefore(reason string, err error) error {
+func (k *call) errorBeforeAttempt(reason string, err error) error {
 	if k.ctx.Err() != nil {
 		reason = ReasonTimeout
 	}
@@ -67,22 +67,22 @@
 	if k.key.Home == "" {
 		return list, reached
 	}
-	rest := []string{k.key.Home}
+	homeFirst := []string{k.key.Home}
 	for _, address := range list {
 		if address != k.key.Home {
-			rest = append(rest, address)
+			homeFirst = append(homeFirst, address)
 		}
 	}
-	return rest, max(reached, 1)
+	return homeFirst, max(reached, 1)
 }
 
 // run makes attempts until one is answered or no other is right.
 func (k *call) run(answer Answer) (*Response, error) {
 	addresses, reached := k.addresses(answer)
-	k.mayRun = k.req.Key.Value != ""
+	k.mayHaveRun = k.req.Key.Value != ""
 	attempts := k.client.cfg.Attempts
 	for i := range attempts {
-		if i >= reached && i < len(addresses) && k.told() || i > 0 && !k.client.budget.take() {
+		if i >= reached && i < len(addresses) && k.refusedByInstance() || i > 0 && !k.client.budget.take() {
 			break
 		}
 		address := addresses[i%len(addresses)]
@@ -91,43 +91,43 @@
 			return resp, nil
 		}
 		k.last = err
-		if !k.again(address, err) {
+		if !k.shouldRetry(address, err) {
 			break
 		}
 	}
 	return nil, k.failure()
 }
 
-// told says whether an instance has refused the request itself. That is a
+// refusedByInstance says whether an instance has refused the request itself. That is a
 // better answer than what an instance that fails would give, after a wait.
-func (k *call) told() bool {
+func (k *call) refusedByInstance() bool {
 	var notRun *NotRunError
 	return errors.As(k.last, &notRun) && notRun.Status != 0
 }
 
-// again says whether another attempt is right after one failed.
-func (k *call) again(address string, err error) bool {
+// shouldRetry says whether another attempt is right after one failed.
+func (k *call) shouldRetry(address string, err error) bool {
 	var notRun *NotRunError
 	if !errors.As(err, &notRun) {
 		var unknown *UnknownError
-		k.mayRun = true
-		told := errors.As(err, &unknown) && unknown.Err == nil
-		return k.ctx.Err() == nil && (k.idempotent || !told)
+		k.mayHaveRun = true
+		unknownReported := errors.As(err, &unknown) && unknown.Err == nil
+		return k.ctx.Err() == nil && (k.idempotent || !unknownReported)
 	}
 	if notRun.final() || k.ctx.Err() != nil {
 		return false
 	}
-	k.client.forget(k.service, address)
+	k.client.invalidate(k.service, address)
 	// A key that was never sent is left alone when its home can't run the
 	// request: another instance could but guess.
-	return k.idempotent || k.mayRun
+	return k.idempotent || k.mayHaveRun
 }
 
 // failure returns the error of the whole call. Once an attempt may have run, a
 // refusal of another one proves nothing.
 func (k *call) failure() error {
 	var notRun *NotRunError
-	if !errors.As(k.last, &notRun) || !k.mayRun {
+	if !errors.As(k.last, &notRun) || !k.mayHaveRun {
 		return k.last
 	}
 	unknown := k.unknown(notRun.Reason, notRun.Err)
@@ -143,30 +143,30 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	start := k.start(more)
-	req, refused := k.request(ctx, address, start)
+	startBy := k.startDeadline(more)
+	req, refused := k.httpRequest(ctx, address, startBy)
 	if refused != nil {
 		cancel()
 		return nil, refused
 	}
-	stop := limit(cancel, start)
+	stopTimer := cancelAt(cancel, startBy)
 	resp, err := k.client.transport.RoundTrip(req)
-	if !stop() && err == nil {
+	if !stopTimer() && err == nil {
 		err = context.Canceled
 		_ = resp.Body.Close()
 	}
 	if err != nil {
 		cancel()
-		return nil, k.broken(address, connected.Load(), err)
+		return nil, k.transportError(address, connected.Load(), err)
 	}
-	return k.judge(address, resp, cancel)
+	return k.readOutcome(address, resp, cancel)
 }
 
-// start is by when the answer of an attempt at an idempotent request has to
+// startDeadline is by when the answer of an attempt at an idempotent request has to
 // begin: halfway to the deadline while other instances are left, so that one
 // that hangs doesn't take all the time. It is zero if there is no such limit.
 // The instance is told, so that it doesn't begin what is given up already.
-func (k *call) start(more bool) time.Time {
+func (k *call) startDeadline(more bool) time.Time {
 	deadline, ok := k.ctx.Deadline()
 	if !ok || !more || !k.idempotent {
 		return time.Time{}
@@ -174,19 +174,19 @@
 	return time.Now().Add(time.Until(deadline) / 2)
 }
 
-// limit ends an attempt at start, unless that is zero or stop comes first.
-func limit(cancel context.CancelFunc, start time.Time) (stop func() bool) {
-	if start.IsZero() {
+// cancelAt ends an attempt at start, unless that is zero or stop comes first.
+func cancelAt(cancel context.CancelFunc, at time.Time) (stop func() bool) {
+	if at.IsZero() {
 		return func() bool { return true }
 	}
-	return time.AfterFunc(time.Until(start), cancel).Stop
+	return time.AfterFunc(time.Until(at), cancel).Stop
 }
 
-// broken is the failure of an attempt without an answer. Without a connection
+// transportError is the failure of an attempt without an answer. Without a connection
 // no byte was sent, which proves that nothing ran.
-func (k *call) broken(address string, connected bool, err error) error {
+func (k *call) transportError(address string, connected bool, err error) error {
 	if k.ctx.Err() == nil {
-		k.client.avoid(address)
+		k.client.recordFailure(address)
 	}
 	switch {
 	case !connected && k.ctx.Err() != nil:
@@ -200,13 +200,13 @@
 	}
 }
 
-// judge reads what an answer's header says of the request.
-func (k *call) judge(address string, resp *http.Response, cancel context.CancelFunc) (*Response, error) {
+// readOutcome reads what an answer's header says of the request.
+func (k *call) readOutcome(address string, resp *http.Response, cancel context.CancelFunc) (*Response, error) {
 	outcome := resp.Header.Get(headerOutcome)
 	id := resp.Header.Get(headerRequest)
 	reason := resp.Header.Get(headerReason)
 	if id == k.id && Outcome(outcome) == Answered {
-		k.client.worked(address)
+		k.client.recordSuccess(address)
 		return k.response(address, resp, cancel), nil
 	}
 	discard(resp.Body)
@@ -217,13 +217,13 @@
 		e.RetryAt = retryAt(resp.Header)
 		e.Status = resp.StatusCode
 		if !e.final() {
-			k.client.refused(address)
+			k.client.recordRefusal(address)
 		}
 		return nil, e
 	case id == k.id && Outcome(outcome) == Unknown:
 		return nil, k.unknown(reason, nil)
 	}
-	k.client.avoid(address)
+	k.client.recordFailure(address)
 	return nil, k.unknown(ReasonForeign, &ForeignError{Request: id, Outcome: outcome})
 }
 
@@ -239,7 +239,7 @@
 }
 
 func discard(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, maxRefusal)
+	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 	_ = body.Close()
 }
 
--- a/pkg/caller/call_test.go
+++ b/pkg/caller/call_test.go
@@ -26,37 +26,37 @@
 	unknown := func(w http.ResponseWriter, r *http.Request) { outcome(w, r, Unknown, "home") }
 	get := &Request{Path: "/owed?id=7"}
 	tests := map[string]struct {
-		req    *Request
-		first  handler
-		second handler
-		down   bool // first refuses connections to requests
-		want   Outcome
-		reason string
-		a, b   int64 // requests that each got
-		retry  bool
-		key    string // key of the UnknownError
+		req                     *Request
+		first                   handler
+		second                  handler
+		down                    bool // first refuses connections to requests
+		want                    Outcome
+		reason                  string
+		firstCalls, secondCalls int64 // requests that each got
+		retry                   bool
+		key                     string // key of the UnknownError
 	}{
-		"answered":                         {req: get, want: Answered, a: 1},
-		"refused connection":               {req: get, down: true, want: Answered, b: 1},
-		"lost answer":                      {req: get, first: cut, want: Answered, a: 1, b: 1},
-		"hanging instance":                 {req: get, first: hang, want: Answered, a: 1, b: 1},
-		"answer to another request":        {req: get, first: foreign, want: Answered, a: 1, b: 1},
-		"not run, instance at fault":       {req: get, first: refuse(503, ""), want: Answered, a: 1, b: 1},
-		"not run, come back":               {req: get, first: refuse(503, "250"), want: NotRun, reason: "full", a: 1, retry: true},
-		"not run, request at fault":        {req: get, first: refuse(400, ""), want: NotRun, reason: "full", a: 1},
-		"not run everywhere":               {req: get, first: refuse(503, ""), second: refuse(503, ""), want: NotRun, reason: "full", a: 2, b: 1},
-		"lost, then refused":               {req: get, first: cut, second: refuse(503, "250"), want: Unknown, reason: "full", a: 1, b: 1},
+		"answered":                         {req: get, want: Answered, firstCalls: 1},
+		"refused connection":               {req: get, down: true, want: Answered, secondCalls: 1},
+		"lost answer":                      {req: get, first: abort, want: Answered, firstCalls: 1, secondCalls: 1},
+		"hanging instance":                 {req: get, first: hang, want: Answered, firstCalls: 1, secondCalls: 1},
+		"answer to another request":        {req: get, first: foreign, want: Answered, firstCalls: 1, secondCalls: 1},
+		"not run, instance at fault":       {req: get, first: refuse(503, ""), want: Answered, firstCalls: 1, secondCalls: 1},
+		"not run, come back":               {req: get, first: refuse(503, "250"), want: NotRun, reason: "full", firstCalls: 1, retry: true},
+		"not run, request at fault":        {req: get, first: refuse(400, ""), want: NotRun, reason: "full", firstCalls: 1},
+		"not run everywhere":               {req: get, first: refuse(503, ""), second: refuse(503, ""), want: NotRun, reason: "full", firstCalls: 2, secondCalls: 1},
+		"lost, then refused":               {req: get, first: abort, second: refuse(503, "250"), want: Unknown, reason: "full", firstCalls: 1, secondCalls: 1},
 		"path can't be sent":               {req: &Request{Path: "owed"}, want: NotRun, reason: ReasonRequest},
-		"key, answered":                    {req: post(), want: Answered, a: 1},
+		"key, answered":                    {req: post(), want: Answered, firstCalls: 1},
 		"key, home refuses connection":     {req: post(), down: true, want: NotRun, reason: ReasonConnect},
-		"key, not run":                     {req: post(), first: refuse(503, ""), want: NotRun, reason: "full", a: 1},
-		"key, home says unknown":           {req: post(), first: unknown, want: Unknown, reason: "home", a: 1, key: first + "-1"},
-		"key, lost, others don't know":     {req: post(), first: cut, second: unknown, want: Unknown, reason: "home", a: 1, b: 1, key: first + "-1"},
-		"key, lost, refused":               {req: post(), first: cut, second: refuse(503, "250"), want: Unknown, reason: "full", a: 1, b: 1, key: first + "-1"},
-		"key, lost, answered by forward":   {req: post(), first: cut, want: Answered, a: 1, b: 1},
-		"GET that must not run twice":      {req: &Request{Once: true}, first: unknown, want: Unknown, reason: "home", a: 1, key: first + "-1"},
-		"POST that may run twice":          {req: &Request{Method: "POST", Idempotent: true}, first: cut, want: Answered, a: 1, b: 1},
-		"key of an earlier try, home gone": {req: &Request{Method: "POST", Key: Key{Value: "k", Home: first}}, down: true, second: refuse(503, "250"), want: Unknown, reason: "full", b: 1, key: "k"},
+		"key, not run":                     {req: post(), first: refuse(503, ""), want: NotRun, reason: "full", firstCalls: 1},
+		"key, home says unknown":           {req: post(), first: unknown, want: Unknown, reason: "home", firstCalls: 1, key: first + "-1"},
+		"key, lost, others don't know":     {req: post(), first: abort, second: unknown, want: Unknown, reason: "home", firstCalls: 1, secondCalls: 1, key: first + "-1"},
+		"key, lost, refused":               {req: post(), first: abort, second: refuse(503, "250"), want: Unknown, reason: "full", firstCalls: 1, secondCalls: 1, key: first + "-1"},
+		"key, lost, answered by forward":   {req: post(), first: abort, want: Answered, firstCalls: 1, secondCalls: 1},
+		"GET that must not run twice":      {req: &Request{Once: true}, first: unknown, want: Unknown, reason: "home", firstCalls: 1, key: first + "-1"},
+		"POST that may run twice":          {req: &Request{Method: "POST", Idempotent: true}, first: abort, want: Answered, firstCalls: 1, secondCalls: 1},
+		"key of an earlier try, home gone": {req: &Request{Method: "POST", Key: Key{Value: "k", Home: first}}, down: true, second: refuse(503, "250"), want: Unknown, reason: "full", secondCalls: 1, key: "k"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 				if got := OutcomeOf(err); got != tt.want {
 					t.Fatalf("got %v (%v), want %v", got, err, tt.want)
 				}
-				if got := [2]int64{n.servers[first].calls.Load(), n.servers[second].calls.Load()}; got != [2]int64{tt.a, tt.b} {
-					t.Errorf("got %v requests, want %v", got, [2]int64{tt.a, tt.b})
+				if got := [2]int64{n.servers[first].calls.Load(), n.servers[second].calls.Load()}; got != [2]int64{tt.firstCalls, tt.secondCalls} {
+					t.Errorf("got %v requests, want %v", got, [2]int64{tt.firstCalls, tt.secondCalls})
 				}
 				if err == nil {
 					checkDone(t, resp)
@@ -88,16 +88,16 @@
 						t.Errorf("got %q, come back %v, want %q, %v", notRun.Reason, notRun.RetryAt, tt.reason, tt.retry)
 					}
 				}
-				var unsure *UnknownError
-				if errors.As(err, &unsure) && (unsure.Reason != tt.reason || unsure.Key.Value != tt.key) {
-					t.Errorf("got %q with key %q, want %q with %q", unsure.Reason, unsure.Key.Value, tt.reason, tt.key)
+				var unknownErr *UnknownError
+				if errors.As(err, &unknownErr) && (unknownErr.Reason != tt.reason || unknownErr.Key.Value != tt.key) {
+					t.Errorf("got %q with key %q, want %q with %q", unknownErr.Reason, unknownErr.Key.Value, tt.reason, tt.key)
 				}
 			})
 		})
 	}
 }
 
-func TestNoBodyIsSentForNone(t *testing.T) {
+func TestEmptyRequestSendsNoBody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(t, first, second)
 		n.servers[first].call = func(w http.ResponseWriter, r *http.Request) {
@@ -140,8 +140,8 @@
 				next(w, r)
 			}
 		}
-		n.servers[first].call = record(cut)
-		n.servers[second].call = record(cut)
+		n.servers[first].call = record(abort)
+		n.servers[second].call = record(abort)
 		c := n.client(t, Config{})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -217,9 +217,9 @@
 	})
 }
 
-// TestStartIsTold: an instance is told by when the answer has to begin, as long
+// TestStartDeadlineIsSent: an instance is told by when the answer has to begin, as long
 // as the attempt would be given up then.
-func TestStartIsTold(t *testing.T) {
+func TestStartDeadlineIsSent(t *testing.T) {
 	tests := map[string]struct {
 		req  *Request
 		want []string
@@ -238,7 +238,7 @@
 					got = append(got, r.Header.Get(headerStart))
 					mu.Unlock()
 					if r.Header.Get(headerStart) == "" {
-						cut(w, r)
+						abort(w, r)
 					}
 					<-r.Context().Done()
 				}
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -21,8 +21,8 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	services map[string]*entry // by team/service; only services that were asked for
-	avoided  *avoided
+	services map[string]*serviceState // by team/service; only services that were asked for
+	avoided  *avoidList
 }
 
 // New returns a client. The error is a *ConfigError that names each fault.
@@ -40,8 +40,8 @@
 		cfg:      cfg,
 		budget:   newBudget(cfg.Burst, cfg.Ratio),
 		random:   rand.New(rand.NewPCG(seed, seed)),
-		services: map[string]*entry{},
-		avoided:  newAvoided(cfg.Avoid, cfg.Connect),
+		services: map[string]*serviceState{},
+		avoided:  newAvoidList(cfg.Avoid, cfg.Connect),
 	}
 	c.transport = &http.Transport{
 		DialContext:         c.dial,
@@ -66,8 +66,8 @@
 	return time.Duration(float64(d) * (low + (high-low)*c.random.Float64()))
 }
 
-// shuffled returns the configured entries in a drawn order. It needs c.mu.
-func (c *Client) shuffled() []string {
+// shuffledEntries returns the configured entries in a drawn order. It needs c.mu.
+func (c *Client) shuffledEntries() []string {
 	list := slices.Clone(c.cfg.Entries)
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list
--- a/pkg/caller/config.go
+++ b/pkg/caller/config.go
@@ -30,25 +30,25 @@
 
 // Defaults returns cfg with its zero fields set.
 func (cfg Config) Defaults() Config {
-	cfg.Connect = or(cfg.Connect, 500*time.Millisecond)
-	cfg.Ask = or(cfg.Ask, time.Second)
-	cfg.Pause = or(cfg.Pause, 500*time.Millisecond)
-	cfg.Avoid = or(cfg.Avoid, 2*time.Second)
-	cfg.Attempts = or(cfg.Attempts, 3)
-	cfg.Keys = or(cfg.Keys, 16)
-	cfg.Burst = or(cfg.Burst, 10)
-	cfg.Ratio = or(cfg.Ratio, 0.1)
-	cfg.Idle = or(cfg.Idle, 64)
+	cfg.Connect = orDefault(cfg.Connect, 500*time.Millisecond)
+	cfg.Ask = orDefault(cfg.Ask, time.Second)
+	cfg.Pause = orDefault(cfg.Pause, 500*time.Millisecond)
+	cfg.Avoid = orDefault(cfg.Avoid, 2*time.Second)
+	cfg.Attempts = orDefault(cfg.Attempts, 3)
+	cfg.Keys = orDefault(cfg.Keys, 16)
+	cfg.Burst = orDefault(cfg.Burst, 10)
+	cfg.Ratio = orDefault(cfg.Ratio, 0.1)
+	cfg.Idle = orDefault(cfg.Idle, 64)
 	if cfg.Dial == nil {
 		cfg.Dial = (&net.Dialer{}).DialContext
 	}
 	return cfg
 }
 
-func or[T comparable](v, standard T) T {
+func orDefault[T comparable](v, def T) T {
 	var zero T
 	if v == zero {
-		return standard
+		return def
 	}
 	return v
 }
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -82,7 +82,7 @@
 }
 
 // Error gives the reason.
-func (e *AnswerError) Error() string { return "look-up answer: " + e.Reason + cause(e.Err) }
+func (e *AnswerError) Error() string { return "look-up answer: " + e.Reason + causeSuffix(e.Err) }
 
 // Unwrap returns the error of the decoder.
 func (e *AnswerError) Unwrap() error { return e.Err }
@@ -99,7 +99,7 @@
 
 // Error names the service and the reason.
 func (e *NotRunError) Error() string {
-	return fmt.Sprintf("%s: request %s not run: %s%s", e.Service, e.Request, e.Reason, cause(e.Err))
+	return fmt.Sprintf("%s: request %s not run: %s%s", e.Service, e.Request, e.Reason, causeSuffix(e.Err))
 }
 
 // Unwrap returns the cause.
@@ -126,7 +126,7 @@
 
 // Error names the service and the reason.
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("%s: request %s may have run: %s%s", e.Service, e.Request, e.Reason, cause(e.Err))
+	return fmt.Sprintf("%s: request %s may have run: %s%s", e.Service, e.Request, e.Reason, causeSuffix(e.Err))
 }
 
 // Unwrap returns the cause.
@@ -142,13 +142,13 @@
 
 // Error says how much of the body came.
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("answer to request %s cut short after %d bytes of %d%s", e.Request, e.Got, e.Want, cause(e.Err))
+	return fmt.Sprintf("answer to request %s cut short after %d bytes of %d%s", e.Request, e.Got, e.Want, causeSuffix(e.Err))
 }
 
 // Unwrap returns the cause.
 func (e *IncompleteError) Unwrap() error { return e.Err }
 
-func cause(err error) string {
+func causeSuffix(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/pkg/caller/lookup_test.go
+++ b/pkg/caller/lookup_test.go
@@ -113,7 +113,7 @@
 			t.Errorf("got %d that wait, want 0", got)
 		}
 		_, _ = c.Lookup(t.Context(), "t/s")
-		c.services["t/s"].keys = []spare{{key: Key{Value: "old"}, until: time.Now()}}
+		c.services["t/s"].keys = []spareKey{{key: Key{Value: "old"}, expires: time.Now()}}
 		if got, err := c.key(t.Context(), "t/s"); err != nil || got.Value == "old" {
 			t.Errorf("got %v %v, want a key within its time", got, err)
 		}
--- a/pkg/caller/network_test.go
+++ b/pkg/caller/network_test.go
@@ -69,10 +69,10 @@
 	if !up {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	}
-	ours, theirs := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case s.conns <- theirs:
-		return ours, nil
+	case s.conns <- server:
+		return client, nil
 	case <-s.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
@@ -139,4 +139,4 @@
 	}
 }
 
-func cut(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
--- a/pkg/caller/request.go
+++ b/pkg/caller/request.go
@@ -64,7 +64,7 @@
 	id         string
 	key        Key
 	idempotent bool
-	mayRun     bool  // an attempt so far may have run
+	mayHaveRun bool  // an attempt so far may have run
 	last       error // of the last attempt; a *NotRunError or an *UnknownError
 }
 
@@ -84,10 +84,10 @@
 	return &UnknownError{Service: k.service, Request: k.id, Key: k.key, Reason: reason, Err: err}
 }
 
-// target returns the address of the request at an instance, or nil when the
+// requestURL returns the address of the request at an instance, or nil when the
 // path can't be sent.
-func (k *call) target(address string) *url.URL {
-	path := or(k.req.Path, "/")
+func (k *call) requestURL(address string) *url.URL {
+	path := orDefault(k.req.Path, "/")
 	if !strings.HasPrefix(path, "/") {
 		return nil
 	}
@@ -98,14 +98,14 @@
 	return u
 }
 
-// request makes the HTTP request of one attempt, whose answer has to begin by
+// httpRequest makes the HTTP httpRequest of one attempt, whose answer has to begin by
 // start unless that is zero.
-func (k *call) request(ctx context.Context, address string, start time.Time) (*http.Request, *NotRunError) {
-	u := k.target(address)
+func (k *call) httpRequest(ctx context.Context, address string, startBy time.Time) (*http.Request, *NotRunError) {
+	u := k.requestURL(address)
 	if u == nil {
 		return nil, k.notRun(ReasonRequest, &PathError{Path: k.req.Path})
 	}
-	req, err := http.NewRequestWithContext(ctx, or(k.req.Method, http.MethodGet), u.String(), nil)
+	req, err := http.NewRequestWithContext(ctx, orDefault(k.req.Method, http.MethodGet), u.String(), nil)
 	if err != nil {
 		return nil, k.notRun(ReasonRequest, err)
 	}
@@ -124,16 +124,16 @@
 		}
 		req.Header.Set(headerTimeout, strconv.FormatInt(left, 10))
 	}
-	if !start.IsZero() {
-		req.Header.Set(headerStart, strconv.FormatInt(max(time.Until(start).Milliseconds(), 0), 10))
+	if !startBy.IsZero() {
+		req.Header.Set(headerStart, strconv.FormatInt(max(time.Until(startBy).Milliseconds(), 0), 10))
 	}
 	return req, k.setBody(req)
 }
 
 func (k *call) setBody(req *http.Request) *NotRunError {
 	if k.req.Body == nil || k.req.Length == 0 {
-		if repeated(req.Method) {
-			req.Body = empty{}
+		if retriedByTransport(req.Method) {
+			req.Body = emptyBody{}
 		}
 		return nil
 	}
@@ -143,17 +143,17 @@
 	}
 	req.Body = body
 	req.ContentLength = k.req.Length
-	if !repeated(req.Method) {
+	if !retriedByTransport(req.Method) {
 		req.GetBody = k.req.Body
 	}
 	return nil
 }
 
-// repeated says whether http.Transport would repeat a request by itself after a
+// retriedByTransport says whether http.Transport would repeat a request by itself after a
 // connection broke, past our budget. It doesn't when there is a body that it
 // can't get again. A request that had no byte written it repeats in any case
 // where it can, which is right.
-func repeated(method string) bool {
+func retriedByTransport(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -161,9 +161,9 @@
 	return false
 }
 
-// empty is a body of no bytes; the transport sends none, but can't know that it
+// emptyBody is a body of no bytes; the transport sends none, but can't know that it
 // may be had again.
-type empty struct{}
+type emptyBody struct{}
 
-func (empty) Read([]byte) (int, error) { return 0, io.EOF }
-func (empty) Close() error             { return nil }
+func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
+func (emptyBody) Close() error             { return nil }
