--- a/pkg/caller/answer.go
+++ b/pkg/caller/answer.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Limits of the answer to a look-up.
+// Limits on a lookup response.
 const (
 	maxAnswerBytes = 1 << 20 // bytes
 	maxInstances   = 256
@@ -25,23 +25,23 @@
 	Place   string `json:"place"`
 }
 
-// Answer says which instances to use for a service.
+// Answer holds the instances to use for a service.
 type Answer struct {
 	Service   string
 	Place     string     // the caller's home place
-	Until     time.Time  // when the answer stops being fresh, by this machine's clock
+	Until     time.Time  // when the answer stops being fresh, by the local clock
 	Instances []Instance // in the order to try them; never empty
-	Stale     bool       // past Until, and no instance could be asked for another
+	Stale     bool       // past Until, and no instance could be reached for a newer one
 }
 
-// Key is an idempotency key and where its home is.
+// Key is an idempotency key and the address of its home.
 type Key struct {
 	Value string // empty for no key
 	Home  string // address of the instance that issued it; may be empty
 }
 
-// wireAnswer is the body of the answer to a look-up. Its "until" is left alone:
-// it is by another machine's clock, and max-age says the same.
+// wireAnswer is the body of a lookup response. Its "until" field is not decoded:
+// it is a time of another machine's clock, and max-age carries the same limit.
 type wireAnswer struct {
 	Service   string     `json:"service"`
 	Place     string     `json:"place"`
@@ -49,7 +49,7 @@
 	Keys      []string   `json:"keys"`
 }
 
-// decodeAnswer reads the answer to a look-up. Errors are an *AnswerError.
+// decodeAnswer decodes the body of a lookup response. The error is an *AnswerError.
 func decodeAnswer(r io.Reader) (wireAnswer, error) {
 	b, err := io.ReadAll(io.LimitReader(r, maxAnswerBytes+1))
 	if err != nil {
@@ -68,7 +68,7 @@
 	return a, nil
 }
 
-// fault returns what is wrong with the answer, or nothing.
+// fault describes what is wrong with the answer, or returns "" if it is valid.
 func (a wireAnswer) fault() string {
 	switch {
 	case len(a.Instances) == 0:
@@ -83,14 +83,14 @@
 	return ""
 }
 
-// validKey says whether a key can stand in a header.
+// validKey reports whether a key can be sent in a header.
 func validKey(s string) bool {
 	outside := func(r rune) bool { return r <= ' ' || r > '~' }
 	return s != "" && len(s) <= maxKeyBytes && strings.IndexFunc(s, outside) < 0
 }
 
-// freshFor returns how long an answer may be cached from before it was asked
-// for; 0 when the header doesn't say.
+// freshFor returns how long an answer may be cached, counted from before the
+// lookup was sent; 0 if the header has no max-age.
 func freshFor(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Cache-Control"), ",") {
 		text, ok := strings.CutPrefix(strings.TrimSpace(part), "max-age=")
--- a/pkg/caller/avoided.go
+++ b/pkg/caller/avoided.go
@@ -5,46 +5,50 @@
 	"time"
 )
 
-// maxAvoid bounds how long an instance that keeps failing is avoided.
+// maxAvoid is the longest back-off of an instance that keeps failing.
 const maxAvoid = 30 * time.Second
 
-// avoidList holds the instances that failed. Each is tried last until its time
-// has come; then one request tries it, and the others go on avoiding it until
-// that one has an answer. It needs the client's lock.
+// avoidList holds the instances that are backing off after a failure or a
+// refusal. An instance that failed is tried last until its back-off ends; then
+// one request probes it, and the others go on avoiding it until the probe is
+// answered or its time-out passes. Calls must hold the client's lock.
 type avoidList struct {
-	initial      time.Duration // how long an instance is avoided after one failure
-	probeTimeout time.Duration // how long the one request that tries it may take
+	initial      time.Duration // back-off after the first failure
+	probeTimeout time.Duration // longest time that one request alone may probe an instance
 	instances    map[string]failureState
 }
 
-// failureState is an instance that failed, or refused, since it last answered.
+// failureState is the state of an instance that has failed or refused a request
+// since it last answered one.
 type failureState struct {
-	failures int       // in a row; 0 if it was reached and refused
-	until    time.Time // it is tried last before
+	failures int       // consecutive; 0 if it was reached and refused
+	until    time.Time // end of the back-off
 }
 
 func newAvoidList(initial, probeTimeout time.Duration) *avoidList {
 	return &avoidList{initial: initial, probeTimeout: probeTimeout, instances: map[string]failureState{}}
 }
 
-// recordFailure notes a failure; each in a row doubles the time.
+// recordFailure records a failure; each consecutive one doubles the back-off, up
+// to maxAvoid.
 func (a *avoidList) recordFailure(now time.Time, address string) {
 	f := a.instances[address]
 	wait := min(a.initial<<min(f.failures, 10), max(maxAvoid, a.initial))
 	a.instances[address] = failureState{failures: f.failures + 1, until: now.Add(wait)}
 }
 
-// recordRefusal notes that an instance was reached and could not serve.
+// recordRefusal records that an instance was reached but could not serve.
 func (a *avoidList) recordRefusal(now time.Time, address string) {
 	a.instances[address] = failureState{until: now.Add(a.initial)}
 }
 
-// recordSuccess forgets an instance's failures.
+// recordSuccess clears an instance's failures.
 func (a *avoidList) recordSuccess(address string) { delete(a.instances, address) }
 
-// order returns the addresses, each once: those that refused come late, those
-// that failed last. reached counts the ones before these. It lets this request
-// try one whose time has come.
+// order returns the addresses without duplicates: available ones first, then
+// those that refused, then those that failed. reached is the number of addresses
+// before those that failed. An address whose back-off has ended counts as
+// available for this call, which starts a probe of it.
 func (a *avoidList) order(now time.Time, addresses []string) (order []string, reached int) {
 	var first, late, last []string
 	for _, address := range addresses {
@@ -66,7 +70,8 @@
 	return slices.Concat(first, late, last), reached
 }
 
-// startProbe lets one request startProbe an instance whose time has come.
+// startProbe lets one request probe an instance whose back-off has ended. After
+// a refusal it only clears the state, so that all requests use the instance again.
 func (a *avoidList) startProbe(now time.Time, address string, f failureState) {
 	if f.failures == 0 {
 		delete(a.instances, address)
@@ -76,29 +81,30 @@
 	a.instances[address] = f
 }
 
-// recordFailure makes an instance the last to be tried for a while.
+// recordFailure puts an instance last in the order for the time of its back-off.
 func (c *Client) recordFailure(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoided.recordFailure(time.Now(), address)
 }
 
-// recordRefusal makes an instance that recordRefusal a late one to be tried.
+// recordRefusal puts an instance behind the available ones for the time of its
+// back-off.
 func (c *Client) recordRefusal(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoided.recordRefusal(time.Now(), address)
 }
 
-// recordSuccess notes that an instance answered.
+// recordSuccess clears an instance's failures, as it has answered.
 func (c *Client) recordSuccess(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.avoided.recordSuccess(address)
 }
 
-// order returns the addresses in the order to try, and how many of them come
-// before those that failed.
+// order returns the addresses in the order to try them, and how many of them
+// come before those that failed.
 func (c *Client) order(addresses []string) ([]string, int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/caller/body.go
+++ b/pkg/caller/body.go
@@ -6,14 +6,14 @@
 	"net/http"
 )
 
-// body is an answer's body that ends with io.EOF only when it is whole.
+// body is a response body that returns io.EOF only when it has been read completely.
 type body struct {
 	request        string
 	source         io.ReadCloser
 	cancel         context.CancelFunc // ends the attempt's context
 	got            int64
-	want           int64 // -1 when not announced
-	closeDelimited bool  // its end would look like a lost connection
+	want           int64 // -1 if the length was not announced
+	closeDelimited bool  // its end can't be distinguished from a lost connection
 	err            error // once set, every Read returns it
 }
 
@@ -51,7 +51,7 @@
 	return &IncompleteError{Request: b.request, Got: b.got, Want: b.want, Err: err}
 }
 
-// Close ends the answer; what is left of it is given up.
+// Close closes the body and cancels the attempt; the unread part is discarded.
 func (b *body) Close() error {
 	err := b.source.Close()
 	b.cancel()
--- a/pkg/caller/call.go
+++ b/pkg/caller/call.go
@@ -12,22 +12,23 @@
 	"github.com/juju/errors"
 )
 
-// maxDiscardBytes is how much of a refusal's body is read to keep its connection.
+// maxDiscardBytes is how much of the body of a refusal is read, so that its
+// connection can be reused.
 const maxDiscardBytes = 4096
 
-// Response is a target's answer. Close its body.
+// Response is a target's response. The caller must close its body.
 type Response struct {
 	Status  int
 	Header  http.Header
-	Body    io.ReadCloser // ends with io.EOF only when whole, else with an *IncompleteError
-	Length  int64         // of the body in bytes; -1 when not known
-	Request string        // id of the request
+	Body    io.ReadCloser // ends with io.EOF only when complete, else with an *IncompleteError
+	Length  int64         // of the body in bytes; -1 if not known
+	Request string        // ID of the request
 	Address string        // of the instance that answered
 }
 
-// Do sends a request to a service, written team/service, and returns the answer
-// as soon as its header is there. Errors are a *NotRunError or an
-// *UnknownError; see the package's comment for what they allow.
+// Do sends a request to a service, given as team/service, and returns the
+// response as soon as its header has arrived. The error is a *NotRunError or an
+// *UnknownError; the package comment describes when each may be retried.
 func (c *Client) Do(ctx context.Context, service string, req *Request) (*Response, error) {
 	k := c.newCall(ctx, service, req)
 	c.budget.credit()
@@ -44,8 +45,9 @@
 	return resp, errors.Annotate(err, "Client.Do")
 }
 
-// errorBeforeAttempt is the failure of a request before its first attempt. Of a
-// request with a key from an earlier try nothing is known.
+// errorBeforeAttempt returns the error of a request that failed before its first
+// attempt. The outcome is unknown if the request has a key from an earlier call,
+// as that call may have run it.
 func (k *call) errorBeforeAttempt(reason string, err error) error {
 	if k.ctx.Err() != nil {
 		reason = ReasonTimeout
@@ -56,8 +58,8 @@
 	return k.notRun(reason, err)
 }
 
-// addresses returns where to try, in order, and how many come before those that
-// failed. A key's home goes first.
+// addresses returns the addresses in the order to try them, and how many come
+// before those that failed. A key's home comes first.
 func (k *call) addresses(answer Answer) ([]string, int) {
 	var list []string
 	for _, instance := range answer.Instances {
@@ -76,7 +78,7 @@
 	return homeFirst, max(reached, 1)
 }
 
-// run makes attempts until one is answered or no other is right.
+// run makes attempts until one is answered or no further one is allowed.
 func (k *call) run(answer Answer) (*Response, error) {
 	addresses, reached := k.addresses(answer)
 	k.mayHaveRun = k.req.Key.Value != ""
@@ -98,14 +100,15 @@
 	return nil, k.failure()
 }
 
-// refusedByInstance says whether an instance has refused the request itself. That is a
-// better answer than what an instance that fails would give, after a wait.
+// refusedByInstance reports whether the last attempt was refused by an instance.
+// That refusal is then returned, since trying an instance that has been failing
+// would cost a wait and give no better error.
 func (k *call) refusedByInstance() bool {
 	var notRun *NotRunError
 	return errors.As(k.last, &notRun) && notRun.Status != 0
 }
 
-// shouldRetry says whether another attempt is right after one failed.
+// shouldRetry reports whether another attempt may be made after one failed with err.
 func (k *call) shouldRetry(address string, err error) bool {
 	var notRun *NotRunError
 	if !errors.As(err, &notRun) {
@@ -118,13 +121,13 @@
 		return false
 	}
 	k.client.invalidate(k.service, address)
-	// A key that was never sent is left alone when its home can't run the
-	// request: another instance could but guess.
+	// A key that was never sent isn't tried elsewhere when its home can't run the
+	// request: another instance has no record of the key and couldn't decide.
 	return k.idempotent || k.mayHaveRun
 }
 
-// failure returns the error of the whole call. Once an attempt may have run, a
-// refusal of another one proves nothing.
+// failure returns the error of the whole call. Once an attempt may have run, the
+// refusal of a later one doesn't prove that the request did not run.
 func (k *call) failure() error {
 	var notRun *NotRunError
 	if !errors.As(k.last, &notRun) || !k.mayHaveRun {
@@ -135,8 +138,8 @@
 	return unknown
 }
 
-// attempt sends the request to one instance once. more says that others are
-// left to try.
+// attempt sends the request once, to one instance. more is set if further
+// attempts are left.
 func (k *call) attempt(address string, more bool) (*Response, error) {
 	ctx, cancel := context.WithCancel(k.ctx)
 	var connected atomic.Bool
@@ -162,10 +165,11 @@
 	return k.readOutcome(address, resp, cancel)
 }
 
-// startDeadline is by when the answer of an attempt at an idempotent request has to
-// begin: halfway to the deadline while other instances are left, so that one
-// that hangs doesn't take all the time. It is zero if there is no such limit.
-// The instance is told, so that it doesn't begin what is given up already.
+// startDeadline returns the time by which the response to an attempt at an
+// idempotent request has to begin: halfway to the deadline while further attempts
+// are left, so that an instance that hangs doesn't use up the whole time. It is
+// zero if there is no such limit. The limit is sent to the instance, so that it
+// doesn't start a request that the client has already abandoned.
 func (k *call) startDeadline(more bool) time.Time {
 	deadline, ok := k.ctx.Deadline()
 	if !ok || !more || !k.idempotent {
@@ -174,7 +178,8 @@
 	return time.Now().Add(time.Until(deadline) / 2)
 }
 
-// cancelAt ends an attempt at start, unless that is zero or stop comes first.
+// cancelAt calls cancel at the given time, unless that is zero or stop is called
+// first. stop returns false if the time had come already.
 func cancelAt(cancel context.CancelFunc, at time.Time) (stop func() bool) {
 	if at.IsZero() {
 		return func() bool { return true }
@@ -182,8 +187,8 @@
 	return time.AfterFunc(time.Until(at), cancel).Stop
 }
 
-// transportError is the failure of an attempt without an answer. Without a connection
-// no byte was sent, which proves that nothing ran.
+// transportError returns the error of an attempt without a response. Without a
+// connection no byte was sent, which proves that the request did not run.
 func (k *call) transportError(address string, connected bool, err error) error {
 	if k.ctx.Err() == nil {
 		k.client.recordFailure(address)
@@ -200,7 +205,8 @@
 	}
 }
 
-// readOutcome reads what an answer's header says of the request.
+// readOutcome returns the response, or the error that its header reports for the
+// request.
 func (k *call) readOutcome(address string, resp *http.Response, cancel context.CancelFunc) (*Response, error) {
 	outcome := resp.Header.Get(headerOutcome)
 	id := resp.Header.Get(headerRequest)
@@ -243,7 +249,7 @@
 	_ = body.Close()
 }
 
-// retryAt returns when an instance says to come back, or no time.
+// retryAt returns the time from which an instance allows a retry, or the zero time.
 func retryAt(h http.Header) time.Time {
 	ms, err := strconv.ParseUint(h.Get(headerRetry), 10, 31)
 	if err != nil {
--- a/pkg/caller/call_test.go
+++ b/pkg/caller/call_test.go
@@ -29,10 +29,10 @@
 		req                     *Request
 		first                   handler
 		second                  handler
-		down                    bool // first refuses connections to requests
+		down                    bool // first refuses connections after the lookup
 		want                    Outcome
 		reason                  string
-		firstCalls, secondCalls int64 // requests that each got
+		firstCalls, secondCalls int64 // requests received by each server
 		retry                   bool
 		key                     string // key of the UnknownError
 	}{
@@ -85,7 +85,7 @@
 				var notRun *NotRunError
 				if errors.As(err, &notRun) && tt.want == NotRun {
 					if notRun.Reason != tt.reason || notRun.RetryAt.IsZero() == tt.retry {
-						t.Errorf("got %q, come back %v, want %q, %v", notRun.Reason, notRun.RetryAt, tt.reason, tt.retry)
+						t.Errorf("got %q, retry at %v, want %q, retry time set %v", notRun.Reason, notRun.RetryAt, tt.reason, tt.retry)
 					}
 				}
 				var unknownErr *UnknownError
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err != nil {
-				t.Errorf("%s: got %v, want the whole answer", method, err)
+				t.Errorf("%s: got %v, want the complete response", method, err)
 			}
 			resp.Body.Close()
 		}
@@ -125,7 +125,7 @@
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
 	if err != nil || string(got) != "done" {
-		t.Errorf("got %q %v, want the whole answer", got, err)
+		t.Errorf("got %q %v, want the complete response", got, err)
 	}
 }
 
@@ -189,7 +189,7 @@
 				got, err := io.ReadAll(resp.Body)
 				var incomplete *IncompleteError
 				if cut := errors.As(err, &incomplete); cut == tt.whole || string(got) != "done" {
-					t.Errorf("got %q %v, want whole %v", got, err, tt.whole)
+					t.Errorf("got %q %v, want complete %v", got, err, tt.whole)
 				}
 				if incomplete != nil && incomplete.Got != 4 {
 					t.Errorf("got %d bytes in the error, want 4", incomplete.Got)
@@ -217,8 +217,8 @@
 	})
 }
 
-// TestStartDeadlineIsSent: an instance is told by when the answer has to begin, as long
-// as the attempt would be given up then.
+// TestStartDeadlineIsSent checks that an attempt which the client abandons at its
+// start deadline carries that deadline, and that other attempts carry none.
 func TestStartDeadlineIsSent(t *testing.T) {
 	tests := map[string]struct {
 		req  *Request
--- a/pkg/caller/client.go
+++ b/pkg/caller/client.go
@@ -13,7 +13,7 @@
 )
 
 // Client looks up services and sends requests. It is safe for concurrent use;
-// a program needs one.
+// a program needs only one.
 type Client struct {
 	cfg       Config
 	transport *http.Transport
@@ -21,11 +21,11 @@
 
 	mu       sync.Mutex
 	random   *rand.Rand
-	services map[string]*serviceState // by team/service; only services that were asked for
+	services map[string]*serviceState // by team/service; only services that have been looked up
 	avoided  *avoidList
 }
 
-// New returns a client. The error is a *ConfigError that names each fault.
+// New returns a client. The error is a *ConfigError that lists every fault.
 func New(cfg Config) (*Client, error) {
 	cfg = cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -45,14 +45,14 @@
 	}
 	c.transport = &http.Transport{
 		DialContext:         c.dial,
-		DisableCompression:  true, // an answer is passed on as it is, with its own length
+		DisableCompression:  true, // responses are passed on unchanged, with their original length
 		MaxIdleConnsPerHost: cfg.Idle,
 		IdleConnTimeout:     time.Minute,
 	}
 	return c, nil
 }
 
-// Close closes the connections that no request uses.
+// Close closes idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -61,12 +61,12 @@
 	return c.cfg.Dial(ctx, network, address)
 }
 
-// jitter returns d times a factor drawn from low to high.
+// jitter returns d times a random factor between low and high. It needs c.mu.
 func (c *Client) jitter(d time.Duration, low, high float64) time.Duration {
 	return time.Duration(float64(d) * (low + (high-low)*c.random.Float64()))
 }
 
-// shuffledEntries returns the configured entries in a drawn order. It needs c.mu.
+// shuffledEntries returns the configured entries in random order. It needs c.mu.
 func (c *Client) shuffledEntries() []string {
 	list := slices.Clone(c.cfg.Entries)
 	c.random.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
--- a/pkg/caller/config.go
+++ b/pkg/caller/config.go
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Config says how a client works. The zero value of each field but Entries
-// stands for its default.
+// Config configures a client. The zero value of each field but Entries selects
+// the default, which is given last in the field's comment.
 type Config struct {
-	Entries  []string      // addresses of instances to begin with, IP:port; at least one
-	Connect  time.Duration // longest wait for a connection; 500ms
-	Ask      time.Duration // longest wait for one instance's answer to a look-up; 1s
-	Pause    time.Duration // about how long to leave look-ups of a service alone after one failed; 500ms
-	Avoid    time.Duration // how long an instance that failed once is tried last; each failure in a row doubles it; 2s
-	Attempts int           // most instances tried for one request; 3
-	Keys     int           // idempotency keys asked for with a look-up; 16
-	Burst    int           // retries that may be made at once; 10
+	Entries  []string      // addresses of the first instances to contact, IP:port; at least one
+	Connect  time.Duration // time-out for opening a connection; 500ms
+	Ask      time.Duration // time-out for a lookup at one instance; 1s
+	Pause    time.Duration // mean pause between lookups of a service after one failed; 500ms
+	Avoid    time.Duration // back-off of an instance after a failure, in which it is tried last; doubled by each consecutive failure; 2s
+	Attempts int           // most attempts for one request; 3
+	Keys     int           // idempotency keys requested with a lookup; 16
+	Burst    int           // most retries that the budget holds; 10
 	Ratio    float64       // retries that each request adds to the budget, 0 to 1; 0.1
-	Idle     int           // connections kept open to one instance; 64
-	Seed     uint64        // of the jitter; 0 draws one
+	Idle     int           // idle connections kept open to one instance; 64
+	Seed     uint64        // of the jitter; a random one for 0
 
-	// Dial opens connections; nil uses a net.Dialer.
+	// Dial opens connections; nil selects a net.Dialer.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Defaults returns cfg with its zero fields set.
+// Defaults returns cfg with its zero fields set to their defaults, except Entries
+// and Seed.
 func (cfg Config) Defaults() Config {
 	cfg.Connect = orDefault(cfg.Connect, 500*time.Millisecond)
 	cfg.Ask = orDefault(cfg.Ask, time.Second)
@@ -85,19 +86,20 @@
 	return nil
 }
 
-// validAddress says whether s is IP:port without a zone and with a port.
+// validAddress reports whether s is IP:port with a port other than 0 and no IPv6
+// zone.
 func validAddress(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && a.Port() != 0 && a.Addr().Zone() == ""
 }
 
-// splitService returns the two parts of team/service.
+// splitService splits team/service into its parts; ok is false if it is malformed.
 func splitService(s string) (team, service string, ok bool) {
 	team, service, ok = strings.Cut(s, "/")
 	return team, service, ok && validName(team) && validName(service)
 }
 
-// validName says whether s can be one segment of a path as it is.
+// validName reports whether s can be one segment of a path without escaping.
 func validName(s string) bool {
 	if s == "" || s == "." || s == ".." {
 		return false
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// Outcome says what became of a request.
+// Outcome is the outcome of a request.
 type Outcome string
 
-// Outcomes, as the header Firlever-Outcome spells them.
+// Outcomes, as in the header Firlever-Outcome.
 const (
-	Answered Outcome = "answered" // a target's answer was passed on
-	NotRun   Outcome = "not-run"  // no target began it
+	Answered Outcome = "answered" // a target's response was passed on
+	NotRun   Outcome = "not-run"  // no target started it
 	Unknown  Outcome = "unknown"  // it may have run
 )
 
-// OutcomeOf returns the outcome that the error of Do, or of reading a
-// response's body, stands for. An answer cut short was answered: it ran.
+// OutcomeOf returns the outcome for an error of Do, or of reading a response's
+// body. A truncated response counts as Answered, as the request ran.
 func OutcomeOf(err error) Outcome {
 	var notRun *NotRunError
 	var incomplete *IncompleteError
@@ -33,40 +33,42 @@
 	}
 }
 
-// Reasons that the client itself gives; an instance may give others.
+// Reasons set by the client; instances send others.
 const (
-	ReasonRequest = "request"     // the request can't be sent as it is
-	ReasonLookup  = "look-up"     // no instance is known for the service
-	ReasonKey     = "key"         // no idempotency key could be had
+	ReasonRequest = "request"     // the request is invalid and can't be sent
+	ReasonLookup  = "look-up"     // the lookup of the service failed
+	ReasonKey     = "key"         // no idempotency key could be obtained
 	ReasonConnect = "connect"     // no connection to an instance
-	ReasonTimeout = "timeout"     // the caller's deadline passed, or it gave up
-	ReasonLost    = "lost-answer" // the request was sent and no answer came back
-	ReasonForeign = "foreign"     // the answer isn't one to this request
+	ReasonTimeout = "timeout"     // the caller's context ended: its deadline passed, or it was cancelled
+	ReasonLost    = "lost-answer" // the request was sent and no response was received
+	ReasonForeign = "foreign"     // the response belongs to another request or has no valid outcome
 )
 
-// ConfigError refuses a configuration with all of its faults.
+// ConfigError lists all faults of an invalid configuration.
 type ConfigError struct{ Faults []string }
 
-// Error names each fault.
+// Error lists the faults.
 func (e *ConfigError) Error() string { return "caller configuration: " + strings.Join(e.Faults, "; ") }
 
-// LookupError says that a look-up got no answer. Refused holds when an instance
-// refused it; otherwise none could be reached or answered as it should.
+// LookupError reports that a lookup failed. Refused is set if an instance refused
+// it or the service's name is malformed; otherwise no instance could be reached or
+// gave a valid answer.
 type LookupError struct {
 	Service string
 	Refused bool
-	Errs    []error // what each instance that was asked did
+	Errs    []error // one for each instance that was tried
 }
 
-// Error names the service and what each instance did.
+// Error names the service and the error of each instance.
 func (e *LookupError) Error() string {
 	return fmt.Sprintf("look up %s: %v", e.Service, errors.Join(e.Errs...))
 }
 
-// Unwrap returns what each instance did.
+// Unwrap returns the error of each instance.
 func (e *LookupError) Unwrap() []error { return e.Errs }
 
-// StatusError is an instance's refusal of a look-up.
+// StatusError reports that an instance answered a lookup with a status other than
+// 200.
 type StatusError struct {
 	Address string
 	Status  int
@@ -75,7 +77,7 @@
 // Error names the instance and the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("%s: status %d", e.Address, e.Status) }
 
-// AnswerError says that the answer to a look-up is malformed.
+// AnswerError reports that a lookup got no valid answer.
 type AnswerError struct {
 	Reason string
 	Err    error // may be nil
@@ -84,16 +86,16 @@
 // Error gives the reason.
 func (e *AnswerError) Error() string { return "look-up answer: " + e.Reason + causeSuffix(e.Err) }
 
-// Unwrap returns the error of the decoder.
+// Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Err }
 
-// NotRunError says that a request was not run and may be sent again.
+// NotRunError reports that a request was not run and may be sent again.
 type NotRunError struct {
 	Service string
-	Request string    // id of the request
+	Request string    // ID of the request
 	Reason  string    // one word
-	RetryAt time.Time // when to come back, by this machine's clock; zero when nobody said
-	Status  int       // of the instance that refused; 0 when none did
+	RetryAt time.Time // earliest time for a retry, by the local clock; zero if none was given
+	Status  int       // HTTP status of the refusal; 0 if no instance refused it
 	Err     error     // may be nil
 }
 
@@ -105,8 +107,8 @@
 // Unwrap returns the cause.
 func (e *NotRunError) Unwrap() error { return e.Err }
 
-// final says that another instance would do no better: the request itself is at
-// fault, or there is a time to come back.
+// final reports whether trying another instance is pointless: the request itself
+// is invalid or refused, or the refusal names a time for a retry.
 func (e *NotRunError) final() bool {
 	if e.Status == 0 {
 		return e.Reason == ReasonRequest
@@ -114,13 +116,13 @@
 	return !e.RetryAt.IsZero() || e.Status < http.StatusInternalServerError
 }
 
-// UnknownError says that a request may have run, or may not have.
+// UnknownError reports that a request may or may not have run.
 type UnknownError struct {
 	Service string
-	Request string    // id of the request
-	Key     Key       // to send the request again with; empty when it is idempotent
+	Request string    // ID of the request
+	Key     Key       // to send the request again with; empty if it has none
 	Reason  string    // one word
-	RetryAt time.Time // when to come back, by this machine's clock; zero when nobody said
+	RetryAt time.Time // earliest time for a retry, by the local clock; zero if none was given
 	Err     error     // may be nil; never a *NotRunError
 }
 
@@ -132,15 +134,15 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// IncompleteError says that an answer's body ended before its end.
+// IncompleteError reports that a response body was truncated.
 type IncompleteError struct {
-	Request string // id of the request
+	Request string // ID of the request
 	Got     int64  // bytes read
-	Want    int64  // bytes announced; -1 when the answer didn't say
+	Want    int64  // bytes announced; -1 if the response has no length
 	Err     error  // may be nil
 }
 
-// Error says how much of the body came.
+// Error gives the number of bytes received and announced.
 func (e *IncompleteError) Error() string {
 	return fmt.Sprintf("answer to request %s cut short after %d bytes of %d%s", e.Request, e.Got, e.Want, causeSuffix(e.Err))
 }
@@ -155,20 +157,20 @@
 	return ": " + err.Error()
 }
 
-// PathError says that a request's path can't be sent.
+// PathError reports that a request's path can't be sent.
 type PathError struct{ Path string }
 
 // Error names the path.
 func (e *PathError) Error() string { return fmt.Sprintf("path %q isn't one below a service", e.Path) }
 
-// ForeignError says that an answer isn't one to the request: it names another
-// request, or no outcome.
+// ForeignError reports that a response doesn't belong to the request: it names
+// another request, or no valid outcome.
 type ForeignError struct {
-	Request string // that the answer names
+	Request string // named by the response
 	Outcome string
 }
 
-// Error names what the answer says of itself.
+// Error names the request and the outcome that the response gave.
 func (e *ForeignError) Error() string {
 	return fmt.Sprintf("answer to request %q with outcome %q", e.Request, e.Outcome)
 }
--- a/pkg/caller/example_test.go
+++ b/pkg/caller/example_test.go
@@ -12,7 +12,7 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-// instance stands in for an instance of firlever.
+// instance simulates a firlever instance.
 func instance(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/lookup/payments/lodge-pay" {
 		w.Header().Set("Cache-Control", "max-age=5")
@@ -45,10 +45,10 @@
 	var unknown *caller.UnknownError
 	switch {
 	case errors.As(err, &notRun):
-		fmt.Println("nothing ran; come back at", notRun.RetryAt)
+		fmt.Println("not run; retry at", notRun.RetryAt)
 		return
 	case errors.As(err, &unknown):
-		fmt.Println("may have run; ask again with", unknown.Key)
+		fmt.Println("may have run; send again with key", unknown.Key)
 		return
 	}
 	defer resp.Body.Close()
--- a/pkg/caller/key.go
+++ b/pkg/caller/key.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// key returns a spare key for a service. Without one it waits for a look-up,
-// and for the next one when others were quicker to take its keys.
+// key returns an unused key for a service. If none is left it waits for a lookup,
+// and for the next one if other requests have taken all of its keys.
 func (c *Client) key(ctx context.Context, service string) (Key, error) {
 	key, lookup, err := c.takeKey(service, 0)
 	for lookup != nil {
@@ -19,15 +19,16 @@
 		}
 		if lookup.keys == 0 {
 			c.stopWaiting(service)
-			return Key{}, orDefault[error](lookup.err, &LookupError{Service: service, Errs: []error{&AnswerError{Reason: "holds no key"}}})
+			return Key{}, orDefault[error](lookup.err, &LookupError{Service: service, Errs: []error{&AnswerError{Reason: "contains no key"}}})
 		}
 		key, lookup, err = c.takeKey(service, 1)
 	}
 	return key, err
 }
 
-// takeKey returns a key, an error, or a look-up to wait for. It counts the
-// request among those that wait, or off them; waited is how often it counts.
+// takeKey returns a key, an error, or a lookup to wait for. It adds the request to
+// the waiting ones if it returns a lookup. waiting is 1 if the request is counted
+// as waiting already, else 0; that count is taken off first.
 func (c *Client) takeKey(service string, waiting int) (Key, *pendingLookup, error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -48,15 +49,16 @@
 	return Key{}, c.joinLookup(service, e), nil
 }
 
-// stopWaiting counts a request off those that wait for a key.
+// stopWaiting removes a request from the count of those waiting for a key.
 func (c *Client) stopWaiting(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state(service).waiting--
 }
 
-// invalidate drops the spare keys whose home is at address, which can't run
-// requests now, and has the service looked up again ahead of the deadline.
+// invalidate drops the unused keys whose home is at address, as that instance
+// can't run requests now, and lets the next Lookup refresh the answer before it
+// expires.
 func (c *Client) invalidate(service, address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/caller/lookup.go
+++ b/pkg/caller/lookup.go
@@ -10,50 +10,51 @@
 	"github.com/juju/errors"
 )
 
-// Bounds of the drawn part of an answer's life after which it is refreshed.
+// An answer is refreshed after a random part of its time to live, between these
+// bounds.
 const (
 	refreshLow  = 0.6
 	refreshHigh = 0.9
 )
 
-// Keys asked for with a look-up while requests wait for them.
+// Keys requested with a lookup while requests are waiting for them.
 const (
-	keysPerWaiter = 2   // for each that waits
-	maxKeys       = 256 // at most, unless Config.Keys is more
+	keysPerWaiter = 2   // for each waiting request
+	maxKeys       = 256 // upper limit, unless Config.Keys is higher
 )
 
-// spareKey is a key that no request was sent with yet.
+// spareKey is a key that has not been sent with a request yet.
 type spareKey struct {
 	key     Key
-	expires time.Time // when it is given up, by our clock; its home may know better
+	expires time.Time // by the local clock; the home may set another limit
 }
 
-// pendingLookup is one look-up under way, which any number of callers wait for.
+// pendingLookup is a lookup in progress, which any number of callers wait for.
 type pendingLookup struct {
-	done   chan struct{} // closed when all else here is set, for good
-	answer Answer        // the last known one, stale, when none came; read only
-	keys   int           // keys that came
-	err    error         // nil when answer can be used
+	done   chan struct{} // closed once the other fields have their final values
+	answer Answer        // the last one, marked as stale, if the lookup failed; read only
+	keys   int           // number of keys received
+	err    error         // nil if answer can be used
 }
 
-// serviceState is what the client knows of one service. The client's mu guards it.
+// serviceState is the cached state of one service, guarded by the client's mu.
 type serviceState struct {
-	hasAnswer  bool           // answer holds one
-	answer     Answer         // the last
-	refreshAt  time.Time      // when to ask again ahead of answer.Until
-	pending    *pendingLookup // nil when no look-up is under way
-	failure    error          // of the last look-up; nil after a good one
-	pauseUntil time.Time      // no look-up before this when failure is set
+	hasAnswer  bool           // answer is set
+	answer     Answer         // the last one received
+	refreshAt  time.Time      // when to refresh answer, before answer.Until
+	pending    *pendingLookup // nil if no lookup is in progress
+	failure    error          // of the last lookup; nil after a successful one
+	pauseUntil time.Time      // no lookup before this time if failure is set
 	keys       []spareKey     // oldest first
-	waiting    int            // requests that wait for a key
+	waiting    int            // requests waiting for a key
 }
 
-// Lookup returns the instances to use for a service, written team/service. The
-// answer comes from the cache until its deadline; one look-up at a time is made
-// for a service, ahead of the deadline where there are callers. When no
-// instance can be reached, the last answer is returned as stale.
+// Lookup returns the instances to use for a service, given as team/service. The
+// answer is cached until it expires and refreshed before that if Lookup is called
+// in time; there is at most one lookup in progress for each service. If no
+// instance can be reached, the last answer is returned and marked as stale.
 //
-// The error is a *LookupError, or the context's.
+// The error is a *LookupError or the context's error.
 func (c *Client) Lookup(ctx context.Context, service string) (Answer, error) {
 	if _, _, ok := splitService(service); !ok {
 		err := &LookupError{Service: service, Refused: true, Errs: []error{&AnswerError{Reason: "service isn't team/service"}}}
@@ -71,7 +72,7 @@
 	}
 }
 
-// cached returns an answer or an error to use now, or a look-up to wait for.
+// cached returns an answer or an error to use now, or a lookup to wait for.
 func (c *Client) cached(service string) (Answer, *pendingLookup, error) {
 	now := time.Now()
 	c.mu.Lock()
@@ -91,8 +92,9 @@
 	return answer, nil, err
 }
 
-// lastAnswer returns what to use after a look-up failed: the last answer, or the
-// failure when there is none or an instance refused the look-up.
+// lastAnswer returns the last answer, marked as stale, for use after a failed
+// lookup. It returns the failure if there is no answer or an instance refused the
+// lookup.
 func (e *serviceState) lastAnswer() (Answer, error) {
 	var failure *LookupError
 	if errors.As(e.failure, &failure) && failure.Refused || !e.hasAnswer {
@@ -107,7 +109,7 @@
 	return a
 }
 
-// state returns what is known of a service. It needs c.mu.
+// state returns the state of a service, created if there is none. It needs c.mu.
 func (c *Client) state(service string) *serviceState {
 	e, ok := c.services[service]
 	if !ok {
@@ -117,8 +119,9 @@
 	return e
 }
 
-// joinLookup returns the look-up under way, started here if there is none. It needs
-// c.mu. The look-up isn't bound to any one caller's context, as others wait too.
+// joinLookup returns the lookup in progress, and starts one if there is none. It
+// needs c.mu. The lookup doesn't use the context of any one caller, as others wait
+// for it too.
 func (c *Client) joinLookup(service string, e *serviceState) *pendingLookup {
 	if e.pending == nil {
 		e.pending = &pendingLookup{done: make(chan struct{})}
@@ -128,7 +131,8 @@
 	return e.pending
 }
 
-// lookupAddresses returns the addresses to ask. It needs c.mu.
+// lookupAddresses returns the addresses at which to look the service up: those of
+// the last answer, then the configured ones. It needs c.mu.
 func (c *Client) lookupAddresses(e *serviceState) []string {
 	var list []string
 	for _, instance := range e.answer.Instances {
@@ -165,8 +169,9 @@
 	e.pauseUntil = time.Now().Add(c.jitter(c.cfg.Pause, 0.5, 1.5))
 }
 
-// storeAnswer puts an answer into the cache. Its life counts from before it was asked
-// for, so that it never lasts longer than the instance meant.
+// storeAnswer puts an answer into the cache. Its time to live counts from before
+// the lookup was sent, so that the answer never outlives the limit set by the
+// instance.
 func (c *Client) storeAnswer(service string, e *serviceState, lookup *pendingLookup, wire wireAnswer, askedAt time.Time, ttl time.Duration, home string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,14 +188,15 @@
 	lookup.answer, lookup.keys = e.answer.clone(false), len(wire.Keys)
 }
 
-// queryInstance makes one look-up at one instance.
+// queryInstance makes one lookup at one instance and returns the answer with its
+// time to live.
 func (c *Client) queryInstance(service, address string, keys int) (wireAnswer, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.cfg.Ask)
 	defer cancel()
 	url := fmt.Sprintf("http://%s/lookup/%s?keys=%d", address, service, keys)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return wireAnswer{}, 0, &AnswerError{Reason: "can't be asked for", Err: err}
+		return wireAnswer{}, 0, &AnswerError{Reason: "invalid lookup URL", Err: err}
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
@@ -202,12 +208,12 @@
 	}
 	wire, err := decodeAnswer(resp.Body)
 	if err == nil && wire.Service != "" && !sameService(wire.Service, service) {
-		err = &AnswerError{Reason: "is for " + wire.Service}
+		err = &AnswerError{Reason: "names another service: " + wire.Service}
 	}
 	return wire, freshFor(resp.Header), err
 }
 
-// sameService says whether an answer names the service, with or without its team.
+// sameService reports whether got names the service, with or without its team.
 func sameService(got, service string) bool {
 	_, name, _ := splitService(service)
 	return got == service || got == name
--- a/pkg/caller/lookup_test.go
+++ b/pkg/caller/lookup_test.go
@@ -25,19 +25,19 @@
 		wg.Wait()
 		lookups := func() int64 { return n.servers[first].lookups.Load() }
 		if got := lookups(); got != 1 {
-			t.Errorf("got %d look-ups by 100 callers, want 1", got)
+			t.Errorf("got %d lookups by 100 callers, want 1", got)
 		}
 		time.Sleep(5 * time.Second) // before refreshLow
 		_, _ = c.Lookup(t.Context(), "t/s")
 		synctest.Wait()
 		if got := lookups(); got != 1 {
-			t.Errorf("got %d look-ups halfway, want 1", got)
+			t.Errorf("got %d lookups before the refresh, want 1", got)
 		}
 		time.Sleep(4500 * time.Millisecond) // after refreshHigh
 		a, _ := c.Lookup(t.Context(), "t/s")
 		synctest.Wait()
 		if got := lookups(); got != 2 || a.Stale {
-			t.Errorf("got %d look-ups ahead of the deadline, stale %v, want 2, fresh", got, a.Stale)
+			t.Errorf("got %d lookups before the answer expired, stale %v, want 2, fresh", got, a.Stale)
 		}
 	})
 }
@@ -53,7 +53,7 @@
 		time.Sleep(11 * time.Second)
 		a, err := c.Lookup(t.Context(), "t/s")
 		if err != nil || a.Stale || n.servers[second].lookups.Load() != 1 {
-			t.Errorf("got %v %v, want a fresh answer of the second instance", a, err)
+			t.Errorf("got %v %v, want a fresh answer from the second instance", a, err)
 		}
 		n.down(c, second)
 		time.Sleep(11 * time.Second)
@@ -98,7 +98,7 @@
 			wg.Go(func() {
 				key, err := c.key(t.Context(), "t/s")
 				if err != nil || key.Home != first {
-					t.Errorf("got %v %v, want a key of the first instance", key, err)
+					t.Errorf("got %v %v, want a key from the first instance", key, err)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -110,12 +110,12 @@
 			t.Errorf("got %d keys, want %d", got, requests)
 		}
 		if got := c.services["t/s"].waiting; got != 0 {
-			t.Errorf("got %d that wait, want 0", got)
+			t.Errorf("got %d requests waiting for a key, want 0", got)
 		}
 		_, _ = c.Lookup(t.Context(), "t/s")
 		c.services["t/s"].keys = []spareKey{{key: Key{Value: "old"}, expires: time.Now()}}
 		if got, err := c.key(t.Context(), "t/s"); err != nil || got.Value == "old" {
-			t.Errorf("got %v %v, want a key within its time", got, err)
+			t.Errorf("got %v %v, want a key that has not expired", got, err)
 		}
 	})
 }
@@ -152,7 +152,7 @@
 		}
 		for _, k := range a.Keys {
 			if strings.ContainsAny(k, " \r\n") {
-				t.Errorf("got key %q, want one that fits a header", k)
+				t.Errorf("got key %q, want one that is valid in a header", k)
 			}
 		}
 	})
--- a/pkg/caller/network_test.go
+++ b/pkg/caller/network_test.go
@@ -17,8 +17,8 @@
 	second = "127.0.0.1:2"
 )
 
-// network is a set of HTTP servers behind in-memory connections, so that it can
-// be used in a synctest bubble. An address without a server refuses connections.
+// network is a set of HTTP servers on in-memory connections, for use in a synctest
+// bubble. An address without a server refuses connections.
 type network struct {
 	mu      sync.Mutex
 	servers map[string]*server
@@ -29,8 +29,8 @@
 	calls   atomic.Int64
 	keys    atomic.Int64
 	up      bool
-	age     int                                          // max-age of look-up answers, seconds
-	call    func(w http.ResponseWriter, r *http.Request) // nil answers "done"
+	age     int                                          // max-age of lookup responses in seconds
+	call    func(w http.ResponseWriter, r *http.Request) // nil responds with "done"
 	conns   chan net.Conn
 	closed  chan struct{}
 	address string
@@ -80,7 +80,7 @@
 	}
 }
 
-// down makes an address refuse connections, and closes those it has.
+// down makes an address refuse connections, and closes the idle ones.
 func (n *network) down(c *Client, address string) {
 	n.mu.Lock()
 	n.servers[address].up = false
@@ -121,14 +121,15 @@
 		first, second, s.address, s.keys.Add(1))
 }
 
-// outcome sets the headers of an answer to r.
+// outcome sets the headers of the response to r.
 func outcome(w http.ResponseWriter, r *http.Request, o Outcome, reason string) {
 	w.Header().Set(headerRequest, r.Header.Get(headerRequest))
 	w.Header().Set(headerOutcome, string(o))
 	w.Header().Set(headerReason, reason)
 }
 
-// refuse answers not-run with a status and, unless empty, a time to come back.
+// refuse returns a handler that responds with not-run, a status and, unless empty,
+// the time until a retry in milliseconds.
 func refuse(status int, retry string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		outcome(w, r, NotRun, "full")
--- a/pkg/caller/request.go
+++ b/pkg/caller/request.go
@@ -23,22 +23,22 @@
 	headerRetry   = "Firlever-Retry" // milliseconds
 )
 
-// Request is a request to a service. Do doesn't change it; it may be sent again.
+// Request is a request to a service. Do doesn't modify it, so it may be sent again.
 type Request struct {
 	Method     string      // empty means GET
-	Path       string      // below the service, begins with /; may hold a query; empty means /
+	Path       string      // below the service, begins with /; may contain a query; empty means /
 	Header     http.Header // may be nil
-	Idempotent bool        // running it twice is right, whatever the method
-	Once       bool        // must not run twice, whatever the method; goes before Idempotent
-	Key        Key         // of an earlier try with an unknown outcome; otherwise leave it empty
+	Idempotent bool        // may run twice, whatever the method
+	Once       bool        // must not run twice, whatever the method; overrides Idempotent
+	Key        Key         // of an earlier call with an unknown outcome; otherwise empty
 
-	// Body is called for a new reader of the body for each try; nil means no
-	// body. What it returns is closed.
+	// Body returns a new reader of the body for each attempt; nil means no body.
+	// The client closes the reader.
 	Body   func() (io.ReadCloser, error)
-	Length int64 // of the body in bytes; -1 when not known
+	Length int64 // of the body in bytes; -1 if not known
 }
 
-// SetBytes makes b the body.
+// SetBytes sets the body to b.
 func (r *Request) SetBytes(b []byte) {
 	r.Length = int64(len(b))
 	r.Body = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(b)), nil }
@@ -55,7 +55,7 @@
 	return r.Idempotent
 }
 
-// call is one Do.
+// call is the state of one call of Do.
 type call struct {
 	client     *Client
 	ctx        context.Context
@@ -64,7 +64,7 @@
 	id         string
 	key        Key
 	idempotent bool
-	mayHaveRun bool  // an attempt so far may have run
+	mayHaveRun bool  // an earlier attempt may have run
 	last       error // of the last attempt; a *NotRunError or an *UnknownError
 }
 
@@ -84,8 +84,8 @@
 	return &UnknownError{Service: k.service, Request: k.id, Key: k.key, Reason: reason, Err: err}
 }
 
-// requestURL returns the address of the request at an instance, or nil when the
-// path can't be sent.
+// requestURL returns the URL of the request at an instance, or nil if the path
+// can't be sent.
 func (k *call) requestURL(address string) *url.URL {
 	path := orDefault(k.req.Path, "/")
 	if !strings.HasPrefix(path, "/") {
@@ -98,8 +98,8 @@
 	return u
 }
 
-// httpRequest makes the HTTP httpRequest of one attempt, whose answer has to begin by
-// start unless that is zero.
+// httpRequest returns the HTTP request of one attempt. Its response has to begin
+// by startBy, unless that is zero.
 func (k *call) httpRequest(ctx context.Context, address string, startBy time.Time) (*http.Request, *NotRunError) {
 	u := k.requestURL(address)
 	if u == nil {
@@ -149,10 +149,10 @@
 	return nil
 }
 
-// retriedByTransport says whether http.Transport would repeat a request by itself after a
-// connection broke, past our budget. It doesn't when there is a body that it
-// can't get again. A request that had no byte written it repeats in any case
-// where it can, which is right.
+// retriedByTransport reports whether http.Transport would retry a request with this
+// method on its own after a connection failed, which bypasses the retry budget. It
+// doesn't if the request has a body without GetBody. A request of which no byte was
+// written is retried in any case, if possible, which is harmless.
 func retriedByTransport(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -161,8 +161,8 @@
 	return false
 }
 
-// emptyBody is a body of no bytes; the transport sends none, but can't know that it
-// may be had again.
+// emptyBody is a body of no bytes. The transport sends no body for it, but doesn't
+// retry the request, as it can't read the body again.
 type emptyBody struct{}
 
 func (emptyBody) Read([]byte) (int, error) { return 0, io.EOF }
