--- a/internal/explain/groups_test.go
+++ b/internal/explain/groups_test.go
@@ -16,9 +16,9 @@
 
 // Lines of requests that got as far as a target are counted once, in their group.
 func TestGroups(t *testing.T) {
-	near := Group{Count: 2, Wait: 25 * time.Millisecond, Took: 200 * time.Millisecond, Fresh: 1}
-	far := Group{Count: 1, Late: 1, Wait: 600 * time.Millisecond, Took: 3 * time.Second}
-	with := func(g Group, values ...string) Group {
+	domain1 := Group{Count: 2, Wait: 25 * time.Millisecond, Took: 200 * time.Millisecond, Fresh: 1}
+	domain2 := Group{Count: 1, Late: 1, Wait: 600 * time.Millisecond, Took: 3 * time.Second}
+	withValues := func(g Group, values ...string) Group {
 		g.Values = values
 		return g
 	}
@@ -28,9 +28,9 @@
 		from, until time.Time
 		want        []Group
 	}{
-		"by domain":   {[]string{"domain"}, time.Time{}, time.Time{}, []Group{with(near, "d1"), with(far, "d2")}},
-		"by two":      {[]string{"source", "domain"}, time.Time{}, time.Time{}, []Group{with(near, "a.log", "d1"), with(far, "a.log", "d2")}},
-		"from":        {[]string{"domain"}, second.Add(time.Second), time.Time{}, []Group{with(far, "d2")}},
+		"by domain":   {[]string{"domain"}, time.Time{}, time.Time{}, []Group{withValues(domain1, "d1"), withValues(domain2, "d2")}},
+		"by two":      {[]string{"source", "domain"}, time.Time{}, time.Time{}, []Group{withValues(domain1, "a.log", "d1"), withValues(domain2, "a.log", "d2")}},
+		"from":        {[]string{"domain"}, second.Add(time.Second), time.Time{}, []Group{withValues(domain2, "d2")}},
 		"until":       {[]string{"id"}, second, second.Add(time.Second), []Group{{Values: []string{"2"}, Count: 1, Wait: 50 * time.Millisecond, Took: 300 * time.Millisecond}}},
 		"no such one": {[]string{"domain"}, second.Add(time.Hour), time.Time{}, []Group{}},
 	}
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// around is how long before and after a request's lines beliefs belong to its
+	// contextWindow is how long before and after a request's lines beliefs belong to its
 	// story: targets eject for up to 8 s, and clocks of instances differ a little.
-	around = 10 * time.Second
-	// maxLine bounds a line that is read, in bytes.
-	maxLine = 1 << 20
+	contextWindow = 10 * time.Second
+	// maxLineBytes bounds a line that is read, in bytes.
+	maxLineBytes = 1 << 20
 )
 
 // Line is one log line.
@@ -38,24 +38,24 @@
 func Read(r io.Reader, source string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		if l, ok := parse(scanner.Text(), source); ok {
+		if l, ok := parseLine(scanner.Text(), source); ok {
 			lines = append(lines, l)
 		}
 	}
 	return lines, scanner.Err()
 }
 
-func parse(text, source string) (Line, bool) {
-	at := strings.Index(text, "time=")
-	if at < 0 {
+func parseLine(text, source string) (Line, bool) {
+	start := strings.Index(text, "time=")
+	if start < 0 {
 		return Line{}, false
 	}
-	if before := strings.Fields(text[:at]); len(before) > 0 {
-		source = before[len(before)-1]
+	if prefix := strings.Fields(text[:start]); len(prefix) > 0 {
+		source = prefix[len(prefix)-1]
 	}
-	l := Line{Source: source, Text: text[at:], fields: make(map[string]string)}
+	l := Line{Source: source, Text: text[start:], fields: make(map[string]string)}
 	d := logfmt.NewDecoder(strings.NewReader(l.Text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
@@ -67,9 +67,9 @@
 	return l, err == nil && d.Err() == nil
 }
 
-// beliefs are the messages about what an instance believes or depends on, whatever
+// stateMessages are the messages about what an instance believes or depends on, whatever
 // the request.
-var beliefs = map[string]bool{
+var stateMessages = map[string]bool{
 	"started": true, "stopping": true, "stopped": true, "store listed": true, "store lost": true, "store regained": true,
 	"store read": true, "store history gone": true,
 	"relay lost": true, "store followed through a peer": true, "lease not renewed": true, "lease renewed again": true, "lease ended": true,
@@ -82,7 +82,7 @@
 // Story returns the lines that explain a request, in the order of time. What became known
 // of its fingerprint belongs to it whenever and wherever that was.
 func Story(lines []Line, id string) []Line {
-	sources, targets, prints := make(map[string]bool), make(map[string]bool), make(map[string]bool)
+	sources, targets, fingerprints := make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	var first, last time.Time
 	for _, l := range lines {
 		if l.Field("id") != id {
@@ -90,7 +90,7 @@
 		}
 		sources[l.Source] = true
 		targets[l.Field("target")] = true
-		prints[l.Field("print")] = true
+		fingerprints[l.Field("print")] = true
 		if first.IsZero() || l.Time.Before(first) {
 			first = l.Time
 		}
@@ -99,16 +99,16 @@
 		}
 	}
 	delete(targets, "")
-	delete(prints, "")
+	delete(fingerprints, "")
 	if first.IsZero() {
 		return nil
 	}
-	said := notices(lines, sources, last)
+	notices := latestNotices(lines, sources, last)
 	var story []Line
 	for i, l := range lines {
-		near := !l.Time.Before(first.Add(-around)) && !l.Time.After(last.Add(around))
-		about := beliefs[l.Field("msg")] || l.Field("id") == "" && targets[l.Field("target")]
-		if l.Field("id") == id || near && sources[l.Source] && about || l.about(prints) || said[i] {
+		inWindow := !l.Time.Before(first.Add(-contextWindow)) && !l.Time.After(last.Add(contextWindow))
+		related := stateMessages[l.Field("msg")] || l.Field("id") == "" && targets[l.Field("target")]
+		if l.Field("id") == id || inWindow && sources[l.Source] && related || l.hasFingerprint(fingerprints) || notices[i] {
 			story = append(story, l)
 		}
 	}
@@ -119,37 +119,37 @@
 // noticeMessage is of lines that tell which requests a target wants.
 const noticeMessage = "target notice"
 
-// notices finds the lines that tell what some instances last knew, at a time, of the requests that
+// latestNotices finds the lines that tell what some instances last knew, at a time, of the requests that
 // targets want: that may hold for long.
-func notices(lines []Line, sources map[string]bool, at time.Time) map[int]bool {
+func latestNotices(lines []Line, sources map[string]bool, at time.Time) map[int]bool {
 	type key struct{ source, target, news string }
-	newest := make(map[key]int)
+	latest := make(map[key]int)
 	for i, l := range lines {
 		if l.Field("msg") != noticeMessage || !sources[l.Source] || l.Time.After(at) {
 			continue
 		}
 		k := key{l.Source, l.Field("target"), l.Field("news")}
-		if old, ok := newest[k]; !ok || !l.Time.Before(lines[old].Time) {
-			newest[k] = i
+		if old, ok := latest[k]; !ok || !l.Time.Before(lines[old].Time) {
+			latest[k] = i
 		}
 	}
-	found := make(map[int]bool, len(newest))
-	for _, i := range newest {
-		found[i] = true
+	indexes := make(map[int]bool, len(latest))
+	for _, i := range latest {
+		indexes[i] = true
 	}
-	return found
+	return indexes
 }
 
-// about says whether the line tells what became known of one of some fingerprints, and not
+// hasFingerprint says whether the line tells what became known of one of some fingerprints, and not
 // of another request that has it.
-func (l Line) about(prints map[string]bool) bool {
+func (l Line) hasFingerprint(fingerprints map[string]bool) bool {
 	if l.Field("id") != "" {
 		return false
 	}
-	if prints[l.Field("print")] {
+	if fingerprints[l.Field("print")] {
 		return true
 	}
-	return slices.ContainsFunc(strings.Fields(strings.Trim(l.Field("prints"), "[]")), func(p string) bool { return prints[p] })
+	return slices.ContainsFunc(strings.Fields(strings.Trim(l.Field("prints"), "[]")), func(p string) bool { return fingerprints[p] })
 }
 
 // Failures counts the failed requests of the lines by how they ended, and gives the
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -50,16 +50,16 @@
 
 // What became known of a request's fingerprint belongs to its story, from all instances and
 // from long before; other requests with it do not.
-func TestStoryOfAPrint(t *testing.T) {
-	const elsewhere = `time=2026-01-01T00:00:00Z level=warn msg="target ended" target=t8 prints="[7a b1]"
+func TestStoryOfFingerprint(t *testing.T) {
+	const otherInstance = `time=2026-01-01T00:00:00Z level=warn msg="target ended" target=t8 prints="[7a b1]"
 time=2026-01-01T00:00:01Z level=warn msg="target ended" target=t9 prints="[b1 b2]"
 time=2026-01-01T00:00:02Z level=warn msg="request ends targets" print=b1 targets=3
 time=2026-01-01T00:00:02Z level=warn msg="request ends targets" print=7a targets=3
 time=2026-01-01T00:00:02Z level=warn msg=request id=q4 print=7a status=503
 `
-	const here = "time=2026-01-01T00:05:00Z level=warn msg=request id=q3 print=7a status=503 ending=ends-targets\n"
+	const ownInstance = "time=2026-01-01T00:05:00Z level=warn msg=request id=q3 print=7a status=503 ending=ends-targets\n"
 	var got []string
-	for _, l := range Story(append(read(t, elsewhere, "a"), read(t, here, "b")...), "q3") {
+	for _, l := range Story(append(read(t, otherInstance, "a"), read(t, ownInstance, "b")...), "q3") {
 		got = append(got, l.Field("msg")+" "+l.Field("target"))
 	}
 	want := []string{"target ended t8", "request ends targets ", "request "}
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestSourceBeforeTheLine(t *testing.T) {
+func TestSourcePrefix(t *testing.T) {
 	lines := read(t, "  0.5 edge-1 time=2026-01-01T00:00:00Z level=info msg=started\n", "file")
 	if len(lines) != 1 || lines[0].Source != "edge-1" {
 		t.Errorf("got %+v, want one line of edge-1", lines)
@@ -101,16 +101,16 @@
 // What targets last said of the requests that they want belongs to a story, from long before too,
 // as far as the request's instance knew it.
 func TestStoryOfNotices(t *testing.T) {
-	const here = `time=2026-01-01T00:00:00Z level=info msg="target notice" target=t1 news=limits limit=4 id=q0
+	const ownInstance = `time=2026-01-01T00:00:00Z level=info msg="target notice" target=t1 news=limits limit=4 id=q0
 time=2026-01-01T00:00:01Z level=info msg="target notice" target=t1 news=limits limit=5 id=q0
 time=2026-01-01T00:00:02Z level=info msg="target notice" target=t2 news=rests rest=3s id=q0
 time=2026-01-01T00:05:00Z level=warn msg=request id=q1 status=503 ending=limited first=t1
 time=2026-01-01T00:05:01Z level=info msg="target notice" target=t1 news=limit-over id=q2
 `
-	const elsewhere = `time=2026-01-01T00:04:00Z level=info msg="target notice" target=t1 news=limits limit=6 id=q3
+	const otherInstance = `time=2026-01-01T00:04:00Z level=info msg="target notice" target=t1 news=limits limit=6 id=q3
 `
 	var got []string
-	for _, l := range Story(append(read(t, here, "a"), read(t, elsewhere, "b")...), "q1") {
+	for _, l := range Story(append(read(t, ownInstance, "a"), read(t, otherInstance, "b")...), "q1") {
 		got = append(got, strings.Join([]string{l.Field("msg"), l.Field("target"), l.Field("limit"), l.Field("rest")}, " "))
 	}
 	want := []string{"target notice t1 5 ", "target notice t2  3s", "request   "}
