--- a/internal/explain/groups.go
+++ b/internal/explain/groups.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Group is the requests whose lines agree in some fields.
+// Group summarises the requests whose lines have the same values in some fields.
 type Group struct {
-	Values []string      // of the fields, in the order that was asked for
-	Count  int           // requests
-	Late   int           // that ended when their time was over
-	Wait   time.Duration // mean time until a slot, as it was foreseen
-	Took   time.Duration // mean time from reading to the answer
-	Fresh  int           // whose target had told its load within the second before
+	Values []string      // of the fields, in the order given to Groups
+	Count  int           // number of requests
+	Late   int           // requests that ended because their deadline had passed
+	Wait   time.Duration // mean predicted wait for a slot
+	Took   time.Duration // mean time from reading the request to its response
+	Fresh  int           // requests whose target reported its load less than freshLoad before
 }
 
-// freshLoad is the age up to which a report of load counts as fresh: as in the metrics.
+// freshLoad is the age below which a load report counts as fresh, as in the metrics.
 const freshLoad = time.Second
 
-// Groups groups the lines of requests that got as far as a target by fields, the largest
-// group first. "source" names the file of the line.
+// Groups groups the lines of requests that were sent to a target by fields, the
+// largest group first. The field "source" stands for the source of the line.
 func Groups(lines []Line, fields []string) []Group {
 	byValues := make(map[string]*Group)
 	for _, l := range lines {
@@ -53,7 +53,7 @@
 	return list
 }
 
-// add takes in a request; its times are sums until all are in.
+// add adds a request. Wait and Took hold sums until Groups divides them.
 func (g *Group) add(l Line) {
 	g.Count++
 	g.Wait += l.duration("wait")
@@ -66,7 +66,8 @@
 	}
 }
 
-// duration is a field that holds a time; 0 if it holds none, as in a line that was cut.
+// duration parses a field as a duration; it is 0 if the field is missing or
+// malformed, as in a truncated line.
 func (l Line) duration(field string) time.Duration {
 	d, err := time.ParseDuration(l.Field(field))
 	if err != nil {
@@ -75,7 +76,8 @@
 	return d
 }
 
-// Between returns the lines of a span of time, its end left out. A zero time is no bound.
+// Between returns the lines from a time on and before another. A zero time sets no
+// bound.
 func Between(lines []Line, from, until time.Time) []Line {
 	return slices.DeleteFunc(slices.Clone(lines), func(l Line) bool {
 		return l.Time.Before(from) || !until.IsZero() && !l.Time.Before(until)
--- a/internal/explain/groups_test.go
+++ b/internal/explain/groups_test.go
@@ -14,7 +14,8 @@
 time=2026-06-01T10:00:04Z level=warn msg=request id=4 status=401 reason=no-key
 `
 
-// Lines of requests that got as far as a target are counted once, in their group.
+// Checks that each request that was sent to a target is counted once, in its group,
+// and that lines of attempts and of requests without a target are not.
 func TestGroups(t *testing.T) {
 	domain1 := Group{Count: 2, Wait: 25 * time.Millisecond, Took: 200 * time.Millisecond, Fresh: 1}
 	domain2 := Group{Count: 1, Late: 1, Wait: 600 * time.Millisecond, Took: 3 * time.Second}
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -1,6 +1,7 @@
-// Package explain finds the story of one request in the log lines of several
-// instances: its own lines, and what the instances that handled it came to believe
-// of its targets, its configuration and the store around that time.
+// Package explain selects the log lines that explain one request from the logs of
+// several instances: its own lines, and those that show how the instances that
+// handled it saw its targets, the configuration and the store around that time. It
+// also summarises requests by outcome and by fields.
 package explain
 
 import (
@@ -15,26 +16,28 @@
 )
 
 const (
-	// contextWindow is how long before and after a request's lines beliefs belong to its
-	// story: targets eject for up to 8 s, and clocks of instances differ a little.
+	// contextWindow is the time before and after a request's lines from which other
+	// lines of its instances are included: targets are ejected for up to 8 s, and the
+	// clocks of instances differ slightly.
 	contextWindow = 10 * time.Second
-	// maxLineBytes bounds a line that is read, in bytes.
+	// maxLineBytes is the longest line that can be read.
 	maxLineBytes = 1 << 20
 )
 
 // Line is one log line.
 type Line struct {
 	Time   time.Time
-	Source string // of the file that it stands in
-	Text   string // as it was logged
+	Source string // name of the file or instance
+	Text   string // as logged, from its time on
 	fields map[string]string
 }
 
-// Field returns a field of the line, or "".
+// Field returns the value of a field, or "" if the line doesn't have it.
 func (l Line) Field(name string) string { return l.fields[name] }
 
-// Read reads the log lines of one source. What stands before a line's time, as
-// collectors put it there, is skipped; lines without a time are too.
+// Read reads the log lines of one source. The text that log collectors put before
+// the time is removed from the line, and its last word replaces the source. Lines
+// without a time are skipped.
 func Read(r io.Reader, source string) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -67,8 +70,8 @@
 	return l, err == nil && d.Err() == nil
 }
 
-// stateMessages are the messages about what an instance believes or depends on, whatever
-// the request.
+// stateMessages are the messages about the state of an instance and of what it
+// depends on, which concern every request.
 var stateMessages = map[string]bool{
 	"started": true, "stopping": true, "stopped": true, "store listed": true, "store lost": true, "store regained": true,
 	"store read": true, "store history gone": true,
@@ -79,8 +82,9 @@
 	"machine was suspended": true,
 }
 
-// Story returns the lines that explain a request, in the order of time. What became known
-// of its fingerprint belongs to it whenever and wherever that was.
+// Story returns the lines that explain a request, ordered by time, or nil if no
+// line has its ID. Lines about its fingerprint are included from all instances and
+// at any time.
 func Story(lines []Line, id string) []Line {
 	sources, targets, fingerprints := make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	var first, last time.Time
@@ -116,11 +120,12 @@
 	return story
 }
 
-// noticeMessage is of lines that tell which requests a target wants.
+// noticeMessage is the message of lines that record which requests a target accepts.
 const noticeMessage = "target notice"
 
-// latestNotices finds the lines that tell what some instances last knew, at a time, of the requests that
-// targets want: that may hold for long.
+// latestNotices returns the indexes of the lines with the notices that were the
+// latest at some instances at a time, one for each target and kind. They are not
+// limited to a window, as a notice can stay in force for long.
 func latestNotices(lines []Line, sources map[string]bool, at time.Time) map[int]bool {
 	type key struct{ source, target, news string }
 	latest := make(map[key]int)
@@ -140,8 +145,8 @@
 	return indexes
 }
 
-// hasFingerprint says whether the line tells what became known of one of some fingerprints, and not
-// of another request that has it.
+// hasFingerprint reports whether the line is about one of the fingerprints in
+// general. Lines of single requests with such a fingerprint don't count.
 func (l Line) hasFingerprint(fingerprints map[string]bool) bool {
 	if l.Field("id") != "" {
 		return false
@@ -152,8 +157,8 @@
 	return slices.ContainsFunc(strings.Fields(strings.Trim(l.Field("prints"), "[]")), func(p string) bool { return fingerprints[p] })
 }
 
-// Failures counts the failed requests of the lines by how they ended, and gives the
-// ID of one of each.
+// Failures counts the failed requests in the lines by status and outcome, with the
+// ID of the first request of each group, sorted by status and outcome.
 func Failures(lines []Line) []Failure {
 	byEnding := make(map[string]*Failure)
 	for _, l := range lines {
@@ -175,9 +180,9 @@
 	return list
 }
 
-// Failure is one way in which requests failed.
+// Failure is a group of requests that failed with the same status and outcome.
 type Failure struct {
-	Ending string // status, and what decided about it
+	Ending string // status, then the outcome or reason
 	ID     string // of the first such request
 	Count  int
 }
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// What became known of a request's fingerprint belongs to its story, from all instances and
-// from long before; other requests with it do not.
+// Checks that lines about a request's fingerprint are included from all instances
+// and from long before, but lines of other requests with the fingerprint are not.
 func TestStoryOfFingerprint(t *testing.T) {
 	const otherInstance = `time=2026-01-01T00:00:00Z level=warn msg="target ended" target=t8 prints="[7a b1]"
 time=2026-01-01T00:00:01Z level=warn msg="target ended" target=t9 prints="[b1 b2]"
@@ -92,14 +92,14 @@
 		}
 		for _, l := range lines {
 			if id := l.Field("id"); id != "" && len(Story(lines, id)) == 0 {
-				t.Errorf("got no story of %q", id)
+				t.Errorf("got no lines for request %q", id)
 			}
 		}
 	})
 }
 
-// What targets last said of the requests that they want belongs to a story, from long before too,
-// as far as the request's instance knew it.
+// Checks that the latest notices of targets are included, also from long before, if
+// the instance that handled the request had received them.
 func TestStoryOfNotices(t *testing.T) {
 	const ownInstance = `time=2026-01-01T00:00:00Z level=info msg="target notice" target=t1 news=limits limit=4 id=q0
 time=2026-01-01T00:00:01Z level=info msg="target notice" target=t1 news=limits limit=5 id=q0
