--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -22,8 +22,8 @@
 	Wanted        Name = "wanted"         // a target gets no more than it has said that it wants
 )
 
-// names lists all invariants: those of the brief in its order, then others.
-var names = [...]Name{
+// allNames lists all invariants: those of the brief in its order, then others.
+var allNames = [...]Name{
 	ShiftCap, RegionLimit, WholeAnswer, NotRunTrue,
 	AtMostOnce, Leaving, GracefulStop, ConfigForward, Contained, Wanted,
 }
@@ -43,14 +43,14 @@
 // Counter counts checks and violations. It is safe for concurrent use, and a
 // nil Counter takes checks and counts nothing.
 type Counter struct {
-	tallies map[Name]*tally // one for each of names; never changed after New
-	fail    func(Name, string)
+	tallies     map[Name]*tally // one for each of names; never changed after New
+	onViolation func(Name, string)
 }
 
 // New makes a counter. fail is called at each violation and may be nil.
-func New(fail func(Name, string)) *Counter {
-	c := &Counter{tallies: make(map[Name]*tally, len(names)), fail: fail}
-	for _, n := range names {
+func New(onViolation func(Name, string)) *Counter {
+	c := &Counter{tallies: make(map[Name]*tally, len(allNames)), onViolation: onViolation}
+	for _, n := range allNames {
 		c.tallies[n] = &tally{}
 	}
 	return c
@@ -67,8 +67,8 @@
 		return
 	}
 	t.violations.Add(1)
-	if c.fail != nil {
-		c.fail(n, detail())
+	if c.onViolation != nil {
+		c.onViolation(n, detail())
 	}
 }
 
@@ -77,8 +77,8 @@
 	if c == nil {
 		return nil
 	}
-	counts := make([]Count, 0, len(names))
-	for _, n := range names {
+	counts := make([]Count, 0, len(allNames))
+	for _, n := range allNames {
 		t := c.tallies[n]
 		counts = append(counts, Count{Name: n, Checks: t.checks.Load(), Violations: t.violations.Load()})
 	}
