--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -124,8 +124,8 @@
 const noticeMessage = "target notice"
 
 // latestNotices returns the indexes of the lines with the notices that were the
-// latest at some instances at a time, one for each target and kind. They are not
-// limited to a window, as a notice can stay in force for long.
+// latest at some instances at a time, one for each instance, target and kind. They
+// are not limited to a window, as a notice can stay in force for long.
 func latestNotices(lines []Line, sources map[string]bool, at time.Time) map[int]bool {
 	type key struct{ source, target, news string }
 	latest := make(map[key]int)
