--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -1,34 +1,34 @@
-// Package invariant counts the checks of what must always hold, and the times
-// that it did not. Tests fail on the first violation; a running instance
-// reports both counts as metrics.
+// Package invariant counts checks of the product's invariants and their
+// violations. Tests fail on the first violation; a running instance exports both
+// counts as metrics.
 package invariant
 
 import "sync/atomic"
 
-// Name names one invariant.
+// Name identifies an invariant.
 type Name string
 
-// The invariants of the product, each checked where the decision is taken.
+// The invariants, each checked where the decision is made.
 const (
 	ShiftCap      Name = "shift-cap"      // a traffic shift never exceeds its cap
 	RegionLimit   Name = "region-limit"   // no steering decision overloads a place or region
-	WholeAnswer   Name = "whole-answer"   // every caller gets the whole answer to its own request
-	NotRunTrue    Name = "not-run-true"   // a refusal saying "not run" is true
+	WholeAnswer   Name = "whole-answer"   // a caller receives the complete response to its own request
+	NotRunTrue    Name = "not-run-true"   // a request refused as not run has not run
 	AtMostOnce    Name = "at-most-once"   // a non-idempotent request runs at most once
-	Leaving       Name = "leaving"        // a leaving target gets no new work
-	GracefulStop  Name = "graceful-stop"  // a planned stop cuts no request
+	Leaving       Name = "leaving"        // a leaving target receives no new requests
+	GracefulStop  Name = "graceful-stop"  // a planned stop aborts no request
 	ConfigForward Name = "config-forward" // an accepted configuration never reverts
-	Contained     Name = "contained"      // a request that ends the targets that run it is held back
-	Wanted        Name = "wanted"         // a target gets no more than it has said that it wants
+	Contained     Name = "contained"      // a poison request, which crashes the targets that run it, is suppressed
+	Wanted        Name = "wanted"         // a target receives only requests that its notices allow
 )
 
-// allNames lists all invariants: those of the brief in its order, then others.
+// allNames lists all invariants in the order in which Counts returns them.
 var allNames = [...]Name{
 	ShiftCap, RegionLimit, WholeAnswer, NotRunTrue,
 	AtMostOnce, Leaving, GracefulStop, ConfigForward, Contained, Wanted,
 }
 
-// Count is the tally of one invariant.
+// Count holds the counts of one invariant.
 type Count struct {
 	Name       Name   `json:"name"`
 	Checks     uint64 `json:"checks"`
@@ -40,14 +40,15 @@
 	violations atomic.Uint64
 }
 
-// Counter counts checks and violations. It is safe for concurrent use, and a
-// nil Counter takes checks and counts nothing.
+// Counter counts checks and violations. It is safe for concurrent use. A nil
+// Counter accepts checks and counts nothing.
 type Counter struct {
-	tallies     map[Name]*tally // one for each of names; never changed after New
+	tallies     map[Name]*tally // one for each of allNames; not modified after New
 	onViolation func(Name, string)
 }
 
-// New makes a counter. fail is called at each violation and may be nil.
+// New returns a counter. onViolation is called for each violation with its detail;
+// it may be nil.
 func New(onViolation func(Name, string)) *Counter {
 	c := &Counter{tallies: make(map[Name]*tally, len(allNames)), onViolation: onViolation}
 	for _, n := range allNames {
@@ -56,7 +57,8 @@
 	return c
 }
 
-// Check counts one check of n. detail is only called at a violation.
+// Check counts one check of n, and a violation unless ok. detail is called only for
+// a violation, and only if the counter has a callback.
 func (c *Counter) Check(n Name, ok bool, detail func() string) {
 	if c == nil {
 		return
@@ -72,7 +74,8 @@
 	}
 }
 
-// Counts returns the tallies in the order of the brief.
+// Counts returns the counts of all invariants, always in the same order; nil for a
+// nil Counter.
 func (c *Counter) Counts() []Count {
 	if c == nil {
 		return nil
@@ -85,7 +88,7 @@
 	return counts
 }
 
-// Violations returns the number of violations of all invariants together.
+// Violations returns the total number of violations of all invariants.
 func (c *Counter) Violations() uint64 {
 	var n uint64
 	for _, count := range c.Counts() {
