--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -60,53 +60,53 @@
 	return low, high
 }
 
-func (m Measure) fit(of func(Point) float64) Line {
+func (m Measure) fit(value func(Point) float64) Line {
 	var n, x, y, xx, xy float64
 	for _, p := range m.Points {
-		v := of(p)
+		cost := value(p)
 		n++
 		x += p.Size
-		y += v
+		y += cost
 		xx += p.Size * p.Size
-		xy += p.Size * v
+		xy += p.Size * cost
 	}
 	slope := (n*xy - x*y) / (n*xx - x*x)
 	return Line{Fixed: (y - slope*x) / n, Slope: slope}
 }
 
-// line is a line that go test prints for a benchmark.
-var line = regexp.MustCompile(`^BenchmarkCapacity(\w+)/(\d+)-\d+\s+\d+\s+(.+)$`)
+// benchmarkLine is a benchmarkLine that go test prints for a benchmark.
+var benchmarkLine = regexp.MustCompile(`^BenchmarkCapacity(\w+)/(\d+)-\d+\s+\d+\s+(.+)$`)
 
 // Parse reads what go test printed. Benchmarks whose cases are no sizes, and
 // those with fewer than three, are left out.
 func Parse(r io.Reader) ([]Measure, error) {
 	found := make(map[[2]string]*Measure)
-	in := bufio.NewScanner(r)
-	for in.Scan() {
-		parts := line.FindStringSubmatch(in.Text())
-		if parts == nil {
+	scanner := bufio.NewScanner(r)
+	for scanner.Scan() {
+		match := benchmarkLine.FindStringSubmatch(scanner.Text())
+		if match == nil {
 			continue
 		}
-		size, err := strconv.ParseFloat(parts[2], 64)
+		size, err := strconv.ParseFloat(match[2], 64)
 		if err != nil {
 			return nil, errors.Annotate(err, "Parse")
 		}
-		fields := strings.Fields(parts[3])
+		fields := strings.Fields(match[3])
 		for i := 0; i+1 < len(fields); i += 2 {
 			v, err := strconv.ParseFloat(fields[i], 64)
 			if err != nil {
 				return nil, errors.Annotate(err, "Parse")
 			}
-			add(found, parts[1], fields[i+1], size, v)
+			addRun(found, match[1], fields[i+1], size, v)
 		}
 	}
-	if err := in.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, errors.Annotate(err, "Parse")
 	}
-	return sorted(found), nil
+	return sortedMeasures(found), nil
 }
 
-func add(found map[[2]string]*Measure, name, unit string, size, v float64) {
+func addRun(found map[[2]string]*Measure, name, unit string, size, v float64) {
 	key := [2]string{name, unit}
 	if found[key] == nil {
 		found[key] = &Measure{Name: name, Unit: unit}
@@ -121,7 +121,7 @@
 	m.Points = append(m.Points, Point{Size: size, Runs: []float64{v}})
 }
 
-func sorted(found map[[2]string]*Measure) []Measure {
+func sortedMeasures(found map[[2]string]*Measure) []Measure {
 	var all []Measure
 	for _, m := range found {
 		if len(m.Points) < 3 {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestMissing(t *testing.T) {
-	if _, err := Rows(nil, Target()); err == nil {
+	if _, err := Rows(nil, TargetSize()); err == nil {
 		t.Error("got no error without records, want a *MissingError")
 	}
 }
--- a/internal/capacity/report/main.go
+++ b/internal/capacity/report/main.go
@@ -32,7 +32,7 @@
 		return errors.Annotate(err, "run")
 	}
 	fmt.Println(capacity.Slopes(measures))
-	rows, err := capacity.Rows(measures, capacity.Target())
+	rows, err := capacity.Rows(measures, capacity.TargetSize())
 	if err != nil {
 		return errors.Annotate(err, "run")
 	}
