--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -1,5 +1,5 @@
-// Package capacity works docs/CAPACITY.md out from slopes that the
-// repository's benchmarks measured. It does no input or output.
+// Package capacity computes the figures of docs/CAPACITY.md from results of the
+// repository's benchmarks, extrapolated by size. It reads and writes no files.
 package capacity
 
 import (
@@ -13,38 +13,39 @@
 	"github.com/juju/errors"
 )
 
-// Measure is one figure of one benchmark, at three sizes or more.
+// Measure holds the results of one benchmark in one unit, at three sizes or more.
 type Measure struct {
-	Name   string  `json:"name"` // of the benchmark, without BenchmarkCapacity
+	Name   string  `json:"name"` // of the benchmark, without the prefix BenchmarkCapacity
 	Unit   string  `json:"unit"`
-	Points []Point `json:"points"` // by size, ascending
+	Points []Point `json:"points"` // in ascending order of size
 }
 
-// Point is what a benchmark gave at one size.
+// Point holds the results of a benchmark at one size.
 type Point struct {
 	Size float64   `json:"size"`
-	Runs []float64 `json:"runs"` // in the order in which they were made; never empty
+	Runs []float64 `json:"runs"` // results of the runs, in their order; never empty
 }
 
-// Median is the middle run, the lower of the two middle ones.
+// Median returns the median of the runs; of an even number, the lower of the two
+// middle ones.
 func (p Point) Median() float64 {
 	runs := slices.Sorted(slices.Values(p.Runs))
 	return runs[(len(runs)-1)/2]
 }
 
-// Line is a cost that grows with a size.
+// Line is a cost that depends linearly on a size.
 type Line struct {
 	Fixed float64
-	Slope float64 // for each unit of the size
+	Slope float64 // cost of each unit of the size
 }
 
-// At is the cost at a size; never below zero.
+// At returns the cost at a size; never below zero.
 func (l Line) At(size float64) float64 { return max(l.Fixed+l.Slope*size, 0) }
 
-// Fit is the line of least squares through the medians.
+// Fit returns the least-squares line through the medians.
 func (m Measure) Fit() Line { return m.fit(Point.Median) }
 
-// Slopes are the lowest and the highest slope of a single run.
+// Slopes returns the lowest and the highest slope of the lines fitted to single runs.
 func (m Measure) Slopes() (low, high float64) {
 	runs := len(m.Points[0].Runs)
 	for _, p := range m.Points {
@@ -74,11 +75,11 @@
 	return Line{Fixed: (y - slope*x) / n, Slope: slope}
 }
 
-// benchmarkLine is a benchmarkLine that go test prints for a benchmark.
+// benchmarkLine matches a line of go test for a capacity benchmark.
 var benchmarkLine = regexp.MustCompile(`^BenchmarkCapacity(\w+)/(\d+)-\d+\s+\d+\s+(.+)$`)
 
-// Parse reads what go test printed. Benchmarks whose cases are no sizes, and
-// those with fewer than three, are left out.
+// Parse reads the output of go test. Benchmarks whose cases aren't sizes, and those
+// with fewer than three sizes, are left out.
 func Parse(r io.Reader) ([]Measure, error) {
 	found := make(map[[2]string]*Measure)
 	scanner := bufio.NewScanner(r)
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// MarkerError says that the page has no place for a table.
+// MarkerError reports that the page has no markers for a table.
 type MarkerError struct{ Name string }
 
 func (e *MarkerError) Error() string { return "capacity: the page has no marks for " + e.Name }
 
-// Fill puts the tables into the page, between their marks. The error is a
+// Fill returns the page with new tables between their markers. The error is a
 // *MarkError or a *MissingError.
 func Fill(page string, measures []Measure) (string, error) {
 	rows, err := Rows(measures, TargetSize())
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -26,7 +26,8 @@
 	return measures
 }
 
-// The page says what the arithmetic gives from the recorded measurements.
+// Checks that the page holds the tables computed from the recorded measurements, so
+// that neither is changed without the other.
 func TestPage(t *testing.T) {
 	page, err := os.ReadFile(pageFile)
 	if err != nil {
--- a/internal/capacity/report/main.go
+++ b/internal/capacity/report/main.go
@@ -1,7 +1,8 @@
-// Command report reads what the benchmarks printed from its standard input and
-// prints the tables of docs/CAPACITY.md. With -write it records the
-// measurements, and with -page puts the tables into the page. With -from it
-// reads such a record instead, after a change of the arithmetic alone.
+// Command report reads the output of the benchmarks from standard input and prints
+// the tables of docs/CAPACITY.md. With -write it records the measurements in a
+// file, and with -page it updates the tables in the page. With -from it reads such
+// a record instead of benchmark output, for use when only the calculation has
+// changed.
 package main
 
 import (
--- a/internal/capacity/row.go
+++ b/internal/capacity/row.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Row is one figure of the page.
+// Row is one figure of the page, a row of its table.
 type Row struct {
 	Role       string
 	Figure     string
 	Value      float64
 	Unit       string
-	Budget     float64 // 0 without one
-	Benchmarks string  // the benchmarks it is worked out from
+	Budget     float64 // 0 if there is none
+	Benchmarks string  // names of those that the value is computed from
 }
 
-// MissingError says that a benchmark has not been recorded.
+// MissingError reports that a benchmark has not been recorded.
 type MissingError struct{ Name, Unit string }
 
 func (e *MissingError) Error() string {
 	return "capacity: no record of BenchmarkCapacity" + e.Name + " in " + e.Unit
 }
 
-// measureSet finds measures and keeps the first that is missing.
+// measureSet looks up measures and records an error for the first missing one.
 type measureSet struct {
 	measures []Measure
 	err      error
@@ -42,7 +42,8 @@
 
 func (set *measureSet) slope(name, unit string) float64 { return set.measure(name, unit).Fit().Slope }
 
-// at is the cost at a size: the median if the size was measured, else by the line.
+// at returns the cost at a size: the median if that size was measured, otherwise the
+// value of the fitted line.
 func (set *measureSet) at(name, unit string, size float64) float64 {
 	m := set.measure(name, unit)
 	for _, p := range m.Points {
@@ -53,12 +54,12 @@
 	return m.Fit().At(size)
 }
 
-// tableBytes is the memory of the tableBytes of blocks, in bytes.
+// tableBytes returns the memory of the table of blocks.
 func (set *measureSet) tableBytes(s Size) float64 {
 	return s.Prefixes * set.at("Build", "bytes/prefix", s.Prefixes)
 }
 
-// Rows works every figure of the page out. The error is a *MissingError.
+// Rows computes every figure of the page. The error is a *MissingError.
 func Rows(measures []Measure, s Size) ([]Row, error) {
 	set := &measureSet{measures: measures}
 	var rows []Row
@@ -145,9 +146,12 @@
 	}
 }
 
-// steadyWritesPerSecond and steadyReads are the platform's calls while nothing happens.
+// steadyWritesPerSecond returns the rate of writes to the platform while nothing
+// changes.
 func steadyWritesPerSecond(s Size) float64 { return s.Instances / registerEvery }
 
+// steadyReadsPerSecond returns the rate of reads from the platform in steady state,
+// with the usual changes of documents.
 func steadyReadsPerSecond(s Size) float64 {
 	watches := watchersPerDomain * s.Domains
 	return s.Instances/rosterEvery + s.Instances/listEvery + s.Domains/domainListEvery + watches/watchEvery + watches*s.changesPerSecond()
@@ -169,7 +173,7 @@
 	}
 }
 
-// node adds up what one node spends on control.
+// node adds up the cost of control traffic and state on one node.
 func node(set *measureSet, s Size) []Row {
 	sent := set.at("World", "B/s", s.Instances) + set.at("Rooms", "udp-B/s", s.Services) - set.at("Domain", "B/s", 10)
 	probes := set.slope("Probe", "tcp-B/s") * s.ownedTargets()
@@ -186,7 +190,7 @@
 	}
 }
 
-// Verdict says how a figure stands to its budget.
+// Verdict compares the figure with its budget; it is "" without one.
 func (r Row) Verdict() string {
 	switch {
 	case r.Budget == 0:
@@ -209,7 +213,7 @@
 	return fmt.Sprintf("%.2g", v)
 }
 
-// Figures renders the rows as a table.
+// Figures renders the rows as a Markdown table.
 func Figures(rows []Row) string {
 	var b strings.Builder
 	b.WriteString("| role | figure | at the target | budget | benchmarks |\n|---|---|---|---|---|\n")
@@ -219,7 +223,7 @@
 	return b.String()
 }
 
-// Slopes renders the measures as a table.
+// Slopes renders the measures as a Markdown table.
 func Slopes(measures []Measure) string {
 	var b strings.Builder
 	b.WriteString("| benchmark | unit | sizes | medians | fixed | slope | slopes of single runs |\n|---|---|---|---|---|---|---|\n")
