--- a/pkg/caller/call.go
+++ b/pkg/caller/call.go
@@ -122,7 +122,7 @@
 	}
 	k.client.invalidate(k.service, address)
 	// A key that was never sent isn't tried elsewhere when its home can't run the
-	// request: another instance has no record of the key and couldn't decide.
+	// request: another instance couldn't determine whether the key was used.
 	return k.idempotent || k.mayHaveRun
 }
 
--- a/pkg/caller/errors.go
+++ b/pkg/caller/errors.go
@@ -84,7 +84,7 @@
 }
 
 // Error gives the reason.
-func (e *AnswerError) Error() string { return "look-up answer: " + e.Reason + causeSuffix(e.Err) }
+func (e *AnswerError) Error() string { return "lookup answer: " + e.Reason + causeSuffix(e.Err) }
 
 // Unwrap returns the cause.
 func (e *AnswerError) Unwrap() error { return e.Err }
@@ -144,7 +144,7 @@
 
 // Error gives the number of bytes received and announced.
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("answer to request %s cut short after %d bytes of %d%s", e.Request, e.Got, e.Want, causeSuffix(e.Err))
+	return fmt.Sprintf("response to request %s truncated after %d of %d bytes%s", e.Request, e.Got, e.Want, causeSuffix(e.Err))
 }
 
 // Unwrap returns the cause.
@@ -161,7 +161,7 @@
 type PathError struct{ Path string }
 
 // Error names the path.
-func (e *PathError) Error() string { return fmt.Sprintf("path %q isn't one below a service", e.Path) }
+func (e *PathError) Error() string { return fmt.Sprintf("invalid request path %q", e.Path) }
 
 // ForeignError reports that a response doesn't belong to the request: it names
 // another request, or no valid outcome.
@@ -172,5 +172,5 @@
 
 // Error names the request and the outcome that the response gave.
 func (e *ForeignError) Error() string {
-	return fmt.Sprintf("answer to request %q with outcome %q", e.Request, e.Outcome)
+	return fmt.Sprintf("response names request %q and outcome %q", e.Request, e.Outcome)
 }
--- a/pkg/caller/lookup.go
+++ b/pkg/caller/lookup.go
@@ -26,7 +26,7 @@
 // spareKey is a key that has not been sent with a request yet.
 type spareKey struct {
 	key     Key
-	expires time.Time // by the local clock; the home may set another limit
+	expires time.Time // by the local clock; the home decides by its own
 }
 
 // pendingLookup is a lookup in progress, which any number of callers wait for.
