--- a/pkg/caller/body.go
+++ b/pkg/caller/body.go
@@ -6,23 +6,23 @@
 	"net/http"
 )
 
-// body is an answer's body that ends with io.EOF only when it is whole.
+// body is a response body that returns io.EOF only when it has been read completely.
 type body struct {
-	request string
-	source  io.ReadCloser
-	cancel  context.CancelFunc // ends the attempt's context
-	got     int64
-	want    int64 // -1 when not announced
-	endless bool  // its end would look like a lost connection
-	err     error // once set, every Read returns it
+	request        string
+	source         io.ReadCloser
+	cancel         context.CancelFunc // ends the attempt's context
+	got            int64
+	want           int64 // -1 if the length was not announced
+	closeDelimited bool  // its end can't be distinguished from a lost connection
+	err            error // once set, every Read returns it
 }
 
 func newBody(k *call, resp *http.Response, cancel context.CancelFunc) *body {
 	b := &body{request: k.id, source: resp.Body, cancel: cancel, want: resp.ContentLength}
 	chunked := len(resp.TransferEncoding) > 0
-	b.endless = resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody
+	b.closeDelimited = resp.ContentLength < 0 && !chunked && resp.Body != http.NoBody
 	if k.req.Method == http.MethodHead {
-		b.want, b.endless = 0, false
+		b.want, b.closeDelimited = 0, false
 	}
 	return b
 }
@@ -37,7 +37,7 @@
 	switch {
 	case err == nil:
 		return n, nil
-	case err == io.EOF && !b.endless && (b.want < 0 || b.got == b.want):
+	case err == io.EOF && !b.closeDelimited && (b.want < 0 || b.got == b.want):
 		b.err = io.EOF
 	case err == io.EOF:
 		b.err = b.incomplete(io.ErrUnexpectedEOF)
@@ -51,7 +51,7 @@
 	return &IncompleteError{Request: b.request, Got: b.got, Want: b.want, Err: err}
 }
 
-// Close ends the answer; what is left of it is given up.
+// Close closes the body and cancels the attempt; the unread part is discarded.
 func (b *body) Close() error {
 	err := b.source.Close()
 	b.cancel()
--- a/pkg/caller/call.go
+++ b/pkg/caller/call.go
@@ -12,41 +12,43 @@
 	"github.com/juju/errors"
 )
 
-// maxRefusal is how much of a refusal's body is read to keep its connection.
-const maxRefusal = 4096
+// maxDiscardBytes is how much of the body of a refusal is read, so that its
+// connection can be reused.
+const maxDiscardBytes = 4096
 
-// Response is a target's answer. Close its body.
+// Response is a target's response. The caller must close its body.
 type Response struct {
 	Status  int
 	Header  http.Header
-	Body    io.ReadCloser // ends with io.EOF only when whole, else with an *IncompleteError
-	Length  int64         // of the body in bytes; -1 when not known
-	Request string        // id of the request
+	Body    io.ReadCloser // ends with io.EOF only when complete, else with an *IncompleteError
+	Length  int64         // of the body in bytes; -1 if not known
+	Request string        // ID of the request
 	Address string        // of the instance that answered
 }
 
-// Do sends a request to a service, written team/service, and returns the answer
-// as soon as its header is there. Errors are a *NotRunError or an
-// *UnknownError; see the package's comment for what they allow.
+// Do sends a request to a service, given as team/service, and returns the
+// response as soon as its header has arrived. The error is a *NotRunError or an
+// *UnknownError; the package comment describes when each may be retried.
 func (c *Client) Do(ctx context.Context, service string, req *Request) (*Response, error) {
 	k := c.newCall(ctx, service, req)
-	c.budget.add()
+	c.budget.credit()
 	answer, err := c.Lookup(ctx, service)
 	if err != nil {
-		return nil, errors.Annotate(k.notRunBefore(ReasonLookup, err), "Client.Do")
+		return nil, errors.Annotate(k.errorBeforeAttempt(ReasonLookup, err), "Client.Do")
 	}
 	if !k.idempotent && k.key.Value == "" {
 		if k.key, err = c.key(ctx, service); err != nil {
-			return nil, errors.Annotate(k.notRunBefore(ReasonKey, err), "Client.Do")
+			return nil, errors.Annotate(k.errorBeforeAttempt(ReasonKey, err), "Client.Do")
 		}
 	}
 	resp, err := k.run(answer)
 	return resp, errors.Annotate(err, "Client.Do")
 }
 
-// notRunBefore is the failure of a request before its first attempt. Of a
-// request with a key from an earlier try nothing is known.
-func (k *call) notRunBefore(reason string, err error) error {
+// errorBeforeAttempt returns the error of a request that failed before its first
+// attempt. The outcome is unknown if the request has a key from an earlier call,
+// as that call may have run it.
+func (k *call) errorBeforeAttempt(reason string, err error) error {
 	if k.ctx.Err() != nil {
 		reason = ReasonTimeout
 	}
@@ -56,8 +58,8 @@
 	return k.notRun(reason, err)
 }
 
-// addresses returns where to try, in order, and how many come before those that
-// failed. A key's home goes first.
+// addresses returns the addresses in the order to try them, and how many come
+// before those that failed. A key's home comes first.
 func (k *call) addresses(answer Answer) ([]string, int) {
 	var list []string
 	for _, instance := range answer.Instances {
@@ -67,22 +69,22 @@
 	if k.key.Home == "" {
 		return list, reached
 	}
-	rest := []string{k.key.Home}
+	homeFirst := []string{k.key.Home}
 	for _, address := range list {
 		if address != k.key.Home {
-			rest = append(rest, address)
+			homeFirst = append(homeFirst, address)
 		}
 	}
-	return rest, max(reached, 1)
+	return homeFirst, max(reached, 1)
 }
 
-// run makes attempts until one is answered or no other is right.
+// run makes attempts until one is answered or no further one is allowed.
 func (k *call) run(answer Answer) (*Response, error) {
 	addresses, reached := k.addresses(answer)
-	k.mayRun = k.req.Key.Value != ""
+	k.mayHaveRun = k.req.Key.Value != ""
 	attempts := k.client.cfg.Attempts
 	for i := range attempts {
-		if i >= reached && i < len(addresses) && k.told() || i > 0 && !k.client.budget.take() {
+		if i >= reached && i < len(addresses) && k.refusedByInstance() || i > 0 && !k.client.budget.take() {
 			break
 		}
 		address := addresses[i%len(addresses)]
@@ -91,43 +93,44 @@
 			return resp, nil
 		}
 		k.last = err
-		if !k.again(address, err) {
+		if !k.shouldRetry(address, err) {
 			break
 		}
 	}
 	return nil, k.failure()
 }
 
-// told says whether an instance has refused the request itself. That is a
-// better answer than what an instance that fails would give, after a wait.
-func (k *call) told() bool {
+// refusedByInstance reports whether the last attempt was refused by an instance.
+// That refusal is then returned, since trying an instance that has been failing
+// would cost a wait and give no better error.
+func (k *call) refusedByInstance() bool {
 	var notRun *NotRunError
 	return errors.As(k.last, &notRun) && notRun.Status != 0
 }
 
-// again says whether another attempt is right after one failed.
-func (k *call) again(address string, err error) bool {
+// shouldRetry reports whether another attempt may be made after one failed with err.
+func (k *call) shouldRetry(address string, err error) bool {
 	var notRun *NotRunError
 	if !errors.As(err, &notRun) {
 		var unknown *UnknownError
-		k.mayRun = true
-		told := errors.As(err, &unknown) && unknown.Err == nil
-		return k.ctx.Err() == nil && (k.idempotent || !told)
+		k.mayHaveRun = true
+		unknownReported := errors.As(err, &unknown) && unknown.Err == nil
+		return k.ctx.Err() == nil && (k.idempotent || !unknownReported)
 	}
 	if notRun.final() || k.ctx.Err() != nil {
 		return false
 	}
-	k.client.forget(k.service, address)
-	// A key that was never sent is left alone when its home can't run the
-	// request: another instance could but guess.
-	return k.idempotent || k.mayRun
+	k.client.invalidate(k.service, address)
+	// A key that was never sent isn't tried elsewhere when its home can't run the
+	// request: another instance couldn't determine whether the key was used.
+	return k.idempotent || k.mayHaveRun
 }
 
-// failure returns the error of the whole call. Once an attempt may have run, a
-// refusal of another one proves nothing.
+// failure returns the error of the whole call. Once an attempt may have run, the
+// refusal of a later one doesn't prove that the request did not run.
 func (k *call) failure() error {
 	var notRun *NotRunError
-	if !errors.As(k.last, &notRun) || !k.mayRun {
+	if !errors.As(k.last, &notRun) || !k.mayHaveRun {
 		return k.last
 	}
 	unknown := k.unknown(notRun.Reason, notRun.Err)
@@ -135,38 +138,39 @@
 	return unknown
 }
 
-// attempt sends the request to one instance once. more says that others are
-// left to try.
+// attempt sends the request once, to one instance. more is set if further
+// attempts are left.
 func (k *call) attempt(address string, more bool) (*Response, error) {
 	ctx, cancel := context.WithCancel(k.ctx)
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	start := k.start(more)
-	req, refused := k.request(ctx, address, start)
+	startBy := k.startDeadline(more)
+	req, refused := k.httpRequest(ctx, address, startBy)
 	if refused != nil {
 		cancel()
 		return nil, refused
 	}
-	stop := limit(cancel, start)
+	stopTimer := cancelAt(cancel, startBy)
 	resp, err := k.client.transport.RoundTrip(req)
-	if !stop() && err == nil {
+	if !stopTimer() && err == nil {
 		err = context.Canceled
 		_ = resp.Body.Close()
 	}
 	if err != nil {
 		cancel()
-		return nil, k.broken(address, connected.Load(), err)
+		return nil, k.transportError(address, connected.Load(), err)
 	}
-	return k.judge(address, resp, cancel)
+	return k.readOutcome(address, resp, cancel)
 }
 
-// start is by when the answer of an attempt at an idempotent request has to
-// begin: halfway to the deadline while other instances are left, so that one
-// that hangs doesn't take all the time. It is zero if there is no such limit.
-// The instance is told, so that it doesn't begin what is given up already.
-func (k *call) start(more bool) time.Time {
+// startDeadline returns the time by which the response to an attempt at an
+// idempotent request has to begin: halfway to the deadline while further attempts
+// are left, so that an instance that hangs doesn't use up the whole time. It is
+// zero if there is no such limit. The limit is sent to the instance, so that it
+// doesn't start a request that the client has already abandoned.
+func (k *call) startDeadline(more bool) time.Time {
 	deadline, ok := k.ctx.Deadline()
 	if !ok || !more || !k.idempotent {
 		return time.Time{}
@@ -174,19 +178,20 @@
 	return time.Now().Add(time.Until(deadline) / 2)
 }
 
-// limit ends an attempt at start, unless that is zero or stop comes first.
-func limit(cancel context.CancelFunc, start time.Time) (stop func() bool) {
-	if start.IsZero() {
+// cancelAt calls cancel at the given time, unless that is zero or stop is called
+// first. stop returns false if the time had come already.
+func cancelAt(cancel context.CancelFunc, at time.Time) (stop func() bool) {
+	if at.IsZero() {
 		return func() bool { return true }
 	}
-	return time.AfterFunc(time.Until(start), cancel).Stop
+	return time.AfterFunc(time.Until(at), cancel).Stop
 }
 
-// broken is the failure of an attempt without an answer. Without a connection
-// no byte was sent, which proves that nothing ran.
-func (k *call) broken(address string, connected bool, err error) error {
+// transportError returns the error of an attempt without a response. Without a
+// connection no byte was sent, which proves that the request did not run.
+func (k *call) transportError(address string, connected bool, err error) error {
 	if k.ctx.Err() == nil {
-		k.client.avoid(address)
+		k.client.recordFailure(address)
 	}
 	switch {
 	case !connected && k.ctx.Err() != nil:
@@ -200,13 +205,14 @@
 	}
 }
 
-// judge reads what an answer's header says of the request.
-func (k *call) judge(address string, resp *http.Response, cancel context.CancelFunc) (*Response, error) {
+// readOutcome returns the response, or the error that its header reports for the
+// request.
+func (k *call) readOutcome(address string, resp *http.Response, cancel context.CancelFunc) (*Response, error) {
 	outcome := resp.Header.Get(headerOutcome)
 	id := resp.Header.Get(headerRequest)
 	reason := resp.Header.Get(headerReason)
 	if id == k.id && Outcome(outcome) == Answered {
-		k.client.worked(address)
+		k.client.recordSuccess(address)
 		return k.response(address, resp, cancel), nil
 	}
 	discard(resp.Body)
@@ -217,13 +223,13 @@
 		e.RetryAt = retryAt(resp.Header)
 		e.Status = resp.StatusCode
 		if !e.final() {
-			k.client.refused(address)
+			k.client.recordRefusal(address)
 		}
 		return nil, e
 	case id == k.id && Outcome(outcome) == Unknown:
 		return nil, k.unknown(reason, nil)
 	}
-	k.client.avoid(address)
+	k.client.recordFailure(address)
 	return nil, k.unknown(ReasonForeign, &ForeignError{Request: id, Outcome: outcome})
 }
 
@@ -239,11 +245,11 @@
 }
 
 func discard(body io.ReadCloser) {
-	_, _ = io.CopyN(io.Discard, body, maxRefusal)
+	_, _ = io.CopyN(io.Discard, body, maxDiscardBytes)
 	_ = body.Close()
 }
 
-// retryAt returns when an instance says to come back, or no time.
+// retryAt returns the time from which an instance allows a retry, or the zero time.
 func retryAt(h http.Header) time.Time {
 	ms, err := strconv.ParseUint(h.Get(headerRetry), 10, 31)
 	if err != nil {
