--- a/cmd/firlever/compare.go
+++ b/cmd/firlever/compare.go
@@ -31,7 +31,7 @@
 	policies []string
 	rates    []float64
 	faults   string
-	length   time.Duration
+	duration time.Duration
 	seed     uint64
 }
 
@@ -42,7 +42,7 @@
 		Short:   "Run the demo under several policies and rates, and compare",
 		Long:    compareHelp,
 		Example: compareExample,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return compare(cmd, f) },
 	}
 	flags := cmd.Flags()
@@ -50,7 +50,7 @@
 	flags.StringSliceVar(&f.policies, "policies", []string{"owner", "two", "random"}, "policies to run")
 	flags.Float64SliceVar(&f.rates, "rates", []float64{0.5, 0.8, 0.95, 1.2}, "loads, as shares of the sites' capacity")
 	flags.StringVar(&f.faults, "faults", "none", "faults of each run, as of the demo")
-	flags.DurationVar(&f.length, "for", 8*time.Second, "how long callers send requests in each run")
+	flags.DurationVar(&f.duration, "for", 8*time.Second, "how long callers send requests in each run")
 	flags.Uint64Var(&f.seed, "seed", 1, "seed of arrivals, service times and faults")
 	return cmd
 }
@@ -70,10 +70,10 @@
 	for _, rate := range f.rates {
 		for _, policy := range f.policies {
 			cfg := demo.Config{
-				Name: filepath.Base(f.settings), Documents: docs, For: f.length, Rate: rate,
+				Name: filepath.Base(f.settings), Documents: docs, For: f.duration, Rate: rate,
 				Seed: f.seed, Policy: core.Policy(policy), Faults: kinds,
 			}
-			if err := compareOne(cmd.Context(), t, cfg); err != nil {
+			if err := writeRun(cmd.Context(), t, cfg); err != nil {
 				return err
 			}
 		}
@@ -81,8 +81,8 @@
 	return t.Flush()
 }
 
-// compareOne runs the demo once and writes a row for each service.
-func compareOne(ctx context.Context, w io.Writer, cfg demo.Config) error {
+// writeRun runs the demo once and writes a row for each service.
+func writeRun(ctx context.Context, w io.Writer, cfg demo.Config) error {
 	report, err := demo.Run(ctx, cfg)
 	if err != nil {
 		return err
@@ -90,18 +90,18 @@
 	for _, s := range report.Services {
 		fmt.Fprintf(w, "| %g\t| %s\t| %s\t| %.1f\t| %.1f\t| %.1f\t| %.0f\t| %d\t| %d\t| %d\t| %d\t|\n",
 			cfg.Rate, cfg.Policy, s.Name, s.P50, s.P99, s.P999, float64(s.Answered)/report.Seconds,
-			s.Refused, s.Unknown, mostOver(report.Places, s.Name), report.Violations)
+			s.Refused, s.Unknown, maxOverLimit(report.Places, s.Name), report.Violations)
 	}
 	return nil
 }
 
-// mostOver is by how much a service went over its limit at any place.
-func mostOver(places []demo.Headroom, service string) int {
-	over := 0
+// maxOverLimit is by how much a service went over its limit at any place.
+func maxOverLimit(places []demo.Headroom, service string) int {
+	excess := 0
 	for _, p := range places {
 		if p.Service == service {
-			over = max(over, p.Peak-p.Limit)
+			excess = max(excess, p.Peak-p.Limit)
 		}
 	}
-	return over
+	return excess
 }
--- a/cmd/firlever/config.go
+++ b/cmd/firlever/config.go
@@ -26,7 +26,7 @@
   firlever config put /places/hob-a place.yaml --if-version 7`
 
 func newConfigCommand() *cobra.Command {
-	return group("config", "Check, read and change settings", configHelp,
+	return newGroupCommand("config", "Check, read and change settings", configHelp,
 		newConfigCheckCommand(),
 		newConfigGetCommand(),
 		newConfigPutCommand(),
@@ -50,9 +50,9 @@
 		Short:   "Check documents offline",
 		Long:    configCheckHelp,
 		Example: "  firlever config check examples/tidewright\n  firlever config check place.yaml --path /places/hob-a",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			n, err := check(args[0], path)
+			n, err := checkDocuments(args[0], path)
 			if err != nil {
 				return err
 			}
@@ -64,8 +64,8 @@
 	return cmd
 }
 
-// check returns how many documents it found without a fault.
-func check(name, path string) (int, error) {
+// checkDocuments returns how many documents it found without a fault.
+func checkDocuments(name, path string) (int, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return 0, err
@@ -138,12 +138,12 @@
 		Short:   "Print a document",
 		Long:    configGetHelp,
 		Example: "  firlever config get /teams/payments/services/ledger-view",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.ParsePath(args[0]); err != nil {
 				return err
 			}
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				doc, err := client.Get(ctx, args[0], here)
 				if err != nil {
 					return err
@@ -154,7 +154,7 @@
 			})
 		},
 	}
-	conn.flags(cmd)
+	conn.addFlags(cmd)
 	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
 	return cmd
 }
@@ -169,10 +169,10 @@
 		Short:   "List documents with their versions",
 		Long:    configListHelp,
 		Example: "  firlever config list /teams/payments/",
-		Args:    between(0, 1),
+		Args:    rangeArgs(0, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			prefix := strings.Join(append(args, ""), "")
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				list, err := client.List(ctx, prefix, here)
 				if err != nil {
 					return err
@@ -184,9 +184,9 @@
 			})
 		},
 	}
-	conn.flags(cmd)
+	conn.addFlags(cmd)
 	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
-	jsonFlag(cmd, &asJSON)
+	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
 
--- a/cmd/firlever/config_put.go
+++ b/cmd/firlever/config_put.go
@@ -28,7 +28,7 @@
 		Short:   "Write a document",
 		Long:    configPutHelp,
 		Example: "  firlever config put /places/hob-a place.yaml --if-version 7",
-		Args:    exactly(2),
+		Args:    exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := readDocument(args[1], cmd.InOrStdin())
 			if err != nil {
@@ -38,11 +38,11 @@
 			if _, err := settings.Parse(doc); err != nil {
 				return err
 			}
-			return change(cmd, &conn, doc)
+			return putAndPrint(cmd, &conn, doc)
 		},
 	}
-	conn.flags(cmd)
-	versionFlag(cmd, &version)
+	conn.addFlags(cmd)
+	addVersionFlag(cmd, &version)
 	return cmd
 }
 
@@ -57,38 +57,38 @@
 		Short:   "Delete a document",
 		Long:    configDeleteHelp,
 		Example: "  firlever config delete /teams/payments/services/old --if-version 3",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.ParsePath(args[0]); err != nil {
 				return err
 			}
-			return change(cmd, &conn, settings.Document{Path: args[0], Version: version, Deleted: true})
+			return putAndPrint(cmd, &conn, settings.Document{Path: args[0], Version: version, Deleted: true})
 		},
 	}
-	conn.flags(cmd)
-	versionFlag(cmd, &version)
+	conn.addFlags(cmd)
+	addVersionFlag(cmd, &version)
 	return cmd
 }
 
-func versionFlag(cmd *cobra.Command, to *uint64) {
-	cmd.Flags().Uint64Var(to, "if-version", 0, "version that you read; 0 creates")
+func addVersionFlag(cmd *cobra.Command, dest *uint64) {
+	cmd.Flags().Uint64Var(dest, "if-version", 0, "version that you read; 0 creates")
 }
 
-// change sends a change and prints what became of it.
-func change(cmd *cobra.Command, conn *connection, doc settings.Document) error {
-	return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
-		done, err := send(ctx, client, doc)
+// putAndPrint sends a putAndPrint and prints what became of it.
+func putAndPrint(cmd *cobra.Command, conn *connection, doc settings.Document) error {
+	return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
+		change, err := putWithRetry(ctx, client, doc)
 		if err != nil {
-			printNewer(cmd, err)
+			printConflict(cmd, err)
 			return err
 		}
-		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is at version %d\n", done.Path, done.Version)
+		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is at version %d\n", change.Path, change.Version)
 		return err
 	})
 }
 
-// printNewer prints the document that a change lost to.
-func printNewer(cmd *cobra.Command, err error) {
+// printConflict prints the document that a change lost to.
+func printConflict(cmd *cobra.Command, err error) {
 	var p *operator.Problem
 	if !errors.As(err, &p) || p.Code != operator.CodeConflict {
 		return
--- a/cmd/firlever/config_status.go
+++ b/cmd/firlever/config_status.go
@@ -30,7 +30,7 @@
 					return err
 				}
 			}
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reports, err := client.Fleet(ctx, args)
 				if err != nil {
 					return err
@@ -38,16 +38,16 @@
 				if asJSON {
 					return writeJSON(cmd.OutOrStdout(), operator.Fleet{Reports: reports})
 				}
-				return writeInForce(cmd.OutOrStdout(), reports, args)
+				return writeConfigStatus(cmd.OutOrStdout(), reports, args)
 			})
 		},
 	}
-	conn.flags(cmd)
-	jsonFlag(cmd, &asJSON)
+	conn.addFlags(cmd)
+	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
 
-func writeInForce(w io.Writer, reports []operator.Report, paths []string) error {
+func writeConfigStatus(w io.Writer, reports []operator.Report, paths []string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "instance\tplace\tall\tcount")
 	for _, p := range paths {
--- a/cmd/firlever/connect.go
+++ b/cmd/firlever/connect.go
@@ -18,15 +18,15 @@
 	timeout time.Duration
 }
 
-func (c *connection) flags(cmd *cobra.Command) {
+func (c *connection) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&c.address, "address", "127.0.0.1:7300", "operators' address of any instance, IP:port")
 	f.StringVar(&c.token, "token", "", "your token; better given as FIRLEVER_TOKEN, which others don't see")
 	f.DurationVar(&c.timeout, "timeout", 20*time.Second, "how long to wait for the answer")
 }
 
-// with runs f with a client, within the timeout.
-func (c *connection) with(cmd *cobra.Command, f func(ctx context.Context, client *operator.Client) error) error {
+// withClient runs f withClient a client, within the timeout.
+func (c *connection) withClient(cmd *cobra.Command, f func(ctx context.Context, client *operator.Client) error) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), c.timeout)
 	defer cancel()
 	client := operator.NewClient(c.address, c.token)
@@ -40,6 +40,6 @@
 	return e.Encode(v)
 }
 
-func jsonFlag(cmd *cobra.Command, to *bool) {
-	cmd.Flags().BoolVar(to, "json", false, "print JSON in place of a table")
+func addJSONFlag(cmd *cobra.Command, dest *bool) {
+	cmd.Flags().BoolVar(dest, "json", false, "print JSON in place of a table")
 }
--- a/cmd/firlever/demo.go
+++ b/cmd/firlever/demo.go
@@ -15,7 +15,7 @@
 // demoFlags are the flags of the demo command.
 type demoFlags struct {
 	settings string
-	length   time.Duration
+	duration time.Duration
 	seed     uint64
 	rate     float64
 	policy   string
@@ -46,7 +46,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&f.settings, "settings", "examples/moreton-bay", "directory of the operators' documents")
-	flags.DurationVar(&f.length, "for", 10*time.Second, "how long callers send requests")
+	flags.DurationVar(&f.duration, "for", 10*time.Second, "how long callers send requests")
 	flags.Uint64Var(&f.seed, "seed", 1, "seed of arrivals, service times and faults")
 	flags.Float64Var(&f.rate, "rate", 0.5, "load as a share of the sites' capacity")
 	flags.StringVar(&f.policy, "policy", string(core.PolicyOwner), "owner, or the baselines random and two")
@@ -66,13 +66,13 @@
 		return err
 	}
 	cfg := demo.Config{
-		Name: filepath.Base(f.settings), Documents: docs, For: f.length, Rate: f.rate,
+		Name: filepath.Base(f.settings), Documents: docs, For: f.duration, Rate: f.rate,
 		Seed: f.seed, Policy: core.Policy(f.policy), Faults: kinds,
 	}
 	if f.verbose {
-		lines := logs.NewWriter(os.Stderr)
-		defer func() { lines.Close(time.Now().Add(logs.CloseTime)) }()
-		logger, err := logs.New(lines, "info")
+		logWriter := logs.NewWriter(os.Stderr)
+		defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+		logger, err := logs.New(logWriter, "info")
 		if err != nil {
 			return err
 		}
--- a/cmd/firlever/drain.go
+++ b/cmd/firlever/drain.go
@@ -23,63 +23,63 @@
 const undrainHelp = `End a drain: what was drained gets work again. What is not drained is left as it is.`
 
 func newDrainCommand() *cobra.Command {
-	return group("drain", "Give no new work to a place, a target or an instance", drainHelp, drainKinds(startDrain)...)
+	return newGroupCommand("drain", "Give no new work to a place, a target or an instance", drainHelp, newDrainSubcommands(startDrain)...)
 }
 
 func newUndrainCommand() *cobra.Command {
-	return group("undrain", "End a drain", undrainHelp, drainKinds(endDrain)...)
+	return newGroupCommand("undrain", "End a drain", undrainHelp, newDrainSubcommands(endDrain)...)
 }
 
-// drainAct starts or ends the drain d.
-type drainAct func(ctx context.Context, client *operator.Client, d settings.NamedDrain) (string, error)
+// drainAction starts or ends the drain d.
+type drainAction func(ctx context.Context, client *operator.Client, d settings.NamedDrain) (string, error)
 
-func drainKinds(act drainAct) []*cobra.Command {
-	return []*cobra.Command{drainPlace(act), drainTarget(act), drainInstance(act)}
+func newDrainSubcommands(action drainAction) []*cobra.Command {
+	return []*cobra.Command{newDrainPlaceCommand(action), newDrainTargetCommand(action), newDrainInstanceCommand(action)}
 }
 
-func drainPlace(act drainAct) *cobra.Command {
+func newDrainPlaceCommand(action drainAction) *cobra.Command {
 	var service string
-	return newDrainKind(act, "place PLACE", "  firlever drain place hob-a --reason \"new switches\"\n  firlever drain place hob-a --service payments/ledger-view", 1,
+	return newDrainSubcommand(action, "place PLACE", "  firlever drain place hob-a --reason \"new switches\"\n  firlever drain place hob-a --service payments/ledger-view", 1,
 		func(cmd *cobra.Command) {
 			cmd.Flags().StringVar(&service, "service", "", "this service alone, team/name")
 		},
 		func(args []string) (settings.NamedDrain, error) { return placeDrain(args[0], service) })
 }
 
-func drainTarget(act drainAct) *cobra.Command {
-	return newDrainKind(act, "target TEAM/SERVICE TARGET", "  firlever drain target payments/ledger-view ledger-3", 2, nil,
+func newDrainTargetCommand(action drainAction) *cobra.Command {
+	return newDrainSubcommand(action, "target TEAM/SERVICE TARGET", "  firlever drain target payments/ledger-view ledger-3", 2, nil,
 		func(args []string) (settings.NamedDrain, error) { return targetDrain(args[0], args[1]) })
 }
 
-func drainInstance(act drainAct) *cobra.Command {
-	return newDrainKind(act, "instance ID", "  firlever drain instance hob-a.1", 1, nil,
+func newDrainInstanceCommand(action drainAction) *cobra.Command {
+	return newDrainSubcommand(action, "instance ID", "  firlever drain instance hob-a.1", 1, nil,
 		func(args []string) (settings.NamedDrain, error) { return instanceDrain(args[0]), nil })
 }
 
-func newDrainKind(act drainAct, use, example string, args int, flags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
+func newDrainSubcommand(action drainAction, use, example string, args int, flags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
 	var conn connection
 	var reason string
 	cmd := &cobra.Command{
 		Use:     use,
 		Short:   "Drain or undrain: " + use,
 		Example: example,
-		Args:    exactly(args),
+		Args:    exactArgs(args),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			d, err := parse(args)
 			if err != nil {
 				return err
 			}
 			d.Drain.Reason = reason
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
-				done, err := act(ctx, client, d)
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
+				result, err := action(ctx, client, d)
 				if err == nil {
-					_, err = fmt.Fprintln(cmd.OutOrStdout(), done)
+					_, err = fmt.Fprintln(cmd.OutOrStdout(), result)
 				}
 				return err
 			})
 		},
 	}
-	conn.flags(cmd)
+	conn.addFlags(cmd)
 	cmd.Flags().StringVar(&reason, "reason", "", "why, for other operators to read")
 	if flags != nil {
 		flags(cmd)
@@ -136,7 +136,7 @@
 		return "", err
 	}
 	doc.Version = version
-	change, err := send(ctx, client, doc)
+	change, err := putWithRetry(ctx, client, doc)
 	return fmt.Sprintf("draining: %s at version %d", change.Path, change.Version), err
 }
 
@@ -151,7 +151,7 @@
 	if !exists {
 		return "not drained: " + d.Path, nil
 	}
-	change, err := send(ctx, client, settings.Document{Path: d.Path, Version: version, Deleted: true})
+	change, err := putWithRetry(ctx, client, settings.Document{Path: d.Path, Version: version, Deleted: true})
 	return fmt.Sprintf("no longer drained: %s at version %d", change.Path, change.Version), err
 }
 
--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -31,10 +31,10 @@
   firlever edge --settings /etc/firlever/boot.yaml --check`
 
 type edgeFlags struct {
-	settings string
-	level    string
-	metrics  int
-	check    bool
+	settings    string
+	logLevel    string
+	metricsPort int
+	check       bool
 }
 
 func newEdgeCommand() *cobra.Command {
@@ -45,14 +45,14 @@
 		Short:   "Run an instance on the users' platform",
 		Long:    edgeHelp,
 		Example: edgeExample,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return runEdge(cmd, cfg, flags) },
 	}
 	f := cmd.Flags()
 	f.StringVar(&flags.settings, "settings", "", "settings file of the platform")
-	f.StringVar(&flags.level, "log", "info", "least level that is logged: debug, info, warn, error")
+	f.StringVar(&flags.logLevel, "log", "info", "least level that is logged: debug, info, warn, error")
 	f.BoolVar(&flags.check, "check", false, "check the settings and end")
-	f.IntVar(&flags.metrics, "metrics", 0, "port of the metrics; 0 serves none")
+	f.IntVar(&flags.metricsPort, "metrics", 0, "port of the metrics; 0 serves none")
 	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "lines/s about requests that went well")
 	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers keep the answer to a look-up")
 	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "nanoseconds of latency that a byte between failure domains is worth; 0 takes the default")
@@ -78,9 +78,9 @@
 	if flags.check {
 		return checkEdge(cmd, cfg)
 	}
-	lines := logs.NewWriter(cmd.OutOrStdout())
-	defer func() { lines.Close(time.Now().Add(logs.CloseTime)) }()
-	logger, err := logs.New(lines, flags.level)
+	logWriter := logs.NewWriter(cmd.OutOrStdout())
+	defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+	logger, err := logs.New(logWriter, flags.logLevel)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
@@ -89,28 +89,28 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	n, err := edge.New(cfg)
+	node, err := edge.New(cfg)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
-	if err := n.Start(); err != nil {
+	if err := node.Start(); err != nil {
 		return err
 	}
-	if flags.metrics != 0 {
-		if err := n.ServeMetrics(flags.metrics); err != nil {
+	if flags.metricsPort != 0 {
+		if err := node.ServeMetrics(flags.metricsPort); err != nil {
 			return err
 		}
 	}
 	logger.Info("settings read", "path", flags.settings, "unread", settings.Unread)
 	logger.Info("started", "instance", settings.Instance, "domain", settings.Domain, "region", settings.Region,
-		"callers", settings.Callers, "peers", n.Peers(), "store", settings.Store, "first", settings.FirstStart)
-	go n.Watch(cmd.Context(), flags.settings)
+		"callers", settings.Callers, "peers", node.Peers(), "store", settings.Store, "first", settings.FirstStart)
+	go node.Watch(cmd.Context(), flags.settings)
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			break
 		}
-		n.Reload(flags.settings)
+		node.Reload(flags.settings)
 	}
-	n.Stop()
+	node.Stop()
 	return nil
 }
--- a/cmd/firlever/env.go
+++ b/cmd/firlever/env.go
@@ -19,18 +19,18 @@
 // bindEnv sets each flag that was not given from its variable, if there is one.
 // It names every variable that can't be read at once.
 func bindEnv(cmd *cobra.Command) error {
-	var faults []string
+	var invalid []string
 	cmd.Flags().VisitAll(func(f *pflag.Flag) {
 		value, ok := os.LookupEnv(envName(f.Name))
 		if f.Changed || !ok || f.Name == "help" {
 			return
 		}
 		if err := cmd.Flags().Set(f.Name, value); err != nil {
-			faults = append(faults, fmt.Sprintf("%s=%q: %v", envName(f.Name), value, err))
+			invalid = append(invalid, fmt.Sprintf("%s=%q: %v", envName(f.Name), value, err))
 		}
 	})
-	if faults != nil {
-		return &usageError{Command: cmd.CommandPath(), Reason: strings.Join(faults, "; ")}
+	if invalid != nil {
+		return &usageError{Command: cmd.CommandPath(), Reason: strings.Join(invalid, "; ")}
 	}
 	return nil
 }
--- a/cmd/firlever/exit.go
+++ b/cmd/firlever/exit.go
@@ -16,7 +16,7 @@
 
 // Exit codes, as the help of the root command explains them.
 const (
-	exitDone = iota
+	exitOK = iota
 	exitFailed
 	exitInvalid
 	exitConflict
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("%s: %s (see %s --help)", e.Command, e.Reason, e.Command)
 }
 
-// unknownError says that a change may have landed.
-type unknownError struct{ operator.Change }
+// unknownOutcomeError says that a change may have landed.
+type unknownOutcomeError struct{ operator.Change }
 
-func (e *unknownError) Error() string {
+func (e *unknownOutcomeError) Error() string {
 	return fmt.Sprintf("not yet known whether write %s to %s landed: %s", e.Write, e.Path, e.Reason)
 }
 
@@ -45,14 +45,14 @@
 func exitCode(err error) int {
 	var (
 		problem     *operator.Problem
-		unknown     *unknownError
+		unknown     *unknownOutcomeError
 		unreachable *operator.UnreachableError
 		lookup      *caller.LookupError
 	)
 	switch {
 	case err == nil:
-		return exitDone
-	case isInvalid(err):
+		return exitOK
+	case isInvalidInput(err):
 		return exitInvalid
 	case errors.As(err, &unknown):
 		return exitUnknown
@@ -61,12 +61,12 @@
 	case errors.As(err, &lookup) && !lookup.Refused:
 		return exitUnreachable
 	case errors.As(err, &problem):
-		return problemCode(problem.Code)
+		return problemExitCode(problem.Code)
 	}
 	return exitFailed
 }
 
-func problemCode(code operator.Code) int {
+func problemExitCode(code operator.Code) int {
 	switch code {
 	case operator.CodeConflict:
 		return exitConflict
@@ -78,41 +78,41 @@
 	return exitInvalid
 }
 
-func isInvalid(err error) bool {
+func isInvalidInput(err error) bool {
 	var (
-		usage  *usageError
-		faults *settings.FaultsError
-		path   *settings.PathError
-		config *caller.ConfigError
-		plan   *load.PlanError
-		name   *files.NameError
-		empty  *files.EmptyError
-		run    *demo.ConfigError
-		file   *fs.PathError
+		usage        *usageError
+		faults       *settings.FaultsError
+		path         *settings.PathError
+		callerConfig *caller.ConfigError
+		loadPlan     *load.PlanError
+		documentName *files.NameError
+		emptyDir     *files.EmptyError
+		demoConfig   *demo.ConfigError
+		filePath     *fs.PathError
 	)
 	return errors.As(err, &usage) || errors.As(err, &faults) || errors.As(err, &path) ||
-		errors.As(err, &config) || errors.As(err, &plan) || errors.As(err, &name) || errors.As(err, &empty) || errors.As(err, &file) ||
-		errors.As(err, &run)
+		errors.As(err, &callerConfig) || errors.As(err, &loadPlan) || errors.As(err, &documentName) || errors.As(err, &emptyDir) || errors.As(err, &filePath) ||
+		errors.As(err, &demoConfig)
 }
 
-// describe is an error as an operator reads it: each fault on its own line.
-func describe(err error) string {
+// formatError is an error as an operator reads it: each fault on its own line.
+func formatError(err error) string {
 	var faults *settings.FaultsError
 	var problem *operator.Problem
 	switch {
 	case errors.As(err, &faults):
-		return describeFaults(faults.Faults)
+		return formatFaults(faults.Faults)
 	case errors.As(err, &problem) && problem.Code == operator.CodeFaults:
 		list := make([]settings.Fault, 0, len(problem.Faults))
 		for _, f := range problem.Faults {
 			list = append(list, settings.Fault(f))
 		}
-		return describeFaults(list)
+		return formatFaults(list)
 	}
 	return err.Error()
 }
 
-func describeFaults(faults []settings.Fault) string {
+func formatFaults(faults []settings.Fault) string {
 	lines := []string{fmt.Sprintf("%d faults", len(faults))}
 	for _, f := range faults {
 		lines = append(lines, "  "+f.String())
--- a/cmd/firlever/explain.go
+++ b/cmd/firlever/explain.go
@@ -29,7 +29,7 @@
 
 func newExplainCommand() *cobra.Command {
 	var failures bool
-	var by []string
+	var groupBy []string
 	var from, until timeFlag
 	cmd := &cobra.Command{
 		Use:     "explain [ID] [FILE...]",
@@ -40,17 +40,17 @@
 			switch {
 			case failures:
 				return listFailures(cmd, args)
-			case len(by) > 0:
-				return listGroups(cmd, args, by, time.Time(from), time.Time(until))
+			case len(groupBy) > 0:
+				return listGroups(cmd, args, groupBy, time.Time(from), time.Time(until))
 			}
 			if len(args) == 0 {
 				return &usageError{Command: cmd.CommandPath(), Reason: "wants the ID of a request"}
 			}
-			return tellStory(cmd, args[0], args[1:])
+			return printRequest(cmd, args[0], args[1:])
 		},
 	}
 	cmd.Flags().BoolVar(&failures, "failures", false, "list the ways in which requests failed")
-	cmd.Flags().StringSliceVar(&by, "by", nil, "group requests by these fields; source is the file")
+	cmd.Flags().StringSliceVar(&groupBy, "by", nil, "group requests by these fields; source is the file")
 	cmd.Flags().Var(&from, "from", "with --by: leave out lines from before")
 	cmd.Flags().Var(&until, "until", "with --by: leave out lines from then on")
 	return cmd
@@ -74,19 +74,19 @@
 
 func (f *timeFlag) Type() string { return "time" }
 
-// noStoryError says that no line names a request.
-type noStoryError struct{ ID string }
+// requestNotFoundError says that no line names a request.
+type requestNotFoundError struct{ ID string }
 
-func (e *noStoryError) Error() string { return "no line names request " + e.ID }
+func (e *requestNotFoundError) Error() string { return "no line names request " + e.ID }
 
-func tellStory(cmd *cobra.Command, id string, files []string) error {
+func printRequest(cmd *cobra.Command, id string, files []string) error {
 	lines, err := readLogs(cmd.InOrStdin(), files)
 	if err != nil {
 		return err
 	}
 	story := explain.Story(lines, id)
 	if story == nil {
-		return &noStoryError{ID: id}
+		return &requestNotFoundError{ID: id}
 	}
 	for _, l := range story {
 		fmt.Fprintln(cmd.OutOrStdout(), l.Source, l.Text)
--- a/cmd/firlever/load.go
+++ b/cmd/firlever/load.go
@@ -43,18 +43,18 @@
 		Short:   "Send load to services and report latency",
 		Long:    loadHelp,
 		Example: loadExample,
-		Args:    between(1, maxStreams),
+		Args:    rangeArgs(1, maxStreams),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return runLoad(cmd, o, args)
 		},
 	}
-	o.flags(cmd)
+	o.addFlags(cmd)
 	return cmd
 }
 
-func (o *loadOptions) flags(cmd *cobra.Command) {
+func (o *loadOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
-	entriesFlag(cmd, &o.entries)
+	addEntriesFlag(cmd, &o.entries)
 	f.Float64Var(&o.stream.Rate, "rate", 10, "requests/s for each service")
 	f.StringVar(&o.stream.Method, "method", http.MethodGet, "method of the requests")
 	f.StringVar(&o.stream.Path, "path", "/", "path below the service")
@@ -65,7 +65,7 @@
 	f.DurationVar(&o.plan.Ramp, "ramp", 0, "over which the rates grow from 0, part of --for")
 	f.Uint64Var(&o.plan.Seed, "seed", 1, "the same seed sends at the same times")
 	f.IntVar(&o.plan.InFlight, "in-flight", 4096, "requests in flight at most")
-	jsonFlag(cmd, &o.json)
+	addJSONFlag(cmd, &o.json)
 }
 
 func runLoad(cmd *cobra.Command, o loadOptions, services []string) error {
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer client.Close()
-	report, err := load.Run(cmd.Context(), o.plan, sender(client, o.stream.Body))
+	report, err := load.Run(cmd.Context(), o.plan, newSender(client, o.stream.Body))
 	if err != nil {
 		return err
 	}
@@ -93,9 +93,9 @@
 	return report.WriteTable(cmd.OutOrStdout())
 }
 
-// sender sends requests by the callers' client. What the answers hold is not
+// newSender sends requests by the callers' client. What the answers hold is not
 // looked at, but each is read to its end.
-func sender(client *caller.Client, size int64) load.Do {
+func newSender(client *caller.Client, size int64) load.Do {
 	body := make([]byte, size)
 	return func(ctx context.Context, r load.Request) load.Result {
 		req := &caller.Request{
@@ -107,7 +107,7 @@
 		req.SetBytes(body)
 		resp, err := client.Do(ctx, r.Service, req)
 		if err != nil {
-			return failure(err)
+			return failedResult(err)
 		}
 		defer resp.Body.Close()
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
@@ -117,7 +117,7 @@
 	}
 }
 
-func failure(err error) load.Result {
+func failedResult(err error) load.Result {
 	var notRun *caller.NotRunError
 	var unknown *caller.UnknownError
 	switch {
--- a/cmd/firlever/lookup.go
+++ b/cmd/firlever/lookup.go
@@ -27,7 +27,7 @@
 		Short:   "Ask which instances to use for a service",
 		Long:    lookupHelp,
 		Example: lookupExample,
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), timeout)
 			defer cancel()
@@ -41,14 +41,14 @@
 			return writeLookup(cmd.OutOrStdout(), answer)
 		},
 	}
-	entriesFlag(cmd, &entries)
+	addEntriesFlag(cmd, &entries)
 	cmd.Flags().DurationVar(&timeout, "timeout", 5*time.Second, "how long to wait for the answer")
-	jsonFlag(cmd, &asJSON)
+	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
 
-func entriesFlag(cmd *cobra.Command, to *[]string) {
-	cmd.Flags().StringSliceVar(to, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of instances to begin with, IP:port")
+func addEntriesFlag(cmd *cobra.Command, dest *[]string) {
+	cmd.Flags().StringSliceVar(dest, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of instances to begin with, IP:port")
 }
 
 func lookup(ctx context.Context, entries []string, service string) (caller.Answer, error) {
@@ -75,8 +75,8 @@
 func writeLookup(w io.Writer, a caller.Answer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "instance\tplace\taddress")
-	for _, in := range a.Instances {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", in.ID, in.Place, in.Address)
+	for _, inst := range a.Instances {
+		fmt.Fprintf(t, "%s\t%s\t%s\n", inst.ID, inst.Place, inst.Address)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/cmd/firlever/main.go
+++ b/cmd/firlever/main.go
@@ -16,7 +16,7 @@
 	err := root.ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "firlever: "+describe(err))
+		fmt.Fprintln(os.Stderr, "firlever: "+formatError(err))
 	}
 	os.Exit(exitCode(err))
 }
--- a/cmd/firlever/main_test.go
+++ b/cmd/firlever/main_test.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	place  = "region: hobart\nlimit: 10\n"
-	system = "tokens:\n  - {name: w, role: write, hash: HASH}\n"
-	team   = "tokens:\n  - {name: w, role: write, hash: HASH}\n"
-	view   = `class: interactive
+	placeDocument      = "region: hobart\nlimit: 10\n"
+	systemTeamDocument = "tokens:\n  - {name: w, role: write, hash: HASH}\n"
+	teamDocument       = "tokens:\n  - {name: w, role: write, hash: HASH}\n"
+	serviceDocument    = `class: interactive
 timeout: 2s
 shift: 5
 places:
@@ -39,25 +39,25 @@
 `
 )
 
-// run runs the program, and returns what it printed and its exit code.
-func run(args ...string) (stdout, stderr string, code int) {
+// runCommand runs the program, and returns what it printed and its exit code.
+func runCommand(args ...string) (stdout, stderr string, code int) {
 	root := newRoot()
-	var out, faults bytes.Buffer
+	var out, errOut bytes.Buffer
 	root.SetOut(&out)
-	root.SetErr(&faults)
+	root.SetErr(&errOut)
 	root.SetArgs(args)
 	err := root.ExecuteContext(context.Background())
 	if err != nil {
-		faults.WriteString(describe(err))
+		errOut.WriteString(formatError(err))
 	}
-	return out.String(), faults.String(), exitCode(err)
+	return out.String(), errOut.String(), exitCode(err)
 }
 
-// testInstance serves operators over the stand-in of the platform, and sets the
+// startTestInstance serves operators over the stand-in of the platform, and sets the
 // variables that lead the program there.
-func testInstance(t *testing.T) *inproc.Store {
+func startTestInstance(t *testing.T) *inproc.Store {
 	t.Helper()
-	local, err := inproc.New(store.Defaults())
+	emulatedStore, err := inproc.New(store.Defaults())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,14 +76,14 @@
 		return s
 	}
 	server, err := operator.New(operator.Config{
-		Store:     local,
+		Store:     emulatedStore,
 		Snapshot:  func() *settings.Snapshot { mu.Lock(); defer mu.Unlock(); return snapshot },
 		Documents: func() []settings.Document { mu.Lock(); defer mu.Unlock(); return docs },
-		Apply: func(more []settings.Document) {
+		Apply: func(changed []settings.Document) {
 			mu.Lock()
 			defer mu.Unlock()
-			snapshot, _ = settings.Advance(snapshot, more)
-			docs = append(docs, more...)
+			snapshot, _ = settings.Advance(snapshot, changed)
+			docs = append(docs, changed...)
 		},
 		Status: status,
 		Fleet: func(context.Context) []operator.Report {
@@ -96,14 +96,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	web := httptest.NewServer(server)
-	t.Cleanup(web.Close)
-	t.Setenv("FIRLEVER_ADDRESS", web.Listener.Addr().String())
+	httpServer := httptest.NewServer(server)
+	t.Cleanup(httpServer.Close)
+	t.Setenv("FIRLEVER_ADDRESS", httpServer.Listener.Addr().String())
 	t.Setenv("FIRLEVER_TOKEN", "first")
-	return local
+	return emulatedStore
 }
 
-func file(t *testing.T, body string) string {
+func writeFile(t *testing.T, body string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "document.yaml")
 	if err := os.WriteFile(name, []byte(strings.ReplaceAll(body, "HASH", settings.HashToken("secret"))), 0o600); err != nil {
@@ -119,10 +119,10 @@
 	want string // in what is printed
 }
 
-func steps(t *testing.T, list []step) {
+func runSteps(t *testing.T, list []step) {
 	t.Helper()
 	for _, s := range list {
-		stdout, stderr, code := run(s.args...)
+		stdout, stderr, code := runCommand(s.args...)
 		if code != s.code || !strings.Contains(stdout+stderr, s.want) {
 			t.Errorf("%v: got code %d %q %q, want %d with %q", s.args, code, stdout, stderr, s.code, s.want)
 		}
@@ -130,15 +130,15 @@
 }
 
 func TestSession(t *testing.T) {
-	testInstance(t)
-	steps(t, []step{
-		{[]string{"config", "put", "/places/hob-a", file(t, place)}, 0, "version 1"},
-		{[]string{"config", "put", "/teams/payments/services/ledger-view", file(t, view)}, 0, "version 1"},
+	startTestInstance(t)
+	runSteps(t, []step{
+		{[]string{"config", "put", "/places/hob-a", writeFile(t, placeDocument)}, 0, "version 1"},
+		{[]string{"config", "put", "/teams/payments/services/ledger-view", writeFile(t, serviceDocument)}, 0, "version 1"},
 		{[]string{"config", "get", "/places/hob-a"}, 0, "limit: 10"},
 		{[]string{"config", "get", "/places/hob-a", "--here"}, 0, "version 1"},
 		{[]string{"config", "get", "/places/hob-b"}, 1, "not-found"},
-		{[]string{"config", "put", "/places/hob-a", file(t, place)}, 3, "# version 1\nregion"},
-		{[]string{"config", "put", "/places/hob-a", file(t, "limit: 0\nfoo: 1\n"), "--if-version", "1"}, 2, "foo"},
+		{[]string{"config", "put", "/places/hob-a", writeFile(t, placeDocument)}, 3, "# version 1\nregion"},
+		{[]string{"config", "put", "/places/hob-a", writeFile(t, "limit: 0\nfoo: 1\n"), "--if-version", "1"}, 2, "foo"},
 		{[]string{"config", "list", "/places/"}, 0, "/places/hob-a  1"},
 		{[]string{"config", "status", "/places/hob-a"}, 0, "hob-a  abcd"},
 		{[]string{"drain", "place", "hob-a", "--reason", "new: \"switches\""}, 0, "/drains/place-hob-a at version 1"},
@@ -154,15 +154,15 @@
 		{[]string{"drain", "instance", "Hob.1:7"}, 0, "/drains/instance--ob-1-7-"},
 		{[]string{"drain", "instance", "a/b"}, 2, "instance"},
 		{[]string{"config", "delete", "/places/hob-a", "--if-version", "1"}, 2, "no place"},
-		{[]string{"config", "put", "/teams/system/team", file(t, system)}, 0, "version 1"},
+		{[]string{"config", "put", "/teams/system/team", writeFile(t, systemTeamDocument)}, 0, "version 1"},
 		{[]string{"config", "list"}, 2, "unauthorized"},
 		{[]string{"config", "list", "--token", "secret", "--json"}, 0, `"path": "/places/hob-a"`},
 		{[]string{"status", "--token", "secret", "--json"}, 0, `"instance": "i2"`},
 	})
 }
 
-// boot is a settings file of the platform.
-const boot = `
+// platformSettings is a settings file of the platform.
+const platformSettings = `
 node: a-1
 role: edge
 zone: hob-a
@@ -175,12 +175,12 @@
 
 func TestOffline(t *testing.T) {
 	t.Setenv("FIRLEVER_ADDRESS", "127.0.0.1:1")
-	steps(t, []step{
+	runSteps(t, []step{
 		{[]string{"config", "check", "../../examples/tidewright"}, 0, "no fault"},
 		{[]string{"config", "check", "../../examples/moreton-bay"}, 0, "no fault"},
 		{[]string{"config", "check", "../../examples/tidewright/places/hob-a.yaml"}, 0, "1 documents"},
-		{[]string{"config", "check", file(t, "limit: 0\n"), "--path", "/places/a"}, 2, "2 faults"},
-		{[]string{"config", "check", file(t, place)}, 2, "no document is kept"},
+		{[]string{"config", "check", writeFile(t, "limit: 0\n"), "--path", "/places/a"}, 2, "2 faults"},
+		{[]string{"config", "check", writeFile(t, placeDocument)}, 2, "no document is kept"},
 		{[]string{"config", "check", "none"}, 2, "none"},
 		{[]string{"config", "check"}, 2, "wants 1 to 1 arguments, got 0"},
 		{[]string{"config", "chek", "x"}, 2, "no command chek"},
@@ -189,16 +189,16 @@
 		{[]string{"config", "get", "places"}, 2, "path"},
 		{[]string{"status"}, 5, "no answer"},
 		{[]string{"drain", "place", "hob-a"}, 5, "no answer"},
-		{[]string{"config", "put", "/places/hob-a", file(t, place)}, 5, "no answer"},
+		{[]string{"config", "put", "/places/hob-a", writeFile(t, placeDocument)}, 5, "no answer"},
 		{[]string{"lookup", "payments"}, 2, "team/name"},
 		{[]string{"lookup", "payments/x", "--entries", "127.0.0.1:1"}, 5, "look up"},
 		{[]string{"lookup", "payments/x", "--entries", "here"}, 2, "IP:port"},
 		{[]string{"load", "payments/x", "--rate", "0"}, 2, "rate"},
 		{[]string{"load", "payments/x", "--entries", "127.0.0.1:1", "--for", "100ms", "--json"}, 0, `"answered":0`},
 		{[]string{"platform", "--writes", "0"}, 2, "writes"},
-		{[]string{"edge", "--settings", file(t, boot), "--check"}, 0, "valid; not used: role"},
-		{[]string{"edge", "--settings", file(t, boot), "--check", "--byte-cost", "-1"}, 2, "byte cost is negative"},
-		{[]string{"edge", "--settings", file(t, "node: a\n"), "--check"}, 2, "region is missing; zone is missing"},
+		{[]string{"edge", "--settings", writeFile(t, platformSettings), "--check"}, 0, "valid; not used: role"},
+		{[]string{"edge", "--settings", writeFile(t, platformSettings), "--check", "--byte-cost", "-1"}, 2, "byte cost is negative"},
+		{[]string{"edge", "--settings", writeFile(t, "node: a\n"), "--check"}, 2, "region is missing; zone is missing"},
 		{[]string{"edge", "--settings", "none", "--check"}, 2, "no such file"},
 		{[]string{"version"}, 0, "firlever "},
 		{[]string{"--help"}, 0, "Exit codes"},
@@ -208,20 +208,20 @@
 func TestVariables(t *testing.T) {
 	t.Setenv("FIRLEVER_TIMEOUT", "soon")
 	t.Setenv("FIRLEVER_JSON", "perhaps")
-	steps(t, []step{{[]string{"status"}, 2, `FIRLEVER_JSON="perhaps"`}, {[]string{"status"}, 2, `FIRLEVER_TIMEOUT="soon"`}})
-	steps(t, []step{{[]string{"status", "--timeout", "1s", "--json=false", "--address", "127.0.0.1:1"}, 5, "no answer"}})
+	runSteps(t, []step{{[]string{"status"}, 2, `FIRLEVER_JSON="perhaps"`}, {[]string{"status"}, 2, `FIRLEVER_TIMEOUT="soon"`}})
+	runSteps(t, []step{{[]string{"status", "--timeout", "1s", "--json=false", "--address", "127.0.0.1:1"}, 5, "no answer"}})
 }
 
 // TestAnswerLost cuts the connection after a change was made.
 func TestAnswerLost(t *testing.T) {
-	store := testInstance(t)
+	emulatedStore := startTestInstance(t)
 	tests := map[string]struct {
-		cut  int  // answers
-		busy bool // the instance refuses the second try
-		code int
-		want string
+		lost      int  // answers
+		busyRetry bool // the instance refuses the second try
+		code      int
+		want      string
 	}{
-		"once":           {1, false, exitDone, "is at version 1"},
+		"once":           {1, false, exitOK, "is at version 1"},
 		"twice":          {2, false, exitUnknown, "not yet known whether write "},
 		"once-then-busy": {1, true, exitUnknown, "not yet known whether write "},
 	}
@@ -229,27 +229,27 @@
 		t.Run(name, func(t *testing.T) {
 			path := "/places/" + name
 			target := os.Getenv("FIRLEVER_ADDRESS")
-			var cut atomic.Int64 // answers that are still to be lost
-			cut.Store(int64(tt.cut))
-			web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if cut.Load() == 0 && tt.busy {
+			var toLose atomic.Int64 // answers that are still to be lost
+			toLose.Store(int64(tt.lost))
+			proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if toLose.Load() == 0 && tt.busyRetry {
 					w.WriteHeader(http.StatusServiceUnavailable)
 					_, _ = io.WriteString(w, `{"code":"busy","reason":"too much"}`)
 					return
 				}
 				r.URL.Scheme, r.URL.Host, r.RequestURI = "http", target, ""
 				resp, err := http.DefaultTransport.RoundTrip(r)
-				if err != nil || cut.Load() > 0 {
-					cut.Add(-1)
+				if err != nil || toLose.Load() > 0 {
+					toLose.Add(-1)
 					panic(http.ErrAbortHandler)
 				}
 				defer resp.Body.Close()
 				w.WriteHeader(resp.StatusCode)
 				_, _ = io.Copy(w, resp.Body)
 			}))
-			defer web.Close()
-			steps(t, []step{{[]string{"config", "put", path, file(t, place), "--address", web.Listener.Addr().String()}, tt.code, tt.want}})
-			if e, err := store.Get(t.Context(), path); err != nil || e.Version != 1 {
+			defer proxy.Close()
+			runSteps(t, []step{{[]string{"config", "put", path, writeFile(t, placeDocument), "--address", proxy.Listener.Addr().String()}, tt.code, tt.want}})
+			if e, err := emulatedStore.Get(t.Context(), path); err != nil || e.Version != 1 {
 				t.Errorf("got version %d %v, want 1", e.Version, err)
 			}
 		})
@@ -269,7 +269,7 @@
 		"faults":      {problem(operator.CodeFaults), 2},
 		"unavailable": {fmt.Errorf("x: %w", problem(operator.CodeUnavailable)), 5},
 		"platform":    {&docstore.UnavailableError{}, 1},
-		"unknown":     {&unknownError{}, 4},
+		"unknown":     {&unknownOutcomeError{}, 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/cmd/firlever/platform.go
+++ b/cmd/firlever/platform.go
@@ -24,7 +24,7 @@
 		Short:   "Run the stand-in of the platform, for trials",
 		Long:    platformHelp,
 		Example: platformExample,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runPlatform(cmd, cfg, listen)
 		},
@@ -39,16 +39,16 @@
 }
 
 func runPlatform(cmd *cobra.Command, cfg store.Config, listen string) error {
-	stand, err := store.NewStore(cfg)
+	emulator, err := store.NewStore(cfg)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
-	defer stand.Close()
+	defer emulator.Close()
 	ln, err := net.Listen("tcp", listen)
 	if err != nil {
 		return err
 	}
-	server := stand.Server()
+	server := emulator.Server()
 	defer server.Close()
 	fmt.Fprintf(cmd.OutOrStdout(), "platform at %s\n", ln.Addr())
 	done := make(chan error, 1)
--- a/cmd/firlever/root.go
+++ b/cmd/firlever/root.go
@@ -29,7 +29,7 @@
 		Short:         "Global traffic steering",
 		Long:          rootHelp,
 		Example:       rootExample,
-		Args:          noCommand,
+		Args:          rejectUnknownCommand,
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -58,33 +58,33 @@
 	return root
 }
 
-// noCommand refuses a word that names no command.
-func noCommand(cmd *cobra.Command, args []string) error {
+// rejectUnknownCommand refuses a word that names no command.
+func rejectUnknownCommand(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return &usageError{Command: cmd.CommandPath(), Reason: "there is no command " + args[0]}
 	}
 	return nil
 }
 
-// group is a command that only holds others.
-func group(use, short, long string, commands ...*cobra.Command) *cobra.Command {
+// newGroupCommand is a command that only holds others.
+func newGroupCommand(use, short, long string, commands ...*cobra.Command) *cobra.Command {
 	cmd := &cobra.Command{
-		Use: use, Short: short, Long: long, Args: noCommand,
+		Use: use, Short: short, Long: long, Args: rejectUnknownCommand,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.AddCommand(commands...)
 	return cmd
 }
 
-// exactly refuses any other number of arguments.
-func exactly(n int) cobra.PositionalArgs { return between(n, n) }
+// exactArgs refuses any other number of arguments.
+func exactArgs(n int) cobra.PositionalArgs { return rangeArgs(n, n) }
 
-func between(least, most int) cobra.PositionalArgs {
+func rangeArgs(atLeast, atMost int) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
-		if len(args) >= least && len(args) <= most {
+		if len(args) >= atLeast && len(args) <= atMost {
 			return nil
 		}
-		reason := fmt.Sprintf("wants %d to %d arguments, got %d", least, most, len(args))
+		reason := fmt.Sprintf("wants %d to %d arguments, got %d", atLeast, atMost, len(args))
 		return &usageError{Command: cmd.CommandPath(), Reason: reason}
 	}
 }
--- a/cmd/firlever/send.go
+++ b/cmd/firlever/send.go
@@ -10,26 +10,26 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// send makes a change, and sends it once more under the same name when the
+// putWithRetry makes a change, and sends it once more under the same name when the
 // first answer doesn't prove what became of it.
-func send(ctx context.Context, client *operator.Client, doc settings.Document) (operator.Change, error) {
-	write := rand.Text()
-	change, err := client.Put(ctx, doc, write, true)
-	if !proved(err) {
-		change, err = client.Put(ctx, doc, write, false)
-		if !provedAgain(err) {
-			change = operator.Change{Path: doc.Path, Write: write, Outcome: docstore.Unknown.String(), Reason: err.Error()}
+func putWithRetry(ctx context.Context, client *operator.Client, doc settings.Document) (operator.Change, error) {
+	writeID := rand.Text()
+	change, err := client.Put(ctx, doc, writeID, true)
+	if !isConclusive(err) {
+		change, err = client.Put(ctx, doc, writeID, false)
+		if !isRetryConclusive(err) {
+			change = operator.Change{Path: doc.Path, Write: writeID, Outcome: docstore.Unknown.String(), Reason: err.Error()}
 			err = nil
 		}
 	}
 	if err == nil && change.Outcome == docstore.Unknown.String() {
-		err = &unknownError{Change: change}
+		err = &unknownOutcomeError{Change: change}
 	}
 	return change, err
 }
 
-// proved says whether the first try of a change has its answer, or was never sent.
-func proved(err error) bool {
+// isConclusive says whether the first try of a change has its answer, or was never sent.
+func isConclusive(err error) bool {
 	var problem *operator.Problem
 	var unreachable *operator.UnreachableError
 	if errors.As(err, &unreachable) {
@@ -38,9 +38,9 @@
 	return err == nil || errors.As(err, &problem)
 }
 
-// provedAgain is like proved for a second try: a refusal of that one alone says
+// isRetryConclusive is like proved for a second try: a refusal of that one alone says
 // nothing about the first.
-func provedAgain(err error) bool {
+func isRetryConclusive(err error) bool {
 	var problem *operator.Problem
 	return err == nil || errors.As(err, &problem) && problem.Outcome == docstore.Refused.String()
 }
--- a/cmd/firlever/serve.go
+++ b/cmd/firlever/serve.go
@@ -34,10 +34,10 @@
 
 // serveFlags is what serve is told besides the instance's own configuration.
 type serveFlags struct {
-	platform string
-	policy   string
-	level    string
-	patience time.Duration
+	platform    string
+	policy      string
+	logLevel    string
+	stopTimeout time.Duration
 }
 
 func newServeCommand() *cobra.Command {
@@ -48,7 +48,7 @@
 		Short:   "Run an entry instance",
 		Long:    serveHelp,
 		Example: serveExample,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return serve(cmd, cfg, flags) },
 	}
 	f := cmd.Flags()
@@ -68,15 +68,15 @@
 	f.BoolVar(&cfg.ListProves, "list-proves", false, "the platform's list names an instance until its process has ended for certain")
 	f.StringVar(&flags.platform, "platform", "", "address of the platform's key-value service, IP:port")
 	f.StringVar(&flags.policy, "policy", string(core.PolicyOwner), "how targets are chosen; others than owner are for measurements")
-	f.StringVar(&flags.level, "log", "info", "least level that is logged: debug, info, warn, error")
-	f.DurationVar(&flags.patience, "patience", time.Minute, "longest that a planned stop waits for requests in flight")
+	f.StringVar(&flags.logLevel, "log", "info", "least level that is logged: debug, info, warn, error")
+	f.DurationVar(&flags.stopTimeout, "patience", time.Minute, "longest that a planned stop waits for requests in flight")
 	return cmd
 }
 
 func serve(cmd *cobra.Command, cfg instance.Config, flags serveFlags) error {
-	lines := logs.NewWriter(cmd.ErrOrStderr())
-	defer func() { lines.Close(time.Now().Add(logs.CloseTime)) }()
-	logger, err := logs.New(lines, flags.level)
+	logWriter := logs.NewWriter(cmd.ErrOrStderr())
+	defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+	logger, err := logs.New(logWriter, flags.logLevel)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
@@ -93,30 +93,30 @@
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(signals)
-	in, err := instance.New(cfg)
+	inst, err := instance.New(cfg)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
-	in.Start()
-	logger.Info("serving", "instance", cfg.ID, "callers", in.Callers(), "peers", in.Peers(), "operators", in.Operators())
+	inst.Start()
+	logger.Info("serving", "instance", cfg.ID, "callers", inst.Callers(), "peers", inst.Peers(), "operators", inst.Operators())
 	select {
-	case <-in.Replaced():
-		in.Kill()
+	case <-inst.Replaced():
+		inst.Kill()
 		return &replacedError{ID: cfg.ID}
 	case <-signals:
 	}
-	return stopServing(in, signals, flags.patience)
+	return stopServing(inst, signals, flags.stopTimeout)
 }
 
 // stopServing stops in plan; another signal or the end of patience cuts it short.
-func stopServing(in *instance.Instance, signals <-chan os.Signal, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func stopServing(inst *instance.Instance, signals <-chan os.Signal, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	go func() {
 		<-signals
 		cancel()
 	}()
-	return in.Stop(ctx)
+	return inst.Stop(ctx)
 }
 
 // replacedError says that a newer process runs under this instance's name.
--- a/cmd/firlever/status.go
+++ b/cmd/firlever/status.go
@@ -26,9 +26,9 @@
 		Short:   "Show instances, places, targets and drains",
 		Long:    statusHelp,
 		Example: "  firlever status --targets\n  firlever status --json",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reports, err := client.Fleet(ctx, nil)
 				if err != nil {
 					return err
@@ -40,8 +40,8 @@
 			})
 		},
 	}
-	conn.flags(cmd)
-	jsonFlag(cmd, &asJSON)
+	conn.addFlags(cmd)
+	addJSONFlag(cmd, &asJSON)
 	cmd.Flags().BoolVar(&targets, "targets", false, "show each target too")
 	return cmd
 }
@@ -122,22 +122,22 @@
 		if !d.Finish.IsZero() {
 			finish = d.Finish.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drained(d), d.Left, finish, d.Reason)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drainSubject(d), d.Left, finish, d.Reason)
 	}
 }
 
 // mergeDrains adds up what is left of each drain; the last to finish counts.
 func mergeDrains(reports []operator.Report) []operator.Drain {
 	var all []operator.Drain
-	at := make(map[string]int)
+	index := make(map[string]int)
 	for _, r := range reports {
 		if r.Status == nil {
 			continue
 		}
 		for _, d := range r.Status.Drains {
-			i, ok := at[d.Path]
+			i, ok := index[d.Path]
 			if !ok {
-				at[d.Path] = len(all)
+				index[d.Path] = len(all)
 				all = append(all, d)
 				continue
 			}
@@ -150,7 +150,7 @@
 	return all
 }
 
-func drained(d operator.Drain) string {
+func drainSubject(d operator.Drain) string {
 	switch {
 	case d.Instance != "":
 		return "instance " + d.Instance
--- a/cmd/firlever/version.go
+++ b/cmd/firlever/version.go
@@ -14,16 +14,16 @@
 		Use:   "version",
 		Short: "Print the version of this program",
 		Long:  versionHelp,
-		Args:  exactly(0),
+		Args:  exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			version, built := buildInfo()
-			_, err := fmt.Fprintf(cmd.OutOrStdout(), "firlever %s, %s\n", version, built)
+			version, goVersion := buildInfo()
+			_, err := fmt.Fprintf(cmd.OutOrStdout(), "firlever %s, %s\n", version, goVersion)
 			return err
 		},
 	}
 }
 
-func buildInfo() (version, built string) {
+func buildInfo() (version, goVersion string) {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown", "unknown"
