--- a/cmd/firlever/compare.go
+++ b/cmd/firlever/compare.go
@@ -15,17 +15,18 @@
 )
 
 const compareHelp = `Run the demo once for each policy and rate, one after another, and print one
-table: the figures of firlever's own policy beside those of plain baselines.
+table that compares firlever's own policy with simple baselines.
 
-Over is the most requests in flight beyond the limit of any place or service
-there. Only ratios within one table mean something: machines differ. Much over 1.2 the
-one process runs out of open files before the deployment is at its end.`
+The column "over" is the largest number of requests in flight above the limit of
+the service at a place. Only ratios within one table are meaningful, as machines
+differ. At rates well above 1.2 the single process runs out of open files before
+the deployment reaches its limit.`
 
 const compareExample = `  firlever compare
   firlever compare --settings examples/tidewright --rates 0.5,0.8,1.2 --for 8s
   firlever compare --policies owner --faults drain,kill --rates 0.5`
 
-// compareFlags is what compare is told.
+// compareFlags are the flags of the compare command.
 type compareFlags struct {
 	settings string
 	policies []string
@@ -49,7 +50,7 @@
 	flags.StringVar(&f.settings, "settings", "examples/moreton-bay", "directory of the operators' documents")
 	flags.StringSliceVar(&f.policies, "policies", []string{"owner", "two", "random"}, "policies to run")
 	flags.Float64SliceVar(&f.rates, "rates", []float64{0.5, 0.8, 0.95, 1.2}, "loads, as shares of the sites' capacity")
-	flags.StringVar(&f.faults, "faults", "none", "faults of each run, as of the demo")
+	flags.StringVar(&f.faults, "faults", "none", "faults of each run, as for the demo command")
 	flags.DurationVar(&f.duration, "for", 8*time.Second, "how long callers send requests in each run")
 	flags.Uint64Var(&f.seed, "seed", 1, "seed of arrivals, service times and faults")
 	return cmd
@@ -81,7 +82,7 @@
 	return t.Flush()
 }
 
-// writeRun runs the demo once and writes a row for each service.
+// writeRun runs the demo once and writes a table row for each service.
 func writeRun(ctx context.Context, w io.Writer, cfg demo.Config) error {
 	report, err := demo.Run(ctx, cfg)
 	if err != nil {
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// maxOverLimit is by how much a service went over its limit at any place.
+// maxOverLimit returns the largest number of requests by which the service exceeded its
+// limit at a place.
 func maxOverLimit(places []demo.Headroom, service string) int {
 	excess := 0
 	for _, p := range places {
--- a/cmd/firlever/config.go
+++ b/cmd/firlever/config.go
@@ -17,10 +17,10 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const configHelp = `Check, read and change the documents that instances steer by.
+const configHelp = `Check, read and change the documents that configure the instances.
 
-A change names the version that you read, so that you can't overwrite what
-another operator wrote meanwhile:
+A change names the version that you read, so that it can't overwrite a change
+that another operator made in the meantime:
 
   firlever config get /places/hob-a >place.yaml     # prints version 7 on stderr
   firlever config put /places/hob-a place.yaml --if-version 7`
@@ -36,12 +36,12 @@
 	)
 }
 
-const configCheckHelp = `Check documents without asking anyone, and name every fault.
+const configCheckHelp = `Check documents offline, and list all faults.
 
-A directory is laid out as the documents' paths: places/hob-a.yaml is the
-document /places/hob-a. All its documents are checked together. A single file
-is checked by itself: give its document's path by --path unless the file lies
-under a directory laid out so.`
+The files of a directory are named after the documents' paths: places/hob-a.yaml
+is the document /places/hob-a. All documents of a directory are checked together.
+A single file is checked by itself: give the path of its document with --path,
+unless the file lies in such a directory.`
 
 func newConfigCheckCommand() *cobra.Command {
 	var path string
@@ -60,11 +60,13 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&path, "path", "", "path of the document in a single file")
+	cmd.Flags().StringVar(&path, "path", "", "path of the document that a single file holds")
 	return cmd
 }
 
-// checkDocuments returns how many documents it found without a fault.
+// checkDocuments checks the file or directory name and returns the number of documents in
+// it. The path is that of the document in a single file; if it is empty, it is derived from
+// the file's name.
 func checkDocuments(name, path string) (int, error) {
 	info, err := os.Stat(name)
 	if err != nil {
@@ -93,7 +95,8 @@
 	return err
 }
 
-// guessPath is the longest end of a file's name that is a document's path.
+// guessPath returns the longest suffix of the file's absolute name that is a valid document
+// path, or name if there is none.
 func guessPath(name string) string {
 	full, err := filepath.Abs(name)
 	if err != nil {
@@ -109,8 +112,8 @@
 	return name
 }
 
-// readDocument reads a file, or stdin for "-", up to just over the largest
-// document.
+// readDocument reads a file, or stdin for "-". It reads at most one byte more than the largest
+// valid document has, which is enough for the parser to reject a larger one.
 func readDocument(name string, stdin io.Reader) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(io.LimitReader(stdin, settings.MaxBody+1))
@@ -127,8 +130,8 @@
 	return body, nil
 }
 
-const configGetHelp = `Print a document; its version goes to stderr. --here prints the one in force at
-the instance asked, which may be older, and works while the platform is down.`
+const configGetHelp = `Print a document; its version goes to stderr. With --here, print the document in
+force at the instance, which may be older. This works while the platform is down.`
 
 func newConfigGetCommand() *cobra.Command {
 	var conn connection
@@ -155,7 +158,7 @@
 		},
 	}
 	conn.addFlags(cmd)
-	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
+	cmd.Flags().BoolVar(&here, "here", false, "read what is in force at the instance instead of what the platform holds")
 	return cmd
 }
 
@@ -185,7 +188,7 @@
 		},
 	}
 	conn.addFlags(cmd)
-	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
+	cmd.Flags().BoolVar(&here, "here", false, "read what is in force at the instance instead of what the platform holds")
 	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
--- a/cmd/firlever/config_put.go
+++ b/cmd/firlever/config_put.go
@@ -13,12 +13,13 @@
 
 const configPutHelp = `Write a document, from a file or from stdin ("-").
 
---if-version names the version that you read; 0 creates. If the document has
-another one now, nothing is written, that one is printed, and the exit code is 3.
+--if-version names the version that you read; 0 creates the document. If its
+current version is another one, nothing is written, the current document is
+printed, and the exit code is 3.
 
-When an answer is lost the program asks again. If it still can't tell whether
-the change landed, the exit code is 4: read the document, or ask for the write
-by the name that is printed, before you try again.`
+If an answer is lost, the program sends the change again. If it still can't
+determine whether the change was made, the exit code is 4: before you try again,
+read the document, or look up the write by the ID that is printed.`
 
 func newConfigPutCommand() *cobra.Command {
 	var conn connection
@@ -46,8 +47,8 @@
 	return cmd
 }
 
-const configDeleteHelp = `Delete a document that has still the version that you read. Its versions go on:
-to write it again, name the version of the deletion.`
+const configDeleteHelp = `Delete a document if it still has the version that you read. Version numbers go
+on after a deletion: to write the document again, name the deletion's version.`
 
 func newConfigDeleteCommand() *cobra.Command {
 	var conn connection
@@ -71,10 +72,11 @@
 }
 
 func addVersionFlag(cmd *cobra.Command, dest *uint64) {
-	cmd.Flags().Uint64Var(dest, "if-version", 0, "version that you read; 0 creates")
+	cmd.Flags().Uint64Var(dest, "if-version", 0, "version that you read; 0 creates the document")
 }
 
-// putAndPrint sends a putAndPrint and prints what became of it.
+// putAndPrint writes a document and prints its new version, or the current document if the
+// versions conflict.
 func putAndPrint(cmd *cobra.Command, conn *connection, doc settings.Document) error {
 	return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 		change, err := putWithRetry(ctx, client, doc)
@@ -87,7 +89,7 @@
 	})
 }
 
-// printConflict prints the document that a change lost to.
+// printConflict prints the current document if err is a version conflict.
 func printConflict(cmd *cobra.Command, err error) {
 	var p *operator.Problem
 	if !errors.As(err, &p) || p.Code != operator.CodeConflict {
--- a/cmd/firlever/config_status.go
+++ b/cmd/firlever/config_status.go
@@ -12,9 +12,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const configStatusHelp = `Show which version of documents each instance has in force. Without a path it
-shows the hash over all versions: instances with the same hash have the same
-documents.`
+const configStatusHelp = `Show which version of each given document is in force at each instance, and a
+hash over the versions of all documents: instances with the same hash have the
+same documents in force.`
 
 func newConfigStatusCommand() *cobra.Command {
 	var conn connection
--- a/cmd/firlever/connect.go
+++ b/cmd/firlever/connect.go
@@ -11,7 +11,7 @@
 	"github.com/firlever/firlever/internal/operator"
 )
 
-// connection says which instance to ask, and as whom.
+// connection holds the flags that select an instance and the token to use there.
 type connection struct {
 	address string
 	token   string
@@ -21,11 +21,12 @@
 func (c *connection) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&c.address, "address", "127.0.0.1:7300", "operators' address of any instance, IP:port")
-	f.StringVar(&c.token, "token", "", "your token; better given as FIRLEVER_TOKEN, which others don't see")
+	f.StringVar(&c.token, "token", "", "your token; prefer the variable FIRLEVER_TOKEN, which doesn't appear in process lists")
 	f.DurationVar(&c.timeout, "timeout", 20*time.Second, "how long to wait for the answer")
 }
 
-// withClient runs f withClient a client, within the timeout.
+// withClient calls f with a client of the instance and a context that ends after the timeout.
+// The client is closed when f returns.
 func (c *connection) withClient(cmd *cobra.Command, f func(ctx context.Context, client *operator.Client) error) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), c.timeout)
 	defer cancel()
@@ -41,5 +42,5 @@
 }
 
 func addJSONFlag(cmd *cobra.Command, dest *bool) {
-	cmd.Flags().BoolVar(dest, "json", false, "print JSON in place of a table")
+	cmd.Flags().BoolVar(dest, "json", false, "print JSON instead of a table")
 }
--- a/cmd/firlever/demo.go
+++ b/cmd/firlever/demo.go
@@ -24,10 +24,10 @@
 	verbose  bool
 }
 
-// ViolationError says that a run broke an invariant.
+// ViolationError reports that an invariant was violated during a run.
 type ViolationError struct{}
 
-func (e *ViolationError) Error() string { return "an invariant was broken; see the report" }
+func (e *ViolationError) Error() string { return "invariant violated; see the report" }
 
 func newDemoCommand() *cobra.Command {
 	var f demoFlags
@@ -35,9 +35,9 @@
 		Use:   "demo",
 		Short: "Run a whole deployment in one process, under load, and report",
 		Long: `Run a platform, entry instances, targets and callers in one process, over
-loopback, with the latencies of the real places. Prints latency, headroom, drain
-time, refusals, and each invariant with its checks and violations. Exits with 1
-if one was broken.`,
+loopback, with the latencies between the real places. Prints latency, headroom,
+drain time, refusals, and the checks and violations of each invariant. The exit
+code is 1 if an invariant was violated.`,
 		Example: `  firlever demo
   firlever demo --settings examples/tidewright --for 30s --faults kill,drain
   firlever demo --faults all --seed 7 --json`,
@@ -52,7 +52,7 @@
 	flags.StringVar(&f.policy, "policy", string(core.PolicyOwner), "owner, or the baselines random and two")
 	flags.StringVar(&f.faults, "faults", "none", "none, all, or a list of kill, drain, stop, cut, platform, crash, suspend, notice, restore")
 	flags.BoolVar(&f.json, "json", false, "print the report as one line of JSON")
-	flags.BoolVar(&f.verbose, "verbose", false, "log each decision of the instances to the standard error")
+	flags.BoolVar(&f.verbose, "verbose", false, "log each decision of the instances to standard error")
 	return cmd
 }
 
--- a/cmd/firlever/drain.go
+++ b/cmd/firlever/drain.go
@@ -13,24 +13,25 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const drainHelp = `Give no new work to a place, a target or an instance, while what is in flight
-there finishes. A drain is a document, and stays until you undrain. Watch how it
-goes with "firlever status".
+const drainHelp = `Send no new requests to a place, a target or an instance; requests in flight
+there are completed. A drain is a document, and holds until it is ended with
+"firlever undrain". "firlever status" shows its progress.
 
-A whole place and an instance are drained by tokens of the team "system"; one
-service of a place, and a target, by tokens of the service's team.`
+To drain a whole place or an instance takes a token of the team "system"; to
+drain one service at a place, or a target, takes a token of the service's team.`
 
-const undrainHelp = `End a drain: what was drained gets work again. What is not drained is left as it is.`
+const undrainHelp = `End a drain, and send requests there again. If there is no such drain, nothing
+changes.`
 
 func newDrainCommand() *cobra.Command {
-	return newGroupCommand("drain", "Give no new work to a place, a target or an instance", drainHelp, newDrainSubcommands(startDrain)...)
+	return newGroupCommand("drain", "Send no new requests to a place, a target or an instance", drainHelp, newDrainSubcommands(startDrain)...)
 }
 
 func newUndrainCommand() *cobra.Command {
 	return newGroupCommand("undrain", "End a drain", undrainHelp, newDrainSubcommands(endDrain)...)
 }
 
-// drainAction starts or ends the drain d.
+// drainAction starts or ends the drain d and returns the line to print.
 type drainAction func(ctx context.Context, client *operator.Client, d settings.NamedDrain) (string, error)
 
 func newDrainSubcommands(action drainAction) []*cobra.Command {
@@ -41,7 +42,7 @@
 	var service string
 	return newDrainSubcommand(action, "place PLACE", "  firlever drain place hob-a --reason \"new switches\"\n  firlever drain place hob-a --service payments/ledger-view", 1,
 		func(cmd *cobra.Command) {
-			cmd.Flags().StringVar(&service, "service", "", "this service alone, team/name")
+			cmd.Flags().StringVar(&service, "service", "", "drain only this service, team/name")
 		},
 		func(args []string) (settings.NamedDrain, error) { return placeDrain(args[0], service) })
 }
@@ -56,7 +57,7 @@
 		func(args []string) (settings.NamedDrain, error) { return instanceDrain(args[0]), nil })
 }
 
-func newDrainSubcommand(action drainAction, use, example string, args int, flags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
+func newDrainSubcommand(action drainAction, use, example string, args int, addFlags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
 	var conn connection
 	var reason string
 	cmd := &cobra.Command{
@@ -80,9 +81,9 @@
 		},
 	}
 	conn.addFlags(cmd)
-	cmd.Flags().StringVar(&reason, "reason", "", "why, for other operators to read")
-	if flags != nil {
-		flags(cmd)
+	cmd.Flags().StringVar(&reason, "reason", "", "reason that other operators are shown")
+	if addFlags != nil {
+		addFlags(cmd)
 	}
 	return cmd
 }
@@ -108,8 +109,9 @@
 	return settings.NamedDrain{Path: path, Drain: settings.Drain{Instance: id}}
 }
 
-// drainName is the same for the same drain, and another for each other one.
-// It is readable where that can be.
+// drainName returns the name of the document that holds a drain: the same for equal arguments,
+// and different for different ones. If the kind and a single part make a valid name, it is that;
+// else it is a readable prefix and a hash.
 func drainName(kind string, parts ...string) string {
 	name := kind + "-" + strings.Join(parts, "-")
 	if len(parts) == 1 && settings.ValidName(name) {
@@ -155,7 +157,8 @@
 	return fmt.Sprintf("no longer drained: %s at version %d", change.Path, change.Version), err
 }
 
-// currentVersion is what a change to a path has to name.
+// currentVersion returns the version that a change to the document has to name, which is that of
+// the deletion if the document is deleted.
 func currentVersion(ctx context.Context, client *operator.Client, path string) (version uint64, exists bool, err error) {
 	doc, err := client.Get(ctx, path, false)
 	var p *operator.Problem
@@ -165,8 +168,8 @@
 	return doc.Version, err == nil, err
 }
 
-// drainBody writes a drain as YAML. A quoted Go text is one of YAML too, as
-// long as it is plain; anything else is refused when it is parsed.
+// drainBody encodes a drain as YAML. A quoted Go string of plain text is a valid YAML string
+// too; any other is rejected when the document is parsed.
 func drainBody(d settings.Drain) []byte {
 	var b strings.Builder
 	fields := []struct{ name, value string }{
--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -17,15 +17,16 @@
 	"github.com/firlever/firlever/platform"
 )
 
-const edgeHelp = `Run an instance on the users' platform: it answers look-ups and carries requests
+const edgeHelp = `Run an instance on the users' platform: it answers look-ups and forwards requests
 from callers to targets.
 
-The platform's settings file says where the instance is, where it listens and
-which store to use; --settings names it. Targets, the configuration and the
-other instances are found in the store. An instance keeps nothing on disk.
+The platform's settings file, named by --settings, holds the location of the
+instance, its listen addresses and the address of the store. Targets, the
+configuration and the other instances are read from the store. An instance keeps
+nothing on disk.
 
-On SIGTERM it leaves the look-ups, finishes what is in flight and ends. On SIGHUP
-it reads the settings file again.`
+On SIGTERM the instance is removed from the look-ups, completes the requests in
+flight and exits. On SIGHUP it reads the settings file again.`
 
 const edgeExample = `  firlever edge --settings /etc/firlever/boot.yaml
   firlever edge --settings /etc/firlever/boot.yaml --check`
@@ -50,16 +51,17 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&flags.settings, "settings", "", "settings file of the platform")
-	f.StringVar(&flags.logLevel, "log", "info", "least level that is logged: debug, info, warn, error")
-	f.BoolVar(&flags.check, "check", false, "check the settings and end")
-	f.IntVar(&flags.metricsPort, "metrics", 0, "port of the metrics; 0 serves none")
-	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "lines/s about requests that went well")
-	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers keep the answer to a look-up")
-	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "nanoseconds of latency that a byte between failure domains is worth; 0 takes the default")
+	f.StringVar(&flags.logLevel, "log", "info", "lowest level that is logged: debug, info, warn, error")
+	f.BoolVar(&flags.check, "check", false, "check the settings and exit")
+	f.IntVar(&flags.metricsPort, "metrics", 0, "port that serves metrics; 0 for none")
+	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "log lines/s about successful requests")
+	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers may cache the answer to a look-up")
+	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "cost of a byte between failure domains, in nanoseconds of latency; 0 for the default")
 	return cmd
 }
 
-// checkEdge says whether an instance could start with its settings and flags.
+// checkEdge checks the settings and flags of an instance, and prints the settings that firlever
+// does not use.
 func checkEdge(cmd *cobra.Command, cfg edge.Config) error {
 	if err := cfg.Check(); err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
--- a/cmd/firlever/env.go
+++ b/cmd/firlever/env.go
@@ -11,13 +11,13 @@
 
 const envPrefix = "FIRLEVER_"
 
-// envName is the variable that stands for a flag.
+// envName returns the name of the environment variable that sets a flag.
 func envName(flag string) string {
 	return envPrefix + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
 
-// bindEnv sets each flag that was not given from its variable, if there is one.
-// It names every variable that can't be read at once.
+// bindEnv sets each flag that is absent from the command line from its environment variable, if
+// that is set. Its error lists all variables with invalid values.
 func bindEnv(cmd *cobra.Command) error {
 	var invalid []string
 	cmd.Flags().VisitAll(func(f *pflag.Flag) {
--- a/cmd/firlever/exit.go
+++ b/cmd/firlever/exit.go
@@ -14,7 +14,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Exit codes, as the help of the root command explains them.
+// Exit codes; the help of the root command documents them.
 const (
 	exitOK = iota
 	exitFailed
@@ -24,7 +24,7 @@
 	exitUnreachable
 )
 
-// usageError says that a command can't be run as it was given.
+// usageError reports an invalid command line or configuration of a command.
 type usageError struct {
 	Command string
 	Reason  string
@@ -34,14 +34,14 @@
 	return fmt.Sprintf("%s: %s (see %s --help)", e.Command, e.Reason, e.Command)
 }
 
-// unknownOutcomeError says that a change may have landed.
+// unknownOutcomeError reports that a change may or may not have been made.
 type unknownOutcomeError struct{ operator.Change }
 
 func (e *unknownOutcomeError) Error() string {
 	return fmt.Sprintf("not yet known whether write %s to %s landed: %s", e.Write, e.Path, e.Reason)
 }
 
-// exitCode is the code for what a command returned.
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	var (
 		problem     *operator.Problem
@@ -95,7 +95,7 @@
 		errors.As(err, &demoConfig)
 }
 
-// formatError is an error as an operator reads it: each fault on its own line.
+// formatError formats an error for operators, with each fault of a document on its own line.
 func formatError(err error) string {
 	var faults *settings.FaultsError
 	var problem *operator.Problem
--- a/cmd/firlever/explain.go
+++ b/cmd/firlever/explain.go
@@ -13,15 +13,16 @@
 	"github.com/firlever/firlever/internal/explain"
 )
 
-const explainHelp = `Tell the story of one request from the log lines of instances: its own lines, and
-what the instances that handled it came to believe around that time of its
+const explainHelp = `Explain one request from the log lines of instances: print its own lines, and the
+changes around that time in what the instances that handled it assumed about its
 targets, the configuration and the store.
 
-Without files, lines are read from standard input. --failures lists the ways in
-which requests failed instead, with the ID of one of each. --by groups the requests
-that got as far as a target by fields of their lines, and gives of each group how
-many there were, the part that ended late, the mean wait that was foreseen and time that
-it took, and the part that was decided by a report of load under a second old.`
+Without files, lines are read from standard input. --failures lists instead the
+ways in which requests failed, each with a count and the ID of one such request.
+--by groups the requests that reached a target by fields of their lines, and
+prints for each group the number of requests, the share that ended late, the mean
+expected wait, the mean time taken, and the share that was decided by a load report
+less than a second old.`
 
 const explainExample = `  firlever explain 9c41d07be2a35f68 edge-1.log edge-2.log
   firlever explain --failures *.log
@@ -33,7 +34,7 @@
 	var from, until timeFlag
 	cmd := &cobra.Command{
 		Use:     "explain [ID] [FILE...]",
-		Short:   "Tell the story of a request from log lines",
+		Short:   "Explain a request from log lines",
 		Long:    explainHelp,
 		Example: explainExample,
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -44,19 +45,19 @@
 				return listGroups(cmd, args, groupBy, time.Time(from), time.Time(until))
 			}
 			if len(args) == 0 {
-				return &usageError{Command: cmd.CommandPath(), Reason: "wants the ID of a request"}
+				return &usageError{Command: cmd.CommandPath(), Reason: "missing request ID"}
 			}
 			return printRequest(cmd, args[0], args[1:])
 		},
 	}
 	cmd.Flags().BoolVar(&failures, "failures", false, "list the ways in which requests failed")
 	cmd.Flags().StringSliceVar(&groupBy, "by", nil, "group requests by these fields; source is the file")
-	cmd.Flags().Var(&from, "from", "with --by: leave out lines from before")
-	cmd.Flags().Var(&until, "until", "with --by: leave out lines from then on")
+	cmd.Flags().Var(&from, "from", "with --by: skip lines before this time")
+	cmd.Flags().Var(&until, "until", "with --by: skip lines at or after this time")
 	return cmd
 }
 
-// timeFlag is a point in time, as log lines bear it.
+// timeFlag is the value of a flag that takes a time in the format of log lines.
 type timeFlag time.Time
 
 func (f *timeFlag) Set(text string) error {
@@ -74,10 +75,10 @@
 
 func (f *timeFlag) Type() string { return "time" }
 
-// requestNotFoundError says that no line names a request.
+// requestNotFoundError reports that no log line belongs to a request.
 type requestNotFoundError struct{ ID string }
 
-func (e *requestNotFoundError) Error() string { return "no line names request " + e.ID }
+func (e *requestNotFoundError) Error() string { return "no log line found for request " + e.ID }
 
 func printRequest(cmd *cobra.Command, id string, files []string) error {
 	lines, err := readLogs(cmd.InOrStdin(), files)
--- a/cmd/firlever/load.go
+++ b/cmd/firlever/load.go
@@ -15,24 +15,24 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const loadHelp = `Send requests at random times at a steady mean rate, whether or not earlier ones
-have been answered, and report latency from the intended start.
+const loadHelp = `Send requests at random times with a constant mean rate, whether or not earlier
+ones have been answered, and report latency from the intended start.
 
-GET, HEAD and OPTIONS are taken as idempotent, and other methods get an
-idempotency key for each request; --idempotent says that they need none.
-Everything is sent for real: don't POST to a service that matters.`
+GET, HEAD and OPTIONS are assumed to be idempotent. Requests of other methods get
+an idempotency key each, unless --idempotent is given. All requests are really
+sent: don't POST to a service in production.`
 
 const loadExample = `  firlever load payments/ledger-view --rate 200 --for 30s --path /dues/31
   firlever load payments/lodge-pay --method POST --body 300 --rate 20 --json`
 
-// maxStreams is how many services one run sends to at most.
+// maxStreams is the largest number of services that one run sends requests to.
 const maxStreams = 64
 
-// loadOptions are the flags of load.
+// loadOptions are the flags of the load command.
 type loadOptions struct {
 	entries []string
-	stream  load.Stream // but for its service
-	plan    load.Plan   // but for its streams
+	stream  load.Stream // template for each service; Service is empty
+	plan    load.Plan   // without Streams, which are made from the template
 	json    bool
 }
 
@@ -59,12 +59,12 @@
 	f.StringVar(&o.stream.Method, "method", http.MethodGet, "method of the requests")
 	f.StringVar(&o.stream.Path, "path", "/", "path below the service")
 	f.Int64Var(&o.stream.Body, "body", 0, "bytes of each request's body")
-	f.BoolVar(&o.stream.Idempotent, "idempotent", false, "running a request twice is right, whatever its method")
-	f.DurationVar(&o.stream.Timeout, "timeout", 5*time.Second, "of each request, from its intended start")
+	f.BoolVar(&o.stream.Idempotent, "idempotent", false, "requests may run twice, whatever their method")
+	f.DurationVar(&o.stream.Timeout, "timeout", 5*time.Second, "timeout of each request, from its intended start")
 	f.DurationVar(&o.plan.For, "for", 10*time.Second, "how long to send requests")
-	f.DurationVar(&o.plan.Ramp, "ramp", 0, "over which the rates grow from 0, part of --for")
-	f.Uint64Var(&o.plan.Seed, "seed", 1, "the same seed sends at the same times")
-	f.IntVar(&o.plan.InFlight, "in-flight", 4096, "requests in flight at most")
+	f.DurationVar(&o.plan.Ramp, "ramp", 0, "time over which the rates grow from 0, part of --for")
+	f.Uint64Var(&o.plan.Seed, "seed", 1, "seed of the send times; the same seed sends at the same times")
+	f.IntVar(&o.plan.InFlight, "in-flight", 4096, "most requests in flight")
 	addJSONFlag(cmd, &o.json)
 }
 
@@ -93,8 +93,8 @@
 	return report.WriteTable(cmd.OutOrStdout())
 }
 
-// newSender sends requests by the callers' client. What the answers hold is not
-// looked at, but each is read to its end.
+// newSender returns a function that sends a request with a body of size bytes through the
+// client. It reads each answer to its end and discards its content.
 func newSender(client *caller.Client, size int64) load.Do {
 	body := make([]byte, size)
 	return func(ctx context.Context, r load.Request) load.Result {
--- a/cmd/firlever/lookup.go
+++ b/cmd/firlever/lookup.go
@@ -13,8 +13,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const lookupHelp = `Ask, as a caller does, which instances to use for a service. They come in the
-order to try them. The place is the one that this machine's address belongs to.`
+const lookupHelp = `Look up, as a caller does, which instances to use for a service, in the order in
+which to try them. The home place is the one that this machine's address belongs
+to.`
 
 const lookupExample = `  firlever lookup payments/ledger-view --entries 127.0.0.1:7000,127.0.0.2:7000`
 
@@ -24,7 +25,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:     "lookup TEAM/SERVICE",
-		Short:   "Ask which instances to use for a service",
+		Short:   "Look up which instances to use for a service",
 		Long:    lookupHelp,
 		Example: lookupExample,
 		Args:    exactArgs(1),
@@ -48,7 +49,7 @@
 }
 
 func addEntriesFlag(cmd *cobra.Command, dest *[]string) {
-	cmd.Flags().StringSliceVar(dest, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of instances to begin with, IP:port")
+	cmd.Flags().StringSliceVar(dest, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of the instances to ask first, IP:port")
 }
 
 func lookup(ctx context.Context, entries []string, service string) (caller.Answer, error) {
@@ -63,7 +64,7 @@
 	return client.Lookup(ctx, service)
 }
 
-// lookupAnswer is how an answer is printed as JSON.
+// lookupAnswer is the JSON form of a caller.Answer.
 type lookupAnswer struct {
 	Service   string            `json:"service"`
 	Place     string            `json:"place"`
--- a/cmd/firlever/main.go
+++ b/cmd/firlever/main.go
@@ -1,4 +1,4 @@
-// Command firlever runs an instance, and is the tool of operators.
+// Command firlever runs an instance, and is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/firlever/main_test.go
+++ b/cmd/firlever/main_test.go
@@ -39,7 +39,7 @@
 `
 )
 
-// runCommand runs the program, and returns what it printed and its exit code.
+// runCommand runs the root command with args, and returns what it printed and the exit code.
 func runCommand(args ...string) (stdout, stderr string, code int) {
 	root := newRoot()
 	var out, errOut bytes.Buffer
@@ -53,8 +53,8 @@
 	return out.String(), errOut.String(), exitCode(err)
 }
 
-// startTestInstance serves operators over the stand-in of the platform, and sets the
-// variables that lead the program there.
+// startTestInstance serves the operators' API over an emulated store, sets the environment
+// variables with its address and token, and returns the store.
 func startTestInstance(t *testing.T) *inproc.Store {
 	t.Helper()
 	emulatedStore, err := inproc.New(store.Defaults())
@@ -112,11 +112,11 @@
 	return name
 }
 
-// step is one command of a session of an operator.
+// step is one command of an operator's session.
 type step struct {
 	args []string
 	code int
-	want string // in what is printed
+	want string // substring of what is printed
 }
 
 func runSteps(t *testing.T, list []step) {
@@ -161,7 +161,7 @@
 	})
 }
 
-// platformSettings is a settings file of the platform.
+// platformSettings is the content of a settings file of the platform.
 const platformSettings = `
 node: a-1
 role: edge
@@ -212,12 +212,13 @@
 	runSteps(t, []step{{[]string{"status", "--timeout", "1s", "--json=false", "--address", "127.0.0.1:1"}, 5, "no answer"}})
 }
 
-// TestAnswerLost cuts the connection after a change was made.
+// TestAnswerLost checks the outcome and exit code of a write when the connection is closed after
+// the write was made and before its answer arrives. The write is made only once.
 func TestAnswerLost(t *testing.T) {
 	emulatedStore := startTestInstance(t)
 	tests := map[string]struct {
-		lost      int  // answers
-		busyRetry bool // the instance refuses the second try
+		lost      int  // number of lost answers
+		busyRetry bool // the instance rejects the second attempt as busy
 		code      int
 		want      string
 	}{
@@ -229,7 +230,7 @@
 		t.Run(name, func(t *testing.T) {
 			path := "/places/" + name
 			target := os.Getenv("FIRLEVER_ADDRESS")
-			var toLose atomic.Int64 // answers that are still to be lost
+			var toLose atomic.Int64 // answers that remain to be lost
 			toLose.Store(int64(tt.lost))
 			proxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if toLose.Load() == 0 && tt.busyRetry {
@@ -298,7 +299,7 @@
 	}
 }
 
-// TestHelp asks that a newcomer finds what each command does and an example.
+// TestHelp checks that each command has a summary, and each that can be run but version an example.
 func TestHelp(t *testing.T) {
 	var walk func(cmd *cobra.Command)
 	walk = func(cmd *cobra.Command) {
--- a/cmd/firlever/platform.go
+++ b/cmd/firlever/platform.go
@@ -11,8 +11,8 @@
 	"github.com/firlever/firlever/internal/emulator/store"
 )
 
-const platformHelp = `Run the stand-in of the platform's metadata store, for trials. It keeps all
-in memory: when it stops, everything is gone.`
+const platformHelp = `Run an emulator of the platform's metadata store, for tests. It keeps all data in
+memory and loses it when it stops.`
 
 const platformExample = `  firlever platform --listen 127.0.0.1:7400 --seed 1`
 
@@ -21,7 +21,7 @@
 	var listen string
 	cmd := &cobra.Command{
 		Use:     "platform",
-		Short:   "Run the stand-in of the platform, for trials",
+		Short:   "Run an emulator of the platform, for tests",
 		Long:    platformHelp,
 		Example: platformExample,
 		Args:    exactArgs(0),
@@ -30,11 +30,11 @@
 		},
 	}
 	f := cmd.Flags()
-	f.StringVar(&listen, "listen", "127.0.0.1:7400", "address to listen at, IP:port")
-	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of what happens by chance")
-	f.Float64Var(&cfg.Writes, "writes", cfg.Writes, "writes/s that are taken")
-	f.Float64Var(&cfg.Reads, "reads", cfg.Reads, "reads/s that are taken")
-	f.DurationVar(&cfg.Lag, "lag", cfg.Lag, "how old the answers to stale reads are")
+	f.StringVar(&listen, "listen", "127.0.0.1:7400", "address to listen on, IP:port")
+	f.Uint64Var(&cfg.Seed, "seed", cfg.Seed, "seed of random numbers")
+	f.Float64Var(&cfg.Writes, "writes", cfg.Writes, "writes/s that are accepted")
+	f.Float64Var(&cfg.Reads, "reads", cfg.Reads, "reads/s that are accepted")
+	f.DurationVar(&cfg.Lag, "lag", cfg.Lag, "age of the answers to stale reads")
 	return cmd
 }
 
--- a/cmd/firlever/root.go
+++ b/cmd/firlever/root.go
@@ -8,16 +8,16 @@
 
 const rootHelp = `firlever steers traffic to services that must stay cheap at rest.
 
-Every flag can be given as a variable: FIRLEVER_ADDRESS for --address, with _
-for each -. A flag goes before its variable, and that before the default.
+Every flag can be set by an environment variable: FIRLEVER_ADDRESS for --address,
+with _ for each -. A flag overrides its variable, which overrides the default.
 
 Exit codes:
   0  done
   1  failed
-  2  invalid: a flag, an argument, a document, or what a token may not do
+  2  invalid: a flag, an argument or a document, or the token lacks permission
   3  conflict: the document has a newer version, which is printed
-  4  not yet known: a change may have landed; ask again
-  5  not reachable: no instance, or no platform behind it, has answered`
+  4  unknown: a change may have been made; check again
+  5  unreachable: no instance, or not the platform behind it, has answered`
 
 const rootExample = `  firlever config check examples/tidewright
   firlever status --address 127.0.0.1:7300 --token "$TOKEN"
@@ -33,7 +33,7 @@
 		RunE:          func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 		SilenceErrors: true,
 		SilenceUsage:  true,
-		// A subcommand must not have a PersistentPreRunE of its own.
+		// A subcommand must not set PersistentPreRunE: cobra would run that instead of this one.
 		PersistentPreRunE: func(cmd *cobra.Command, _ []string) error { return bindEnv(cmd) },
 	}
 	root.SetFlagErrorFunc(func(cmd *cobra.Command, err error) error {
@@ -58,7 +58,8 @@
 	return root
 }
 
-// rejectUnknownCommand refuses a word that names no command.
+// rejectUnknownCommand returns a *usageError if there are arguments, as the first is not the name
+// of a subcommand.
 func rejectUnknownCommand(cmd *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return &usageError{Command: cmd.CommandPath(), Reason: "there is no command " + args[0]}
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// newGroupCommand is a command that only holds others.
+// newGroupCommand returns a command that only groups subcommands; without one it prints its help.
 func newGroupCommand(use, short, long string, commands ...*cobra.Command) *cobra.Command {
 	cmd := &cobra.Command{
 		Use: use, Short: short, Long: long, Args: rejectUnknownCommand,
@@ -76,7 +77,7 @@
 	return cmd
 }
 
-// exactArgs refuses any other number of arguments.
+// exactArgs rejects any number of arguments but n with a *usageError.
 func exactArgs(n int) cobra.PositionalArgs { return rangeArgs(n, n) }
 
 func rangeArgs(atLeast, atMost int) cobra.PositionalArgs {
--- a/cmd/firlever/send.go
+++ b/cmd/firlever/send.go
@@ -10,8 +10,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// putWithRetry makes a change, and sends it once more under the same name when the
-// first answer doesn't prove what became of it.
+// putWithRetry writes a document, and sends the write once more under the same ID if the first
+// answer doesn't show its outcome. If the outcome is still unknown, the error is an
+// *unknownOutcomeError.
 func putWithRetry(ctx context.Context, client *operator.Client, doc settings.Document) (operator.Change, error) {
 	writeID := rand.Text()
 	change, err := client.Put(ctx, doc, writeID, true)
@@ -28,7 +29,7 @@
 	return change, err
 }
 
-// isConclusive says whether the first try of a change has its answer, or was never sent.
+// isConclusive reports whether the first attempt of a write was answered or never sent.
 func isConclusive(err error) bool {
 	var problem *operator.Problem
 	var unreachable *operator.UnreachableError
@@ -38,8 +39,8 @@
 	return err == nil || errors.As(err, &problem)
 }
 
-// isRetryConclusive is like proved for a second try: a refusal of that one alone says
-// nothing about the first.
+// isRetryConclusive is like isConclusive for the second attempt. That this attempt was not
+// accepted shows nothing about the first, unless the outcome of the write itself is refused.
 func isRetryConclusive(err error) bool {
 	var problem *operator.Problem
 	return err == nil || errors.As(err, &problem) && problem.Outcome == docstore.Refused.String()
--- a/cmd/firlever/serve.go
+++ b/cmd/firlever/serve.go
@@ -23,16 +23,16 @@
 serves operators.
 
 An instance keeps nothing on disk. It reads the operators' settings from the
-platform, or from other instances while the platform is out of reach; --join
-names some of those for that case. On SIGTERM it stops in plan: it leaves the
-look-ups, finishes what is in flight and hands its targets over. A second
-signal ends it at once.`
+platform, or from other instances while the platform is unreachable; --join names
+some of them for that case. On SIGTERM it performs a planned stop: it is removed
+from the look-ups, completes the requests in flight and hands its targets over.
+A second signal aborts the remaining requests and ends the process.`
 
 const serveExample = `  firlever serve --id hob-a-1 --place hob-a --region hobart \
     --callers 127.0.0.1:7100 --peers 127.0.0.1:7200 --operators 127.0.0.1:7300 \
     --platform 127.0.0.1:7400`
 
-// serveFlags is what serve is told besides the instance's own configuration.
+// serveFlags are the flags of the serve command that are not part of instance.Config.
 type serveFlags struct {
 	platform    string
 	policy      string
@@ -54,22 +54,22 @@
 	f := cmd.Flags()
 	f.StringVar(&cfg.ID, "id", "", "name of this instance, unique among all")
 	f.StringVar(&cfg.Place, "place", "", "place that this instance is in")
-	f.StringVar(&cfg.Domain, "domain", "", "failure domain that it is in; the place if left out")
+	f.StringVar(&cfg.Domain, "domain", "", "failure domain that it is in; default is the place")
 	f.StringVar(&cfg.Region, "region", "", "region that it is in")
 	f.StringVar(&cfg.Callers, "callers", "127.0.0.1:7100", "address for callers, IP:port")
 	f.StringVar(&cfg.Peers, "peers", "127.0.0.1:7200", "address for other instances, IP:port, TCP and UDP")
 	f.StringVar(&cfg.Operators, "operators", "127.0.0.1:7300", "address for operators, IP:port")
-	f.StringVar(&cfg.AdvertiseCallers, "advertise-callers", "", "address that callers are told of, IP:port; --callers if left out")
-	f.StringVar(&cfg.AdvertisePeers, "advertise-peers", "", "address that other instances are told of, IP:port, TCP and UDP; --peers if left out")
-	f.StringVar(&cfg.Source, "source", "", "IP that connections to targets and other instances come from")
-	f.StringSliceVar(&cfg.Join, "join", nil, "peers' addresses of instances to begin with")
-	f.StringVar(&cfg.Bootstrap, "bootstrap", "", "hex SHA-256 of a token that opens everything until the system team has one")
-	f.DurationVar(&cfg.Linger, "linger", 6*time.Second, "longest that a planned stop goes on serving cached look-ups")
-	f.BoolVar(&cfg.ListProves, "list-proves", false, "the platform's list names an instance until its process has ended for certain")
+	f.StringVar(&cfg.AdvertiseCallers, "advertise-callers", "", "address announced to callers, IP:port; default is --callers")
+	f.StringVar(&cfg.AdvertisePeers, "advertise-peers", "", "address announced to other instances, IP:port, TCP and UDP; default is --peers")
+	f.StringVar(&cfg.Source, "source", "", "source IP of connections to targets and other instances")
+	f.StringSliceVar(&cfg.Join, "join", nil, "seed addresses, those for peers of other instances")
+	f.StringVar(&cfg.Bootstrap, "bootstrap", "", "hex SHA-256 of a token with full access until the system team has a token")
+	f.DurationVar(&cfg.Linger, "linger", 6*time.Second, "longest time that a planned stop keeps serving callers with cached look-ups")
+	f.BoolVar(&cfg.ListProves, "list-proves", false, "the platform's list keeps an instance until its process has certainly ended")
 	f.StringVar(&flags.platform, "platform", "", "address of the platform's key-value service, IP:port")
-	f.StringVar(&flags.policy, "policy", string(core.PolicyOwner), "how targets are chosen; others than owner are for measurements")
-	f.StringVar(&flags.logLevel, "log", "info", "least level that is logged: debug, info, warn, error")
-	f.DurationVar(&flags.stopTimeout, "patience", time.Minute, "longest that a planned stop waits for requests in flight")
+	f.StringVar(&flags.policy, "policy", string(core.PolicyOwner), "policy that chooses targets; those other than owner are for measurements")
+	f.StringVar(&flags.logLevel, "log", "info", "lowest level that is logged: debug, info, warn, error")
+	f.DurationVar(&flags.stopTimeout, "patience", time.Minute, "longest time that a planned stop waits for requests in flight")
 	return cmd
 }
 
@@ -84,7 +84,7 @@
 	cfg.Metrics = metrics.New()
 	cfg.Load = overload.NewMeter(0)
 	cfg.Checks = invariant.New(func(name invariant.Name, detail string) {
-		cfg.Log.Error("invariant broken", "name", name, "detail", detail)
+		cfg.Log.Error("invariant violated", "name", name, "detail", detail)
 	})
 	cfg.Policy = core.Policy(flags.policy)
 	if flags.platform != "" {
@@ -108,7 +108,7 @@
 	return stopServing(inst, signals, flags.stopTimeout)
 }
 
-// stopServing stops in plan; another signal or the end of patience cuts it short.
+// stopServing performs a planned stop; another signal or the timeout cuts it short.
 func stopServing(inst *instance.Instance, signals <-chan os.Signal, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -119,7 +119,7 @@
 	return inst.Stop(ctx)
 }
 
-// replacedError says that a newer process runs under this instance's name.
+// replacedError reports that a newer process runs with the ID of this instance.
 type replacedError struct{ ID string }
 
 func (e *replacedError) Error() string { return "a newer process runs as instance " + e.ID }
--- a/cmd/firlever/status.go
+++ b/cmd/firlever/status.go
@@ -12,11 +12,13 @@
 	"github.com/firlever/firlever/internal/operator"
 )
 
-const statusHelp = `Show all instances, and how far the limits of each place are used: requests in
-flight, queued, free slots and headroom. --targets adds each target as its owner
-sees it. Drains under way come last, with what is still in flight there.
+const statusHelp = `Show all instances, and how much of the limits of each place is in use: requests
+in flight, queued requests, free slots and headroom. --targets adds each target
+with the state that its owner reports. Active drains come last, with the number
+of requests still in flight there.
 
-You see your own team's services and targets; tokens of the team "system" see all.`
+You see the services and targets of the team of your token; a token of the team
+"system" shows all.`
 
 func newStatusCommand() *cobra.Command {
 	var conn connection
@@ -42,7 +44,7 @@
 	}
 	conn.addFlags(cmd)
 	addJSONFlag(cmd, &asJSON)
-	cmd.Flags().BoolVar(&targets, "targets", false, "show each target too")
+	cmd.Flags().BoolVar(&targets, "targets", false, "show targets too")
 	return cmd
 }
 
@@ -72,8 +74,8 @@
 	}
 }
 
-// writeLoads shows what each instance of a place knows of it: an instance
-// counts the requests at the targets that it owns.
+// writeLoads writes the load of each place and service as each instance reports it: an
+// instance counts the requests at the targets that it owns.
 func writeLoads(w io.Writer, reports []operator.Report) {
 	fmt.Fprintln(w, "\nplace\tservice\tinstance\tlimit\tuse\tqueued\tfree\theadroom\tshifted/s\tcap")
 	for _, r := range reports {
@@ -93,7 +95,7 @@
 	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d", l.Limit, l.Use, l.Queued, l.Free, l.Headroom)
 }
 
-// writeTargets shows each target once, as its owner sees it.
+// writeTargets writes each target once, with the state that its owner reports.
 func writeTargets(w io.Writer, reports []operator.Report) {
 	fmt.Fprintln(w, "\ntarget\tservice\tplace\taddress\towner\tallowance\tuse\thealth\tdrained")
 	for _, r := range reports {
@@ -110,7 +112,7 @@
 	}
 }
 
-// writeDrains shows each drain once, with what is in flight at all instances.
+// writeDrains writes each drain once, with the number of requests in flight at all instances.
 func writeDrains(w io.Writer, reports []operator.Report) {
 	drains := mergeDrains(reports)
 	if len(drains) == 0 {
@@ -126,7 +128,8 @@
 	}
 }
 
-// mergeDrains adds up what is left of each drain; the last to finish counts.
+// mergeDrains returns each drain once, with the sum of the requests left at all instances and the
+// latest finish time.
 func mergeDrains(reports []operator.Report) []operator.Drain {
 	var all []operator.Drain
 	index := make(map[string]int)
--- a/cmd/firlever/version.go
+++ b/cmd/firlever/version.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra"
 )
 
-const versionHelp = `Print the version of this program and of the Go that built it.`
+const versionHelp = `Print the version of this program and of the Go toolchain that built it.`
 
 func newVersionCommand() *cobra.Command {
 	return &cobra.Command{
