--- a/cmd/firlever/root.go
+++ b/cmd/firlever/root.go
@@ -17,7 +17,7 @@
   2  invalid: a flag, an argument or a document, or the token lacks permission
   3  conflict: the document has a newer version, which is printed
   4  unknown: a change may have been made; check again
-  5  unreachable: no instance, or not the platform behind it, has answered`
+  5  unreachable: no answer from an instance, or from the platform behind it`
 
 const rootExample = `  firlever config check examples/tidewright
   firlever status --address 127.0.0.1:7300 --token "$TOKEN"
--- a/cmd/firlever/serve.go
+++ b/cmd/firlever/serve.go
@@ -62,7 +62,7 @@
 	f.StringVar(&cfg.AdvertiseCallers, "advertise-callers", "", "address announced to callers, IP:port; default is --callers")
 	f.StringVar(&cfg.AdvertisePeers, "advertise-peers", "", "address announced to other instances, IP:port, TCP and UDP; default is --peers")
 	f.StringVar(&cfg.Source, "source", "", "source IP of connections to targets and other instances")
-	f.StringSliceVar(&cfg.Join, "join", nil, "seed addresses, those for peers of other instances")
+	f.StringSliceVar(&cfg.Join, "join", nil, "peers' addresses of the instances to contact first")
 	f.StringVar(&cfg.Bootstrap, "bootstrap", "", "hex SHA-256 of a token with full access until the system team has a token")
 	f.DurationVar(&cfg.Linger, "linger", 6*time.Second, "longest time that a planned stop keeps serving callers with cached look-ups")
 	f.BoolVar(&cfg.ListProves, "list-proves", false, "the platform's list keeps an instance until its process has certainly ended")
