--- a/cmd/firlever/config.go
+++ b/cmd/firlever/config.go
@@ -17,16 +17,16 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const configHelp = `Check, read and change the documents that instances steer by.
+const configHelp = `Check, read and change the documents that configure the instances.
 
-A change names the version that you read, so that you can't overwrite what
-another operator wrote meanwhile:
+A change names the version that you read, so that it can't overwrite a change
+that another operator made in the meantime:
 
   firlever config get /places/hob-a >place.yaml     # prints version 7 on stderr
   firlever config put /places/hob-a place.yaml --if-version 7`
 
 func newConfigCommand() *cobra.Command {
-	return group("config", "Check, read and change settings", configHelp,
+	return newGroupCommand("config", "Check, read and change settings", configHelp,
 		newConfigCheckCommand(),
 		newConfigGetCommand(),
 		newConfigPutCommand(),
@@ -36,12 +36,12 @@
 	)
 }
 
-const configCheckHelp = `Check documents without asking anyone, and name every fault.
+const configCheckHelp = `Check documents offline, and list all faults.
 
-A directory is laid out as the documents' paths: places/hob-a.yaml is the
-document /places/hob-a. All its documents are checked together. A single file
-is checked by itself: give its document's path by --path unless the file lies
-under a directory laid out so.`
+The files of a directory are named after the documents' paths: places/hob-a.yaml
+is the document /places/hob-a. All documents of a directory are checked together.
+A single file is checked by itself: give the path of its document with --path,
+unless the file lies in such a directory.`
 
 func newConfigCheckCommand() *cobra.Command {
 	var path string
@@ -50,9 +50,9 @@
 		Short:   "Check documents offline",
 		Long:    configCheckHelp,
 		Example: "  firlever config check examples/tidewright\n  firlever config check place.yaml --path /places/hob-a",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			n, err := check(args[0], path)
+			n, err := checkDocuments(args[0], path)
 			if err != nil {
 				return err
 			}
@@ -60,12 +60,14 @@
 			return err
 		},
 	}
-	cmd.Flags().StringVar(&path, "path", "", "path of the document in a single file")
+	cmd.Flags().StringVar(&path, "path", "", "path of the document that a single file holds")
 	return cmd
 }
 
-// check returns how many documents it found without a fault.
-func check(name, path string) (int, error) {
+// checkDocuments checks the file or directory name and returns the number of documents in
+// it. The path is that of the document in a single file; if it is empty, it is derived from
+// the file's name.
+func checkDocuments(name, path string) (int, error) {
 	info, err := os.Stat(name)
 	if err != nil {
 		return 0, err
@@ -93,7 +95,8 @@
 	return err
 }
 
-// guessPath is the longest end of a file's name that is a document's path.
+// guessPath returns the longest suffix of the file's absolute name that is a valid document
+// path, or name if there is none.
 func guessPath(name string) string {
 	full, err := filepath.Abs(name)
 	if err != nil {
@@ -109,8 +112,8 @@
 	return name
 }
 
-// readDocument reads a file, or stdin for "-", up to just over the largest
-// document.
+// readDocument reads a file, or stdin for "-". It reads at most one byte more than the largest
+// valid document has, which is enough for the parser to reject a larger one.
 func readDocument(name string, stdin io.Reader) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(io.LimitReader(stdin, settings.MaxBody+1))
@@ -127,8 +130,8 @@
 	return body, nil
 }
 
-const configGetHelp = `Print a document; its version goes to stderr. --here prints the one in force at
-the instance asked, which may be older, and works while the platform is down.`
+const configGetHelp = `Print a document; its version goes to stderr. With --here, print the document in
+force at the instance, which may be older. This works while the platform is down.`
 
 func newConfigGetCommand() *cobra.Command {
 	var conn connection
@@ -138,12 +141,12 @@
 		Short:   "Print a document",
 		Long:    configGetHelp,
 		Example: "  firlever config get /teams/payments/services/ledger-view",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.ParsePath(args[0]); err != nil {
 				return err
 			}
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				doc, err := client.Get(ctx, args[0], here)
 				if err != nil {
 					return err
@@ -154,8 +157,8 @@
 			})
 		},
 	}
-	conn.flags(cmd)
-	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
+	conn.addFlags(cmd)
+	cmd.Flags().BoolVar(&here, "here", false, "read what is in force at the instance instead of what the platform holds")
 	return cmd
 }
 
@@ -169,10 +172,10 @@
 		Short:   "List documents with their versions",
 		Long:    configListHelp,
 		Example: "  firlever config list /teams/payments/",
-		Args:    between(0, 1),
+		Args:    rangeArgs(0, 1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			prefix := strings.Join(append(args, ""), "")
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				list, err := client.List(ctx, prefix, here)
 				if err != nil {
 					return err
@@ -184,9 +187,9 @@
 			})
 		},
 	}
-	conn.flags(cmd)
-	cmd.Flags().BoolVar(&here, "here", false, "what is in force at the instance, not what the platform holds")
-	jsonFlag(cmd, &asJSON)
+	conn.addFlags(cmd)
+	cmd.Flags().BoolVar(&here, "here", false, "read what is in force at the instance instead of what the platform holds")
+	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
 
--- a/cmd/firlever/config_put.go
+++ b/cmd/firlever/config_put.go
@@ -13,12 +13,13 @@
 
 const configPutHelp = `Write a document, from a file or from stdin ("-").
 
---if-version names the version that you read; 0 creates. If the document has
-another one now, nothing is written, that one is printed, and the exit code is 3.
+--if-version names the version that you read; 0 creates the document. If its
+current version is another one, nothing is written, the current document is
+printed, and the exit code is 3.
 
-When an answer is lost the program asks again. If it still can't tell whether
-the change landed, the exit code is 4: read the document, or ask for the write
-by the name that is printed, before you try again.`
+If an answer is lost, the program sends the change again. If it still can't
+determine whether the change was made, the exit code is 4: before you try again,
+read the document, or look up the write by the ID that is printed.`
 
 func newConfigPutCommand() *cobra.Command {
 	var conn connection
@@ -28,7 +29,7 @@
 		Short:   "Write a document",
 		Long:    configPutHelp,
 		Example: "  firlever config put /places/hob-a place.yaml --if-version 7",
-		Args:    exactly(2),
+		Args:    exactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := readDocument(args[1], cmd.InOrStdin())
 			if err != nil {
@@ -38,16 +39,16 @@
 			if _, err := settings.Parse(doc); err != nil {
 				return err
 			}
-			return change(cmd, &conn, doc)
+			return putAndPrint(cmd, &conn, doc)
 		},
 	}
-	conn.flags(cmd)
-	versionFlag(cmd, &version)
+	conn.addFlags(cmd)
+	addVersionFlag(cmd, &version)
 	return cmd
 }
 
-const configDeleteHelp = `Delete a document that has still the version that you read. Its versions go on:
-to write it again, name the version of the deletion.`
+const configDeleteHelp = `Delete a document if it still has the version that you read. Version numbers go
+on after a deletion: to write the document again, name the deletion's version.`
 
 func newConfigDeleteCommand() *cobra.Command {
 	var conn connection
@@ -57,38 +58,39 @@
 		Short:   "Delete a document",
 		Long:    configDeleteHelp,
 		Example: "  firlever config delete /teams/payments/services/old --if-version 3",
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := settings.ParsePath(args[0]); err != nil {
 				return err
 			}
-			return change(cmd, &conn, settings.Document{Path: args[0], Version: version, Deleted: true})
+			return putAndPrint(cmd, &conn, settings.Document{Path: args[0], Version: version, Deleted: true})
 		},
 	}
-	conn.flags(cmd)
-	versionFlag(cmd, &version)
+	conn.addFlags(cmd)
+	addVersionFlag(cmd, &version)
 	return cmd
 }
 
-func versionFlag(cmd *cobra.Command, to *uint64) {
-	cmd.Flags().Uint64Var(to, "if-version", 0, "version that you read; 0 creates")
+func addVersionFlag(cmd *cobra.Command, dest *uint64) {
+	cmd.Flags().Uint64Var(dest, "if-version", 0, "version that you read; 0 creates the document")
 }
 
-// change sends a change and prints what became of it.
-func change(cmd *cobra.Command, conn *connection, doc settings.Document) error {
-	return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
-		done, err := send(ctx, client, doc)
+// putAndPrint writes a document and prints its new version, or the current document if the
+// versions conflict.
+func putAndPrint(cmd *cobra.Command, conn *connection, doc settings.Document) error {
+	return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
+		change, err := putWithRetry(ctx, client, doc)
 		if err != nil {
-			printNewer(cmd, err)
+			printConflict(cmd, err)
 			return err
 		}
-		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is at version %d\n", done.Path, done.Version)
+		_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s is at version %d\n", change.Path, change.Version)
 		return err
 	})
 }
 
-// printNewer prints the document that a change lost to.
-func printNewer(cmd *cobra.Command, err error) {
+// printConflict prints the current document if err is a version conflict.
+func printConflict(cmd *cobra.Command, err error) {
 	var p *operator.Problem
 	if !errors.As(err, &p) || p.Code != operator.CodeConflict {
 		return
--- a/cmd/firlever/drain.go
+++ b/cmd/firlever/drain.go
@@ -13,76 +13,77 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const drainHelp = `Give no new work to a place, a target or an instance, while what is in flight
-there finishes. A drain is a document, and stays until you undrain. Watch how it
-goes with "firlever status".
+const drainHelp = `Send no new requests to a place, a target or an instance; requests in flight
+there are completed. A drain is a document, and holds until it is ended with
+"firlever undrain". "firlever status" shows its progress.
 
-A whole place and an instance are drained by tokens of the team "system"; one
-service of a place, and a target, by tokens of the service's team.`
+To drain a whole place or an instance takes a token of the team "system"; to
+drain one service at a place, or a target, takes a token of the service's team.`
 
-const undrainHelp = `End a drain: what was drained gets work again. What is not drained is left as it is.`
+const undrainHelp = `End a drain, and send requests there again. If there is no such drain, nothing
+changes.`
 
 func newDrainCommand() *cobra.Command {
-	return group("drain", "Give no new work to a place, a target or an instance", drainHelp, drainKinds(startDrain)...)
+	return newGroupCommand("drain", "Send no new requests to a place, a target or an instance", drainHelp, newDrainSubcommands(startDrain)...)
 }
 
 func newUndrainCommand() *cobra.Command {
-	return group("undrain", "End a drain", undrainHelp, drainKinds(endDrain)...)
+	return newGroupCommand("undrain", "End a drain", undrainHelp, newDrainSubcommands(endDrain)...)
 }
 
-// drainAct starts or ends the drain d.
-type drainAct func(ctx context.Context, client *operator.Client, d settings.NamedDrain) (string, error)
+// drainAction starts or ends the drain d and returns the line to print.
+type drainAction func(ctx context.Context, client *operator.Client, d settings.NamedDrain) (string, error)
 
-func drainKinds(act drainAct) []*cobra.Command {
-	return []*cobra.Command{drainPlace(act), drainTarget(act), drainInstance(act)}
+func newDrainSubcommands(action drainAction) []*cobra.Command {
+	return []*cobra.Command{newDrainPlaceCommand(action), newDrainTargetCommand(action), newDrainInstanceCommand(action)}
 }
 
-func drainPlace(act drainAct) *cobra.Command {
+func newDrainPlaceCommand(action drainAction) *cobra.Command {
 	var service string
-	return newDrainKind(act, "place PLACE", "  firlever drain place hob-a --reason \"new switches\"\n  firlever drain place hob-a --service payments/ledger-view", 1,
+	return newDrainSubcommand(action, "place PLACE", "  firlever drain place hob-a --reason \"new switches\"\n  firlever drain place hob-a --service payments/ledger-view", 1,
 		func(cmd *cobra.Command) {
-			cmd.Flags().StringVar(&service, "service", "", "this service alone, team/name")
+			cmd.Flags().StringVar(&service, "service", "", "drain only this service, team/name")
 		},
 		func(args []string) (settings.NamedDrain, error) { return placeDrain(args[0], service) })
 }
 
-func drainTarget(act drainAct) *cobra.Command {
-	return newDrainKind(act, "target TEAM/SERVICE TARGET", "  firlever drain target payments/ledger-view ledger-3", 2, nil,
+func newDrainTargetCommand(action drainAction) *cobra.Command {
+	return newDrainSubcommand(action, "target TEAM/SERVICE TARGET", "  firlever drain target payments/ledger-view ledger-3", 2, nil,
 		func(args []string) (settings.NamedDrain, error) { return targetDrain(args[0], args[1]) })
 }
 
-func drainInstance(act drainAct) *cobra.Command {
-	return newDrainKind(act, "instance ID", "  firlever drain instance hob-a.1", 1, nil,
+func newDrainInstanceCommand(action drainAction) *cobra.Command {
+	return newDrainSubcommand(action, "instance ID", "  firlever drain instance hob-a.1", 1, nil,
 		func(args []string) (settings.NamedDrain, error) { return instanceDrain(args[0]), nil })
 }
 
-func newDrainKind(act drainAct, use, example string, args int, flags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
+func newDrainSubcommand(action drainAction, use, example string, args int, addFlags func(*cobra.Command), parse func([]string) (settings.NamedDrain, error)) *cobra.Command {
 	var conn connection
 	var reason string
 	cmd := &cobra.Command{
 		Use:     use,
 		Short:   "Drain or undrain: " + use,
 		Example: example,
-		Args:    exactly(args),
+		Args:    exactArgs(args),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			d, err := parse(args)
 			if err != nil {
 				return err
 			}
 			d.Drain.Reason = reason
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
-				done, err := act(ctx, client, d)
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
+				result, err := action(ctx, client, d)
 				if err == nil {
-					_, err = fmt.Fprintln(cmd.OutOrStdout(), done)
+					_, err = fmt.Fprintln(cmd.OutOrStdout(), result)
 				}
 				return err
 			})
 		},
 	}
-	conn.flags(cmd)
-	cmd.Flags().StringVar(&reason, "reason", "", "why, for other operators to read")
-	if flags != nil {
-		flags(cmd)
+	conn.addFlags(cmd)
+	cmd.Flags().StringVar(&reason, "reason", "", "reason that other operators are shown")
+	if addFlags != nil {
+		addFlags(cmd)
 	}
 	return cmd
 }
@@ -108,8 +109,9 @@
 	return settings.NamedDrain{Path: path, Drain: settings.Drain{Instance: id}}
 }
 
-// drainName is the same for the same drain, and another for each other one.
-// It is readable where that can be.
+// drainName returns the name of the document that holds a drain: the same for equal arguments,
+// and different for different ones. If the kind and a single part make a valid name, it is that;
+// else it is a readable prefix and a hash.
 func drainName(kind string, parts ...string) string {
 	name := kind + "-" + strings.Join(parts, "-")
 	if len(parts) == 1 && settings.ValidName(name) {
@@ -136,7 +138,7 @@
 		return "", err
 	}
 	doc.Version = version
-	change, err := send(ctx, client, doc)
+	change, err := putWithRetry(ctx, client, doc)
 	return fmt.Sprintf("draining: %s at version %d", change.Path, change.Version), err
 }
 
@@ -151,11 +153,12 @@
 	if !exists {
 		return "not drained: " + d.Path, nil
 	}
-	change, err := send(ctx, client, settings.Document{Path: d.Path, Version: version, Deleted: true})
+	change, err := putWithRetry(ctx, client, settings.Document{Path: d.Path, Version: version, Deleted: true})
 	return fmt.Sprintf("no longer drained: %s at version %d", change.Path, change.Version), err
 }
 
-// currentVersion is what a change to a path has to name.
+// currentVersion returns the version that a change to the document has to name, which is that of
+// the deletion if the document is deleted.
 func currentVersion(ctx context.Context, client *operator.Client, path string) (version uint64, exists bool, err error) {
 	doc, err := client.Get(ctx, path, false)
 	var p *operator.Problem
@@ -165,8 +168,8 @@
 	return doc.Version, err == nil, err
 }
 
-// drainBody writes a drain as YAML. A quoted Go text is one of YAML too, as
-// long as it is plain; anything else is refused when it is parsed.
+// drainBody encodes a drain as YAML. A quoted Go string of plain text is a valid YAML string
+// too; any other is rejected when the document is parsed.
 func drainBody(d settings.Drain) []byte {
 	var b strings.Builder
 	fields := []struct{ name, value string }{
--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -17,24 +17,25 @@
 	"github.com/firlever/firlever/platform"
 )
 
-const edgeHelp = `Run an instance on the users' platform: it answers look-ups and carries requests
+const edgeHelp = `Run an instance on the users' platform: it answers look-ups and forwards requests
 from callers to targets.
 
-The platform's settings file says where the instance is, where it listens and
-which store to use; --settings names it. Targets, the configuration and the
-other instances are found in the store. An instance keeps nothing on disk.
+The platform's settings file, named by --settings, holds the location of the
+instance, its listen addresses and the address of the store. Targets, the
+configuration and the other instances are read from the store. An instance keeps
+nothing on disk.
 
-On SIGTERM it leaves the look-ups, finishes what is in flight and ends. On SIGHUP
-it reads the settings file again.`
+On SIGTERM the instance is removed from the look-ups, completes the requests in
+flight and exits. On SIGHUP it reads the settings file again.`
 
 const edgeExample = `  firlever edge --settings /etc/firlever/boot.yaml
   firlever edge --settings /etc/firlever/boot.yaml --check`
 
 type edgeFlags struct {
-	settings string
-	level    string
-	metrics  int
-	check    bool
+	settings    string
+	logLevel    string
+	metricsPort int
+	check       bool
 }
 
 func newEdgeCommand() *cobra.Command {
@@ -45,21 +46,22 @@
 		Short:   "Run an instance on the users' platform",
 		Long:    edgeHelp,
 		Example: edgeExample,
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE:    func(cmd *cobra.Command, _ []string) error { return runEdge(cmd, cfg, flags) },
 	}
 	f := cmd.Flags()
 	f.StringVar(&flags.settings, "settings", "", "settings file of the platform")
-	f.StringVar(&flags.level, "log", "info", "least level that is logged: debug, info, warn, error")
-	f.BoolVar(&flags.check, "check", false, "check the settings and end")
-	f.IntVar(&flags.metrics, "metrics", 0, "port of the metrics; 0 serves none")
-	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "lines/s about requests that went well")
-	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers keep the answer to a look-up")
-	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "nanoseconds of latency that a byte between failure domains is worth; 0 takes the default")
+	f.StringVar(&flags.logLevel, "log", "info", "lowest level that is logged: debug, info, warn, error")
+	f.BoolVar(&flags.check, "check", false, "check the settings and exit")
+	f.IntVar(&flags.metricsPort, "metrics", 0, "port that serves metrics; 0 for none")
+	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "log lines/s about successful requests")
+	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers may cache the answer to a look-up")
+	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "cost of a byte between failure domains, in nanoseconds of latency; 0 for the default")
 	return cmd
 }
 
-// checkEdge says whether an instance could start with its settings and flags.
+// checkEdge checks the settings and flags of an instance, and prints the settings that firlever
+// does not use.
 func checkEdge(cmd *cobra.Command, cfg edge.Config) error {
 	if err := cfg.Check(); err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
@@ -78,9 +80,9 @@
 	if flags.check {
 		return checkEdge(cmd, cfg)
 	}
-	lines := logs.NewWriter(cmd.OutOrStdout())
-	defer func() { lines.Close(time.Now().Add(logs.CloseTime)) }()
-	logger, err := logs.New(lines, flags.level)
+	logWriter := logs.NewWriter(cmd.OutOrStdout())
+	defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+	logger, err := logs.New(logWriter, flags.logLevel)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
@@ -89,28 +91,28 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	n, err := edge.New(cfg)
+	node, err := edge.New(cfg)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
-	if err := n.Start(); err != nil {
+	if err := node.Start(); err != nil {
 		return err
 	}
-	if flags.metrics != 0 {
-		if err := n.ServeMetrics(flags.metrics); err != nil {
+	if flags.metricsPort != 0 {
+		if err := node.ServeMetrics(flags.metricsPort); err != nil {
 			return err
 		}
 	}
 	logger.Info("settings read", "path", flags.settings, "unread", settings.Unread)
 	logger.Info("started", "instance", settings.Instance, "domain", settings.Domain, "region", settings.Region,
-		"callers", settings.Callers, "peers", n.Peers(), "store", settings.Store, "first", settings.FirstStart)
-	go n.Watch(cmd.Context(), flags.settings)
+		"callers", settings.Callers, "peers", node.Peers(), "store", settings.Store, "first", settings.FirstStart)
+	go node.Watch(cmd.Context(), flags.settings)
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			break
 		}
-		n.Reload(flags.settings)
+		node.Reload(flags.settings)
 	}
-	n.Stop()
+	node.Stop()
 	return nil
 }
--- a/cmd/firlever/lookup.go
+++ b/cmd/firlever/lookup.go
@@ -13,8 +13,9 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-const lookupHelp = `Ask, as a caller does, which instances to use for a service. They come in the
-order to try them. The place is the one that this machine's address belongs to.`
+const lookupHelp = `Look up, as a caller does, which instances to use for a service, in the order in
+which to try them. The home place is the one that this machine's address belongs
+to.`
 
 const lookupExample = `  firlever lookup payments/ledger-view --entries 127.0.0.1:7000,127.0.0.2:7000`
 
@@ -24,10 +25,10 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:     "lookup TEAM/SERVICE",
-		Short:   "Ask which instances to use for a service",
+		Short:   "Look up which instances to use for a service",
 		Long:    lookupHelp,
 		Example: lookupExample,
-		Args:    exactly(1),
+		Args:    exactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			ctx, cancel := context.WithTimeout(cmd.Context(), timeout)
 			defer cancel()
@@ -41,14 +42,14 @@
 			return writeLookup(cmd.OutOrStdout(), answer)
 		},
 	}
-	entriesFlag(cmd, &entries)
+	addEntriesFlag(cmd, &entries)
 	cmd.Flags().DurationVar(&timeout, "timeout", 5*time.Second, "how long to wait for the answer")
-	jsonFlag(cmd, &asJSON)
+	addJSONFlag(cmd, &asJSON)
 	return cmd
 }
 
-func entriesFlag(cmd *cobra.Command, to *[]string) {
-	cmd.Flags().StringSliceVar(to, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of instances to begin with, IP:port")
+func addEntriesFlag(cmd *cobra.Command, dest *[]string) {
+	cmd.Flags().StringSliceVar(dest, "entries", []string{"127.0.0.1:7000"}, "callers' addresses of the instances to ask first, IP:port")
 }
 
 func lookup(ctx context.Context, entries []string, service string) (caller.Answer, error) {
@@ -63,7 +64,7 @@
 	return client.Lookup(ctx, service)
 }
 
-// lookupAnswer is how an answer is printed as JSON.
+// lookupAnswer is the JSON form of a caller.Answer.
 type lookupAnswer struct {
 	Service   string            `json:"service"`
 	Place     string            `json:"place"`
@@ -75,8 +76,8 @@
 func writeLookup(w io.Writer, a caller.Answer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "instance\tplace\taddress")
-	for _, in := range a.Instances {
-		fmt.Fprintf(t, "%s\t%s\t%s\n", in.ID, in.Place, in.Address)
+	for _, inst := range a.Instances {
+		fmt.Fprintf(t, "%s\t%s\t%s\n", inst.ID, inst.Place, inst.Address)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/cmd/firlever/main.go
+++ b/cmd/firlever/main.go
@@ -1,4 +1,4 @@
-// Command firlever runs an instance, and is the tool of operators.
+// Command firlever runs an instance, and is the command-line tool for operators.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	err := root.ExecuteContext(ctx)
 	stop()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "firlever: "+describe(err))
+		fmt.Fprintln(os.Stderr, "firlever: "+formatError(err))
 	}
 	os.Exit(exitCode(err))
 }
--- a/cmd/firlever/status.go
+++ b/cmd/firlever/status.go
@@ -12,11 +12,13 @@
 	"github.com/firlever/firlever/internal/operator"
 )
 
-const statusHelp = `Show all instances, and how far the limits of each place are used: requests in
-flight, queued, free slots and headroom. --targets adds each target as its owner
-sees it. Drains under way come last, with what is still in flight there.
+const statusHelp = `Show all instances, and how much of the limits of each place is in use: requests
+in flight, queued requests, free slots and headroom. --targets adds each target
+with the state that its owner reports. Active drains come last, with the number
+of requests still in flight there.
 
-You see your own team's services and targets; tokens of the team "system" see all.`
+You see the services and targets of the team of your token; a token of the team
+"system" shows all.`
 
 func newStatusCommand() *cobra.Command {
 	var conn connection
@@ -26,9 +28,9 @@
 		Short:   "Show instances, places, targets and drains",
 		Long:    statusHelp,
 		Example: "  firlever status --targets\n  firlever status --json",
-		Args:    exactly(0),
+		Args:    exactArgs(0),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return conn.with(cmd, func(ctx context.Context, client *operator.Client) error {
+			return conn.withClient(cmd, func(ctx context.Context, client *operator.Client) error {
 				reports, err := client.Fleet(ctx, nil)
 				if err != nil {
 					return err
@@ -40,9 +42,9 @@
 			})
 		},
 	}
-	conn.flags(cmd)
-	jsonFlag(cmd, &asJSON)
-	cmd.Flags().BoolVar(&targets, "targets", false, "show each target too")
+	conn.addFlags(cmd)
+	addJSONFlag(cmd, &asJSON)
+	cmd.Flags().BoolVar(&targets, "targets", false, "show targets too")
 	return cmd
 }
 
@@ -72,8 +74,8 @@
 	}
 }
 
-// writeLoads shows what each instance of a place knows of it: an instance
-// counts the requests at the targets that it owns.
+// writeLoads writes the load of each place and service as each instance reports it: an
+// instance counts the requests at the targets that it owns.
 func writeLoads(w io.Writer, reports []operator.Report) {
 	fmt.Fprintln(w, "\nplace\tservice\tinstance\tlimit\tuse\tqueued\tfree\theadroom\tshifted/s\tcap")
 	for _, r := range reports {
@@ -93,7 +95,7 @@
 	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d", l.Limit, l.Use, l.Queued, l.Free, l.Headroom)
 }
 
-// writeTargets shows each target once, as its owner sees it.
+// writeTargets writes each target once, with the state that its owner reports.
 func writeTargets(w io.Writer, reports []operator.Report) {
 	fmt.Fprintln(w, "\ntarget\tservice\tplace\taddress\towner\tallowance\tuse\thealth\tdrained")
 	for _, r := range reports {
@@ -110,7 +112,7 @@
 	}
 }
 
-// writeDrains shows each drain once, with what is in flight at all instances.
+// writeDrains writes each drain once, with the number of requests in flight at all instances.
 func writeDrains(w io.Writer, reports []operator.Report) {
 	drains := mergeDrains(reports)
 	if len(drains) == 0 {
@@ -122,22 +124,23 @@
 		if !d.Finish.IsZero() {
 			finish = d.Finish.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drained(d), d.Left, finish, d.Reason)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drainSubject(d), d.Left, finish, d.Reason)
 	}
 }
 
-// mergeDrains adds up what is left of each drain; the last to finish counts.
+// mergeDrains returns each drain once, with the sum of the requests left at all instances and the
+// latest finish time.
 func mergeDrains(reports []operator.Report) []operator.Drain {
 	var all []operator.Drain
-	at := make(map[string]int)
+	index := make(map[string]int)
 	for _, r := range reports {
 		if r.Status == nil {
 			continue
 		}
 		for _, d := range r.Status.Drains {
-			i, ok := at[d.Path]
+			i, ok := index[d.Path]
 			if !ok {
-				at[d.Path] = len(all)
+				index[d.Path] = len(all)
 				all = append(all, d)
 				continue
 			}
@@ -150,7 +153,7 @@
 	return all
 }
 
-func drained(d operator.Drain) string {
+func drainSubject(d operator.Drain) string {
 	switch {
 	case d.Instance != "":
 		return "instance " + d.Instance
