--- a/internal/soak/caller_test.go
+++ b/internal/soak/caller_test.go
@@ -18,26 +18,26 @@
 // caller sends requests one after the other, and keeps its connection until the
 // process at its other end is gone.
 type caller struct {
-	world *world
-	name  string
-	rng   *rand.Rand
-	conn  net.Conn
-	read  *bufio.Reader
-	sent  int
-	crash bool // it sends the request that ends targets, and nothing else
+	cluster  *cluster
+	name     string
+	rng      *rand.Rand
+	conn     net.Conn
+	read     *bufio.Reader
+	requests int
+	poison   bool // it sends the request that ends targets, and nothing else
 
 	workspace *workspace
-	keys      *rand.Rand // decides which key it shows
+	keyRNG    *rand.Rand // decides which key it shows
 }
 
-// crashEvery is the pause between two requests that end targets.
-const crashEvery = 100 * time.Millisecond
+// crashInterval is the pause between two requests that end targets.
+const crashInterval = 100 * time.Millisecond
 
-// mostWait is the most of a refusal's time that callers wait for.
-const mostWait = patience / 3
+// maxRetryAfter is the most of a refusal's time that callers wait for.
+const maxRetryAfter = callerTimeout / 3
 
-// patience is how long a caller waits for an answer, as it says in its requests.
-const patience = 2 * time.Second
+// callerTimeout is how long a caller waits for an answer, as it says in its requests.
+const callerTimeout = 2 * time.Second
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -53,7 +53,7 @@
 
 // connect asks some instance where to go, and goes to one of those that it names.
 func (c *caller) connect(ctx context.Context) bool {
-	e := c.world.edges[c.rng.IntN(len(c.world.edges))]
+	e := c.cluster.edges[c.rng.IntN(len(c.cluster.edges))]
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet,
@@ -90,9 +90,9 @@
 
 // request sends one request and checks its answer.
 func (c *caller) request() {
-	c.sent++
-	id := fmt.Sprintf("%s-%d", c.name, c.sent)
-	method, once := "GET", c.rng.IntN(2) == 0 && !c.crash
+	c.requests++
+	id := fmt.Sprintf("%s-%d", c.name, c.requests)
+	method, once := "GET", c.rng.IntN(2) == 0 && !c.poison
 	if once {
 		method = "POST"
 	}
@@ -100,49 +100,49 @@
 	if once {
 		path = "/do/x"
 	}
-	body, object := fmt.Sprint("b", c.sent), c.rng.IntN(20)
-	if c.crash {
-		path, body, object = crashPath, "", 0
-		time.Sleep(crashEvery)
+	body, affinityKey := fmt.Sprint("b", c.requests), c.rng.IntN(20)
+	if c.poison {
+		path, body, affinityKey = crashPath, "", 0
+		time.Sleep(crashInterval)
 	}
-	account, key := c.workspace, c.workspace.key
-	if !c.crash && c.keys.IntN(40) == 0 {
-		account, key = nil, unknownKey
+	owner, key := c.workspace, c.workspace.key
+	if !c.poison && c.keyRNG.IntN(40) == 0 {
+		owner, key = nil, unknownKey
 	}
-	c.world.accounts.sent(id, account)
-	c.world.journal.sent(id, once)
-	c.conn.SetDeadline(time.Now().Add(patience + time.Second))
+	c.cluster.workspaces.recordSent(id, owner)
+	c.cluster.journal.recordSent(id, once)
+	c.conn.SetDeadline(time.Now().Add(callerTimeout + time.Second))
 	fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nDeadline-Ms: %d\r\nCookie: Affinity-Key=%d\r\nAuthorization: Bearer %s\r\nTenant: pretended\r\nContent-Length: %d\r\n\r\n%s",
-		method, path, id, patience.Milliseconds(), object, key, len(body), body)
-	if !c.crash && c.rng.IntN(50) == 0 { // leaves with the answer due
+		method, path, id, callerTimeout.Milliseconds(), affinityKey, key, len(body), body)
+	if !c.poison && c.rng.IntN(50) == 0 { // leaves with the answer due
 		c.hangUp()
 		return
 	}
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
-		c.world.journal.answered(id, 0, "")
+		c.cluster.journal.recordAnswer(id, 0, "")
 		c.hangUp()
 		return
 	}
-	got, err := io.ReadAll(resp.Body)
+	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.world.journal.answered(id, 0, "")
+		c.cluster.journal.recordAnswer(id, 0, "")
 		c.hangUp()
 		return
 	}
-	c.world.accounts.answered(id, resp.StatusCode)
-	c.world.wants.toldBy(c.conn.RemoteAddr(), resp.Header)
-	c.world.journal.answered(id, resp.StatusCode, wrong(resp, id, string(got), body))
+	c.cluster.workspaces.checkAnswer(id, resp.StatusCode)
+	c.cluster.notices.recordNotices(c.conn.RemoteAddr(), resp.Header)
+	c.cluster.journal.recordAnswer(id, resp.StatusCode, checkAnswer(resp, id, string(answer), body))
 	if resp.Close {
 		c.hangUp()
 	}
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		time.Sleep(min(time.Duration(seconds*float64(time.Second)), mostWait))
+		time.Sleep(min(time.Duration(seconds*float64(time.Second)), maxRetryAfter))
 	}
 }
 
-// wrong says what is wrong with an answer; "" if nothing is.
-func wrong(resp *http.Response, id, got, body string) string {
+// checkAnswer says what is checkAnswer with an answer; "" if nothing is.
+func checkAnswer(resp *http.Response, id, got, body string) string {
 	want := answerTo(id, []byte(body))
 	switch {
 	case resp.Header.Get("Request-Id") != id:
--- /dev/null
+++ b/internal/soak/cluster_test.go
@@ -0,0 +1,150 @@
+//go:build linux
+
+package soak
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http/httptest"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/firlever/firlever/internal/emulator/link"
+	"github.com/firlever/firlever/internal/emulator/store"
+	"github.com/firlever/firlever/platform"
+)
+
+const (
+	edgeCount    = 4
+	targetCount  = 6
+	callerCount  = 8
+	maxAttempts  = 2 // of the routes
+	routeTimeout = 500 * time.Millisecond
+)
+
+// restoreStream keeps the draws for returns of the store apart from others of the same seed.
+const restoreStream = 0xbac
+
+// cluster is a whole deployment, with what may be done to it.
+type cluster struct {
+	t             *testing.T
+	rng           *rand.Rand
+	restoreRNG    *rand.Rand // decides when the store goes back
+	links         *link.Links
+	store         *store.Store
+	journal       *journal
+	notices       *noticeChecker
+	workspaces    *workspaceChecker
+	edges         []*edge
+	targets       []*target
+	removed       []*target     // that the store has no entry of any more
+	nextTarget    int           // number of the next target
+	configVersion atomic.Int64  // of the configuration
+	quiet         atomic.Bool   // no fault has come for some time
+	snapshots     []*store.Copy // of the store, the newest last
+
+	mu           sync.Mutex
+	activeFaults map[string]bool // faults that last, by what they are on; guarded by mu
+	background   sync.WaitGroup
+}
+
+func newCluster(t *testing.T, seed uint64) *cluster {
+	c := &cluster{
+		t: t, rng: rand.New(rand.NewPCG(seed, seed)), restoreRNG: rand.New(rand.NewPCG(seed, restoreStream)), store: store.New(), journal: newJournal(), activeFaults: make(map[string]bool),
+		links: link.New(nil, link.Latency{}, seed, nil),
+	}
+	c.notices, c.workspaces = newNoticeChecker(c.journal), newWorkspaceChecker(c.journal)
+	server := httptest.NewServer(c.store)
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+		c.store.Close()
+	})
+	c.writeConfig()
+	for range targetCount {
+		c.addTarget()
+	}
+	var peers []string
+	for k := range edgeCount {
+		peers = append(peers, fmt.Sprintf("%s:%d", edgeIP(k), peerPort))
+	}
+	for k := range edgeCount {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		proxy := link.NewProxy(ln, c.links, link.At(fmt.Sprint("e", k)), link.At("store"), server.Listener.Addr().String())
+		t.Cleanup(func() { proxy.Close() })
+		e := newEdge(t, k, domainOf(k), proxy.Addr(), []string{peers[(k+1)%edgeCount], peers[(k+2)%edgeCount]})
+		e.onSignal = func() { c.notices.resetInstance(e.ip) }
+		e.start()
+		t.Cleanup(func() { e.stop(false) })
+		c.edges = append(c.edges, e)
+	}
+	return c
+}
+
+func domainOf(k int) string { return [...]string{"n1", "n2"}[k%2] }
+
+// writeConfig writes the next version of the configuration.
+func (c *cluster) writeConfig() {
+	version := c.configVersion.Add(1)
+	const route = `{"resource_kind":"routes","metadata":{"name":"%s"},"spec":{"host":"h","prefix":"/%s/","route_type":"%s","timeout":"%dms","target_latency":"100ms","max_attempts":%d,"service":"s","session_affinity":true}}`
+	const service = `{"resource_kind":"services","metadata":{"name":"s"},"spec":{"warmup":"300ms","cold_per_s":50}}`
+	const marker = `{"resource_kind":"routes","metadata":{"name":"at"},"spec":{"host":"h","prefix":"%s","route_type":"idempotent","timeout":"1s","target_latency":"1s","max_attempts":1,"service":"none","public":true}}`
+	c.store.Put(platform.ConfigKey, fmt.Appendf(nil, `{"version":%d,"resources":[%s,%s,%s,%s,%s,%s]}`, version,
+		fmt.Sprintf(marker, markerPath(version)),
+		fmt.Sprintf(route, "get", "get", "idempotent", routeTimeout.Milliseconds(), maxAttempts),
+		fmt.Sprintf(route, "do", "do", "non_idempotent", routeTimeout.Milliseconds(), maxAttempts), service,
+		unlimited.resource(), limited.resource()))
+}
+
+// addTarget adds a target.
+func (c *cluster) addTarget() {
+	t := newTarget(c, fmt.Sprint("t", c.nextTarget), domainOf(c.nextTarget), c.rng.Uint64())
+	c.nextTarget++
+	c.targets = append(c.targets, t)
+	t.register(c.store, "ready", 100*time.Millisecond)
+}
+
+// startCallers runs the callers until ctx ends.
+func (c *cluster) startCallers(ctx context.Context, seed uint64) {
+	for k := range callerCount {
+		cl := c.newCaller(seed, k)
+		cl.name = fmt.Sprint("c", k)
+		if k%2 == 1 {
+			cl.workspace = limited
+		}
+		c.background.Go(func() { cl.run(ctx) })
+	}
+	for _, e := range c.edges {
+		c.background.Go(func() { c.watchConfig(ctx, e) })
+	}
+	if seed%2 == 1 {
+		poisoner := c.newCaller(seed, callerCount)
+		poisoner.name, poisoner.poison = "crash", true
+		c.background.Go(func() { poisoner.run(ctx) })
+	}
+}
+
+func (c *cluster) newCaller(seed uint64, k int) *caller {
+	return &caller{
+		cluster: c, workspace: unlimited,
+		rng: rand.New(rand.NewPCG(seed, uint64(k))), keyRNG: rand.New(rand.NewPCG(seed, uint64(1000+k))),
+	}
+}
+
+// waitUntil fails the test unless ok holds waitUntil a time.
+func (c *cluster) waitUntil(limit time.Duration, condition string, holds func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if holds() {
+			return
+		}
+	}
+	c.t.Errorf("not within %s: %s", limit, condition)
+}
--- a/internal/soak/edge_test.go
+++ b/internal/soak/edge_test.go
@@ -35,31 +35,31 @@
 	cmd  *exec.Cmd     // guarded by mu
 	done chan struct{} // closed when cmd has ended; guarded by mu
 	runs int           // starts so far; guarded by mu
-	out  lastLines
+	out  outputTail
 
-	harmed func() // called before and after a signal
+	onSignal func() // called before and after a signal
 }
 
 // grace is from SIGTERM to SIGKILL.
 const grace = 3 * time.Second
 
-func newEdge(t *testing.T, k int, domain, store string, seeds []string) *edge {
-	e := &edge{t: t, name: fmt.Sprintf("e%d", k), ip: address(k), domain: domain, harmed: func() {}}
+func newEdge(t *testing.T, k int, domain, storeAddress string, seeds []string) *edge {
+	e := &edge{t: t, name: fmt.Sprintf("e%d", k), ip: edgeIP(k), domain: domain, onSignal: func() {}}
 	e.settings = filepath.Join(t.TempDir(), "boot.yaml")
 	text := fmt.Sprintf(`{node: %q, ip: %q, zone: %q, region: north, zones: {n1: north, n2: north},
 listen: {front: %q, ready: %q, directory: %q, control: %q}, seeds: [%q, %q], platform: {address: %q, ttl_min: 500ms},
 bounds: {grace: %s, ttl_max: 1s, retry_budget_ratio: 0.2, retry_budget_slack: 60, warmup_overage: 1.5, warmup_slack: 5,
   quota_window: %s, quota_overage: %g, quota_slack: %d}}`,
 		e.name, e.ip, domain, e.address(callerPort), e.address(readyPort), e.address(lookupPort), e.address(peerPort),
-		seeds[0], seeds[1], store, grace, quotaWindow, quotaOver, quotaSlack)
+		seeds[0], seeds[1], storeAddress, grace, quotaWindow, quotaOverage, quotaSlack)
 	if err := os.WriteFile(e.settings, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-// address is an IP in 127.0.0.0/8 that only this test process uses.
-func address(k int) string {
+// edgeIP is an IP in 127.0.0.0/8 that only this test process uses.
+func edgeIP(k int) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 64+(pid>>12)%128, (pid>>4)%256, (pid%16)*16+k+1)
 }
@@ -70,7 +70,7 @@
 func (e *edge) start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	cmd := exec.Command(binary, "edge", "--settings", e.settings, "--ttl", "200ms")
+	cmd := exec.Command(binaryPath, "edge", "--settings", e.settings, "--ttl", "200ms")
 	cmd.Stdout, cmd.Stderr = &e.out, &e.out
 	if err := cmd.Start(); err != nil {
 		e.t.Errorf("start %s: %v", e.name, err)
@@ -85,8 +85,8 @@
 	}()
 }
 
-// run is the number of the process that runs, or ran last.
-func (e *edge) run() int {
+// runNumber is the number of the process that runs, or ran last.
+func (e *edge) runNumber() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs
@@ -94,8 +94,8 @@
 
 // signal sends a signal to the process that this test started.
 func (e *edge) signal(s syscall.Signal) {
-	e.harmed()
-	defer e.harmed()
+	e.onSignal()
+	defer e.onSignal()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd != nil {
@@ -104,11 +104,11 @@
 }
 
 // stop ends the process, in plan or at once, and returns when it is gone.
-func (e *edge) stop(planned bool) {
+func (e *edge) stop(graceful bool) {
 	e.mu.Lock()
 	done := e.done
 	e.mu.Unlock()
-	if planned {
+	if graceful {
 		e.signal(syscall.SIGTERM)
 		select {
 		case <-done:
@@ -119,7 +119,7 @@
 	}
 	e.signal(syscall.SIGKILL)
 	<-done
-	e.harmed()
+	e.onSignal()
 }
 
 // ready asks the instance whether it is ready.
@@ -133,24 +133,24 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// lastLines keeps the end of an output.
-type lastLines struct {
+// outputTail keeps the end of an output.
+type outputTail struct {
 	mu  sync.Mutex
 	buf bytes.Buffer // guarded by mu
 }
 
-const keepOutput = 64 << 10
+const maxOutput = 64 << 10
 
-func (l *lastLines) Write(b []byte) (int, error) {
+func (l *outputTail) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.buf.Len() > keepOutput {
+	if l.buf.Len() > maxOutput {
 		l.buf.Next(l.buf.Len() / 2)
 	}
 	return l.buf.Write(b)
 }
 
-func (l *lastLines) String() string {
+func (l *outputTail) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.String()
--- a/internal/soak/fault_test.go
+++ b/internal/soak/fault_test.go
@@ -12,24 +12,24 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// fault begins one fault at random. It ends by itself; others may begin meanwhile.
-func (w *world) fault() string {
-	e := w.edges[w.rng.IntN(len(w.edges))]
-	t := w.targets[w.rng.IntN(len(w.targets))]
-	length := time.Duration(100+w.rng.IntN(1200)) * time.Millisecond
-	switch w.rng.IntN(22) {
+// injectFault begins one injectFault at random. It ends by itself; others may begin meanwhile.
+func (c *cluster) injectFault() string {
+	e := c.edges[c.rng.IntN(len(c.edges))]
+	t := c.targets[c.rng.IntN(len(c.targets))]
+	length := time.Duration(100+c.rng.IntN(1200)) * time.Millisecond
+	switch c.rng.IntN(22) {
 	case 0:
-		w.lasting(e.name, func() { e.stop(false); time.Sleep(length / 4); e.start() })
+		c.startFault(e.name, func() { e.stop(false); time.Sleep(length / 4); e.start() })
 		return "kill " + e.name
 	case 1:
-		w.lasting(e.name, func() { e.stop(true); e.start() })
+		c.startFault(e.name, func() { e.stop(true); e.start() })
 		return "stop " + e.name
 	case 2:
-		w.lasting(e.name, func() { e.signal(syscall.SIGSTOP); time.Sleep(length); e.signal(syscall.SIGCONT) })
+		c.startFault(e.name, func() { e.signal(syscall.SIGSTOP); time.Sleep(length); e.signal(syscall.SIGCONT) })
 		return "pause " + e.name
 	case 15, 16:
 		// A suspended machine: the process is stopped, and its steady clock with it.
-		w.lasting(e.name, func() {
+		c.startFault(e.name, func() {
 			e.signal(syscall.SIGSTOP)
 			time.Sleep(length)
 			e.signal(syscall.SIGUSR2)
@@ -40,51 +40,51 @@
 		e.signal(syscall.SIGHUP)
 		return "reload " + e.name
 	case 4, 5:
-		f := []link.Fault{{Cut: true}, {Refuse: true}, {Delay: 60 * time.Millisecond}, {Loss: 0.3}}[w.rng.IntN(4)]
-		w.path(e.name, "store", f, length)
+		f := []link.Fault{{Cut: true}, {Refuse: true}, {Delay: 60 * time.Millisecond}, {Loss: 0.3}}[c.rng.IntN(4)]
+		c.injectLinkFault(e.name, "store", f, length)
 		return fmt.Sprintf("%s to the store: %+v", e.name, f)
 	case 6, 7:
-		f := []link.Fault{{Cut: true}, {Refuse: true}, {Delay: 100 * time.Millisecond}, {Loss: 0.3}}[w.rng.IntN(4)]
-		w.path("edges", t.domain, f, length)
+		f := []link.Fault{{Cut: true}, {Refuse: true}, {Delay: 100 * time.Millisecond}, {Loss: 0.3}}[c.rng.IntN(4)]
+		c.injectLinkFault("edges", t.domain, f, length)
 		return fmt.Sprintf("to targets of %s: %+v", t.domain, f)
 	case 8:
-		f := storeFaults[w.rng.IntN(len(storeFaults))]
-		w.lasting("store", func() { w.store.SetFaults(f); time.Sleep(length); w.store.SetFaults(store.Faults{}) })
+		f := storeFaults[c.rng.IntN(len(storeFaults))]
+		c.startFault("store", func() { c.store.SetFaults(f); time.Sleep(length); c.store.SetFaults(store.Faults{}) })
 		return fmt.Sprintf("store: %+v", f)
 	case 9:
-		w.store.Forget()
+		c.store.Forget()
 		return "store forgets its history"
 	case 10:
-		w.store.Revoke()
+		c.store.Revoke()
 		return "store revokes leases"
 	case 11:
-		w.lasting(t.name, func() { t.bad.Store(60); time.Sleep(length); t.bad.Store(3) })
+		c.startFault(t.name, func() { t.faultPercent.Store(60); time.Sleep(length); t.faultPercent.Store(3) })
 		return "bad answers of " + t.name
 	case 12:
-		for _, t := range w.targets {
-			w.lasting(t.name, func() { t.bad.Store(60); time.Sleep(length); t.bad.Store(3) })
+		for _, t := range c.targets {
+			c.startFault(t.name, func() { t.faultPercent.Store(60); time.Sleep(length); t.faultPercent.Store(3) })
 		}
 		return "bad answers of all targets"
 	case 17:
-		n := notice.Notice{Limited: true, Limit: float64(w.rng.IntN(40)) / 2}
-		w.constrain([]*target{t}, n, 3*length)
+		n := notice.Notice{Limited: true, Limit: float64(c.rng.IntN(40)) / 2}
+		c.setNotice([]*target{t}, n, 3*length)
 		return fmt.Sprintf("%s says %+v", t.name, n)
 	case 18, 19:
 		n := notice.Notice{Rest: 2 * length}
-		w.constrain([]*target{t}, n, length)
+		c.setNotice([]*target{t}, n, length)
 		return fmt.Sprintf("%s says %+v", t.name, n)
 	case 20:
-		n := []notice.Notice{{Rest: length}, {Limited: true, Limit: 10}}[w.rng.IntN(2)]
-		w.constrain(w.targets, n, length)
+		n := []notice.Notice{{Rest: length}, {Limited: true, Limit: 10}}[c.rng.IntN(2)]
+		c.setNotice(c.targets, n, length)
 		return fmt.Sprintf("all targets say %+v", n)
 	case 21:
-		w.leave()
+		c.announceLeaving()
 		return "a target says that it leaves"
 	case 13:
-		w.replace()
+		c.replaceTarget()
 		return "replace a target"
 	default:
-		w.configure()
+		c.writeConfig()
 		return "configure"
 	}
 }
@@ -99,94 +99,94 @@
 	{LateShare: 0.5, Delay: time.Second},
 }
 
-// lasting runs a fault on something, unless one is on it already.
-func (w *world) lasting(on string, f func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.broken[on] {
+// startFault runs a fault on something, unless one is on it already.
+func (c *cluster) startFault(subject string, inject func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.activeFaults[subject] {
 		return
 	}
-	w.broken[on] = true
-	w.work.Go(func() {
-		f()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.broken[on] = false
+	c.activeFaults[subject] = true
+	c.background.Go(func() {
+		inject()
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.activeFaults[subject] = false
 	})
 }
 
-// path puts a fault on the way there, or there and back.
-func (w *world) path(from, to string, f link.Fault, length time.Duration) {
-	both := w.rng.IntN(2) == 0
-	w.lasting(from+to, func() {
-		w.wants.harm(to, 1)
-		defer w.wants.harm(to, -1)
-		w.links.Set(from, to, f)
+// injectLinkFault puts a fault on the way there, or there and back.
+func (c *cluster) injectLinkFault(from, to string, fault link.Fault, length time.Duration) {
+	both := c.rng.IntN(2) == 0
+	c.startFault(from+to, func() {
+		c.notices.addFaults(to, 1)
+		defer c.notices.addFaults(to, -1)
+		c.links.Set(from, to, fault)
 		if both {
-			w.links.Set(to, from, f)
+			c.links.Set(to, from, fault)
 		}
 		time.Sleep(length)
-		w.links.Set(from, to, link.Fault{})
-		w.links.Set(to, from, link.Fault{})
+		c.links.Set(from, to, link.Fault{})
+		c.links.Set(to, from, link.Fault{})
 	})
 }
 
-// mostCopies bounds the copies of the store that are kept: the oldest is some seconds old.
-const mostCopies = 20
+// maxSnapshots bounds the copies of the store that are kept: the oldest is some seconds old.
+const maxSnapshots = 20
 
-// restoreEvery is how many other faults come for one return of the store.
-const restoreEvery = 8
+// faultsPerRestore is how many other faults come for one return of the store.
+const faultsPerRestore = 8
 
-// restore takes a copy of the store, and now and then lets the store come back from one, mostly
+// maybeRestore takes a copy of the store, and now and then lets the store come back from one, mostly
 // after it was away. What it has lost is written again some time later. It returns "" if it does
 // nothing else.
-func (w *world) restore() string {
-	w.copies = append(w.copies, w.store.Copy())
-	w.copies = w.copies[max(0, len(w.copies)-mostCopies):]
-	if w.backs.IntN(restoreEvery) != 0 {
+func (c *cluster) maybeRestore() string {
+	c.snapshots = append(c.snapshots, c.store.Copy())
+	c.snapshots = c.snapshots[max(0, len(c.snapshots)-maxSnapshots):]
+	if c.restoreRNG.IntN(faultsPerRestore) != 0 {
 		return ""
 	}
-	k := w.backs.IntN(len(w.copies))
-	c := w.copies[k]
-	w.copies = w.copies[:k+1]
-	f := append(storeFaults[:2:2], store.Faults{})[w.backs.IntN(3)]
-	length := time.Duration(w.backs.IntN(1200)) * time.Millisecond
-	again := time.Duration(w.backs.IntN(1500)) * time.Millisecond
-	w.lasting("store", func() {
-		w.store.SetFaults(f)
+	k := c.restoreRNG.IntN(len(c.snapshots))
+	snapshot := c.snapshots[k]
+	c.snapshots = c.snapshots[:k+1]
+	fault := append(storeFaults[:2:2], store.Faults{})[c.restoreRNG.IntN(3)]
+	length := time.Duration(c.restoreRNG.IntN(1200)) * time.Millisecond
+	rewriteDelay := time.Duration(c.restoreRNG.IntN(1500)) * time.Millisecond
+	c.startFault("store", func() {
+		c.store.SetFaults(fault)
 		time.Sleep(length)
-		w.store.GoBack(c)
-		w.store.SetFaults(store.Faults{})
-		time.Sleep(again)
-		w.store.Rewrite()
+		c.store.GoBack(snapshot)
+		c.store.SetFaults(store.Faults{})
+		time.Sleep(rewriteDelay)
+		c.store.Rewrite()
 	})
-	return fmt.Sprintf("store goes back by %d of %d copies: %+v, written again after %s", mostCopies-k, mostCopies, f, again)
+	return fmt.Sprintf("store goes back by %d of %d copies: %+v, written again after %s", maxSnapshots-k, maxSnapshots, fault, rewriteDelay)
 }
 
-// lastReturn lets the store come back from the oldest copy when all faults are over. Changes go on
+// finalRestore lets the store come back from the oldest copy when all faults are over. Changes go on
 // with revisions that were given out before.
-func (w *world) lastReturn() {
-	w.store.GoBack(w.copies[0])
-	time.Sleep(time.Duration(w.backs.IntN(500)) * time.Millisecond)
-	w.store.Rewrite()
-	w.configure()
+func (c *cluster) finalRestore() {
+	c.store.GoBack(c.snapshots[0])
+	time.Sleep(time.Duration(c.restoreRNG.IntN(500)) * time.Millisecond)
+	c.store.Rewrite()
+	c.writeConfig()
 }
 
-// replace lets the oldest target leave in plan, and adds another.
-func (w *world) replace() {
-	old := w.targets[0]
-	w.targets = w.targets[1:]
-	w.add()
-	w.gone = append(w.gone, old)
-	old.register(w.store, "draining", 0)
-	w.work.Go(func() {
-		time.Sleep(leaving)
+// replaceTarget lets the oldest target leave in plan, and adds another.
+func (c *cluster) replaceTarget() {
+	old := c.targets[0]
+	c.targets = c.targets[1:]
+	c.addTarget()
+	c.removed = append(c.removed, old)
+	old.register(c.store, "draining", 0)
+	c.background.Go(func() {
+		time.Sleep(leavingTime)
 		old.mu.Lock()
 		old.closed = true // it does not come back when it ends
 		old.mu.Unlock()
-		w.store.Remove("servers/" + old.id())
+		c.store.Remove("servers/" + old.id())
 	})
 }
 
-// leaving is how long a target that leaves serves on.
-const leaving = 2 * time.Second
+// leavingTime is how long a target that leaves serves on.
+const leavingTime = 2 * time.Second
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// binary is the built program.
-var binary string
+// binaryPath is the built program.
+var binaryPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -23,8 +23,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binary = filepath.Join(dir, "firlever")
-	build := exec.Command("go", "build", "-tags", "soak", "-o", binary, "github.com/firlever/firlever/cmd/firlever")
+	binaryPath = filepath.Join(dir, "firlever")
+	build := exec.Command("go", "build", "-tags", "soak", "-o", binaryPath, "github.com/firlever/firlever/cmd/firlever")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -16,37 +16,37 @@
 
 // Bounds of what reaches a target from instances that know which requests it wants.
 const (
-	leavingWithin = time.Second // a request that was sent before may be on its way as long
-	toldWithin    = 500 * time.Millisecond
-	limitWindow   = 4 * time.Second
-	limitOver     = 1.5
-	limitSlack    = 5
-	mostInRest    = 2
+	leavingDelay = time.Second // a request that was sent before may be on its way as long
+	noticeDelay  = 500 * time.Millisecond
+	limitWindow  = 4 * time.Second
+	limitOverage = 1.5
+	limitSlack   = 5
+	maxInBackOff = 2
 )
 
 // headerRun names the run of a target that answers, for callers.
 const headerRun = "Target-Run"
 
-// wants holds what targets have said of the requests that they want, and what reached them.
-type wants struct {
+// noticeChecker holds what targets have said of the requests that they want, and what reached them.
+type noticeChecker struct {
 	journal *journal
 
-	mu      sync.Mutex
-	told    map[word]map[string]time.Time // by instance: when it first passed on an answer that says so; guarded by mu
-	rests   map[string][]*rest            // by run; guarded by mu
-	arrived map[string][]visit            // by run, within limitWindow; guarded by mu
-	harmed  map[string]int                // faults on the way to the targets of a domain; guarded by mu
+	mu           sync.Mutex
+	relayed      map[noticeHeader]map[string]time.Time // by instance: when it first passed on an answer that says so; guarded by mu
+	backOffs     map[string][]*backOff                 // by run; guarded by mu
+	arrivals     map[string][]arrival                  // by run, within limitWindow; guarded by mu
+	activeFaults map[string]int                        // faults on the way to the targets of a domain; guarded by mu
 }
 
-// rest is a span in which a run wants nothing from an instance.
-type rest struct {
+// backOff is a span in which a run wants nothing from an instance.
+type backOff struct {
 	instance string
 	from, to time.Time
-	got      int
+	requests int
 }
 
-// word is a header by which a run says what it wants.
-type word struct{ run, header string }
+// noticeHeader is a header by which a run says what it wants.
+type noticeHeader struct{ run, header string }
 
 // Headers of notices.
 const (
@@ -54,168 +54,168 @@
 	headerLimit   = "Server-Limit"
 )
 
-// visit is a request at a target.
-type visit struct {
+// arrival is a request at a target.
+type arrival struct {
 	at       time.Time
 	instance string
 }
 
-func newWants(j *journal) *wants {
-	return &wants{
-		journal: j, told: make(map[word]map[string]time.Time), rests: make(map[string][]*rest),
-		arrived: make(map[string][]visit), harmed: make(map[string]int),
+func newNoticeChecker(j *journal) *noticeChecker {
+	return &noticeChecker{
+		journal: j, relayed: make(map[noticeHeader]map[string]time.Time), backOffs: make(map[string][]*backOff),
+		arrivals: make(map[string][]arrival), activeFaults: make(map[string]int),
 	}
 }
 
-// passed notes that an instance has passed on an answer that says something.
-func (w *wants) passed(said word, instance string, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.told[said] == nil {
-		w.told[said] = make(map[string]time.Time)
+// recordRelayed notes that an instance has recordRelayed on an answer that says something.
+func (c *noticeChecker) recordRelayed(header noticeHeader, instance string, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.relayed[header] == nil {
+		c.relayed[header] = make(map[string]time.Time)
 	}
-	if w.told[said][instance].IsZero() {
-		w.told[said][instance] = now
+	if c.relayed[header][instance].IsZero() {
+		c.relayed[header][instance] = now
 	}
 }
 
-// rested notes that a run has asked an instance for rest.
-func (w *wants) rested(run, instance, domain string, now, until time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.harmed[domain] == 0 {
-		w.rests[run] = append(w.rests[run], &rest{instance: instance, from: now.Add(toldWithin), to: until})
+// recordBackOff notes that a run has asked an instance for rest.
+func (c *noticeChecker) recordBackOff(run, instance, domain string, now, until time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.activeFaults[domain] == 0 {
+		c.backOffs[run] = append(c.backOffs[run], &backOff{instance: instance, from: now.Add(noticeDelay), to: until})
 	}
 }
 
-// visited checks a request that reaches a run which says something.
-func (w *wants) visited(run, instance string, said notice.Notice, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	told := w.told[word{run, headerLeaving}][instance]
-	if said.Leaving && !told.IsZero() && now.Sub(told) > leavingWithin {
-		w.fault("%s gets a request of %s %s after that has passed on that it leaves", run, instance, now.Sub(told))
+// checkArrival checks a request that reaches a run which says something.
+func (c *noticeChecker) checkArrival(run, instance string, announced notice.Notice, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	relayed := c.relayed[noticeHeader{run, headerLeaving}][instance]
+	if announced.Leaving && !relayed.IsZero() && now.Sub(relayed) > leavingDelay {
+		c.addViolation("%s gets a request of %s %s after that has passed on that it leaves", run, instance, now.Sub(relayed))
 	}
-	for _, r := range w.rests[run] {
-		if r.instance != instance || now.Before(r.from) || !now.Before(r.to) {
+	for _, b := range c.backOffs[run] {
+		if b.instance != instance || now.Before(b.from) || !now.Before(b.to) {
 			continue
 		}
-		if r.got++; r.got == mostInRest+1 {
-			w.fault("%s gets %d requests of %s within the time of rest that it has asked for", run, r.got, instance)
+		if b.requests++; b.requests == maxInBackOff+1 {
+			c.addViolation("%s gets %d requests of %s within the time of rest that it has asked for", run, b.requests, instance)
 		}
 	}
-	if said.Limited {
-		w.count(run, visit{at: now, instance: instance}, said.Limit)
+	if announced.Limited {
+		c.checkLimit(run, arrival{at: now, instance: instance}, announced.Limit)
 	}
 }
 
-// count checks that a run gets no more than its limit from all instances that know it. w.mu is held.
-func (w *wants) count(run string, v visit, limit float64) {
-	list := slices.DeleteFunc(append(w.arrived[run], v), func(o visit) bool { return v.at.Sub(o.at) >= limitWindow })
-	w.arrived[run] = list
-	n := 0
-	for _, o := range list {
-		if told := w.told[word{run, headerLimit}][o.instance]; !told.IsZero() && o.at.Sub(told) >= toldWithin {
-			n++
+// checkLimit checks that a run gets no more than its limit from all instances that know it. w.mu is held.
+func (c *noticeChecker) checkLimit(run string, latest arrival, limit float64) {
+	recent := slices.DeleteFunc(append(c.arrivals[run], latest), func(a arrival) bool { return latest.at.Sub(a.at) >= limitWindow })
+	c.arrivals[run] = recent
+	arrived := 0
+	for _, a := range recent {
+		if relayed := c.relayed[noticeHeader{run, headerLimit}][a.instance]; !relayed.IsZero() && a.at.Sub(relayed) >= noticeDelay {
+			arrived++
 		}
 	}
-	if most := int(limitOver*limit*limitWindow.Seconds()) + limitSlack; n == most+1 {
-		w.fault("%s takes %.1f requests a second and gets %d in %s", run, limit, n, limitWindow)
+	if maxArrivals := int(limitOverage*limit*limitWindow.Seconds()) + limitSlack; arrived == maxArrivals+1 {
+		c.addViolation("%s takes %.1f requests a second and gets %d in %s", run, limit, arrived, limitWindow)
 	}
 }
 
-func (w *wants) fault(format string, args ...any) {
-	w.journal.mu.Lock()
-	defer w.journal.mu.Unlock()
-	w.journal.fault(format, args...)
+func (c *noticeChecker) addViolation(format string, args ...any) {
+	c.journal.mu.Lock()
+	defer c.journal.mu.Unlock()
+	c.journal.addViolationLocked(format, args...)
 }
 
-// excuse forgets what an instance knows: it is killed, paused or stopped.
-func (w *wants) excuse(instance string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, told := range w.told {
-		delete(told, instance)
+// resetInstance forgets what an instance knows: it is killed, paused or stopped.
+func (c *noticeChecker) resetInstance(instance string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, relayed := range c.relayed {
+		delete(relayed, instance)
 	}
-	for run, list := range w.rests {
-		w.rests[run] = slices.DeleteFunc(list, func(r *rest) bool { return r.instance == instance })
+	for run, backOffs := range c.backOffs {
+		c.backOffs[run] = slices.DeleteFunc(backOffs, func(b *backOff) bool { return b.instance == instance })
 	}
 }
 
-// harm notes that a fault on the way to the targets of a domain begins, or ends.
-func (w *wants) harm(domain string, change int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.harmed[domain] += change
-	clear(w.rests)
+// addFaults notes that a fault on the way to the targets of a domain begins, or ends.
+func (c *noticeChecker) addFaults(domain string, delta int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.activeFaults[domain] += delta
+	clear(c.backOffs)
 }
 
-// renew forgets what reached a run while it named another limit.
-func (w *wants) renew(run string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.told, word{run, headerLimit})
-	delete(w.arrived, run)
+// resetLimit forgets what reached a run while it named another limit.
+func (c *noticeChecker) resetLimit(run string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.relayed, noticeHeader{run, headerLimit})
+	delete(c.arrivals, run)
 }
 
-// constrain lets targets say something for a while.
-func (w *world) constrain(list []*target, n notice.Notice, length time.Duration) {
-	for _, t := range list {
-		w.lasting(t.name+" says", func() {
-			t.said.Store(&n)
-			w.wants.renew(t.id())
+// setNotice lets targets say something for a while.
+func (c *cluster) setNotice(targets []*target, n notice.Notice, length time.Duration) {
+	for _, t := range targets {
+		c.startFault(t.name+" says", func() {
+			t.notice.Store(&n)
+			c.notices.resetLimit(t.id())
 			time.Sleep(length)
-			t.said.Store(&notice.Notice{})
+			t.notice.Store(&notice.Notice{})
 		})
 	}
 }
 
-// leave lets the oldest target say that it leaves, and another come. The store hears later, if
+// announceLeaving lets the oldest target say that it leaves, and another come. The store hears later, if
 // it does at all, that the old one is gone.
-func (w *world) leave() {
-	old := w.targets[0]
-	w.targets = w.targets[1:]
-	w.add()
-	old.said.Store(&notice.Notice{Leaving: true})
-	w.work.Go(func() {
-		time.Sleep(2 * leaving)
-		w.store.Remove("servers/" + old.id())
-		time.Sleep(leaving)
+func (c *cluster) announceLeaving() {
+	old := c.targets[0]
+	c.targets = c.targets[1:]
+	c.addTarget()
+	old.notice.Store(&notice.Notice{Leaving: true})
+	c.background.Go(func() {
+		time.Sleep(2 * leavingTime)
+		c.store.Remove("servers/" + old.id())
+		time.Sleep(leavingTime)
 		old.close()
 	})
 }
 
-// say writes what the target says into the head of an answer. It returns true if it refuses the
+// writeNotice writes what the target says into the head of an answer. It returns true if it refuses the
 // request for rest.
-func (t *target) say(h http.Header, r *http.Request) bool {
-	said := *t.said.Load()
-	if !said.Any() {
+func (t *target) writeNotice(h http.Header, r *http.Request) bool {
+	announced := *t.notice.Load()
+	if !announced.Any() {
 		return false
 	}
 	now, run := time.Now(), t.id()
 	instance, _, _ := net.SplitHostPort(r.RemoteAddr)
-	t.world.wants.visited(run, instance, said, now)
+	t.cluster.notices.checkArrival(run, instance, announced, now)
 	h.Set(headerRun, run)
-	if said.Leaving {
+	if announced.Leaving {
 		h.Set(headerLeaving, "1")
 	}
-	if said.Limited {
-		h.Set(headerLimit, fmt.Sprint(said.Limit))
+	if announced.Limited {
+		h.Set(headerLimit, fmt.Sprint(announced.Limit))
 	}
-	if said.Rest == 0 {
+	if announced.Rest == 0 {
 		return false
 	}
-	h.Set("Retry-After", strconv.FormatFloat(said.Rest.Seconds(), 'f', 3, 64))
-	t.world.wants.rested(run, instance, t.domain, now, now.Add(said.Rest))
+	h.Set("Retry-After", strconv.FormatFloat(announced.Rest.Seconds(), 'f', 3, 64))
+	t.cluster.notices.recordBackOff(run, instance, t.domain, now, now.Add(announced.Rest))
 	return true
 }
 
-// toldBy notes what an answer says that an instance has passed on.
-func (w *wants) toldBy(instance net.Addr, h http.Header) {
+// recordNotices notes what an answer says that an instance has passed on.
+func (c *noticeChecker) recordNotices(instance net.Addr, h http.Header) {
 	ip, _, _ := net.SplitHostPort(instance.String())
 	for _, name := range []string{headerLeaving, headerLimit} {
 		if h.Get(name) != "" {
-			w.passed(word{h.Get(headerRun), name}, ip, time.Now())
+			c.recordRelayed(noticeHeader{h.Get(headerRun), name}, ip, time.Now())
 		}
 	}
 }
--- a/internal/soak/overload_test.go
+++ b/internal/soak/overload_test.go
@@ -16,10 +16,10 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// crowd are callers of the instance.
-func (e *edge) crowd() *rush.Rush {
-	return rush.New(e.address(callerPort), timeout, func(id string) string {
-		return fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nDeadline-Ms: %d\r\n\r\n", id, timeout.Milliseconds())
+// newLoad are callers of the instance.
+func (e *edge) newLoad() *rush.Rush {
+	return rush.New(e.address(callerPort), routeTimeout, func(id string) string {
+		return fmt.Sprintf("GET /get/x HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nDeadline-Ms: %d\r\n\r\n", id, routeTimeout.Milliseconds())
 	})
 }
 
@@ -30,8 +30,8 @@
 	if os.Getenv(envSoak) == "" {
 		t.Skip("set " + envSoak)
 	}
-	e := overloaded(t)
-	got, err := rush.Overload(e.cmd.Process.Pid, 2000, e.crowd)
+	e := startSingleCoreEdge(t)
+	got, err := rush.Overload(e.cmd.Process.Pid, 2000, e.newLoad)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	}
 }
 
-// overloaded starts an instance on one processor, with targets that have room.
-func overloaded(t *testing.T) *edge {
+// startSingleCoreEdge starts an instance on one processor, with targets that have room.
+func startSingleCoreEdge(t *testing.T) *edge {
 	fake := store.New()
 	server := httptest.NewServer(fake)
 	t.Cleanup(func() {
@@ -54,7 +54,7 @@
 		fake.Close()
 	})
 	const route = `{"resource_kind":"routes","metadata":{"name":"get"},"spec":{"host":"h","prefix":"/get/","route_type":"idempotent","timeout":"%dms","target_latency":"100ms","max_attempts":%d,"service":"s"}}`
-	fake.Put(platform.ConfigKey, fmt.Appendf(nil, `{"version":1,"resources":[%s]}`, fmt.Sprintf(route, timeout.Milliseconds(), attempts)))
+	fake.Put(platform.ConfigKey, fmt.Appendf(nil, `{"version":1,"resources":[%s]}`, fmt.Sprintf(route, routeTimeout.Milliseconds(), maxAttempts)))
 	for i := range 4 {
 		tg := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(5 * time.Millisecond)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,22 +24,22 @@
 	// how long that is watched: what lapsed in an outage may come back for 2 s.
 	settleTime = 4 * time.Second
 	quietTime  = time.Second
-	// least is the part of the requests that has to be answered with success under
+	// minSuccessShare is the part of the requests that has to be answered with success under
 	// all these faults; it was 0.7 to 0.9 when it was set.
-	least = 0.3
+	minSuccessShare = 0.3
 )
 
-// everyRun are the seeds of each run of the tests. A seed that ever failed joins
+// regressionSeeds are the seeds of each run of the tests. A seed that ever failed joins
 // them, with a line on the cause.
-var everyRun = []uint64{
+var regressionSeeds = []uint64{
 	1,
 	22, // requests from before a limit was lowered were counted against the lower one
 }
 
 // TestSoakShort plays the seeds of each run.
 func TestSoakShort(t *testing.T) {
-	for _, seed := range everyRun {
-		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { play(t, seed) })
+	for _, seed := range regressionSeeds {
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSeed(t, seed) })
 	}
 }
 
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 		if os.Getenv(envSoak) == "" {
-			play(t, seed)
+			runSeed(t, seed)
 			return
 		}
 	}
@@ -65,42 +65,42 @@
 		t.Fatalf("%s: %v", envSoak, err)
 	}
 	for end := time.Now().Add(length); time.Now().Before(end) && !t.Failed(); seed++ {
-		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { play(t, seed) })
+		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { runSeed(t, seed) })
 	}
 }
 
-// play runs one seed and checks what was seen.
-func play(t *testing.T, seed uint64) {
-	w := newWorld(t, seed)
-	w.within(recoverTime, "all instances are ready", w.ready)
+// runSeed runs one seed and checks what was seen.
+func runSeed(t *testing.T, seed uint64) {
+	c := newCluster(t, seed)
+	c.waitUntil(recoverTime, "all instances are ready", c.allReady)
 	ctx, cancel := context.WithCancel(context.Background())
-	w.calls(ctx, seed)
+	c.startCallers(ctx, seed)
 	var events []string
 	begin := time.Now()
 	for time.Since(begin) < runTime {
 		at := time.Since(begin).Round(time.Millisecond)
-		events = append(events, at.String()+" "+w.fault())
-		if back := w.restore(); back != "" {
+		events = append(events, at.String()+" "+c.injectFault())
+		if back := c.maybeRestore(); back != "" {
 			events = append(events, at.String()+" "+back)
 		}
-		time.Sleep(time.Duration(50+w.rng.IntN(300)) * time.Millisecond)
+		time.Sleep(time.Duration(50+c.rng.IntN(300)) * time.Millisecond)
 	}
-	w.within(recoverTime, "all instances are ready again", w.ready)
-	w.lastReturn()
-	w.within(recoverTime, "the last configuration is in force everywhere", w.current)
+	c.waitUntil(recoverTime, "all instances are ready again", c.allReady)
+	c.finalRestore()
+	c.waitUntil(recoverTime, "the last configuration is in force everywhere", c.configCurrent)
 	time.Sleep(settleTime)
-	w.quiet.Store(true)
+	c.quiet.Store(true)
 	time.Sleep(quietTime)
 	cancel()
-	w.work.Wait()
-	for _, t := range append(w.targets, w.gone...) {
+	c.background.Wait()
+	for _, t := range append(c.targets, c.removed...) {
 		t.close()
 	}
-	w.report(events)
+	c.report(events)
 }
 
-func (w *world) ready() bool {
-	for _, e := range w.edges {
+func (c *cluster) allReady() bool {
+	for _, e := range c.edges {
 		if !e.ready() {
 			return false
 		}
@@ -108,41 +108,41 @@
 	return true
 }
 
-// held lists the fingerprints of the requests that instances took for such as end targets.
-func (w *world) held() []string {
-	prints := make(map[string]bool)
-	for _, e := range w.edges {
-		for _, m := range heldLine.FindAllStringSubmatch(e.out.String(), -1) {
-			prints[m[1]] = true
+// heldRequests lists the fingerprints of the requests that instances took for such as end targets.
+func (c *cluster) heldRequests() []string {
+	fingerprints := make(map[string]bool)
+	for _, e := range c.edges {
+		for _, m := range heldPattern.FindAllStringSubmatch(e.out.String(), -1) {
+			fingerprints[m[1]] = true
 		}
 	}
-	return slices.Sorted(maps.Keys(prints))
+	return slices.Sorted(maps.Keys(fingerprints))
 }
 
-var heldLine = regexp.MustCompile(`msg="request ends targets" print=(\S+)`)
+var heldPattern = regexp.MustCompile(`msg="request ends targets" print=(\S+)`)
 
 // report fails the test for each broken promise, with what happened.
-func (w *world) report(events []string) {
-	j := w.journal
+func (c *cluster) report(events []string) {
+	j := c.journal
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	w.t.Logf("%d requests, %d with success, by status %v, %d targets ended by one", j.all, j.good, j.statuses, j.crashes)
-	if held := w.held(); len(held) > 1 {
-		w.t.Errorf("got requests %v held back as ending targets, want one at most", held)
+	c.t.Logf("%d requests, %d with success, by status %v, %d targets ended by one", j.total, j.succeeded, j.statuses, j.crashes)
+	if held := c.heldRequests(); len(held) > 1 {
+		c.t.Errorf("got requests %v held back as ending targets, want one at most", held)
 	}
-	for _, f := range j.faults {
-		w.t.Error(f)
+	for _, f := range j.violations {
+		c.t.Error(f)
 	}
-	if float64(j.good) < least*float64(j.all) || j.all == 0 {
-		w.t.Errorf("got %d of %d requests served", j.good, j.all)
+	if float64(j.succeeded) < minSuccessShare*float64(j.total) || j.total == 0 {
+		c.t.Errorf("got %d of %d requests served", j.succeeded, j.total)
 	}
-	if !w.t.Failed() {
+	if !c.t.Failed() {
 		return
 	}
 	for _, e := range events {
-		w.t.Log(e)
+		c.t.Log(e)
 	}
-	for _, e := range w.edges {
-		w.t.Logf("%s:\n%s", e.name, e.out.String())
+	for _, e := range c.edges {
+		c.t.Logf("%s:\n%s", e.name, e.out.String())
 	}
 }
--- a/internal/soak/target_test.go
+++ b/internal/soak/target_test.go
@@ -23,38 +23,38 @@
 // request for crashPath.
 type target struct {
 	name, domain string
-	world        *world
+	cluster      *cluster
 	journal      *journal
 	server       *httptest.Server
-	bad          atomic.Int64 // percent of the requests at which it misbehaves
-	reports      atomic.Int64 // that it has written of itself
-	said         atomic.Pointer[notice.Notice]
-
-	mu     sync.Mutex
-	rng    *rand.Rand  // guarded by mu
-	proxy  *link.Proxy // guarded by mu
-	runs   int         // of it so far; guarded by mu
-	ending bool        // guarded by mu
-	closed bool        // for good; guarded by mu
+	faultPercent atomic.Int64 // percent of the requests at which it misbehaves
+	sequence     atomic.Int64 // that it has written of itself
+	notice       atomic.Pointer[notice.Notice]
+
+	mu       sync.Mutex
+	rng      *rand.Rand  // guarded by mu
+	proxy    *link.Proxy // guarded by mu
+	runs     int         // of it so far; guarded by mu
+	crashing bool        // guarded by mu
+	closed   bool        // for good; guarded by mu
 }
 
 const (
 	crashPath = "/get/crash"
-	// crashAfter is how long a target works on the request that ends it, and deadTime how
+	// crashDelay is how long a target works on the request that ends it, and deadTime how
 	// long it takes to come back.
-	crashAfter = 10 * time.Millisecond
-	deadTime   = 300 * time.Millisecond
+	crashDelay   = 10 * time.Millisecond
+	restartDelay = 300 * time.Millisecond
 )
 
-func newTarget(w *world, id, domain string, seed uint64) *target {
-	t := &target{name: id, domain: domain, world: w, journal: w.journal, rng: rand.New(rand.NewPCG(seed, 1))}
-	t.said.Store(&notice.Notice{})
+func newTarget(c *cluster, name, domain string, seed uint64) *target {
+	t := &target{name: name, domain: domain, cluster: c, journal: c.journal, rng: rand.New(rand.NewPCG(seed, 1))}
+	t.notice.Store(&notice.Notice{})
 	t.server = httptest.NewServer(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	t.proxy = link.NewProxy(ln, w.links, link.At("edges"), link.At(domain), t.server.Listener.Addr().String())
+	t.proxy = link.NewProxy(ln, c.links, link.At("edges"), link.At(domain), t.server.Listener.Addr().String())
 	return t
 }
 
@@ -75,17 +75,17 @@
 // address, until it is back there under another ID.
 func (t *target) crash() {
 	t.mu.Lock()
-	again := t.ending || t.closed
-	t.ending = true
+	alreadyDown := t.crashing || t.closed
+	t.crashing = true
 	t.mu.Unlock()
-	if again {
+	if alreadyDown {
 		return
 	}
-	t.journal.crashed()
+	t.journal.recordCrash()
 	id, address := t.id(), t.address()
 	t.proxy.Close()
-	time.Sleep(deadTime)
-	t.world.store.Remove(platform.TargetPrefix + id)
+	time.Sleep(restartDelay)
+	t.cluster.store.Remove(platform.TargetPrefix + id)
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return // the port was taken meanwhile: it stays away
@@ -96,18 +96,18 @@
 		ln.Close()
 		return
 	}
-	t.proxy = link.NewProxy(ln, t.world.links, link.At("edges"), link.At(t.domain), t.server.Listener.Addr().String())
+	t.proxy = link.NewProxy(ln, t.cluster.links, link.At("edges"), link.At(t.domain), t.server.Listener.Addr().String())
 	t.runs++
-	t.ending = false
+	t.crashing = false
 	t.mu.Unlock()
-	t.register(t.world.store, "ready", 0)
+	t.register(t.cluster.store, "ready", 0)
 }
 
 // register writes the target into the store.
 func (t *target) register(s *store.Store, state string, cold time.Duration) {
 	s.Put(platform.TargetPrefix+t.id(), fmt.Appendf(nil,
 		`{"address":%q,"info":{"service":"s","version":"v1","zone":%q,"capacity":8},"status":{"state":%q,"sequence":%d,"warmup_left":"%dms"}}`,
-		t.address(), t.domain, state, t.reports.Add(1), cold.Milliseconds()))
+		t.address(), t.domain, state, t.sequence.Add(1), cold.Milliseconds()))
 }
 
 func (t *target) close() {
@@ -120,14 +120,14 @@
 	t.server.Close()
 }
 
-// isGone says whether the target has left for good.
-func (t *target) isGone() bool {
+// isClosed says whether the target has left for good.
+func (t *target) isClosed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.closed
 }
 
-func (t *target) draw(n int) int {
+func (t *target) randN(n int) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.rng.IntN(n)
@@ -145,30 +145,30 @@
 	if err != nil {
 		return // the caller left before it was in
 	}
-	if t.say(w.Header(), r) {
+	if t.writeNotice(w.Header(), r) {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	misbehaves := int64(t.draw(100)) < t.bad.Load()
-	way := t.draw(7)
-	if misbehaves && way == 0 {
+	misbehaves := int64(t.randN(100)) < t.faultPercent.Load()
+	mode := t.randN(7)
+	if misbehaves && mode == 0 {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if t.world.quiet.Load() && t.isGone() {
-		t.journal.late("%s gets %s, though the store has no entry of it", t.id(), id)
+	if t.cluster.quiet.Load() && t.isClosed() {
+		t.journal.addViolation("%s gets %s, though the store has no entry of it", t.id(), id)
 	}
-	t.journal.ran(id)
-	t.world.accounts.ran(id, r.Header, time.Now())
+	t.journal.recordExecution(id)
+	t.cluster.workspaces.checkExecution(id, r.Header, time.Now())
 	if r.URL.Path == crashPath {
-		time.Sleep(crashAfter)
+		time.Sleep(crashDelay)
 		go t.crash()
 		<-r.Context().Done()
 		return
 	}
-	time.Sleep(time.Duration(2+t.draw(20)) * time.Millisecond)
+	time.Sleep(time.Duration(2+t.randN(20)) * time.Millisecond)
 	h := w.Header()
 	h.Set("Request-Id", id)
 	h.Set("Response-Signature", "sig")
@@ -177,38 +177,38 @@
 		io.WriteString(w, answerTo(id, body))
 		return
 	}
-	switch way {
+	switch mode {
 	case 1:
 		w.WriteHeader(http.StatusInternalServerError)
 	case 2:
-		time.Sleep(timeout)
+		time.Sleep(routeTimeout)
 		io.WriteString(w, answerTo(id, body))
 	case 6:
 		h.Del("Response-Signature")
 		io.WriteString(w, "not what "+id+" asked for")
 	default:
-		t.spoil(w, way, id, answerTo(id, body))
+		t.writeBrokenAnswer(w, mode, id, answerTo(id, body))
 	}
 }
 
-// spoil writes an answer that is broken on the wire.
-func (t *target) spoil(w http.ResponseWriter, way int, id, text string) {
-	c, _, err := w.(http.Hijacker).Hijack()
+// writeBrokenAnswer writes an answer that is broken on the wire.
+func (t *target) writeBrokenAnswer(w http.ResponseWriter, mode int, id, text string) {
+	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	defer c.Close()
+	defer conn.Close()
 	const head = "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Signature: sig\r\nContent-Length: %d\r\n\r\n%s"
-	switch way {
+	switch mode {
 	case 3: // reset without a byte
-		c.(*net.TCPConn).SetLinger(0)
+		conn.(*net.TCPConn).SetLinger(0)
 	case 4: // cut short
-		fmt.Fprintf(c, head, id, len(text)+10, text)
+		fmt.Fprintf(conn, head, id, len(text)+10, text)
 	case 5: // another answer behind it, and later one more
-		fmt.Fprintf(c, head, id, len(text), text)
-		fmt.Fprintf(c, head, id, 5, "stray")
+		fmt.Fprintf(conn, head, id, len(text), text)
+		fmt.Fprintf(conn, head, id, 5, "stray")
 		time.Sleep(5 * time.Millisecond)
-		fmt.Fprintf(c, head, id, 5, "stray")
+		fmt.Fprintf(conn, head, id, 5, "stray")
 	}
 }
 
--- a/internal/soak/workspace_test.go
+++ b/internal/soak/workspace_test.go
@@ -24,9 +24,9 @@
 
 // Bounds of a quota over all instances.
 const (
-	quotaWindow = 5 * time.Second
-	quotaOver   = 0.1
-	quotaSlack  = 20
+	quotaWindow  = 5 * time.Second
+	quotaOverage = 0.1
+	quotaSlack   = 20
 )
 
 // resource is the workspace in the configuration.
@@ -35,70 +35,70 @@
 		w.name, w.key, w.rate, w.burst)
 }
 
-// accounts holds for which workspaces requests are made, and what became of them.
-type accounts struct {
+// workspaceChecker holds for which workspaces requests are made, and what became of them.
+type workspaceChecker struct {
 	journal *journal
 
-	mu   sync.Mutex
-	of   map[string]*workspace // by request, nil for an unknown key; guarded by mu
-	runs []time.Time           // of limited, within quotaWindow; guarded by mu
+	mu        sync.Mutex
+	byRequest map[string]*workspace // by request, nil for an unknown key; guarded by mu
+	recent    []time.Time           // of limited, within quotaWindow; guarded by mu
 }
 
-func newAccounts(j *journal) *accounts {
-	return &accounts{journal: j, of: make(map[string]*workspace)}
+func newWorkspaceChecker(j *journal) *workspaceChecker {
+	return &workspaceChecker{journal: j, byRequest: make(map[string]*workspace)}
 }
 
-// sent notes a request before it goes out.
-func (a *accounts) sent(id string, w *workspace) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.of[id] = w
+// recordSent notes a request before it goes out.
+func (c *workspaceChecker) recordSent(id string, w *workspace) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.byRequest[id] = w
 }
 
-// ran checks a request that a target begins to work on.
-func (a *accounts) ran(id string, h http.Header, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	w := a.of[id]
+// checkExecution checks a request that a target begins to work on.
+func (c *workspaceChecker) checkExecution(id string, h http.Header, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.byRequest[id]
 	switch {
 	case w == nil:
-		a.fault("%s runs, and nobody has its key", id)
+		c.addViolation("%s runs, and nobody has its key", id)
 	case h.Get("Tenant") != w.name:
-		a.fault("%s runs for workspace %q, want %q", id, h.Get("Tenant"), w.name)
+		c.addViolation("%s runs for workspace %q, want %q", id, h.Get("Tenant"), w.name)
 	case h.Get("Authorization") != "":
-		a.fault("the key of %s reaches a target", id)
+		c.addViolation("the key of %s reaches a target", id)
 	case w == limited:
-		a.count(now)
+		c.checkQuota(now)
 	}
 }
 
-// count checks that the limited workspace keeps within its quota. a.mu is held.
-func (a *accounts) count(now time.Time) {
-	a.runs = append(a.runs, now)
-	for now.Sub(a.runs[0]) >= quotaWindow {
-		a.runs = a.runs[1:]
+// checkQuota checks that the limited workspace keeps within its quota. a.mu is held.
+func (c *workspaceChecker) checkQuota(now time.Time) {
+	c.recent = append(c.recent, now)
+	for now.Sub(c.recent[0]) >= quotaWindow {
+		c.recent = c.recent[1:]
 	}
-	most := int((limited.rate*quotaWindow.Seconds()+limited.burst)*(1+quotaOver)) + quotaSlack
-	if len(a.runs) == most+1 {
-		a.fault("workspace %s runs %d requests in %s, want %d at most", limited.name, len(a.runs), quotaWindow, most)
+	limit := int((limited.rate*quotaWindow.Seconds()+limited.burst)*(1+quotaOverage)) + quotaSlack
+	if len(c.recent) == limit+1 {
+		c.addViolation("workspace %s runs %d requests in %s, want %d at most", limited.name, len(c.recent), quotaWindow, limit)
 	}
 }
 
-// answered checks what a caller got.
-func (a *accounts) answered(id string, status int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	w := a.of[id]
+// checkAnswer checks what a caller got.
+func (c *workspaceChecker) checkAnswer(id string, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.byRequest[id]
 	switch {
 	case status == http.StatusUnauthorized && w != nil:
-		a.fault("%s gets 401, though its key is there", id)
+		c.addViolation("%s gets 401, though its key is there", id)
 	case status == http.StatusTooManyRequests && w != limited:
-		a.fault("%s gets 429, and its workspace has no quota", id)
+		c.addViolation("%s gets 429, and its workspace has no quota", id)
 	}
 }
 
-func (a *accounts) fault(format string, args ...any) {
-	a.journal.mu.Lock()
-	defer a.journal.mu.Unlock()
-	a.journal.fault(format, args...)
+func (c *workspaceChecker) addViolation(format string, args ...any) {
+	c.journal.mu.Lock()
+	defer c.journal.mu.Unlock()
+	c.journal.addViolationLocked(format, args...)
 }
