--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the settings of two deployments, one file for each
-// document, laid out as the documents' paths.
+// Package examples contains the settings of two example deployments, with one file for each
+// document, at the path of the document.
 package examples
 
 import (
@@ -16,6 +16,6 @@
 //go:embed moreton-bay tidewright
 var files embed.FS
 
-// Dir is one deployment's directory, ready for files.LoadDir. A name that is
-// none of the above fails when the directory is read.
+// Dir returns the directory of a deployment, for files.LoadDir. For an unknown name it returns no
+// error, but reading the directory fails.
 func Dir(name string) (fs.FS, error) { return fs.Sub(files, name) }
