--- a/internal/soak/caller_test.go
+++ b/internal/soak/caller_test.go
@@ -15,29 +15,29 @@
 	"time"
 )
 
-// caller sends requests one after the other, and keeps its connection until the
-// process at its other end is gone.
+// caller sends requests one after the other. It keeps its connection until an error occurs, the
+// instance closes it, or it abandons a request.
 type caller struct {
-	world *world
-	name  string
-	rng   *rand.Rand
-	conn  net.Conn
-	read  *bufio.Reader
-	sent  int
-	crash bool // it sends the request that ends targets, and nothing else
+	cluster  *cluster
+	name     string
+	rng      *rand.Rand
+	conn     net.Conn
+	read     *bufio.Reader
+	requests int
+	poison   bool // sends only the poison request
 
 	workspace *workspace
-	keys      *rand.Rand // decides which key it shows
+	keyRNG    *rand.Rand // decides which API key a request carries
 }
 
-// crashEvery is the pause between two requests that end targets.
-const crashEvery = 100 * time.Millisecond
+// crashInterval is the pause before each poison request.
+const crashInterval = 100 * time.Millisecond
 
-// mostWait is the most of a refusal's time that callers wait for.
-const mostWait = patience / 3
+// maxRetryAfter caps how long a caller waits after a refusal with Retry-After.
+const maxRetryAfter = callerTimeout / 3
 
-// patience is how long a caller waits for an answer, as it says in its requests.
-const patience = 2 * time.Second
+// callerTimeout is how long a caller waits for an answer, sent as Deadline-Ms in its requests.
+const callerTimeout = 2 * time.Second
 
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
@@ -51,9 +51,10 @@
 	c.hangUp()
 }
 
-// connect asks some instance where to go, and goes to one of those that it names.
+// connect looks up addresses at a random instance, and connects to a random one of them. It
+// returns false if that fails.
 func (c *caller) connect(ctx context.Context) bool {
-	e := c.world.edges[c.rng.IntN(len(c.world.edges))]
+	e := c.cluster.edges[c.rng.IntN(len(c.cluster.edges))]
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet,
@@ -88,71 +89,72 @@
 	}
 }
 
-// request sends one request and checks its answer.
+// request sends one request and records its answer. It sometimes uses an unknown API key, or
+// disconnects before the answer.
 func (c *caller) request() {
-	c.sent++
-	id := fmt.Sprintf("%s-%d", c.name, c.sent)
-	method, once := "GET", c.rng.IntN(2) == 0 && !c.crash
-	if once {
+	c.requests++
+	id := fmt.Sprintf("%s-%d", c.name, c.requests)
+	method, atMostOnce := "GET", c.rng.IntN(2) == 0 && !c.poison
+	if atMostOnce {
 		method = "POST"
 	}
 	path := "/get/x"
-	if once {
+	if atMostOnce {
 		path = "/do/x"
 	}
-	body, object := fmt.Sprint("b", c.sent), c.rng.IntN(20)
-	if c.crash {
-		path, body, object = crashPath, "", 0
-		time.Sleep(crashEvery)
+	body, affinityKey := fmt.Sprint("b", c.requests), c.rng.IntN(20)
+	if c.poison {
+		path, body, affinityKey = crashPath, "", 0
+		time.Sleep(crashInterval)
 	}
-	account, key := c.workspace, c.workspace.key
-	if !c.crash && c.keys.IntN(40) == 0 {
-		account, key = nil, unknownKey
+	ws, key := c.workspace, c.workspace.key
+	if !c.poison && c.keyRNG.IntN(40) == 0 {
+		ws, key = nil, unknownKey
 	}
-	c.world.accounts.sent(id, account)
-	c.world.journal.sent(id, once)
-	c.conn.SetDeadline(time.Now().Add(patience + time.Second))
+	c.cluster.workspaces.recordSent(id, ws)
+	c.cluster.journal.recordSent(id, atMostOnce)
+	c.conn.SetDeadline(time.Now().Add(callerTimeout + time.Second))
 	fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nDeadline-Ms: %d\r\nCookie: Affinity-Key=%d\r\nAuthorization: Bearer %s\r\nTenant: pretended\r\nContent-Length: %d\r\n\r\n%s",
-		method, path, id, patience.Milliseconds(), object, key, len(body), body)
-	if !c.crash && c.rng.IntN(50) == 0 { // leaves with the answer due
+		method, path, id, callerTimeout.Milliseconds(), affinityKey, key, len(body), body)
+	if !c.poison && c.rng.IntN(50) == 0 { // disconnects while the request is in flight
 		c.hangUp()
 		return
 	}
 	resp, err := http.ReadResponse(c.read, nil)
 	if err != nil {
-		c.world.journal.answered(id, 0, "")
+		c.cluster.journal.recordAnswer(id, 0, "")
 		c.hangUp()
 		return
 	}
-	got, err := io.ReadAll(resp.Body)
+	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		c.world.journal.answered(id, 0, "")
+		c.cluster.journal.recordAnswer(id, 0, "")
 		c.hangUp()
 		return
 	}
-	c.world.accounts.answered(id, resp.StatusCode)
-	c.world.wants.toldBy(c.conn.RemoteAddr(), resp.Header)
-	c.world.journal.answered(id, resp.StatusCode, wrong(resp, id, string(got), body))
+	c.cluster.workspaces.checkAnswer(id, resp.StatusCode)
+	c.cluster.notices.recordNotices(c.conn.RemoteAddr(), resp.Header)
+	c.cluster.journal.recordAnswer(id, resp.StatusCode, checkAnswer(resp, id, string(answer), body))
 	if resp.Close {
 		c.hangUp()
 	}
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		time.Sleep(min(time.Duration(seconds*float64(time.Second)), mostWait))
+		time.Sleep(min(time.Duration(seconds*float64(time.Second)), maxRetryAfter))
 	}
 }
 
-// wrong says what is wrong with an answer; "" if nothing is.
-func wrong(resp *http.Response, id, got, body string) string {
+// checkAnswer describes the fault of an answer; "" if it has none.
+func checkAnswer(resp *http.Response, id, got, body string) string {
 	want := answerTo(id, []byte(body))
 	switch {
 	case resp.Header.Get("Request-Id") != id:
 		return fmt.Sprintf("got the answer to %q", resp.Header.Get("Request-Id"))
 	case resp.StatusCode == 200 && resp.Header.Get("Response-Signature") == "":
-		return "got a success without a signature"
+		return "got status 200 without Response-Signature"
 	case resp.StatusCode == 200 && got != want:
 		return fmt.Sprintf("got %q, want %q", got, want)
 	case resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "":
-		return "got a refusal that doesn't say when to come back"
+		return "got status 503 without Retry-After"
 	}
 	return ""
 }
--- a/internal/soak/main_test.go
+++ b/internal/soak/main_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// binary is the built program.
-var binary string
+// binaryPath is the path of the built program.
+var binaryPath string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
-// run builds the program, runs the tests, and removes what it built.
+// run builds the program, runs the tests, and removes the build directory.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "firlever-soak")
 	if err != nil {
@@ -23,8 +23,8 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	binary = filepath.Join(dir, "firlever")
-	build := exec.Command("go", "build", "-tags", "soak", "-o", binary, "github.com/firlever/firlever/cmd/firlever")
+	binaryPath = filepath.Join(dir, "firlever")
+	build := exec.Command("go", "build", "-tags", "soak", "-o", binaryPath, "github.com/firlever/firlever/cmd/firlever")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
