--- a/internal/emulator/store/config.go
+++ b/internal/emulator/store/config.go
@@ -56,5 +56,5 @@
 	Closed    []string      // IP addresses of callers that are answered 429, while others are served
 }
 
-// over says whether Refuse and Silent have ended.
-func (f *Faults) over(now time.Time) bool { return !f.Until.IsZero() && !now.Before(f.Until) }
+// expired says whether Refuse and Silent have ended.
+func (f *Faults) expired(now time.Time) bool { return !f.Until.IsZero() && !now.Before(f.Until) }
--- a/internal/emulator/store/copy.go
+++ b/internal/emulator/store/copy.go
@@ -11,25 +11,25 @@
 // headerEra counts in each answer how often the store has come back from a copy.
 const headerEra = "Store-Era"
 
-// maxOutside bounds the writes of operators and targets that are kept to be written again.
-const maxOutside = 10_000
+// maxExternalWrites bounds the writes of operators and targets that are kept to be written again.
+const maxExternalWrites = 10_000
 
-// outside is a write or a removal by an operator or a target, who makes it again when the
+// externalWrite is a write or a removal by an operator or a target, who makes it again when the
 // store has lost it.
-type outside struct {
+type externalWrite struct {
 	key     string
 	value   []byte
-	removed bool
+	deleted bool
 }
 
 // Copy is what the store held at one moment.
 type Copy struct {
-	revision uint64
-	oldest   uint64
-	items    map[string]item
-	history  []item
-	leases   map[uint64]time.Duration // how long each lasts, by its ID
-	outside  int                      // writes from outside until then
+	revision       uint64
+	oldest         uint64
+	items          map[string]item
+	history        []item
+	leases         map[uint64]time.Duration // how long each lasts, by its ID
+	externalWrites int                      // writes from outside until then
 }
 
 // Copy takes a copy, to come back from it later.
@@ -38,7 +38,7 @@
 	defer s.mu.Unlock()
 	c := &Copy{
 		revision: s.revision, oldest: s.oldest, items: maps.Clone(s.items), history: slices.Clone(s.history),
-		leases: make(map[uint64]time.Duration, len(s.leases)), outside: s.dropped + len(s.outside),
+		leases: make(map[uint64]time.Duration, len(s.leases)), externalWrites: s.droppedExternalWrites + len(s.externalWrites),
 	}
 	for id, l := range s.leases {
 		c.leases[id] = l.ttl
@@ -57,14 +57,14 @@
 	}
 	s.era.Add(1)
 	s.revision, s.oldest = c.revision, c.oldest
-	s.items, s.stale, s.unseen = maps.Clone(c.items), maps.Clone(c.items), nil
+	s.items, s.staleItems, s.staleQueue = maps.Clone(c.items), maps.Clone(c.items), nil
 	s.history = slices.Clone(c.history)
 	s.leases = make(map[uint64]*lease, len(c.leases))
 	for id, ttl := range c.leases {
-		s.lend(id, ttl)
+		s.startLease(id, ttl)
 	}
-	s.unwritten = append(s.unwritten, s.outside[max(0, c.outside-s.dropped):]...)
-	s.wake()
+	s.lostWrites = append(s.lostWrites, s.externalWrites[max(0, c.externalWrites-s.droppedExternalWrites):]...)
+	s.notifyWatches()
 }
 
 // Rewrite writes again what operators and targets wrote and the store has lost, the last of
@@ -72,14 +72,14 @@
 func (s *Store) Rewrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	lost := s.unwritten
-	s.unwritten = nil
-	last := make(map[string]int, len(lost))
+	lost := s.lostWrites
+	s.lostWrites = nil
+	lastIndex := make(map[string]int, len(lost))
 	for i, w := range lost {
-		last[w.key] = i
+		lastIndex[w.key] = i
 	}
 	for i, w := range lost {
-		if last[w.key] == i {
+		if lastIndex[w.key] == i {
 			s.write(w)
 		}
 	}
@@ -90,14 +90,14 @@
 
 // write makes a write from outside. Whoever writes a key anew writes nothing older of it
 // again. s.mu is held.
-func (s *Store) write(w outside) {
-	s.unwritten = slices.DeleteFunc(s.unwritten, func(o outside) bool { return o.key == w.key })
-	s.outside = append(s.outside, w)
-	if over := len(s.outside) - maxOutside; over > 0 {
-		s.dropped += over
-		s.outside = slices.Clone(s.outside[over:])
+func (s *Store) write(w externalWrite) {
+	s.lostWrites = slices.DeleteFunc(s.lostWrites, func(o externalWrite) bool { return o.key == w.key })
+	s.externalWrites = append(s.externalWrites, w)
+	if over := len(s.externalWrites) - maxExternalWrites; over > 0 {
+		s.droppedExternalWrites += over
+		s.externalWrites = slices.Clone(s.externalWrites[over:])
 	}
-	if w.removed {
+	if w.deleted {
 		s.remove(w.key)
 		return
 	}
--- a/internal/emulator/store/copy_test.go
+++ b/internal/emulator/store/copy_test.go
@@ -24,8 +24,8 @@
 	return w
 }
 
-// lend takes a lease and writes a key under it.
-func lend(t *testing.T, s *Store, key string) uint64 {
+// createLeasedKey takes a lease and writes a key under it.
+func createLeasedKey(t *testing.T, s *Store, key string) uint64 {
 	t.Helper()
 	var l struct{ Lease uint64 }
 	call(t, s, "POST", "/kv-lease", `{"ttl_time":"5s"}`, &l)
@@ -44,18 +44,18 @@
 		defer s.Close()
 		s.Put("kept", []byte("1"))
 		s.Put("removed", []byte("1"))
-		old := lend(t, s, "old")
-		c := s.Copy()
+		keptLease := createLeasedKey(t, s, "old")
+		snapshot := s.Copy()
 		revision := s.revision
 		s.Put("kept", []byte("2"))
 		s.Put("kept", []byte("3"))
 		s.Remove("removed")
-		lent := lend(t, s, "new")
-		s.GoBack(c)
+		lostLease := createLeasedKey(t, s, "new")
+		s.GoBack(snapshot)
 		if s.revision != revision || string(s.Get("kept")) != "1" || s.Get("removed") == nil {
 			t.Errorf("got %q and %q at revision %d, want the copy's at %d", s.Get("kept"), s.Get("removed"), s.revision, revision)
 		}
-		for lease, want := range map[uint64]int{old: http.StatusOK, lent: http.StatusNotFound} {
+		for lease, want := range map[uint64]int{keptLease: http.StatusOK, lostLease: http.StatusNotFound} {
 			if w := call(t, s, "POST", fmt.Sprint("/kv-keep/", lease), "", nil); w.Code != want {
 				t.Errorf("got status %d of a renewal, want %d", w.Code, want)
 			}
@@ -63,8 +63,8 @@
 		if w := call(t, s, "GET", fmt.Sprintf("/kv-watch?prefix=&after=%d&wait_ms=0", revision+1), "", nil); w.Code != http.StatusGone {
 			t.Errorf("got status %d of a watch from a lost revision, want 410", w.Code)
 		}
-		if again := lend(t, s, "another"); again > lent {
-			t.Errorf("got lease %d after %d was lost, want it given out again or an earlier one", again, lent)
+		if again := createLeasedKey(t, s, "another"); again > lostLease {
+			t.Errorf("got lease %d after %d was lost, want it given out again or an earlier one", again, lostLease)
 		}
 		time.Sleep(6 * time.Second)
 		if w := call(t, s, "GET", "/kv-key?key=old", "", nil); w.Code != http.StatusNotFound {
@@ -80,7 +80,7 @@
 // What was written from outside is written again although the store goes back twice, before
 // that and after.
 func TestGoBackTwice(t *testing.T) {
-	tests := map[string]func(s *Store, c *Copy){
+	tests := map[string]func(s *Store, snapshot *Copy){
 		"at once":                   func(s *Store, c *Copy) { s.GoBack(c); s.GoBack(c) },
 		"to a copy without it":      func(s *Store, c *Copy) { s.GoBack(c); s.GoBack(s.Copy()) },
 		"after it is written again": func(s *Store, c *Copy) { s.GoBack(c); s.Rewrite(); s.GoBack(c) },
--- a/internal/emulator/store/read.go
+++ b/internal/emulator/store/read.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
+func (s *Store) getKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it, ok := s.seen(r)[r.URL.Query().Get("key")]
+	it, ok := s.visibleItems(r)[r.URL.Query().Get("key")]
 	if !ok {
 		reply(w, http.StatusNotFound, map[string]uint64{"as_of": s.revision})
 		return
@@ -24,34 +24,34 @@
 	}{it, s.revision})
 }
 
-// seen is what a read sees: all, or what is old enough for a stale one. s.mu is held.
-func (s *Store) seen(r *http.Request) map[string]item {
-	if !stale(r) {
+// visibleItems is what a read sees: all, or what is old enough for a stale one. s.mu is held.
+func (s *Store) visibleItems(r *http.Request) map[string]item {
+	if !isStaleRead(r) {
 		return s.items
 	}
-	s.settle(time.Now())
-	return s.stale
+	s.advanceStale(time.Now())
+	return s.staleItems
 }
 
-func stale(r *http.Request) bool { return r.URL.Query().Get("stale_ok") == "1" }
+func isStaleRead(r *http.Request) bool { return r.URL.Query().Get("stale_ok") == "1" }
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := r.URL.Query()
 	items := []item{}
-	for key, it := range s.seen(r) {
+	for key, it := range s.visibleItems(r) {
 		if strings.HasPrefix(key, q.Get("prefix")) && key > q.Get("after") {
 			items = append(items, it)
 		}
 	}
 	slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.Key, b.Key) })
-	more := len(items) > pageItems
+	more := len(items) > pageSize
 	reply(w, http.StatusOK, struct {
 		Items   []item `json:"items"`
 		HasMore bool   `json:"has_more"`
 		AsOf    uint64 `json:"as_of"`
-	}{items[:min(len(items), pageItems)], more, s.revision})
+	}{items[:min(len(items), pageSize)], more, s.revision})
 }
 
 // watch waits until there are changes, until the time is over, or until the
@@ -60,17 +60,17 @@
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("wait_ms"))
-	over := time.NewTimer(time.Duration(ms) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(ms) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		events, gone := s.since(q.Get("prefix"), after)
-		revision, changed, f, era := s.revision, s.changed, s.failing(time.Now()), s.Era()
+		events, gone := s.changesSince(q.Get("prefix"), after)
+		revision, changed, f, era := s.revision, s.changed, s.activeFaults(time.Now()), s.Era()
 		s.mu.Unlock()
 		setEra(w, era)
 		switch {
 		case f.Silent:
-			s.ignore(r)
+			s.withholdAnswer(r)
 			return
 		case f.Refuse:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -84,7 +84,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			reply(w, http.StatusOK, watchAnswer{[]item{}, after})
 			return
 		case <-r.Context().Done():
@@ -100,7 +100,7 @@
 	AsOf   uint64 `json:"as_of"`
 }
 
-func (s *Store) since(prefix string, after uint64) (events []item, gone bool) {
+func (s *Store) changesSince(prefix string, after uint64) (events []item, gone bool) {
 	for _, it := range s.history {
 		if it.Revision > after && strings.HasPrefix(it.Key, prefix) {
 			events = append(events, it)
--- a/internal/emulator/store/serve.go
+++ b/internal/emulator/store/serve.go
@@ -16,25 +16,25 @@
 
 // What calls cost of the rate of reads: renewals and stale reads are cheap.
 const (
-	readPrice  = 10
-	cheapPrice = 1
+	readCost      = 10
+	cheapReadCost = 1
 )
 
-// limiter allows bursts of one second's worth; it is nil for any number.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter allows bursts of one second's worth; it is nil for any number.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if math.IsInf(perSecond, 1) {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
 
-// headerTime is how long a caller may take to send a header; calls come from the
+// readHeaderTimeout is how long a caller may take to send a header; calls come from the
 // same machine, or over links of some 20 ms.
-const headerTime = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
 // Server makes a server of the store.
 func (s *Store) Server() *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headerTime}
+	return &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout}
 }
 
 // SetFaults replaces the faults, also for calls that wait.
@@ -42,42 +42,42 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// failing returns the faults in force. s.mu is held.
-func (s *Store) failing(now time.Time) Faults {
+// activeFaults returns the faults in force. s.mu is held.
+func (s *Store) activeFaults(now time.Time) Faults {
 	f := s.faults
-	if f.over(now) {
+	if f.expired(now) {
 		f.Refuse, f.Silent = false, false
 	}
 	return f
 }
 
-// fate is what becomes of one call.
-type fate struct {
+// callEffects is what becomes of one call.
+type callEffects struct {
 	Faults
-	busy bool // over the rate
-	lost bool // done and not answered
-	late bool // done after Delay, and not answered
+	overRate bool // over the rate
+	lost     bool // done and not answered
+	late     bool // done after Delay, and not answered
 }
 
-// begin counts a call and decides its fate.
-func (s *Store) begin(r *http.Request) fate {
+// admit counts a call and decides its fate.
+func (s *Store) admit(r *http.Request) callEffects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[r.URL.Path]++
 	now := time.Now()
-	f := fate{Faults: s.failing(now)}
+	f := callEffects{Faults: s.activeFaults(now)}
 	if f.Silent || f.Refuse {
 		return f
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && slices.Contains(f.Closed, host) {
-		f.busy = true
+		f.overRate = true
 		return f
 	}
-	f.busy = !s.allow(r, now)
-	if f.busy || !writes(r) {
+	f.overRate = !s.allow(r, now)
+	if f.overRate || !isWrite(r) {
 		return f
 	}
 	switch {
@@ -95,41 +95,41 @@
 // allow takes a call's price from its rate.
 func (s *Store) allow(r *http.Request, now time.Time) bool {
 	switch {
-	case writes(r):
+	case isWrite(r):
 		return s.writes == nil || s.writes.AllowN(now, 1)
-	case stale(r):
+	case isStaleRead(r):
 		return true
 	case strings.HasPrefix(r.URL.Path, "/kv-keep/"):
-		return s.reads == nil || s.reads.AllowN(now, cheapPrice)
+		return s.reads == nil || s.reads.AllowN(now, cheapReadCost)
 	}
-	return s.reads == nil || s.reads.AllowN(now, readPrice)
+	return s.reads == nil || s.reads.AllowN(now, readCost)
 }
 
-// writes says whether a call changes anything. A renewal counts as a read.
-func writes(r *http.Request) bool {
+// isWrite says whether a call changes anything. A renewal counts as a read.
+func isWrite(r *http.Request) bool {
 	return r.Method != http.MethodGet && !strings.HasPrefix(r.URL.Path, "/kv-keep/")
 }
 
 // ServeHTTP answers a call, or fails it as the faults say.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w = eraWriter{w, s}
-	f := s.begin(r)
+	f := s.admit(r)
 	switch {
 	case f.Silent:
-		s.ignore(r)
+		s.withholdAnswer(r)
 	case f.Refuse:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case f.busy:
+	case f.overRate:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case f.late:
-		s.pause(r, f.Delay)
-		s.router.ServeHTTP(&answer{}, r)
+		s.delayCall(r, f.Delay)
+		s.router.ServeHTTP(&recordedAnswer{}, r)
 		panic(http.ErrAbortHandler)
 	case f.lost:
-		s.router.ServeHTTP(&answer{}, r)
+		s.router.ServeHTTP(&recordedAnswer{}, r)
 		panic(http.ErrAbortHandler)
 	case f.Delay > 0:
-		a := &answer{}
+		a := &recordedAnswer{}
 		s.router.ServeHTTP(eraWriter{a, s}, r)
 		select {
 		case <-time.After(f.Delay):
@@ -142,9 +142,9 @@
 	}
 }
 
-// ignore gives no answer until the caller has left. It reads the body, as the end
+// withholdAnswer gives no answer until the caller has left. It reads the body, as the end
 // of the connection is noticed only then.
-func (s *Store) ignore(r *http.Request) {
+func (s *Store) withholdAnswer(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	select {
 	case <-r.Context().Done():
@@ -152,8 +152,8 @@
 	}
 }
 
-// pause waits, also when the caller has left: the call has arrived whole by then.
-func (s *Store) pause(r *http.Request, d time.Duration) {
+// delayCall waits, also when the caller has left: the call has arrived whole by then.
+func (s *Store) delayCall(r *http.Request, d time.Duration) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -165,15 +165,15 @@
 	}
 }
 
-// answer keeps what a handler writes.
-type answer struct {
+// recordedAnswer keeps what a handler writes.
+type recordedAnswer struct {
 	status int
 	header http.Header
 	body   bytes.Buffer
 }
 
 // Header returns the headers to be written.
-func (a *answer) Header() http.Header {
+func (a *recordedAnswer) Header() http.Header {
 	if a.header == nil {
 		a.header = make(http.Header)
 	}
@@ -181,12 +181,12 @@
 }
 
 // WriteHeader sets the status.
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (a *recordedAnswer) WriteHeader(status int) { a.status = status }
 
 // Write appends to the body.
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *recordedAnswer) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-func (a *answer) writeTo(w http.ResponseWriter) {
+func (a *recordedAnswer) writeTo(w http.ResponseWriter) {
 	for name, values := range a.Header() {
 		w.Header()[name] = values
 	}
@@ -211,11 +211,11 @@
 	// that the caller is in keeps its own there.
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := context.AfterFunc(r.Context(), cancel)
-	done := make(chan *answer, 1) // nil: the answer is lost
+	done := make(chan *recordedAnswer, 1) // nil: the answer is lost
 	go func() {
 		defer cancel()
 		defer stop()
-		a := &answer{}
+		a := &recordedAnswer{}
 		defer func() {
 			if v := recover(); v != nil {
 				if v != http.ErrAbortHandler {
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	pageItems = 50 // of a range, as the platform's pages have
+	pageSize = 50 // of a range, as the platform's pages have
 	// historyLen is how many changes are kept for watches.
 	historyLen = 1000
 )
@@ -33,22 +33,22 @@
 
 	era atomic.Uint64 // one, and how often the store has come back from a copy; written with mu held
 
-	mu       sync.Mutex
-	rng      *rand.Rand        // guarded by mu
-	revision uint64            // of the last change; guarded by mu
-	items    map[string]item   // guarded by mu
-	history  []item            // changes by revision, at most historyLen; guarded by mu
-	oldest   uint64            // changes up to here are forgotten; guarded by mu
-	stale    map[string]item   // what stale reads see; guarded by mu
-	unseen   []change          // that stale reads don't see yet, in their order; guarded by mu
-	leases   map[uint64]*lease // guarded by mu
-	faults   Faults            // guarded by mu
-	changed  chan struct{}     // closed at each change; guarded by mu
-	calls    map[string]int    // by path; guarded by mu
+	mu         sync.Mutex
+	rng        *rand.Rand        // guarded by mu
+	revision   uint64            // of the last change; guarded by mu
+	items      map[string]item   // guarded by mu
+	history    []item            // changes by revision, at most historyLen; guarded by mu
+	oldest     uint64            // changes up to here are forgotten; guarded by mu
+	staleItems map[string]item   // what stale reads see; guarded by mu
+	staleQueue []change          // that stale reads don't see yet, in their order; guarded by mu
+	leases     map[uint64]*lease // guarded by mu
+	faults     Faults            // guarded by mu
+	changed    chan struct{}     // closed at each change; guarded by mu
+	calls      map[string]int    // by path; guarded by mu
 
-	outside   []outside // the last writes from outside, at most maxOutside; guarded by mu
-	dropped   int       // of those, that are not kept any more; guarded by mu
-	unwritten []outside // writes from outside that the store has lost; guarded by mu
+	externalWrites        []externalWrite // the last writes from outside, at most maxOutside; guarded by mu
+	droppedExternalWrites int             // of those, that are not kept any more; guarded by mu
+	lostWrites            []externalWrite // writes from outside that the store has lost; guarded by mu
 }
 
 type item struct {
@@ -82,19 +82,19 @@
 	}
 	s := &Store{
 		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)), stop: make(chan struct{}),
-		items: make(map[string]item), stale: make(map[string]item), leases: make(map[uint64]*lease),
+		items: make(map[string]item), staleItems: make(map[string]item), leases: make(map[uint64]*lease),
 		calls: make(map[string]int), changed: make(chan struct{}),
-		writes: limiter(cfg.Writes), reads: limiter(readPrice * cfg.Reads),
+		writes: newLimiter(cfg.Writes), reads: newLimiter(readCost * cfg.Reads),
 	}
 	s.era.Store(1)
 	r := chi.NewRouter()
-	r.Get("/kv-key", s.key)
+	r.Get("/kv-key", s.getKey)
 	r.Get("/kv-range", s.list)
 	r.Get("/kv-watch", s.watch)
 	r.Post("/kv-txn", s.txn)
-	r.Post("/kv-lease", s.grant)
-	r.Post("/kv-keep/{id}", s.keep)
-	r.Delete("/kv-lease-end/{id}", s.end)
+	r.Post("/kv-lease", s.grantLease)
+	r.Post("/kv-keep/{id}", s.renewLease)
+	r.Delete("/kv-lease-end/{id}", s.revokeLease)
 	s.router = r
 	return s, nil
 }
@@ -113,14 +113,14 @@
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(outside{key: key, value: value})
+	s.write(externalWrite{key: key, value: value})
 }
 
 // Remove removes a key.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(outside{key: key, removed: true})
+	s.write(externalWrite{key: key, deleted: true})
 }
 
 // Get returns the value of a key, or nil.
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.oldest = nil, s.revision
-	s.wake()
+	s.notifyWatches()
 }
 
 // Calls returns how often a path was called.
@@ -172,25 +172,25 @@
 		s.oldest = s.history[0].Revision
 		s.history = s.history[1:]
 	}
-	s.settle(time.Now())
-	s.unseen = append(s.unseen, change{item: it, at: time.Now()})
-	s.wake()
+	s.advanceStale(time.Now())
+	s.staleQueue = append(s.staleQueue, change{item: it, at: time.Now()})
+	s.notifyWatches()
 }
 
-// settle lets stale reads see what is as old as their lag.
-func (s *Store) settle(now time.Time) {
-	for len(s.unseen) > 0 && !now.Before(s.unseen[0].at.Add(s.cfg.Lag)) {
-		it := s.unseen[0].item
+// advanceStale lets stale reads see what is as old as their lag.
+func (s *Store) advanceStale(now time.Time) {
+	for len(s.staleQueue) > 0 && !now.Before(s.staleQueue[0].at.Add(s.cfg.Lag)) {
+		it := s.staleQueue[0].item
 		if it.Removed {
-			delete(s.stale, it.Key)
+			delete(s.staleItems, it.Key)
 		} else {
-			s.stale[it.Key] = it
+			s.staleItems[it.Key] = it
 		}
-		s.unseen = s.unseen[1:]
+		s.staleQueue = s.staleQueue[1:]
 	}
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/emulator/store/store_test.go
+++ b/internal/emulator/store/store_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// ask makes a call and returns its status.
-func ask(t *testing.T, s *Store, method, target, body string) int {
+// callStatus makes a call and returns its status.
+func callStatus(t *testing.T, s *Store, method, target, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(method, "http://store"+target, strings.NewReader(body)))
@@ -69,7 +69,7 @@
 				defer s.Close()
 				got := 0
 				for range tt.asks {
-					if ask(t, s, tt.method, tt.target, tt.body) != http.StatusTooManyRequests {
+					if callStatus(t, s, tt.method, tt.target, tt.body) != http.StatusTooManyRequests {
 						got++
 					}
 					time.Sleep(tt.every)
@@ -95,10 +95,10 @@
 		s.Remove("a")
 		s.Put("b", nil)
 		for at, want := range []int{http.StatusOK, http.StatusNotFound} {
-			if got := ask(t, s, "GET", "/kv-key?key=a&stale_ok=1", ""); got != want {
+			if got := callStatus(t, s, "GET", "/kv-key?key=a&stale_ok=1", ""); got != want {
 				t.Errorf("%d: got status %d of a stale read, want %d", at, got, want)
 			}
-			if got := ask(t, s, "GET", "/kv-key?key=a", ""); got != http.StatusNotFound {
+			if got := callStatus(t, s, "GET", "/kv-key?key=a", ""); got != http.StatusNotFound {
 				t.Errorf("%d: got status %d, want 404", at, got)
 			}
 			time.Sleep(Defaults().Lag)
@@ -111,11 +111,11 @@
 	s := New()
 	defer s.Close()
 	s.SetFaults(Faults{Closed: []string{"192.0.2.1"}}) // what httptest says of its requests
-	if got := ask(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusTooManyRequests {
+	if got := callStatus(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusTooManyRequests {
 		t.Errorf("got status %d, want 429", got)
 	}
 	s.SetFaults(Faults{Closed: []string{"192.0.2.2"}})
-	if got := ask(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusOK {
+	if got := callStatus(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusOK {
 		t.Errorf("got status %d, want 200", got)
 	}
 }
@@ -127,7 +127,7 @@
 		defer s.Close()
 		begun := time.Now()
 		time.AfterFunc(time.Second, func() { s.SetFaults(Faults{Refuse: true}) })
-		got := ask(t, s, "GET", "/kv-watch?prefix=a&after=0&wait_ms=30000", "")
+		got := callStatus(t, s, "GET", "/kv-watch?prefix=a&after=0&wait_ms=30000", "")
 		if took := time.Since(begun); got != http.StatusServiceUnavailable || took != time.Second {
 			t.Errorf("got status %d after %s, want 503 after 1s", got, took)
 		}
--- a/internal/emulator/store/write.go
+++ b/internal/emulator/store/write.go
@@ -58,7 +58,7 @@
 	reply(w, http.StatusOK, map[string]uint64{"revision": s.revision})
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		TTL string `json:"ttl_time"`
 	}
@@ -74,11 +74,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	s.lend(s.revision, ttl)
+	s.startLease(s.revision, ttl)
 	reply(w, http.StatusOK, map[string]any{"lease": s.revision, "ttl_time": body.TTL})
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := leaseID(r)
@@ -91,7 +91,7 @@
 	reply(w, http.StatusOK, map[string]string{"ttl_time": l.ttl.String()})
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id := leaseID(r)
@@ -99,7 +99,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	s.lapse(id)
+	s.endLease(id)
 	reply(w, http.StatusOK, struct{}{})
 }
 
@@ -117,15 +117,15 @@
 	timer *time.Timer // ends it
 }
 
-// lend begins a lease. s.mu is held.
-func (s *Store) lend(id uint64, ttl time.Duration) {
+// startLease begins a lease. s.mu is held.
+func (s *Store) startLease(id uint64, ttl time.Duration) {
 	l := &lease{ttl: ttl}
-	l.timer = time.AfterFunc(ttl, func() { s.lapsed(id, l) })
+	l.timer = time.AfterFunc(ttl, func() { s.expireLease(id, l) })
 	s.leases[id] = l
 }
 
-// lapse ends a lease; its keys go with it. s.mu is held.
-func (s *Store) lapse(id uint64) {
+// endLease ends a lease; its keys go with it. s.mu is held.
+func (s *Store) endLease(id uint64) {
 	if l, ok := s.leases[id]; ok {
 		l.timer.Stop()
 	}
@@ -137,12 +137,12 @@
 	}
 }
 
-// lapsed ends a lease whose time is over, unless another has its ID now.
-func (s *Store) lapsed(id uint64, l *lease) {
+// expireLease ends a lease whose time is over, unless another has its ID now.
+func (s *Store) expireLease(id uint64, l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leases[id] == l {
-		s.lapse(id)
+		s.endLease(id)
 	}
 }
 
@@ -151,6 +151,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
-		s.lapse(id)
+		s.endLease(id)
 	}
 }
