--- a/internal/emulator/store/config.go
+++ b/internal/emulator/store/config.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Config says how the store behaves when nothing fails.
+// Config describes how the store behaves without faults.
 type Config struct {
-	Writes float64       // writing calls/s taken; bursts of one second's worth
-	Reads  float64       // reading calls/s taken; bursts of one second's worth
-	Lag    time.Duration // how old the answers to stale reads are
-	Seed   uint64        // of what happens by chance
+	Writes float64       // writing calls/s that are accepted; bursts of one second's worth
+	Reads  float64       // reading calls/s that are accepted; bursts of one second's worth
+	Lag    time.Duration // age of the state that stale reads return
+	Seed   uint64        // of the random faults
 }
 
-// Defaults returns the rates of the platforms of today.
+// Defaults returns the rate limits of current platforms.
 func Defaults() Config { return Config{Writes: 400, Reads: 2000, Lag: 2 * time.Second, Seed: 1} }
 
 // ConfigError names every fault of a Config.
@@ -42,19 +42,19 @@
 	return nil
 }
 
-// Faults are what goes wrong. The zero value is a store without faults.
+// Faults are the injected faults. The zero value is a store without faults.
 type Faults struct {
 	Refuse bool      // calls are answered 503
 	Silent bool      // calls are not answered
-	Until  time.Time // Refuse and Silent end then; zero: with the next SetFaults
-	Deaf   bool      // watches hear nothing of changes
-
-	Delay     time.Duration // calls are done at once and answered so much later
-	LateShare float64       // 0 to 1; share of the writes that are done only after Delay, and not answered
-	LoseNext  int           // so many of the next writes are done and not answered
-	LoseShare float64       // 0 to 1; share of the other writes that are done and not answered
-	Closed    []string      // IP addresses of callers that are answered 429, while others are served
+	Until  time.Time // end of those two faults; zero: they last until the next SetFaults
+	Deaf   bool      // watches return no changes
+
+	Delay     time.Duration // calls are executed at once and answered this much later
+	LateShare float64       // 0 to 1; share of the writes that are executed only after Delay, and not answered
+	LoseNext  int           // number of the next writes that are executed and not answered
+	LoseShare float64       // 0 to 1; share of the other writes that are executed and not answered
+	Closed    []string      // IP addresses of callers that are answered 429; others are served
 }
 
-// expired says whether Refuse and Silent have ended.
+// expired reports whether the faults that Until limits have ended.
 func (f *Faults) expired(now time.Time) bool { return !f.Until.IsZero() && !now.Before(f.Until) }
--- a/internal/emulator/store/copy.go
+++ b/internal/emulator/store/copy.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// headerEra counts in each answer how often the store has come back from a copy.
+// headerEra carries the store's era in each answer: one plus the number of restores.
 const headerEra = "Store-Era"
 
-// maxExternalWrites bounds the writes of operators and targets that are kept to be written again.
+// maxExternalWrites bounds the writes of operators and targets that are kept to be made again
+// after a restore.
 const maxExternalWrites = 10_000
 
-// externalWrite is a write or a removal by an operator or a target, who makes it again when the
-// store has lost it.
+// externalWrite is a write or removal by an operator or a target. They make it again if a
+// restore of the store lost it.
 type externalWrite struct {
 	key     string
 	value   []byte
 	deleted bool
 }
 
-// Copy is what the store held at one moment.
+// Copy is a snapshot of the store's content.
 type Copy struct {
 	revision       uint64
 	oldest         uint64
 	items          map[string]item
 	history        []item
-	leases         map[uint64]time.Duration // how long each lasts, by its ID
-	externalWrites int                      // writes from outside until then
+	leases         map[uint64]time.Duration // TTL by ID
+	externalWrites int                      // number made before the snapshot
 }
 
-// Copy takes a copy, to come back from it later.
+// Copy takes a snapshot from which the store can be restored later.
 func (s *Store) Copy() *Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,9 +47,9 @@
 	return c
 }
 
-// GoBack lets the store come back from a copy of its own: what was written since is gone,
-// and revisions and IDs of leases are given out again. Leases of the copy last their time
-// from now on. What operators and targets wrote since is written again by Rewrite.
+// GoBack restores the store from a snapshot of its own: later writes are lost, and revisions
+// and lease IDs are assigned again. Leases of the snapshot start their TTL anew. The lost
+// writes of operators and targets are kept, to be made again by Rewrite.
 func (s *Store) GoBack(c *Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,8 +68,8 @@
 	s.notifyWatches()
 }
 
-// Rewrite writes again what operators and targets wrote and the store has lost, the last of
-// each key.
+// Rewrite makes the writes of operators and targets again that restores lost, only the last
+// one of each key.
 func (s *Store) Rewrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,11 +86,11 @@
 	}
 }
 
-// Era returns how often the store has come back from a copy, and one.
+// Era returns one plus the number of restores.
 func (s *Store) Era() uint64 { return s.era.Load() }
 
-// write makes a write from outside. Whoever writes a key anew writes nothing older of it
-// again. s.mu is held.
+// write applies an external write and records it. It replaces lost writes of the same key,
+// which aren't made again after a newer one. s.mu is held.
 func (s *Store) write(w externalWrite) {
 	s.lostWrites = slices.DeleteFunc(s.lostWrites, func(o externalWrite) bool { return o.key == w.key })
 	s.externalWrites = append(s.externalWrites, w)
@@ -104,13 +105,13 @@
 	s.put(w.key, w.value, 0)
 }
 
-// eraWriter names the era in an answer, unless the handler has.
+// eraWriter adds the era to an answer, unless the handler has set it.
 type eraWriter struct {
 	http.ResponseWriter
 	store *Store
 }
 
-// WriteHeader begins the answer.
+// WriteHeader writes the status and headers, with the era.
 func (w eraWriter) WriteHeader(status int) {
 	if w.Header().Get(headerEra) == "" {
 		setEra(w, w.store.Era())
--- a/internal/emulator/store/copy_test.go
+++ b/internal/emulator/store/copy_test.go
@@ -24,7 +24,7 @@
 	return w
 }
 
-// createLeasedKey takes a lease and writes a key under it.
+// createLeasedKey creates a lease of 5 s and writes a key under it. It returns the lease's ID.
 func createLeasedKey(t *testing.T, s *Store, key string) uint64 {
 	t.Helper()
 	var l struct{ Lease uint64 }
@@ -36,9 +36,9 @@
 	return l.Lease
 }
 
-// A store that comes back from a copy holds what that held: revisions and leases go back,
-// and what was written from outside since is written again.
-func TestGoBack(t *testing.T) {
+// A restored store has the content of the snapshot, with its revision and its leases, and
+// external writes that the restore lost can be made again.
+func TestRestoreSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New()
 		defer s.Close()
@@ -53,7 +53,7 @@
 		lostLease := createLeasedKey(t, s, "new")
 		s.GoBack(snapshot)
 		if s.revision != revision || string(s.Get("kept")) != "1" || s.Get("removed") == nil {
-			t.Errorf("got %q and %q at revision %d, want the copy's at %d", s.Get("kept"), s.Get("removed"), s.revision, revision)
+			t.Errorf("got %q and %q at revision %d, want the snapshot's at %d", s.Get("kept"), s.Get("removed"), s.revision, revision)
 		}
 		for lease, want := range map[uint64]int{keptLease: http.StatusOK, lostLease: http.StatusNotFound} {
 			if w := call(t, s, "POST", fmt.Sprint("/kv-keep/", lease), "", nil); w.Code != want {
@@ -64,34 +64,33 @@
 			t.Errorf("got status %d of a watch from a lost revision, want 410", w.Code)
 		}
 		if again := createLeasedKey(t, s, "another"); again > lostLease {
-			t.Errorf("got lease %d after %d was lost, want it given out again or an earlier one", again, lostLease)
+			t.Errorf("got lease %d after %d was lost, want the same ID again or an earlier one", again, lostLease)
 		}
 		time.Sleep(6 * time.Second)
 		if w := call(t, s, "GET", "/kv-key?key=old", "", nil); w.Code != http.StatusNotFound {
-			t.Errorf("got status %d of a key whose lease is over, want 404", w.Code)
+			t.Errorf("got status %d of a key whose lease has expired, want 404", w.Code)
 		}
 		s.Rewrite()
 		if string(s.Get("kept")) != "3" || s.Get("removed") != nil {
-			t.Errorf("got %q and %q, want what was written last", s.Get("kept"), s.Get("removed"))
+			t.Errorf("got %q and %q, want the last external writes", s.Get("kept"), s.Get("removed"))
 		}
 	})
 }
 
-// What was written from outside is written again although the store goes back twice, before
-// that and after.
-func TestGoBackTwice(t *testing.T) {
+// External writes are made again after two restores: before the first Rewrite, and after it.
+func TestRestoreTwice(t *testing.T) {
 	tests := map[string]func(s *Store, snapshot *Copy){
 		"at once":                   func(s *Store, c *Copy) { s.GoBack(c); s.GoBack(c) },
 		"to a copy without it":      func(s *Store, c *Copy) { s.GoBack(c); s.GoBack(s.Copy()) },
 		"after it is written again": func(s *Store, c *Copy) { s.GoBack(c); s.Rewrite(); s.GoBack(c) },
 	}
-	for name, goBack := range tests {
+	for name, restore := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := New()
 			defer s.Close()
 			c := s.Copy()
 			s.Put("a", []byte("1"))
-			goBack(s, c)
+			restore(s, c)
 			s.Rewrite()
 			if got := string(s.Get("a")); got != "1" || s.Era() != 3 {
 				t.Errorf("got %q in era %d, want 1 in era 3", got, s.Era())
@@ -100,7 +99,7 @@
 	}
 }
 
-// Each answer names the era, refusals too.
+// Each answer carries the era, also a refusal.
 func TestEra(t *testing.T) {
 	tests := map[string]struct {
 		faults Faults
--- a/internal/emulator/store/read.go
+++ b/internal/emulator/store/read.go
@@ -24,7 +24,8 @@
 	}{it, s.revision})
 }
 
-// visibleItems is what a read sees: all, or what is old enough for a stale one. s.mu is held.
+// visibleItems returns the items for a read: the current ones, or those of Config.Lag ago for
+// a stale read. s.mu is held.
 func (s *Store) visibleItems(r *http.Request) map[string]item {
 	if !isStaleRead(r) {
 		return s.items
@@ -54,8 +55,8 @@
 	}{items[:min(len(items), pageSize)], more, s.revision})
 }
 
-// watch waits until there are changes, until the time is over, or until the
-// history that it asks for is dropped or the store fails.
+// watch answers when there are changes, when its wait time is over, when the requested history
+// has been dropped, or when a fault begins.
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -112,5 +113,5 @@
 func reply(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(body) // an answer that can't be written has no reader left
+	json.NewEncoder(w).Encode(body) // a write fails only if the caller has left
 }
--- a/internal/emulator/store/serve.go
+++ b/internal/emulator/store/serve.go
@@ -14,13 +14,14 @@
 	"golang.org/x/time/rate"
 )
 
-// What calls cost of the rate of reads: renewals and stale reads are cheap.
+// Tokens that a call takes from the limiter of reads. A renewal is cheap; a stale read takes
+// none.
 const (
 	readCost      = 10
 	cheapReadCost = 1
 )
 
-// newLimiter allows bursts of one second's worth; it is nil for any number.
+// newLimiter returns a limiter with a burst of one second's worth, or nil for an infinite rate.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if math.IsInf(perSecond, 1) {
 		return nil
@@ -28,16 +29,16 @@
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
 
-// readHeaderTimeout is how long a caller may take to send a header; calls come from the
-// same machine, or over links of some 20 ms.
+// readHeaderTimeout bounds the time in which a caller sends the request header. Calls come from
+// the same machine, or over links of some 20 ms.
 const readHeaderTimeout = 5 * time.Second
 
-// Server makes a server of the store.
+// Server returns an HTTP server for the store.
 func (s *Store) Server() *http.Server {
 	return &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// SetFaults replaces the faults, also for calls that wait.
+// SetFaults replaces the faults, also for watches that are waiting.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +46,7 @@
 	s.notifyWatches()
 }
 
-// activeFaults returns the faults in force. s.mu is held.
+// activeFaults returns the faults in force at now. s.mu is held.
 func (s *Store) activeFaults(now time.Time) Faults {
 	f := s.faults
 	if f.expired(now) {
@@ -54,15 +55,15 @@
 	return f
 }
 
-// callEffects is what becomes of one call.
+// callEffects holds the faults and limits that apply to one call.
 type callEffects struct {
 	Faults
-	overRate bool // over the rate
-	lost     bool // done and not answered
-	late     bool // done after Delay, and not answered
+	overRate bool // answered 429
+	lost     bool // executed and not answered
+	late     bool // executed after Delay, and not answered
 }
 
-// admit counts a call and decides its fate.
+// admit counts a call and returns the faults and limits that apply to it.
 func (s *Store) admit(r *http.Request) callEffects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +93,7 @@
 	return f
 }
 
-// allow takes a call's price from its rate.
+// allow takes a call's tokens from its limiter and returns false if there are too few.
 func (s *Store) allow(r *http.Request, now time.Time) bool {
 	switch {
 	case isWrite(r):
@@ -105,12 +106,12 @@
 	return s.reads == nil || s.reads.AllowN(now, readCost)
 }
 
-// isWrite says whether a call changes anything. A renewal counts as a read.
+// isWrite reports whether a call counts as a write. A renewal counts as a read.
 func isWrite(r *http.Request) bool {
 	return r.Method != http.MethodGet && !strings.HasPrefix(r.URL.Path, "/kv-keep/")
 }
 
-// ServeHTTP answers a call, or fails it as the faults say.
+// ServeHTTP serves a call, subject to the faults and rate limits.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w = eraWriter{w, s}
 	f := s.admit(r)
@@ -142,8 +143,8 @@
 	}
 }
 
-// withholdAnswer gives no answer until the caller has left. It reads the body, as the end
-// of the connection is noticed only then.
+// withholdAnswer returns without an answer when the caller has left. It reads the body first,
+// as the server detects the end of the connection only then.
 func (s *Store) withholdAnswer(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	select {
@@ -152,7 +153,8 @@
 	}
 }
 
-// delayCall waits, also when the caller has left: the call has arrived whole by then.
+// delayCall waits for d, also if the caller leaves meanwhile: the call has been received whole
+// and is executed all the same.
 func (s *Store) delayCall(r *http.Request, d time.Duration) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -165,14 +167,14 @@
 	}
 }
 
-// recordedAnswer keeps what a handler writes.
+// recordedAnswer is an http.ResponseWriter that buffers the answer.
 type recordedAnswer struct {
 	status int
 	header http.Header
 	body   bytes.Buffer
 }
 
-// Header returns the headers to be written.
+// Header returns the headers of the answer.
 func (a *recordedAnswer) Header() http.Header {
 	if a.header == nil {
 		a.header = make(http.Header)
@@ -191,15 +193,16 @@
 		w.Header()[name] = values
 	}
 	w.WriteHeader(max(a.status, http.StatusOK))
-	w.Write(a.body.Bytes()) // an answer that can't be written has no reader left
+	w.Write(a.body.Bytes()) // a write fails only if the caller has left
 }
 
-// LostError is the error of a call in the same process whose answer is lost.
+// LostError is returned for a call in the same process whose answer was lost.
 type LostError struct{ Path string }
 
 func (e *LostError) Error() string { return "store: no answer to " + e.Path }
 
-// RoundTrip makes a call in the same process, without a connection.
+// RoundTrip serves a call in the same process, without a connection. It returns a *LostError
+// if the answer was lost.
 func (s *Store) RoundTrip(r *http.Request) (*http.Response, error) {
 	if err := r.Context().Err(); err != nil {
 		return nil, err
@@ -207,8 +210,8 @@
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
-	// The call gets no values of the caller's context, as over a connection: a router
-	// that the caller is in keeps its own there.
+	// As over a connection, values of the caller's context don't pass: if the caller is itself
+	// served by a chi router, that one's routing state is among them.
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := context.AfterFunc(r.Context(), cancel)
 	done := make(chan *recordedAnswer, 1) // nil: the answer is lost
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -1,7 +1,6 @@
-// Package store is a stand-in of the platform's metadata store, for tests and
-// trials: keys with revisions, ranges in pages, watches with a bounded history,
-// transactions, leases, rates, and the faults that the real one has. It keeps
-// everything in memory.
+// Package store emulates the platform's metadata store for tests and trials: keys with
+// revisions, paginated ranges, watches with a bounded history, transactions, leases, rate
+// limits, and the faults of the real store. It keeps everything in memory.
 package store
 
 import (
@@ -18,37 +17,37 @@
 
 const (
 	pageSize = 50 // of a range, as the platform's pages have
-	// historyLen is how many changes are kept for watches.
+	// historyLen is the number of changes that are kept for watches.
 	historyLen = 1000
 )
 
-// Store is the stand-in. It is an http.Handler and an http.RoundTripper, and safe
-// for concurrent use.
+// Store is an emulated metadata store. It is an http.Handler and an http.RoundTripper, and
+// safe for concurrent use.
 type Store struct {
 	cfg    Config
 	router http.Handler
-	writes *rate.Limiter // nil: any number
-	reads  *rate.Limiter // nil: any number; in readPrice
+	writes *rate.Limiter // nil: no limit
+	reads  *rate.Limiter // nil: no limit; a read takes readCost tokens
 	stop   chan struct{}
 
-	era atomic.Uint64 // one, and how often the store has come back from a copy; written with mu held
+	era atomic.Uint64 // one plus the number of restores; written with mu held
 
 	mu         sync.Mutex
 	rng        *rand.Rand        // guarded by mu
 	revision   uint64            // of the last change; guarded by mu
 	items      map[string]item   // guarded by mu
 	history    []item            // changes by revision, at most historyLen; guarded by mu
-	oldest     uint64            // changes up to here are forgotten; guarded by mu
-	staleItems map[string]item   // what stale reads see; guarded by mu
-	staleQueue []change          // that stale reads don't see yet, in their order; guarded by mu
+	oldest     uint64            // revision up to which changes have been dropped from history; guarded by mu
+	staleItems map[string]item   // content that stale reads return; guarded by mu
+	staleQueue []change          // changes not yet in staleItems, oldest first; guarded by mu
 	leases     map[uint64]*lease // guarded by mu
 	faults     Faults            // guarded by mu
-	changed    chan struct{}     // closed at each change; guarded by mu
-	calls      map[string]int    // by path; guarded by mu
+	changed    chan struct{}     // closed and replaced at each change; guarded by mu
+	calls      map[string]int    // number by path; guarded by mu
 
-	externalWrites        []externalWrite // the last writes from outside, at most maxOutside; guarded by mu
-	droppedExternalWrites int             // of those, that are not kept any more; guarded by mu
-	lostWrites            []externalWrite // writes from outside that the store has lost; guarded by mu
+	externalWrites        []externalWrite // latest writes of operators and targets, at most maxExternalWrites; guarded by mu
+	droppedExternalWrites int             // number of earlier ones that are no longer kept; guarded by mu
+	lostWrites            []externalWrite // external writes lost by restores and not made again; guarded by mu
 }
 
 type item struct {
@@ -60,13 +59,13 @@
 	Removed        bool   `json:"removed,omitempty"`
 }
 
-// change is an item that was written or removed at a time.
+// change is the write or removal of an item, with its time.
 type change struct {
 	item
 	at time.Time
 }
 
-// New makes an empty store without rates or lag. Close ends it.
+// New returns an empty store without rate limits or lag, to be closed with Close.
 func New() *Store {
 	s, err := NewStore(Config{Writes: math.Inf(1), Reads: math.Inf(1)})
 	if err != nil {
@@ -75,7 +74,8 @@
 	return s
 }
 
-// NewStore makes an empty store. Close ends it. It returns a *ConfigError.
+// NewStore returns an empty store, to be closed with Close. It returns a *ConfigError if cfg is
+// invalid.
 func NewStore(cfg Config) (*Store, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 	return s, nil
 }
 
-// Close stops the store.
+// Close stops the lease timers and ends the watches that are waiting.
 func (s *Store) Close() {
 	close(s.stop)
 	s.mu.Lock()
@@ -109,14 +109,14 @@
 	}
 }
 
-// Put writes a key as the operator or a target does.
+// Put writes a key as an operator or target does: an external write.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.write(externalWrite{key: key, value: value})
 }
 
-// Remove removes a key.
+// Remove removes a key as an operator or target does: an external write.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +130,7 @@
 	return s.items[key].Value
 }
 
-// Forget drops the history: watches from before get 410.
+// Forget drops the history: watches from an earlier revision are answered 410.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,14 +138,14 @@
 	s.notifyWatches()
 }
 
-// Calls returns how often a path was called.
+// Calls returns the number of calls of a path.
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[path]
 }
 
-// put writes a key. s.mu is held, here and below.
+// put writes a key. s.mu is held, as in the functions below.
 func (s *Store) put(key string, value []byte, lease uint64) {
 	s.revision++
 	created := s.revision
@@ -177,7 +177,7 @@
 	s.notifyWatches()
 }
 
-// advanceStale lets stale reads see what is as old as their lag.
+// advanceStale applies the changes to staleItems that are at least Config.Lag old.
 func (s *Store) advanceStale(now time.Time) {
 	for len(s.staleQueue) > 0 && !now.Before(s.staleQueue[0].at.Add(s.cfg.Lag)) {
 		it := s.staleQueue[0].item
--- a/internal/emulator/store/store_test.go
+++ b/internal/emulator/store/store_test.go
@@ -41,15 +41,15 @@
 	return w.Code
 }
 
-// Calls over the rate get 429; a renewal costs a tenth of a read, and a stale read
-// nothing of the rate.
+// Calls over the rate limit are answered 429. A renewal takes a tenth of a read's tokens, and a
+// stale read none.
 func TestRate(t *testing.T) {
 	const empty = `{"expected_revision":[],"writes":[],"remove":[]}`
 	tests := map[string]struct {
 		method, target, body string
 		asks                 int
 		every                time.Duration
-		want                 int // taken
+		want                 int // calls accepted
 	}{
 		"burst of writes":      {"POST", "/kv-txn", empty, 1000, 0, 400},
 		"writes over the rate": {"POST", "/kv-lease", `{"ttl_time":"9s"}`, 1000, time.Millisecond, 400 + 399},
@@ -75,14 +75,14 @@
 					time.Sleep(tt.every)
 				}
 				if got != tt.want {
-					t.Errorf("got %d taken, want %d", got, tt.want)
+					t.Errorf("got %d calls accepted, want %d", got, tt.want)
 				}
 			})
 		})
 	}
 }
 
-// A stale read sees what is as old as the lag.
+// A stale read returns the state of Config.Lag ago.
 func TestLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := NewStore(Defaults())
@@ -106,11 +106,11 @@
 	})
 }
 
-// A caller that is turned away gets 429, while others are served.
-func TestClosed(t *testing.T) {
+// A caller whose address is rate-limited is answered 429, while others are served.
+func TestRateLimitedAddress(t *testing.T) {
 	s := New()
 	defer s.Close()
-	s.SetFaults(Faults{Closed: []string{"192.0.2.1"}}) // what httptest says of its requests
+	s.SetFaults(Faults{Closed: []string{"192.0.2.1"}}) // the address of httptest's requests
 	if got := callStatus(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusTooManyRequests {
 		t.Errorf("got status %d, want 429", got)
 	}
@@ -120,7 +120,7 @@
 	}
 }
 
-// A waiting watch ends when the store begins to refuse.
+// A waiting watch is answered 503 when the store begins to refuse calls.
 func TestWatchInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New()
--- a/internal/emulator/store/write.go
+++ b/internal/emulator/store/write.go
@@ -22,7 +22,7 @@
 	Remove []string `json:"remove"`
 }
 
-// txn does all of a transaction or nothing.
+// txn applies a whole transaction or nothing of it.
 func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
 	var body txnBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -106,25 +106,25 @@
 func leaseID(r *http.Request) uint64 {
 	id, err := strconv.ParseUint(chi.URLParam(r, "id"), 10, 64)
 	if err != nil {
-		return 0 // no lease has this number
+		return 0 // no lease has this ID
 	}
 	return id
 }
 
-// lease is one that has not ended.
+// lease is a lease that has not ended.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer // ends it
 }
 
-// startLease begins a lease. s.mu is held.
+// startLease adds a lease and starts its timer. s.mu is held.
 func (s *Store) startLease(id uint64, ttl time.Duration) {
 	l := &lease{ttl: ttl}
 	l.timer = time.AfterFunc(ttl, func() { s.expireLease(id, l) })
 	s.leases[id] = l
 }
 
-// endLease ends a lease; its keys go with it. s.mu is held.
+// endLease ends a lease and removes its keys. s.mu is held.
 func (s *Store) endLease(id uint64) {
 	if l, ok := s.leases[id]; ok {
 		l.timer.Stop()
@@ -137,7 +137,8 @@
 	}
 }
 
-// expireLease ends a lease whose time is over, unless another has its ID now.
+// expireLease ends a lease whose TTL is over, unless its ID has been assigned to another lease
+// after a restore.
 func (s *Store) expireLease(id uint64, l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// Revoke ends all leases at once.
+// Revoke ends all leases at once and removes their keys.
 func (s *Store) Revoke() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
