--- a/internal/emulator/target/answer.go
+++ b/internal/emulator/target/answer.go
@@ -45,7 +45,7 @@
 // Answer returns the body that answers request id: AnswerLen(size) bytes.
 func Answer(id string, size int64) io.Reader {
 	size = AnswerLen(size)
-	return io.LimitReader(&words{size: uint64(size), sum: checksum(id, uint64(size))}, size)
+	return io.LimitReader(&wordReader{size: uint64(size), sum: checksum(id, uint64(size))}, size)
 }
 
 // VerifyAnswer reads r to its end and returns an *AnswerError unless it held
@@ -61,15 +61,15 @@
 	if binary.LittleEndian.Uint64(header[wordLen:]) != sum {
 		return &AnswerError{ID: id, Fault: "header is damaged or another request's"}
 	}
-	return verifyRest(id, r, &words{size: size, sum: sum, next: headerLen / wordLen}, int64(size)-headerLen)
+	return verifyBody(id, r, &wordReader{size: size, sum: sum, next: headerLen / wordLen}, int64(size)-headerLen)
 }
 
-// verifyRest compares r with the rest bytes that want goes on with.
-func verifyRest(id string, r io.Reader, want *words, rest int64) error {
+// verifyBody compares r with the rest bytes that want goes on with.
+func verifyBody(id string, r io.Reader, want *wordReader, remaining int64) error {
 	got, expected := make([]byte, bufferLen), make([]byte, bufferLen)
 	offset := int64(headerLen)
-	for rest > 0 {
-		part := got[:min(rest, bufferLen)]
+	for remaining > 0 {
+		part := got[:min(remaining, bufferLen)]
 		n, err := io.ReadFull(r, part)
 		if err != nil {
 			return &AnswerError{ID: id, Offset: offset + int64(n), Fault: "cut short", Err: err}
@@ -79,7 +79,7 @@
 			return &AnswerError{ID: id, Offset: offset, Fault: "wrong bytes"}
 		}
 		offset += int64(n)
-		rest -= int64(n)
+		remaining -= int64(n)
 	}
 	n, err := io.ReadFull(r, got[:1])
 	if n > 0 {
@@ -96,17 +96,17 @@
 	return xxhash.Sum64(b)
 }
 
-// words generates an answer without an end.
-type words struct {
-	size uint64
-	sum  uint64
-	next uint64 // index of the next word
-	part []byte // of the word before, not yet read
+// wordReader generates an answer without an end.
+type wordReader struct {
+	size     uint64
+	sum      uint64
+	next     uint64 // index of the next word
+	leftover []byte // of the word before, not yet read
 }
 
-func (g *words) Read(b []byte) (int, error) {
-	n := copy(b, g.part)
-	g.part = g.part[n:]
+func (g *wordReader) Read(b []byte) (int, error) {
+	n := copy(b, g.leftover)
+	g.leftover = g.leftover[n:]
 	whole := (len(b) - n) / wordLen * wordLen
 	g.fill(b[n : n+whole])
 	n += whole
@@ -114,20 +114,20 @@
 		word := make([]byte, wordLen)
 		g.fill(word)
 		m := copy(b[n:], word)
-		g.part = word[m:]
+		g.leftover = word[m:]
 		n += m
 	}
 	return n, nil
 }
 
 // fill writes whole words only.
-func (g *words) fill(b []byte) {
+func (g *wordReader) fill(b []byte) {
 	for ; len(b) >= wordLen; b = b[wordLen:] {
 		binary.LittleEndian.PutUint64(b, g.word())
 	}
 }
 
-func (g *words) word() uint64 {
+func (g *wordReader) word() uint64 {
 	i := g.next
 	g.next++
 	switch i {
--- a/internal/emulator/target/answer_test.go
+++ b/internal/emulator/target/answer_test.go
@@ -45,9 +45,9 @@
 }
 
 func FuzzVerifyAnswer(f *testing.F) {
-	whole, _ := io.ReadAll(Answer("a", 64))
-	f.Add(whole)
-	f.Add(whole[:20])
+	answer, _ := io.ReadAll(Answer("a", 64))
+	f.Add(answer)
+	f.Add(answer[:20])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		err := VerifyAnswer("a", bytes.NewReader(b))
 		want, _ := io.ReadAll(io.LimitReader(Answer("a", int64(len(b))), int64(len(b))+1))
--- a/internal/emulator/target/journal.go
+++ b/internal/emulator/target/journal.go
@@ -55,25 +55,25 @@
 // ground truth that the program's own belief is held against. It is safe for
 // concurrent use.
 type Journal struct {
-	mu         sync.Mutex
-	epoch      time.Time // start of the first window
-	counter    *invariant.Counter
-	records    map[string]*record
-	uses       map[Scope]*Use
-	leaving    map[Scope]time.Time // deadline after which a scope gets no new work
-	shifts     map[Scope][]int     // shifted requests by window
-	violations []Violation         // the first maxViolations of them
+	mu             sync.Mutex
+	epoch          time.Time // start of the first window
+	counter        *invariant.Counter
+	records        map[string]*record
+	usage          map[Scope]*Use
+	leaveDeadlines map[Scope]time.Time // deadline after which a scope gets no new work
+	shifts         map[Scope][]int     // shifted requests by window
+	violations     []Violation         // the first maxViolations of them
 }
 
 // record is what is known of one request id or idempotency key.
 type record struct {
-	runs    int
-	once    bool // not idempotent: at most one run
-	refused bool // the caller was told that it was not run
+	runs       int
+	atMostOnce bool // not idempotent: at most one run
+	refused    bool // the caller was told that it was not run
 }
 
 const (
-	window        = time.Second
+	windowLength  = time.Second
 	maxViolations = 100
 )
 
@@ -81,12 +81,12 @@
 // are counted in counter, which may be nil.
 func NewJournal(counter *invariant.Counter, epoch time.Time) *Journal {
 	return &Journal{
-		epoch:   epoch,
-		counter: counter,
-		records: map[string]*record{},
-		uses:    map[Scope]*Use{},
-		leaving: map[Scope]time.Time{},
-		shifts:  map[Scope][]int{},
+		epoch:          epoch,
+		counter:        counter,
+		records:        map[string]*record{},
+		usage:          map[Scope]*Use{},
+		leaveDeadlines: map[Scope]time.Time{},
+		shifts:         map[Scope][]int{},
 	}
 }
 
@@ -94,21 +94,21 @@
 func (j *Journal) SetLimit(s Scope, limit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.use(s).Limit = limit
+	j.usageOf(s).Limit = limit
 }
 
 // Leave says that a scope gets no new work after deadline.
 func (j *Journal) Leave(s Scope, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.leaving[s] = deadline
+	j.leaveDeadlines[s] = deadline
 }
 
 // Return undoes Leave.
 func (j *Journal) Return(s Scope) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.leaving, s)
+	delete(j.leaveDeadlines, s)
 }
 
 // Once says that a request id or idempotency key may run at most once. Say it
@@ -117,7 +117,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.record(key)
-	r.once = true
+	r.atMostOnce = true
 	j.checkOnce(key, r, time.Now())
 }
 
@@ -135,14 +135,14 @@
 func (j *Journal) Start(w Work, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.run(w.ID, now)
+	j.recordRun(w.ID, now)
 	if w.Key != w.ID {
-		j.run(w.Key, now)
+		j.recordRun(w.Key, now)
 	}
 	for _, s := range w.scopes() {
-		j.enter(s, now)
+		j.recordStart(s, now)
 	}
-	j.shift(w, now)
+	j.recordShift(w, now)
 }
 
 // Finish records that the work of Start ended, in whatever way.
@@ -150,20 +150,20 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, s := range w.scopes() {
-		u := j.use(s)
+		u := j.usageOf(s)
 		u.Now--
 		u.Last = now
 	}
 }
 
-// run counts one run of a request id or key.
-func (j *Journal) run(key string, now time.Time) {
+// recordRun counts one recordRun of a request id or key.
+func (j *Journal) recordRun(key string, now time.Time) {
 	if key == "" {
 		return
 	}
 	r := j.record(key)
 	r.runs++
-	if r.once {
+	if r.atMostOnce {
 		j.checkOnce(key, r, now)
 	}
 	if r.refused {
@@ -183,9 +183,9 @@
 	})
 }
 
-// enter counts one more request in flight in s.
-func (j *Journal) enter(s Scope, now time.Time) {
-	u := j.use(s)
+// recordStart counts one more request in flight in s.
+func (j *Journal) recordStart(s Scope, now time.Time) {
+	u := j.usageOf(s)
 	u.Now++
 	u.Runs++
 	u.Peak = max(u.Peak, u.Now)
@@ -194,7 +194,7 @@
 			return fmt.Sprintf("%+v has %d requests in flight, limit %d", s, u.Now, u.Limit)
 		})
 	}
-	deadline, ok := j.leaving[s]
+	deadline, ok := j.leaveDeadlines[s]
 	if !ok {
 		return
 	}
@@ -207,13 +207,13 @@
 	})
 }
 
-// shift counts work for another place's caller in its window.
-func (j *Journal) shift(w Work, now time.Time) {
+// recordShift counts work for another place's caller in its window.
+func (j *Journal) recordShift(w Work, now time.Time) {
 	if w.Home == "" || w.Home == w.Place || now.Before(j.epoch) {
 		return
 	}
 	s := Scope{Place: w.Place, Service: w.Service}
-	i := int(now.Sub(j.epoch) / window)
+	i := int(now.Sub(j.epoch) / windowLength)
 	counts := j.shifts[s]
 	for len(counts) <= i {
 		counts = append(counts, 0)
@@ -238,11 +238,11 @@
 	return r
 }
 
-func (j *Journal) use(s Scope) *Use {
-	u := j.uses[s]
+func (j *Journal) usageOf(s Scope) *Use {
+	u := j.usage[s]
 	if u == nil {
 		u = &Use{}
-		j.uses[s] = u
+		j.usage[s] = u
 	}
 	return u
 }
--- a/internal/emulator/target/journal_test.go
+++ b/internal/emulator/target/journal_test.go
@@ -12,7 +12,7 @@
 	now := time.Unix(1000, 0)
 	work := Work{ID: "r", Key: "k", Service: "team/svc", Place: "p", Target: "t"}
 	tests := map[string]struct {
-		play func(j *Journal)
+		run  func(j *Journal)
 		want []invariant.Name
 	}{
 		"idempotent twice": {func(j *Journal) {
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := invariant.New(nil)
 			j := NewJournal(c, now)
-			tt.play(j)
+			tt.run(j)
 			var got []invariant.Name
 			for _, v := range j.Violations() {
 				got = append(got, v.Name)
--- a/internal/emulator/target/listener.go
+++ b/internal/emulator/target/listener.go
@@ -14,20 +14,20 @@
 // before their first byte is read.
 type listener struct {
 	net.Listener
-	limit   int64
-	cost    time.Duration
-	clock   *clock.Clock
-	open    atomic.Int64
-	peak    atomic.Int64
-	refused atomic.Int64
+	limit          int64
+	connectionCost time.Duration
+	clock          *clock.Clock
+	open           atomic.Int64
+	peak           atomic.Int64
+	refused        atomic.Int64
 }
 
 func newListener(ln net.Listener, cfg Config) *listener {
 	return &listener{
-		Listener: ln,
-		limit:    int64(cfg.Connections),
-		cost:     cfg.ConnectionCost,
-		clock:    cfg.Clock,
+		Listener:       ln,
+		limit:          int64(cfg.Connections),
+		connectionCost: cfg.ConnectionCost,
+		clock:          cfg.Clock,
 	}
 }
 
@@ -40,7 +40,7 @@
 		n := l.open.Add(1)
 		if n <= l.limit {
 			l.peak.Store(max(l.peak.Load(), n))
-			return &conn{Conn: c, l: l, cost: l.cost}, nil
+			return &conn{Conn: c, l: l, delay: l.connectionCost}, nil
 		}
 		l.open.Add(-1)
 		l.refused.Add(1)
@@ -50,20 +50,20 @@
 
 type conn struct {
 	net.Conn
-	l     *listener
-	cost  time.Duration
-	first sync.Once
-	once  sync.Once
+	l         *listener
+	delay     time.Duration
+	delayOnce sync.Once
+	closeOnce sync.Once
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	c.first.Do(func() {
-		c.l.clock.SleepUntil(context.Background(), time.Now().Add(c.cost))
+	c.delayOnce.Do(func() {
+		c.l.clock.SleepUntil(context.Background(), time.Now().Add(c.delay))
 	})
 	return c.Conn.Read(b)
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { c.l.open.Add(-1) })
+	c.closeOnce.Do(func() { c.l.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/emulator/target/notice.go
+++ b/internal/emulator/target/notice.go
@@ -15,21 +15,21 @@
 // Bounds of what still reaches a target that has said which requests it wants: by nature of its
 // callers, who may be on their way, or new and not told yet.
 const (
-	noticeWithin = time.Second // after which it is known
+	noticeGrace  = time.Second // after which it is known
 	noticeSlack  = 3           // requests of callers that have just started
-	restWithin   = 500 * time.Millisecond
+	backOffGrace = 500 * time.Millisecond
 	limitWindow  = 4 * time.Second
-	limitOver    = 1.5
+	limitFactor  = 1.5
 	limitSlack   = 5
 )
 
-// notices is what a target says of the requests that it wants, and what reached it all the same.
-type notices struct {
-	mu    sync.Mutex
-	said  notice.Notice
-	until time.Time   // it is said until then; as all below by a clock that goes on in suspensions
-	told  time.Time   // when it was first said; zero before
-	after []time.Time // requests that came since it should be known
+// noticeState is what a target says of the requests that it wants, and what reached it all the same.
+type noticeState struct {
+	mu        sync.Mutex
+	current   notice.Notice
+	until     time.Time   // it is said until then; as all below by a clock that goes on in suspensions
+	firstSent time.Time   // when it was first said; zero before
+	arrivals  []time.Time // requests that came since it should be known
 }
 
 // SetNotice makes the target say something in all answers until a time. With Rest it refuses all
@@ -37,56 +37,56 @@
 func (t *Target) SetNotice(n notice.Notice, until time.Time) {
 	t.notices.mu.Lock()
 	defer t.notices.mu.Unlock()
-	t.notices.said, t.notices.until = n, boottime.Now().Add(time.Until(until))
-	t.notices.told, t.notices.after = time.Time{}, nil
+	t.notices.current, t.notices.until = n, boottime.Now().Add(time.Until(until))
+	t.notices.firstSent, t.notices.arrivals = time.Time{}, nil
 }
 
-// say sets the headers of an answer. It returns true if the request is refused for rest.
-func (s *notices) say(h http.Header, now time.Time) bool {
+// setHeaders sets the headers of an answer. It returns true if the request is refused for rest.
+func (s *noticeState) setHeaders(h http.Header, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !now.Before(s.until) || !s.said.Any() {
+	if !now.Before(s.until) || !s.current.Any() {
 		return false
 	}
-	if s.said.Leaving {
+	if s.current.Leaving {
 		h.Set(headerLeaving, "1")
 	}
-	if s.said.Limited {
-		h.Set(headerLimit, strconv.FormatFloat(s.said.Limit, 'f', -1, 64))
+	if s.current.Limited {
+		h.Set(headerLimit, strconv.FormatFloat(s.current.Limit, 'f', -1, 64))
 	}
-	if s.said.Rest > 0 {
-		h.Set(headerRest, strconv.FormatFloat(s.until.Sub(now).Seconds(), 'f', 3, 64))
+	if s.current.Rest > 0 {
+		h.Set(headerRetryAfter, strconv.FormatFloat(s.until.Sub(now).Seconds(), 'f', 3, 64))
 	}
-	if s.told.IsZero() {
-		s.told = now
+	if s.firstSent.IsZero() {
+		s.firstSent = now
 	}
-	return s.said.Rest > 0
+	return s.current.Rest > 0
 }
 
-// arrived counts a request, and checks that the target gets no more than it wants.
-func (s *notices) arrived(j *Journal, scope Scope, now time.Time) {
+// checkArrival counts a request, and checks that the target gets no more than it wants.
+func (s *noticeState) checkArrival(j *Journal, scope Scope, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.told.IsZero() || !now.Before(s.until) {
+	if s.firstSent.IsZero() || !now.Before(s.until) {
 		return
 	}
-	within, most := noticeWithin, noticeSlack
+	grace, most := noticeGrace, noticeSlack
 	switch {
-	case s.said.Limited:
-		within, most = restWithin, int(limitOver*s.said.Limit*limitWindow.Seconds())+limitSlack
-		for len(s.after) > 0 && now.Sub(s.after[0]) >= limitWindow {
-			s.after = s.after[1:]
+	case s.current.Limited:
+		grace, most = backOffGrace, int(limitFactor*s.current.Limit*limitWindow.Seconds())+limitSlack
+		for len(s.arrivals) > 0 && now.Sub(s.arrivals[0]) >= limitWindow {
+			s.arrivals = s.arrivals[1:]
 		}
-	case s.said.Rest > 0:
-		within = restWithin
+	case s.current.Rest > 0:
+		grace = backOffGrace
 	}
-	if now.Sub(s.told) < within {
+	if now.Sub(s.firstSent) < grace {
 		return
 	}
-	s.after = append(s.after, now)
-	n := len(s.after)
+	s.arrivals = append(s.arrivals, now)
+	n := len(s.arrivals)
 	j.Wanted(n <= most, now, func() string {
-		return fmt.Sprintf("%+v got %d requests after it had said %+v, %d at most are allowed", scope, n, s.said, most)
+		return fmt.Sprintf("%+v got %d requests after it had said %+v, %d at most are allowed", scope, n, s.current, most)
 	})
 }
 
--- a/internal/emulator/target/notice_test.go
+++ b/internal/emulator/target/notice_test.go
@@ -10,23 +10,23 @@
 )
 
 func TestNoticeEndsInSuspension(t *testing.T) {
-	const rest = time.Hour
-	b := newBench(t, Config{})
-	b.SetNotice(notice.Notice{Rest: rest}, time.Now().Add(rest))
-	said := func() string {
+	const backOff = time.Hour
+	b := newTestTarget(t, Config{})
+	b.SetNotice(notice.Notice{Rest: backOff}, time.Now().Add(backOff))
+	retryAfter := func() string {
 		resp, err := b.client.Get("http://t/load")
 		if err != nil {
 			t.Fatal(err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
-		return resp.Header.Get(headerRest)
+		return resp.Header.Get(headerRetryAfter)
 	}
-	if got := said(); got == "" {
-		t.Fatalf("got no %s before the suspension", headerRest)
+	if got := retryAfter(); got == "" {
+		t.Fatalf("got no %s before the suspension", headerRetryAfter)
 	}
-	boottime.Suspend(rest)
-	if got, want := said(), ""; got != want {
-		t.Errorf("got %s %q after it, want %q", headerRest, got, want)
+	boottime.Suspend(backOff)
+	if got, want := retryAfter(), ""; got != want {
+		t.Errorf("got %s %q after it, want %q", headerRetryAfter, got, want)
 	}
 }
--- a/internal/emulator/target/serve.go
+++ b/internal/emulator/target/serve.go
@@ -14,14 +14,14 @@
 
 // Headers that a target reads or writes.
 const (
-	headerRequest = "Firlever-Request"
-	headerTimeout = "Firlever-Timeout"
-	headerKey     = "Firlever-Key"
-	headerHome    = "Firlever-Home"
-	headerOutcome = "Firlever-Outcome"
-	headerLeaving = "Firlever-Leaving"
-	headerLimit   = "Firlever-Limit"
-	headerRest    = "Retry-After"
+	headerRequest    = "Firlever-Request"
+	headerTimeout    = "Firlever-Timeout"
+	headerKey        = "Firlever-Key"
+	headerHome       = "Firlever-Home"
+	headerOutcome    = "Firlever-Outcome"
+	headerLeaving    = "Firlever-Leaving"
+	headerLimit      = "Firlever-Limit"
+	headerRetryAfter = "Retry-After"
 
 	outcomeNotRun  = "not-run"
 	outcomeUnknown = "unknown"
@@ -39,25 +39,25 @@
 // ServeHTTP answers probes and requests.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := boottime.Now()
-	rests := t.notices.say(w.Header(), now)
+	backingOff := t.notices.setHeaders(w.Header(), now)
 	switch r.URL.Path {
 	case "/health":
 		t.serveHealth(w, r)
 	case "/load":
 		t.serveLoad(w, r)
 	default:
-		t.notices.arrived(t.journal, t.Scope(), now)
-		if rests {
+		t.notices.checkArrival(t.journal, t.Scope(), now)
+		if backingOff {
 			refuse(w, http.StatusServiceUnavailable)
 			return
 		}
-		w.Header().Del(headerRest)
+		w.Header().Del(headerRetryAfter)
 		t.serveWork(w, r)
 	}
 }
 
 func (t *Target) serveHealth(w http.ResponseWriter, r *http.Request) {
-	w.Header().Del(headerRest)
+	w.Header().Del(headerRetryAfter)
 	s, report, ok := t.probe(r)
 	if !ok {
 		return
@@ -94,7 +94,7 @@
 func (t *Target) serveWork(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel, ok := withTimeout(r)
 	defer cancel()
-	size, sizeOK := t.size(r)
+	size, sizeOK := t.answerSize(r)
 	if !ok || !sizeOK {
 		refuse(w, http.StatusBadRequest)
 		return
@@ -107,14 +107,14 @@
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	work := t.work(r)
+	work := t.workOf(r)
 	finish := t.start(work)
 	defer finish()
 	if t.cfg.Fatal != "" && r.URL.Path == t.cfg.Fatal {
-		t.die(r)
+		t.crash(r)
 		return
 	}
-	if !t.cfg.Clock.SleepUntil(ctx, t.due()) {
+	if !t.cfg.Clock.SleepUntil(ctx, t.finishTime()) {
 		w.Header().Set(headerOutcome, outcomeUnknown)
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
@@ -132,13 +132,13 @@
 	})
 }
 
-// due returns when the work that starts now is done.
-func (t *Target) due() time.Time {
+// finishTime returns when the work that starts now is done.
+func (t *Target) finishTime() time.Time {
 	now := time.Now()
-	return now.Add(t.pace.next(now))
+	return now.Add(t.serviceTimes.next(now))
 }
 
-func (t *Target) work(r *http.Request) Work {
+func (t *Target) workOf(r *http.Request) Work {
 	return Work{
 		ID:      r.Header.Get(headerRequest),
 		Key:     r.Header.Get(headerKey),
@@ -149,8 +149,8 @@
 	}
 }
 
-// size returns how many bytes the request asks for.
-func (t *Target) size(r *http.Request) (int64, bool) {
+// answerSize returns how many bytes the request asks for.
+func (t *Target) answerSize(r *http.Request) (int64, bool) {
 	s := r.URL.Query().Get("size")
 	if s == "" {
 		return t.cfg.Size, true
--- a/internal/emulator/target/slots.go
+++ b/internal/emulator/target/slots.go
@@ -9,15 +9,15 @@
 // slots admits work: so many requests at one time, a short queue behind them.
 // It keeps the past that a lagging report needs.
 type slots struct {
-	mu       sync.Mutex
-	free     chan struct{} // one token for each free slot
-	size     int
-	queue    int
-	admitted int // waiting and busy, at most size + queue
-	busy     int
-	draining bool
-	healthy  bool
-	past     []sample // by time; the last is the present
+	mu        sync.Mutex
+	free      chan struct{} // one token for each free slot
+	size      int
+	queueSize int
+	admitted  int // waiting and busy, at most size + queue
+	busy      int
+	draining  bool
+	healthy   bool
+	history   []sample // by time; the last is the present
 }
 
 // sample is the state from a time on, until the next sample.
@@ -27,15 +27,15 @@
 	healthy bool
 }
 
-// keep is how long the past is kept, and the longest lag of a report.
-const keep = 10 * time.Second
+// historyRetention is how long the past is kept, and the longest lag of a report.
+const historyRetention = 10 * time.Second
 
 func newSlots(size, queue int, now time.Time) *slots {
-	s := &slots{free: make(chan struct{}, size), size: size, queue: queue, healthy: true}
+	s := &slots{free: make(chan struct{}, size), size: size, queueSize: queue, healthy: true}
 	for range size {
 		s.free <- struct{}{}
 	}
-	s.past = []sample{{at: now, healthy: true}}
+	s.history = []sample{{at: now, healthy: true}}
 	return s
 }
 
@@ -48,13 +48,13 @@
 	select {
 	case <-s.free:
 	case <-ctx.Done():
-		s.leave()
+		s.abandon()
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy++
-	s.note(time.Now())
+	s.record(time.Now())
 	return true
 }
 
@@ -62,15 +62,15 @@
 func (s *slots) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.draining || s.admitted >= s.size+s.queue {
+	if s.draining || s.admitted >= s.size+s.queueSize {
 		return false
 	}
 	s.admitted++
 	return true
 }
 
-// leave counts out a request that waited in vain.
-func (s *slots) leave() {
+// abandon counts out a request that waited in vain.
+func (s *slots) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admitted--
@@ -80,7 +80,7 @@
 	s.mu.Lock()
 	s.admitted--
 	s.busy--
-	s.note(time.Now())
+	s.record(time.Now())
 	s.mu.Unlock()
 	s.free <- struct{}{}
 }
@@ -89,34 +89,34 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = draining
-	s.note(time.Now())
+	s.record(time.Now())
 }
 
 func (s *slots) setHealthy(healthy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.healthy = healthy
-	s.note(time.Now())
+	s.record(time.Now())
 }
 
-// note appends the present to the past and drops what no report needs.
-func (s *slots) note(now time.Time) {
-	s.past = append(s.past, sample{at: now, busy: s.busy, healthy: s.healthy && !s.draining})
+// record appends the present to the past and drops what no report needs.
+func (s *slots) record(now time.Time) {
+	s.history = append(s.history, sample{at: now, busy: s.busy, healthy: s.healthy && !s.draining})
 	old := 0
-	for old+1 < len(s.past) && now.Sub(s.past[old+1].at) > keep {
+	for old+1 < len(s.history) && now.Sub(s.history[old+1].at) > historyRetention {
 		old++
 	}
-	s.past = s.past[old:]
+	s.history = s.history[old:]
 }
 
 // asOf returns the state at a time; the oldest known one before that.
 func (s *slots) asOf(at time.Time) sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := len(s.past) - 1; i > 0; i-- {
-		if !s.past[i].at.After(at) {
-			return s.past[i]
+	for i := len(s.history) - 1; i > 0; i-- {
+		if !s.history[i].at.After(at) {
+			return s.history[i]
 		}
 	}
-	return s.past[0]
+	return s.history[0]
 }
--- a/internal/emulator/target/target.go
+++ b/internal/emulator/target/target.go
@@ -15,15 +15,15 @@
 
 // Target is one running stand-in. It is safe for concurrent use.
 type Target struct {
-	cfg     Config
-	journal *Journal
-	ln      *listener
-	srv     *http.Server
-	slots   *slots
-	pace    *pace
-	done    chan struct{} // closed when the server has ended
-	fatal   sync.Once     // of what ends it
-	notices notices
+	cfg          Config
+	journal      *Journal
+	ln           *listener
+	srv          *http.Server
+	slots        *slots
+	serviceTimes *serviceTimes
+	done         chan struct{} // closed when the server has ended
+	crashOnce    sync.Once     // of what ends it
+	notices      noticeState
 
 	mu     sync.Mutex
 	report Report
@@ -44,13 +44,13 @@
 	}
 	now := time.Now()
 	t := &Target{
-		cfg:     cfg,
-		journal: j,
-		ln:      newListener(ln, cfg),
-		slots:   newSlots(cfg.Slots, cfg.Queue, now),
-		pace:    newPace(cfg, now),
-		done:    make(chan struct{}),
-		report:  cfg.Report,
+		cfg:          cfg,
+		journal:      j,
+		ln:           newListener(ln, cfg),
+		slots:        newSlots(cfg.Slots, cfg.Queue, now),
+		serviceTimes: newServiceTimes(cfg, now),
+		done:         make(chan struct{}),
+		report:       cfg.Report,
 	}
 	t.srv = &http.Server{Handler: t}
 	go t.serve()
@@ -99,14 +99,14 @@
 }
 
 // SetSlowdown multiplies the service times from now on; 1 for none.
-func (t *Target) SetSlowdown(factor float64) { t.pace.setSlowdown(factor) }
+func (t *Target) SetSlowdown(factor float64) { t.serviceTimes.setSlowdown(factor) }
 
 // Cool makes the target as cold as at its start.
-func (t *Target) Cool() { t.pace.restart(time.Now()) }
+func (t *Target) Cool() { t.serviceTimes.resetWarmup(time.Now()) }
 
-// die ends the target under a request, and returns when its connection has broken.
-func (t *Target) die(r *http.Request) {
-	t.fatal.Do(func() {
+// crash ends the target under a request, and returns when its connection has broken.
+func (t *Target) crash(r *http.Request) {
+	t.crashOnce.Do(func() {
 		go func() {
 			t.Close()
 			if t.cfg.Ended != nil {
--- a/internal/emulator/target/target_test.go
+++ b/internal/emulator/target/target_test.go
@@ -13,13 +13,13 @@
 	"time"
 )
 
-// pipes is a listener whose connections live in memory, for virtual time.
-type pipes struct {
+// pipeListener is a listener whose connections live in memory, for virtual time.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -28,26 +28,26 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.done); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.done); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (p *pipes) dial(context.Context, string, string) (net.Conn, error) {
+func (p *pipeListener) dial(context.Context, string, string) (net.Conn, error) {
 	c, far := net.Pipe()
 	p.conns <- far
 	return c, nil
 }
 
-// bench is a target with a client, all in one synctest bubble.
-type bench struct {
+// testTarget is a target with a client, all in one synctest bubble.
+type testTarget struct {
 	*Target
-	client *http.Client
-	j      *Journal
+	client  *http.Client
+	journal *Journal
 }
 
-func newBench(t *testing.T, cfg Config) *bench {
+func newTestTarget(t *testing.T, cfg Config) *testTarget {
 	t.Helper()
 	cfg.Service, cfg.Place, cfg.Name = "team/svc", "p", "t"
-	p := &pipes{conns: make(chan net.Conn), done: make(chan struct{})}
+	p := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 	j := NewJournal(nil, time.Now())
 	tg, err := Start(p, cfg, j)
 	if err != nil {
@@ -58,11 +58,11 @@
 		tr.CloseIdleConnections()
 		_ = tg.Close()
 	})
-	return &bench{Target: tg, client: &http.Client{Transport: tr}, j: j}
+	return &testTarget{Target: tg, client: &http.Client{Transport: tr}, journal: j}
 }
 
 // get returns status, outcome, time taken and the check of the body.
-func (b *bench) get(ctx context.Context, t *testing.T, path, id, timeout string) (int, string, time.Duration, error) {
+func (b *testTarget) get(ctx context.Context, t *testing.T, path, id, timeout string) (int, string, time.Duration, error) {
 	t.Helper()
 	start := time.Now()
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://t"+path, strings.NewReader("x"))
@@ -88,7 +88,7 @@
 		status  int
 		outcome string
 		took    time.Duration
-		ran     int
+		runs    int
 	}{
 		"warm":           {Config{}, "/a", "", 200, "", 6 * ms, 1},
 		"slow link":      {Config{Pace: 100_000}, "/a?size=50001", "", 200, "", 506 * ms, 1},
@@ -102,7 +102,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, tt.cfg)
+				b := newTestTarget(t, tt.cfg)
 				status, outcome, took, err := b.get(t.Context(), t, tt.path, "r", tt.timeout)
 				if status != tt.status || outcome != tt.outcome || took != tt.took {
 					t.Errorf("got %d %q %s, want %d %q %s", status, outcome, took, tt.status, tt.outcome, tt.took)
@@ -110,8 +110,8 @@
 				if got, want := err == nil, tt.status == 200; got != want {
 					t.Errorf("got whole %v, want %v: %v", got, want, err)
 				}
-				if got := b.j.Ran("r"); got != tt.ran {
-					t.Errorf("got %d runs, want %d", got, tt.ran)
+				if got := b.journal.Ran("r"); got != tt.runs {
+					t.Errorf("got %d runs, want %d", got, tt.runs)
 				}
 			})
 		})
@@ -120,7 +120,7 @@
 
 func TestShedDrainCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, Config{Slots: 1, Queue: 1, Mean: time.Second, Report: Report{Lag: 500 * time.Millisecond}})
+		b := newTestTarget(t, Config{Slots: 1, Queue: 1, Mean: time.Second, Report: Report{Lag: 500 * time.Millisecond}})
 		ctx, cancel := context.WithCancel(t.Context())
 		go b.get(ctx, t, "/a", "running", "")
 		time.Sleep(10 * time.Millisecond)
@@ -133,15 +133,15 @@
 		if status, outcome, _, _ := b.get(t.Context(), t, "/a", "shed", ""); status != 503 || outcome != outcomeNotRun {
 			t.Errorf("got %d %q, want 503 not-run", status, outcome)
 		}
-		if got := b.busy(t); got != 0 {
+		if got := b.reportedBusy(t); got != 0 {
 			t.Errorf("got %d busy before the lag, want 0", got)
 		}
 		time.Sleep(600 * time.Millisecond)
-		if got := b.busy(t); got != 1 {
+		if got := b.reportedBusy(t); got != 1 {
 			t.Errorf("got %d busy after the lag, want 1", got)
 		}
 		b.SetReport(Report{AlwaysIdle: true})
-		if got := b.busy(t); got != 0 {
+		if got := b.reportedBusy(t); got != 0 {
 			t.Errorf("got %d busy when misleading, want 0", got)
 		}
 		b.Drain()
@@ -152,17 +152,17 @@
 		if status, outcome, _, _ := b.get(t.Context(), t, "/a", "late", ""); status != 503 || outcome != outcomeNotRun {
 			t.Errorf("got %d %q while draining, want 503 not-run", status, outcome)
 		}
-		if got, want := b.j.Ran("shed")+b.j.Ran("late"), 0; got != want {
+		if got, want := b.journal.Ran("shed")+b.journal.Ran("late"), 0; got != want {
 			t.Errorf("got %d runs of refused requests, want %d", got, want)
 		}
-		want := Use{Peak: 1, Runs: 2, Last: b.j.Place("p").Last}
-		if got := b.j.Place("p"); got != want {
+		want := Use{Peak: 1, Runs: 2, Last: b.journal.Place("p").Last}
+		if got := b.journal.Place("p"); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	})
 }
 
-func (b *bench) busy(t *testing.T) int {
+func (b *testTarget) reportedBusy(t *testing.T) int {
 	t.Helper()
 	resp, err := b.client.Get("http://t/load")
 	if err != nil {
@@ -176,28 +176,28 @@
 	return l.Busy
 }
 
-// lastByte notes the requests in flight when the whole body is written.
-type lastByte struct {
+// lastByteRecorder notes the requests in flight when the whole body is written.
+type lastByteRecorder struct {
 	*httptest.ResponseRecorder
-	j    *Journal
-	want int64
-	busy int
+	journal  *Journal
+	bodyLen  int64
+	inFlight int
 }
 
-func (w *lastByte) Write(b []byte) (int, error) {
+func (w *lastByteRecorder) Write(b []byte) (int, error) {
 	n, err := w.ResponseRecorder.Write(b)
-	if int64(w.Body.Len()) == w.want {
-		w.busy = w.j.Place("p").Now
+	if int64(w.Body.Len()) == w.bodyLen {
+		w.inFlight = w.journal.Place("p").Now
 	}
 	return n, err
 }
 
 func TestFinishedBeforeLastByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, Config{Size: 100_000})
-		w := &lastByte{ResponseRecorder: httptest.NewRecorder(), j: b.j, want: 100_000, busy: -1}
+		b := newTestTarget(t, Config{Size: 100_000})
+		w := &lastByteRecorder{ResponseRecorder: httptest.NewRecorder(), journal: b.journal, bodyLen: 100_000, inFlight: -1}
 		b.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/a", nil))
-		if got, want := w.busy, 0; got != want {
+		if got, want := w.inFlight, 0; got != want {
 			t.Errorf("got %d in flight at the last byte, want %d", got, want)
 		}
 	})
@@ -207,7 +207,7 @@
 	tests := map[string]struct {
 		timeout string
 		status  int
-		ran     int
+		runs    int
 	}{
 		"answered": {"", 200, 50},
 		"no time":  {"0", 503, 0},
@@ -215,14 +215,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, Config{Slots: 1, Queue: 1})
+				b := newTestTarget(t, Config{Slots: 1, Queue: 1})
 				for range 50 {
 					if got, _, _, _ := b.get(t.Context(), t, "/a", "r", tt.timeout); got != tt.status {
 						t.Errorf("got %d, want %d", got, tt.status)
 					}
 				}
-				if got := b.j.Ran("r"); got != tt.ran {
-					t.Errorf("got %d runs, want %d", got, tt.ran)
+				if got := b.journal.Ran("r"); got != tt.runs {
+					t.Errorf("got %d runs, want %d", got, tt.runs)
 				}
 			})
 		})
@@ -231,7 +231,7 @@
 
 func TestConnectionLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, Config{Connections: 1, Mean: time.Second})
+		b := newTestTarget(t, Config{Connections: 1, Mean: time.Second})
 		go b.get(t.Context(), t, "/a", "first", "")
 		time.Sleep(10 * time.Millisecond)
 		if _, _, _, err := b.get(t.Context(), t, "/a", "second", ""); err == nil {
@@ -259,7 +259,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t, Config{ProbeCost: 6 * time.Millisecond, Report: tt.report})
+				b := newTestTarget(t, Config{ProbeCost: 6 * time.Millisecond, Report: tt.report})
 				time.Sleep(time.Minute)
 				tt.set(b.Target)
 				start := time.Now()
--- a/internal/emulator/target/truth.go
+++ b/internal/emulator/target/truth.go
@@ -25,7 +25,7 @@
 func (j *Journal) Use(s Scope) Use {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if u := j.uses[s]; u != nil {
+	if u := j.usage[s]; u != nil {
 		return *u
 	}
 	return Use{}
@@ -43,8 +43,8 @@
 func (j *Journal) Uses() []ScopeUse {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	uses := make([]ScopeUse, 0, len(j.uses))
-	for s, u := range j.uses {
+	uses := make([]ScopeUse, 0, len(j.usage))
+	for s, u := range j.usage {
 		uses = append(uses, ScopeUse{Scope: s, Use: *u})
 	}
 	slices.SortFunc(uses, func(a, b ScopeUse) int {
