--- a/internal/emulator/target/answer.go
+++ b/internal/emulator/target/answer.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// An answer is a run of little-endian words: its length in bytes, a checksum of
-// that length and the request id, then words drawn from the checksum. Each byte
-// follows from the id and the length, so that a cut, crossed or damaged answer
-// shows.
+// An answer is a sequence of little-endian words: its length in bytes, a checksum of
+// that length and the request ID, then pseudo-random words seeded by the checksum. Each
+// byte follows from the ID and the length, which makes a truncated, swapped or damaged
+// answer detectable.
 const (
 	wordLen   = 8
 	headerLen = 2 * wordLen
 	bufferLen = 32 << 10 // a multiple of wordLen
 )
 
-// AnswerError says that a body is not the whole answer to its request.
+// AnswerError reports that a body is not the whole answer to its request.
 type AnswerError struct {
 	ID     string // of the request
-	Offset int64  // bytes that were right
+	Offset int64  // number of correct bytes
 	Fault  string
-	Err    error // the read's failure; may be nil
+	Err    error // of reading the body; may be nil
 }
 
 func (e *AnswerError) Error() string {
@@ -35,21 +35,21 @@
 	return s
 }
 
-// Unwrap returns the read's failure.
+// Unwrap returns the error of reading the body.
 func (e *AnswerError) Unwrap() error { return e.Err }
 
-// AnswerLen returns the length in bytes of an answer for which size bytes were
-// asked: never less than the header.
+// AnswerLen returns the length in bytes of an answer of which size bytes were requested: at
+// least that of the header.
 func AnswerLen(size int64) int64 { return max(size, headerLen) }
 
-// Answer returns the body that answers request id: AnswerLen(size) bytes.
+// Answer returns the body that answers the request with the given ID: AnswerLen(size) bytes.
 func Answer(id string, size int64) io.Reader {
 	size = AnswerLen(size)
 	return io.LimitReader(&wordReader{size: uint64(size), sum: checksum(id, uint64(size))}, size)
 }
 
-// VerifyAnswer reads r to its end and returns an *AnswerError unless it held
-// the whole answer to request id and nothing else.
+// VerifyAnswer reads r to its end. It returns an *AnswerError unless r holds exactly the whole
+// answer to the request with the given ID.
 func VerifyAnswer(id string, r io.Reader) error {
 	header := make([]byte, headerLen)
 	n, err := io.ReadFull(r, header)
@@ -64,7 +64,8 @@
 	return verifyBody(id, r, &wordReader{size: size, sum: sum, next: headerLen / wordLen}, int64(size)-headerLen)
 }
 
-// verifyBody compares r with the rest bytes that want goes on with.
+// verifyBody compares what follows the header in r with the next remaining bytes of want, and
+// requires that r ends there.
 func verifyBody(id string, r io.Reader, want *wordReader, remaining int64) error {
 	got, expected := make([]byte, bufferLen), make([]byte, bufferLen)
 	offset := int64(headerLen)
@@ -96,12 +97,12 @@
 	return xxhash.Sum64(b)
 }
 
-// wordReader generates an answer without an end.
+// wordReader generates the words of an answer, without an end.
 type wordReader struct {
 	size     uint64
 	sum      uint64
 	next     uint64 // index of the next word
-	leftover []byte // of the word before, not yet read
+	leftover []byte // unread bytes of the previous word
 }
 
 func (g *wordReader) Read(b []byte) (int, error) {
@@ -120,7 +121,7 @@
 	return n, nil
 }
 
-// fill writes whole words only.
+// fill fills b with whole words and leaves a shorter remainder as it is.
 func (g *wordReader) fill(b []byte) {
 	for ; len(b) >= wordLen; b = b[wordLen:] {
 		binary.LittleEndian.PutUint64(b, g.word())
--- a/internal/emulator/target/answer_test.go
+++ b/internal/emulator/target/answer_test.go
@@ -14,10 +14,10 @@
 	damaged := bytes.Clone(whole)
 	damaged[size/2] ^= 1
 	longer := bytes.Clone(whole)
-	longer[0]++ // declares one byte more
+	longer[0]++ // declares one more byte
 	tests := map[string]struct {
 		body io.Reader
-		want string // fault; empty when whole
+		want string // AnswerError.Fault; empty for a whole answer
 	}{
 		"whole":     {bytes.NewReader(whole), ""},
 		"by bytes":  {iotest.OneByteReader(Answer("a", size)), ""},
--- a/internal/emulator/target/config.go
+++ b/internal/emulator/target/config.go
@@ -14,34 +14,34 @@
 	Place   string
 	Name    string // unique in its service
 
-	Slots       int // requests it works on at one time
-	Queue       int // requests that wait for a slot; those beyond are shed
-	Connections int // connections that may be open; those beyond are closed at once
+	Slots       int // concurrent requests
+	Queue       int // requests that may wait for a slot; further ones are shed
+	Connections int // open connections; further ones are closed at once
 
-	ConnectionCost time.Duration // before a new connection's first byte is read
-	ProbeCost      time.Duration // before a health or load request is answered
+	ConnectionCost time.Duration // delay before the first byte of a new connection is read
+	ProbeCost      time.Duration // delay before a health or load request is answered
 
 	Mean   time.Duration // mean service time when warm
 	Spread float64       // sigma of the log-normal service time; 0 makes it constant
 	Seed   uint64        // of the service times
 
-	Cold         float64       // factor on the service time of a cold target
-	WarmRequests int           // requests after which it is warm; 0 for none
-	WarmFor      time.Duration // time after which it is warm; 0 for none
+	Cold         float64       // factor on the service time of a cold target; 1 for a warm one
+	WarmRequests int           // requests after which the target is warm; 0: not by requests
+	WarmFor      time.Duration // time after which the target is warm; 0: not by time
 
-	Size int64 // bytes of an answer that the request gives no size for
-	Pace int64 // bytes/s of one answer's body; 0 sets no limit
+	Size int64 // bytes of an answer if the request sets no size
+	Pace int64 // bytes/s of one answer's body; 0: no limit
 
-	Fatal string // path of the request that ends the target when it runs it; "" for none
-	Ended func() // called when it has ended so; may be nil
+	Fatal string // path of a poison request, which crashes the target that runs it; "" for none
+	Ended func() // called after such a crash; may be nil
 
 	Report Report
 	Clock  *clock.Clock // may be nil
 }
 
-// Report says how the health and load answers differ from the truth.
+// Report describes how the health and load answers differ from the actual state.
 type Report struct {
-	Lag           time.Duration // they tell how things were this long ago
+	Lag           time.Duration // age of the reported state
 	AlwaysIdle    bool
 	AlwaysHealthy bool
 }
@@ -51,7 +51,7 @@
 
 func (e *ConfigError) Error() string { return "target: " + strings.Join(e.Faults, "; ") }
 
-// Defaults sets what is left at zero: a warm target that answers in 5 ms.
+// Defaults sets fields that are zero to those of a warm target that answers in 5 ms.
 func (c *Config) Defaults() {
 	setDefault(&c.Slots, 4)
 	setDefault(&c.Queue, c.Slots)
@@ -69,7 +69,7 @@
 	}
 }
 
-// Validate returns a *ConfigError that names every fault at once.
+// Validate returns a *ConfigError that names every fault, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	check := func(ok bool, format string, args ...any) {
--- a/internal/emulator/target/journal.go
+++ b/internal/emulator/target/journal.go
@@ -8,22 +8,22 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Scope names a place, a service in a place, or one target: Service and Target
-// are empty in the wider ones.
+// Scope identifies a place, a service in a place, or one target: Service and Target are empty
+// in the wider scopes.
 type Scope struct {
 	Place   string
 	Service string
 	Target  string
 }
 
-// Work is one request that a target starts to work on.
+// Work is one run of a request by a target.
 type Work struct {
 	ID      string // of the request
 	Key     string // idempotency key; empty for none
 	Service string
 	Place   string
 	Target  string
-	Home    string // place of the caller; empty when not told
+	Home    string // place of the caller; empty if the request doesn't carry it
 }
 
 func (w Work) scopes() [3]Scope {
@@ -34,42 +34,41 @@
 	}
 }
 
-// Use is what a scope's targets did.
+// Use counts the requests of a scope's targets.
 type Use struct {
 	Now   int       // requests in flight
-	Peak  int       // most in flight at one time
-	Limit int       // 0 when none was set
+	Peak  int       // maximum of requests in flight
+	Limit int       // bound on requests in flight; 0 for none
 	Runs  int       // requests started
-	Late  int       // requests started after the scope had to be left alone
-	Last  time.Time // when the last request ended
+	Late  int       // requests started after the deadline for leaving the scope
+	Last  time.Time // end of the latest request
 }
 
-// Violation is one broken invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Name   invariant.Name
 	At     time.Time
 	Detail string
 }
 
-// Journal records what all the emulated targets of a process did, as the
-// ground truth that the program's own belief is held against. It is safe for
-// concurrent use.
+// Journal records the requests that all emulated targets of a process ran. It is the ground
+// truth with which the program's own view is compared. It is safe for concurrent use.
 type Journal struct {
 	mu             sync.Mutex
 	epoch          time.Time // start of the first window
 	counter        *invariant.Counter
 	records        map[string]*record
 	usage          map[Scope]*Use
-	leaveDeadlines map[Scope]time.Time // deadline after which a scope gets no new work
-	shifts         map[Scope][]int     // shifted requests by window
-	violations     []Violation         // the first maxViolations of them
+	leaveDeadlines map[Scope]time.Time // time after which a scope must get no new work
+	shifts         map[Scope][]int     // number of shifted requests by window
+	violations     []Violation         // the first ones, at most maxViolations
 }
 
-// record is what is known of one request id or idempotency key.
+// record holds the runs of one request ID or idempotency key.
 type record struct {
 	runs       int
 	atMostOnce bool // not idempotent: at most one run
-	refused    bool // the caller was told that it was not run
+	refused    bool // the caller received that it was not run
 }
 
 const (
@@ -77,8 +76,8 @@
 	maxViolations = 100
 )
 
-// NewJournal makes a journal whose one-second windows begin at epoch. Checks
-// are counted in counter, which may be nil.
+// NewJournal returns a journal whose one-second windows begin at epoch. Checks are counted in
+// counter, which may be nil.
 func NewJournal(counter *invariant.Counter, epoch time.Time) *Journal {
 	return &Journal{
 		epoch:          epoch,
@@ -90,14 +89,14 @@
 	}
 }
 
-// SetLimit sets how many requests may be in flight in a scope; 0 for no limit.
+// SetLimit sets the maximum of requests in flight in a scope; 0 for no limit.
 func (j *Journal) SetLimit(s Scope, limit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.usageOf(s).Limit = limit
 }
 
-// Leave says that a scope gets no new work after deadline.
+// Leave requires that a scope gets no new work after deadline.
 func (j *Journal) Leave(s Scope, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -111,7 +110,7 @@
 	delete(j.leaveDeadlines, s)
 }
 
-// Once says that a request id or idempotency key may run at most once. Say it
+// Once requires that a request ID or idempotency key runs at most once. It must be called
 // before the request is sent.
 func (j *Journal) Once(key string) {
 	j.mu.Lock()
@@ -121,8 +120,8 @@
 	j.checkOnce(key, r, time.Now())
 }
 
-// Refused says that the caller was told, as the last word on a request id or
-// key, that it was not run. A run before or after is a violation.
+// Refused records that the caller received, as the final outcome of a request ID or key, that
+// it was not run. A run before or after is a violation.
 func (j *Journal) Refused(key string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -131,7 +130,7 @@
 	j.checkRefused(key, r, time.Now())
 }
 
-// Start records that a target starts to work. Finish must follow.
+// Start records that a target starts a run. Finish must follow.
 func (j *Journal) Start(w Work, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -145,7 +144,7 @@
 	j.recordShift(w, now)
 }
 
-// Finish records that the work of Start ended, in whatever way.
+// Finish records that the run of Start ended, with any outcome.
 func (j *Journal) Finish(w Work, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -156,7 +155,7 @@
 	}
 }
 
-// recordRun counts one recordRun of a request id or key.
+// recordRun counts one run of a request ID or key.
 func (j *Journal) recordRun(key string, now time.Time) {
 	if key == "" {
 		return
@@ -183,7 +182,8 @@
 	})
 }
 
-// recordStart counts one more request in flight in s.
+// recordStart counts one more request in flight in s, and checks the scope's limit and leave
+// deadline.
 func (j *Journal) recordStart(s Scope, now time.Time) {
 	u := j.usageOf(s)
 	u.Now++
@@ -203,11 +203,11 @@
 		u.Late++
 	}
 	j.check(invariant.Leaving, !late, now, func() string {
-		return fmt.Sprintf("%+v got new work %s too late", s, now.Sub(deadline))
+		return fmt.Sprintf("%+v started a request %s after its leave deadline", s, now.Sub(deadline))
 	})
 }
 
-// recordShift counts work for another place's caller in its window.
+// recordShift counts a request of another place's caller in its window.
 func (j *Journal) recordShift(w Work, now time.Time) {
 	if w.Home == "" || w.Home == w.Place || now.Before(j.epoch) {
 		return
--- a/internal/emulator/target/listener.go
+++ b/internal/emulator/target/listener.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/emulator/clock"
 )
 
-// listener closes connections over the limit at once and makes new ones wait
-// before their first byte is read.
+// listener closes connections over the limit at once and delays the first read of accepted
+// ones.
 type listener struct {
 	net.Listener
 	limit          int64
--- a/internal/emulator/target/notice.go
+++ b/internal/emulator/target/notice.go
@@ -12,28 +12,30 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// Bounds of what still reaches a target that has said which requests it wants: by nature of its
-// callers, who may be on their way, or new and not told yet.
+// Bounds on the requests that may still reach a target after it sent a notice: some are in
+// flight already, and some come from callers that have just started and haven't received it.
 const (
-	noticeGrace  = time.Second // after which it is known
-	noticeSlack  = 3           // requests of callers that have just started
+	noticeGrace  = time.Second // time until callers have received the notice
+	noticeSlack  = 3           // number of requests from callers that have just started
 	backOffGrace = 500 * time.Millisecond
 	limitWindow  = 4 * time.Second
 	limitFactor  = 1.5
 	limitSlack   = 5
 )
 
-// noticeState is what a target says of the requests that it wants, and what reached it all the same.
+// noticeState holds a target's notice about the requests that it accepts, and the requests that
+// arrived after callers should have received it.
 type noticeState struct {
 	mu        sync.Mutex
 	current   notice.Notice
-	until     time.Time   // it is said until then; as all below by a clock that goes on in suspensions
-	firstSent time.Time   // when it was first said; zero before
-	arrivals  []time.Time // requests that came since it should be known
+	until     time.Time   // end of the notice; this and the times below are of a clock that runs on in suspensions
+	firstSent time.Time   // time of the first answer with the notice; zero before
+	arrivals  []time.Time // requests since callers should have received the notice; with a limit, those of limitWindow
 }
 
-// SetNotice makes the target say something in all answers until a time. With Rest it refuses all
-// requests until then. A suspension is one of all machines: the time goes on for targets too.
+// SetNotice makes the target send a notice in all answers until a time. If the notice asks for
+// back-off, the target refuses all requests until then. A suspension applies to all machines:
+// the time runs on for targets too.
 func (t *Target) SetNotice(n notice.Notice, until time.Time) {
 	t.notices.mu.Lock()
 	defer t.notices.mu.Unlock()
@@ -41,7 +43,8 @@
 	t.notices.firstSent, t.notices.arrivals = time.Time{}, nil
 }
 
-// setHeaders sets the headers of an answer. It returns true if the request is refused for rest.
+// setHeaders sets the notice's headers of an answer. It returns true if the target is backing
+// off and refuses the request.
 func (s *noticeState) setHeaders(h http.Header, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +66,7 @@
 	return s.current.Rest > 0
 }
 
-// checkArrival counts a request, and checks that the target gets no more than it wants.
+// checkArrival counts a request and checks that no more arrive than the notice allows.
 func (s *noticeState) checkArrival(j *Journal, scope Scope, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,11 +89,12 @@
 	s.arrivals = append(s.arrivals, now)
 	n := len(s.arrivals)
 	j.Wanted(n <= most, now, func() string {
-		return fmt.Sprintf("%+v got %d requests after it had said %+v, %d at most are allowed", scope, n, s.current, most)
+		return fmt.Sprintf("%+v received %d requests after it sent notice %+v, at most %d are allowed", scope, n, s.current, most)
 	})
 }
 
-// Wanted records whether a request was one that its target wants.
+// Wanted checks the invariant that targets get only requests that their notices allow; ok is
+// false for a request beyond that.
 func (j *Journal) Wanted(ok bool, now time.Time, detail func() string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/emulator/target/serve.go
+++ b/internal/emulator/target/serve.go
@@ -27,10 +27,10 @@
 	outcomeUnknown = "unknown"
 )
 
-// MaxSize is the most bytes that a request may ask for, by the query's size.
+// MaxSize is the largest answer in bytes that the size of a request's query may ask for.
 const MaxSize = 1 << 30
 
-// load is the body of a load answer.
+// load is the body of an answer on /load.
 type load struct {
 	Slots int `json:"slots"`
 	Busy  int `json:"busy"`
@@ -79,7 +79,8 @@
 	_ = json.NewEncoder(w).Encode(load{Slots: t.cfg.Slots, Busy: s.busy})
 }
 
-// probe returns what a report made now knows, after the probe's cost.
+// probe returns the lagged state and the report settings for a health or load answer, after
+// Config.ProbeCost. It returns false if the caller left before.
 func (t *Target) probe(r *http.Request) (sample, Report, bool) {
 	if !t.cfg.Clock.SleepUntil(r.Context(), time.Now().Add(t.cfg.ProbeCost)) {
 		return sample{}, Report{}, false
@@ -90,7 +91,8 @@
 	return t.slots.asOf(time.Now().Add(-report.Lag)), report, true
 }
 
-// serveWork runs one request, if it's whole, in time, and there's a slot.
+// serveWork runs one request if it was received whole and before its timeout, and a slot
+// becomes free.
 func (t *Target) serveWork(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel, ok := withTimeout(r)
 	defer cancel()
@@ -122,8 +124,8 @@
 	t.answer(ctx, w, work.ID, size, finish)
 }
 
-// start records the work in the journal. The returned function records its end
-// and frees the slot, once.
+// start records the work in the journal. The first call of the returned function records its
+// end and frees the slot.
 func (t *Target) start(work Work) func() {
 	t.journal.Start(work, time.Now())
 	return sync.OnceFunc(func() {
@@ -132,7 +134,7 @@
 	})
 }
 
-// finishTime returns when the work that starts now is done.
+// finishTime draws a service time and returns the end of the work that starts now.
 func (t *Target) finishTime() time.Time {
 	now := time.Now()
 	return now.Add(t.serviceTimes.next(now))
@@ -149,7 +151,7 @@
 	}
 }
 
-// answerSize returns how many bytes the request asks for.
+// answerSize returns the size in bytes that the request asks for, or false if it is invalid.
 func (t *Target) answerSize(r *http.Request) (int64, bool) {
 	s := r.URL.Query().Get("size")
 	if s == "" {
@@ -159,7 +161,8 @@
 	return n, err == nil && n >= 0 && n <= MaxSize
 }
 
-// withTimeout returns the request's context, ended at its own timeout too.
+// withTimeout returns the request's context, bounded by the timeout of its header. It returns
+// false if the header is invalid.
 func withTimeout(r *http.Request) (context.Context, context.CancelFunc, bool) {
 	s := r.Header.Get(headerTimeout)
 	if s == "" {
@@ -170,15 +173,15 @@
 	return ctx, cancel, err == nil
 }
 
-// refuse answers a request of which nothing ran.
+// refuse answers a request that was not run.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(headerOutcome, outcomeNotRun)
 	w.WriteHeader(status)
 }
 
-// answer streams the body at the configured pace. It calls finish before the
-// last byte, so that nobody can hold a whole answer to work still in flight. A
-// body that can't be finished breaks the connection.
+// answer streams the body at the configured rate. It calls finish before the last byte, as no
+// caller may have a whole answer while its request still counts as in flight. If the body can't
+// be finished, the connection is aborted.
 func (t *Target) answer(ctx context.Context, w http.ResponseWriter, id string, size int64, finish func()) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(AnswerLen(size), 10))
@@ -192,7 +195,7 @@
 	}
 }
 
-// stream copies n bytes at the configured pace, and returns false if it can't.
+// stream copies n bytes at the configured rate and returns false on failure.
 func (t *Target) stream(ctx context.Context, w http.ResponseWriter, body io.Reader, n int64) bool {
 	start := time.Now()
 	for sent := int64(0); sent < n; {
--- a/internal/emulator/target/service_times.go
+++ b/internal/emulator/target/service_times.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// serviceTimes draws service times: log-normal round a mean, times a factor that falls
-// to 1 while a cold target warms up.
+// serviceTimes draws service times from a log-normal distribution around a mean, times a
+// factor that falls to 1 while a cold target warms up.
 type serviceTimes struct {
 	mu          sync.Mutex
 	cfg         Config
 	rng         *rand.Rand
 	warmupStart time.Time
-	requests    int     // since started
-	slowdown    float64 // set by a test; 1 for none
+	requests    int     // since warmupStart
+	slowdown    float64 // factor; 1 for none
 }
 
 func newServiceTimes(cfg Config, now time.Time) *serviceTimes {
@@ -40,7 +40,8 @@
 	return time.Duration(d * float64(time.Second))
 }
 
-// coldFactor falls in a straight line, by requests or time, whichever is further.
+// coldFactor falls linearly from Config.Cold to 1, by the number of requests or by time,
+// whichever has progressed further.
 func (p *serviceTimes) coldFactor(now time.Time) float64 {
 	warm := 0.0
 	if n := p.cfg.WarmRequests; n > 0 {
--- a/internal/emulator/target/slots.go
+++ b/internal/emulator/target/slots.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// slots admits work: so many requests at one time, a short queue behind them.
-// It keeps the past that a lagging report needs.
+// slots admits requests: a fixed number runs concurrently, and a short queue waits. It keeps a
+// history of its state for lagging reports.
 type slots struct {
 	mu        sync.Mutex
 	free      chan struct{} // one token for each free slot
 	size      int
 	queueSize int
-	admitted  int // waiting and busy, at most size + queue
+	admitted  int // waiting and busy, at most size + queueSize
 	busy      int
 	draining  bool
 	healthy   bool
-	history   []sample // by time; the last is the present
+	history   []sample // by time; the last one is the current state
 }
 
 // sample is the state from a time on, until the next sample.
@@ -27,7 +27,7 @@
 	healthy bool
 }
 
-// historyRetention is how long the past is kept, and the longest lag of a report.
+// historyRetention bounds the age of the history, and so the lag of a report.
 const historyRetention = 10 * time.Second
 
 func newSlots(size, queue int, now time.Time) *slots {
@@ -39,8 +39,8 @@
 	return s
 }
 
-// acquire takes a slot, waiting in the queue when there's room in it. It
-// returns false if the request is refused: nothing ran.
+// acquire takes a slot, waiting in the queue if it isn't full. It returns false if the request
+// is refused or ctx ends first: nothing ran.
 func (s *slots) acquire(ctx context.Context) bool {
 	if !s.admit() {
 		return false
@@ -58,7 +58,8 @@
 	return true
 }
 
-// admit counts a request in, to wait for a slot.
+// admit counts a request as admitted, and returns false if the queue is full or the target
+// drains.
 func (s *slots) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +70,7 @@
 	return true
 }
 
-// abandon counts out a request that waited in vain.
+// abandon removes an admitted request that left the queue without a slot.
 func (s *slots) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,8 @@
 	s.record(time.Now())
 }
 
-// record appends the present to the past and drops what no report needs.
+// record appends the current state to the history and drops samples that no report needs. s.mu
+// is held.
 func (s *slots) record(now time.Time) {
 	s.history = append(s.history, sample{at: now, busy: s.busy, healthy: s.healthy && !s.draining})
 	old := 0
@@ -109,7 +111,7 @@
 	s.history = s.history[old:]
 }
 
-// asOf returns the state at a time; the oldest known one before that.
+// asOf returns the state at a time, or the oldest recorded one if that is later.
 func (s *slots) asOf(at time.Time) sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/target/target.go
+++ b/internal/emulator/target/target.go
@@ -1,7 +1,6 @@
-// Package target is a stand-in for the targets that firlever sends requests to:
-// HTTP servers with slots, connection limits, cold starts, and health and load
-// reports that lag or mislead. A Journal shared by all targets of a process
-// records what really ran.
+// Package target emulates the targets to which firlever sends requests: HTTP servers with
+// slots, connection limits, cold starts, and health and load reports that lag or mislead. A
+// Journal shared by all targets of a process records the requests that actually ran.
 package target
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/juju/errors"
 )
 
-// Target is one running stand-in. It is safe for concurrent use.
+// Target is one running emulated target. It is safe for concurrent use.
 type Target struct {
 	cfg          Config
 	journal      *Journal
@@ -22,7 +21,7 @@
 	slots        *slots
 	serviceTimes *serviceTimes
 	done         chan struct{} // closed when the server has ended
-	crashOnce    sync.Once     // of what ends it
+	crashOnce    sync.Once     // guards the crash by a poison request
 	notices      noticeState
 
 	mu     sync.Mutex
@@ -31,12 +30,12 @@
 
 // Stats counts a target's connections.
 type Stats struct {
-	Open    int // now
-	Peak    int // most at one time
-	Refused int // closed for being over the limit
+	Open    int // currently open
+	Peak    int // maximum of open ones
+	Refused int // closed because of the limit
 }
 
-// Start serves on ln until Close. It returns a *ConfigError when cfg is faulty.
+// Start serves on ln until Close. It returns a *ConfigError if cfg is invalid.
 func Start(ln net.Listener, cfg Config, j *Journal) (*Target, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -59,7 +58,7 @@
 
 func (t *Target) serve() {
 	defer close(t.done)
-	_ = t.srv.Serve(t.ln) // always an error, and Close is the only cause
+	_ = t.srv.Serve(t.ln) // always returns an error, and only after Close
 }
 
 // Config returns what the target was started with, defaults included.
@@ -68,12 +67,12 @@
 // Addr returns the listener's address.
 func (t *Target) Addr() string { return t.ln.Addr().String() }
 
-// Scope names the target in the journal.
+// Scope returns the target's scope in the journal.
 func (t *Target) Scope() Scope {
 	return Scope{Place: t.cfg.Place, Service: t.cfg.Service, Target: t.cfg.Name}
 }
 
-// Stats returns the counts of connections.
+// Stats returns the current connection counts.
 func (t *Target) Stats() Stats {
 	return Stats{
 		Open:    int(t.ln.open.Load()),
@@ -82,29 +81,30 @@
 	}
 }
 
-// Drain refuses new requests as not run; those taken before are finished.
+// Drain refuses new requests as not run; requests accepted before are finished.
 func (t *Target) Drain() { t.slots.setDraining(true) }
 
-// Undrain takes new requests again.
+// Undrain accepts new requests again.
 func (t *Target) Undrain() { t.slots.setDraining(false) }
 
-// SetHealthy sets what the health answer tells, after its lag.
+// SetHealthy sets the state that the health answer reports after its lag.
 func (t *Target) SetHealthy(healthy bool) { t.slots.setHealthy(healthy) }
 
-// SetReport changes how the health and load answers differ from the truth.
+// SetReport changes how the health and load answers differ from the actual state.
 func (t *Target) SetReport(r Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.report = r
 }
 
-// SetSlowdown multiplies the service times from now on; 1 for none.
+// SetSlowdown sets a factor on the service times from now on; 1 for none.
 func (t *Target) SetSlowdown(factor float64) { t.serviceTimes.setSlowdown(factor) }
 
-// Cool makes the target as cold as at its start.
+// Cool makes the target as cold as after its start.
 func (t *Target) Cool() { t.serviceTimes.resetWarmup(time.Now()) }
 
-// crash ends the target under a request, and returns when its connection has broken.
+// crash closes the target as a poison request does, and returns when the request's connection
+// has been aborted.
 func (t *Target) crash(r *http.Request) {
 	t.crashOnce.Do(func() {
 		go func() {
@@ -117,7 +117,7 @@
 	<-r.Context().Done()
 }
 
-// Close ends the target as a crash would: all its connections break.
+// Close ends the target as a crash would: all its connections are aborted.
 func (t *Target) Close() error {
 	err := t.srv.Close()
 	<-t.done
--- a/internal/emulator/target/target_test.go
+++ b/internal/emulator/target/target_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// pipeListener is a listener whose connections live in memory, for virtual time.
+// pipeListener is a listener with in-memory connections, as virtual time requires.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -37,7 +37,7 @@
 	return c, nil
 }
 
-// testTarget is a target with a client, all in one synctest bubble.
+// testTarget is a target with a client, both in one synctest bubble.
 type testTarget struct {
 	*Target
 	client  *http.Client
@@ -61,7 +61,8 @@
 	return &testTarget{Target: tg, client: &http.Client{Transport: tr}, journal: j}
 }
 
-// get returns status, outcome, time taken and the check of the body.
+// get sends a request and returns the status, the outcome, the duration, and the error of the
+// request or of its body's verification.
 func (b *testTarget) get(ctx context.Context, t *testing.T, path, id, timeout string) (int, string, time.Duration, error) {
 	t.Helper()
 	start := time.Now()
@@ -176,7 +177,8 @@
 	return l.Busy
 }
 
-// lastByteRecorder notes the requests in flight when the whole body is written.
+// lastByteRecorder records the number of requests in flight when the body's last byte is
+// written.
 type lastByteRecorder struct {
 	*httptest.ResponseRecorder
 	journal  *Journal
@@ -235,7 +237,7 @@
 		go b.get(t.Context(), t, "/a", "first", "")
 		time.Sleep(10 * time.Millisecond)
 		if _, _, _, err := b.get(t.Context(), t, "/a", "second", ""); err == nil {
-			t.Error("got an answer over the limit, want a broken connection")
+			t.Error("got an answer over the limit, want an aborted connection")
 		}
 		time.Sleep(2 * time.Second)
 		if got, want := b.Stats(), (Stats{Open: 1, Peak: 1, Refused: 1}); got != want {
--- a/internal/emulator/target/truth.go
+++ b/internal/emulator/target/truth.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// ScopeUse is a scope and what its targets did.
+// ScopeUse is a scope with the counts of its requests.
 type ScopeUse struct {
 	Scope
 	Use
 }
 
-// Ran returns how many runs of a request id or idempotency key were started.
+// Ran returns the number of started runs of a request ID or idempotency key.
 func (j *Journal) Ran(key string) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -21,7 +21,7 @@
 	return 0
 }
 
-// Use returns what the targets of a scope did.
+// Use returns the counts of a scope's requests.
 func (j *Journal) Use(s Scope) Use {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -31,15 +31,15 @@
 	return Use{}
 }
 
-// Peak returns the most requests of a service that were in flight in a place.
+// Peak returns the maximum of requests in flight of a service in a place.
 func (j *Journal) Peak(service, place string) int {
 	return j.Use(Scope{Place: place, Service: service}).Peak
 }
 
-// Place returns what all the targets of a place did.
+// Place returns the counts of all requests in a place.
 func (j *Journal) Place(place string) Use { return j.Use(Scope{Place: place}) }
 
-// Uses returns all scopes by place, service and target.
+// Uses returns the counts of all scopes, sorted by place, service and target.
 func (j *Journal) Uses() []ScopeUse {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -57,17 +57,17 @@
 	return uses
 }
 
-// Shifts returns how many requests of other places' callers a service started
-// in a place, by one-second windows from the journal's epoch.
+// Shifts returns the number of requests of other places' callers that a service started in a
+// place, by one-second windows from the journal's epoch.
 func (j *Journal) Shifts(service, place string) []int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Clone(j.shifts[Scope{Place: place, Service: service}])
 }
 
-// ShiftGrowth returns by how much the shifted requests of a service in a place
-// grew at most from one window to the next. A target starts work later than an
-// instance admits it, so that some may count in the next window.
+// ShiftGrowth returns the largest growth of the shifted requests of a service in a place from
+// one window to the next. A target starts a request later than an instance admits it, so some
+// may count in the next window.
 func (j *Journal) ShiftGrowth(service, place string) int {
 	before, growth := 0, 0
 	for _, n := range j.Shifts(service, place) {
@@ -77,7 +77,7 @@
 	return growth
 }
 
-// Violations returns the first violations in the order they were seen.
+// Violations returns the first violations, in the order of recording.
 func (j *Journal) Violations() []Violation {
 	j.mu.Lock()
 	defer j.mu.Unlock()
