--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -16,15 +16,15 @@
 // got yet is in the lines.
 type conn struct {
 	net.Conn
-	out, in   *line
-	readPast  *deadline
-	writePast *deadline
-	once      sync.Once
-	closed    chan struct{} // Close was called
+	out, in       *delayLine
+	readDeadline  *deadline
+	writeDeadline *deadline
+	closeOnce     sync.Once
+	closed        chan struct{} // Close was called
 }
 
-// readLen is how many bytes of the far end are taken at one time.
-const readLen = 32 << 10
+// bufferLen is how many bytes of the far end are taken at one time.
+const bufferLen = 32 << 10
 
 // DialContext dials addr over TCP as from one point to another: it takes a
 // round trip, and as long as ctx allows while the path is cut.
@@ -35,12 +35,12 @@
 // DialFrom is DialContext from a local address; nil leaves it to the system.
 func (l *Links) DialFrom(ctx context.Context, local net.Addr, from, to Point, addr string) (net.Conn, error) {
 	out, in := l.path(from, to), l.path(to, from)
-	if err := cross(ctx, out); err != nil {
+	if err := awaitCrossing(ctx, out); err != nil {
 		return nil, dialError(addr, err)
 	}
 	d := net.Dialer{LocalAddr: local}
 	c, err := d.DialContext(ctx, "tcp", addr)
-	if crossErr := cross(ctx, in); crossErr != nil {
+	if crossErr := awaitCrossing(ctx, in); crossErr != nil {
 		if c != nil {
 			_ = c.Close()
 		}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "Links.DialContext")
 	}
-	return wrap(c, out, in), nil
+	return newConn(c, out, in), nil
 }
 
 // Dialer returns DialContext as http.Transport takes it; locate says at which
@@ -64,8 +64,8 @@
 	return errors.Annotatef(&net.OpError{Op: "dial", Net: "tcp", Err: err}, "Links.DialContext %s", addr)
 }
 
-// cross waits as long as one packet takes over p, sent again while p is cut.
-func cross(ctx context.Context, p *path) error {
+// awaitCrossing waits as long as one packet takes over p, sent again while p is cut.
+func awaitCrossing(ctx context.Context, p *path) error {
 	f, changed := p.state()
 	for f.Cut && !f.Refuse {
 		select {
@@ -80,7 +80,7 @@
 	}
 	d := p.oneWay(f)
 	if p.links.chance(f.Loss) {
-		d += resend
+		d += retransmitDelay
 	}
 	if d == 0 {
 		return nil
@@ -91,27 +91,27 @@
 	return nil
 }
 
-// wrap puts lines before an open connection.
-func wrap(c net.Conn, out, in *path) *conn {
+// newConn puts lines before an open connection.
+func newConn(c net.Conn, out, in *path) *conn {
 	w := &conn{
-		Conn:      c,
-		out:       newLine(out),
-		in:        newLine(in),
-		readPast:  newDeadline(),
-		writePast: newDeadline(),
-		closed:    make(chan struct{}),
-	}
-	go w.send()
+		Conn:          c,
+		out:           newDelayLine(out),
+		in:            newDelayLine(in),
+		readDeadline:  newDeadline(),
+		writeDeadline: newDeadline(),
+		closed:        make(chan struct{}),
+	}
+	go w.transmit()
 	go w.receive()
 	return w
 }
 
-// send carries what the dialler wrote to the far end, also after Close, and
+// transmit carries what the dialler wrote to the far end, also after Close, and
 // closes the connection to it.
-func (c *conn) send() {
-	err := c.sendAll()
+func (c *conn) transmit() {
+	err := c.transmitAll()
 	if err == syscall.ECONNRESET {
-		c.setLinger()
+		c.resetOnClose()
 	} else {
 		c.closeWrite()
 		<-c.closed
@@ -119,9 +119,9 @@
 	_ = c.Conn.Close()
 }
 
-// sendAll returns what ended the line, or the failure of a write.
-func (c *conn) sendAll() error {
-	b := make([]byte, readLen)
+// transmitAll returns what ended the line, or the failure of a write.
+func (c *conn) transmitAll() error {
+	b := make([]byte, bufferLen)
 	for {
 		n, err := c.out.read(b, nil, nil)
 		if err != nil {
@@ -135,8 +135,8 @@
 	}
 }
 
-// setLinger makes the far end see a reset.
-func (c *conn) setLinger() {
+// resetOnClose makes the far end see a reset.
+func (c *conn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -150,7 +150,7 @@
 
 // receive takes in what the far end writes.
 func (c *conn) receive() {
-	b := make([]byte, readLen)
+	b := make([]byte, bufferLen)
 	for {
 		n, err := c.Conn.Read(b)
 		if n > 0 {
@@ -160,14 +160,14 @@
 			}
 		}
 		if err != nil {
-			c.in.end(endOf(err))
+			c.in.end(streamEnd(err))
 			return
 		}
 	}
 }
 
-// endOf keeps a clean end as readers compare it.
-func endOf(err error) error {
+// streamEnd keeps a clean end as readers compare it.
+func streamEnd(err error) error {
 	if err == io.EOF {
 		return io.EOF
 	}
@@ -179,7 +179,7 @@
 	if len(b) == 0 {
 		return 0, nil
 	}
-	n, err := c.in.read(b, c.closed, c.readPast.wait())
+	n, err := c.in.read(b, c.closed, c.readDeadline.expired())
 	return n, c.opError("read", err)
 }
 
@@ -190,8 +190,8 @@
 	}
 	n := 0
 	for n < len(b) {
-		part := b[n:min(len(b), n+readLen)]
-		m, err := c.out.write(part, c.closed, c.writePast.wait())
+		part := b[n:min(len(b), n+bufferLen)]
+		m, err := c.out.write(part, c.closed, c.writeDeadline.expired())
 		n += m
 		if err != nil {
 			return n, c.opError("write", err)
@@ -216,26 +216,26 @@
 // Close closes the dialler's end. The far end gets what is on its way, then
 // the end of the stream.
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	c.out.end(net.ErrClosed)
 	return nil
 }
 
 // SetDeadline sets those of Read and Write.
 func (c *conn) SetDeadline(at time.Time) error {
-	c.readPast.set(at)
-	c.writePast.set(at)
+	c.readDeadline.set(at)
+	c.writeDeadline.set(at)
 	return nil
 }
 
 // SetReadDeadline sets the deadline of Read.
 func (c *conn) SetReadDeadline(at time.Time) error {
-	c.readPast.set(at)
+	c.readDeadline.set(at)
 	return nil
 }
 
 // SetWriteDeadline sets the deadline of Write.
 func (c *conn) SetWriteDeadline(at time.Time) error {
-	c.writePast.set(at)
+	c.writeDeadline.set(at)
 	return nil
 }
--- a/internal/emulator/link/conn_test.go
+++ b/internal/emulator/link/conn_test.go
@@ -47,21 +47,21 @@
 	}
 }
 
-// open returns both ends of a connection from a to b over a pipe.
-func open(l *Links) (near *conn, far net.Conn) {
+// openPipe returns both ends of a connection from a to b over a pipe.
+func openPipe(l *Links) (near *conn, far net.Conn) {
 	c, far := net.Pipe()
-	return wrap(c, l.path(At("a"), At("b")), l.path(At("b"), At("a"))), far
+	return newConn(c, l.path(At("a"), At("b")), l.path(At("b"), At("a"))), far
 }
 
-// shut closes both ends and lets what is on its way arrive.
-func shut(near *conn, far net.Conn) {
+// closeBoth closes both ends and lets what is on its way arrive.
+func closeBoth(near *conn, far net.Conn) {
 	_ = near.Close()
 	_ = far.Close()
 	time.Sleep(time.Second)
 }
 
-// arrival reads n bytes and returns them with the time that it took.
-func arrival(t *testing.T, c net.Conn, n int, since time.Time) ([]byte, time.Duration) {
+// readArrival reads n bytes and returns them with the time that it took.
+func readArrival(t *testing.T, c net.Conn, n int, since time.Time) ([]byte, time.Duration) {
 	t.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(c, b); err != nil {
@@ -86,14 +86,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				l := testLinks()
 				l.Set("a", "b", tt.fault)
-				near, far := open(l)
+				near, far := openPipe(l)
 				want := make([]byte, size)
 				for i := range want {
 					want[i] = byte(i / 1000)
 				}
 				start := time.Now()
 				go func() { _, _ = near.Write(want) }()
-				got, took := arrival(t, far, size, start)
+				got, took := readArrival(t, far, size, start)
 				if !bytes.Equal(got, want) {
 					t.Error("got other bytes than were written")
 				}
@@ -102,10 +102,10 @@
 				}
 				start = time.Now()
 				go func() { _, _ = far.Write([]byte("back")) }()
-				if _, took := arrival(t, near, 4, start); took != 2*ms {
+				if _, took := readArrival(t, near, 4, start); took != 2*ms {
 					t.Errorf("got %s for the way back, want 2ms", took)
 				}
-				shut(near, far)
+				closeBoth(near, far)
 			})
 		})
 	}
@@ -114,7 +114,7 @@
 func TestCutHeals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := testLinks()
-		near, far := open(l)
+		near, far := openPipe(l)
 		l.Set("a", "b", Fault{Cut: true})
 		start := time.Now()
 		if _, err := near.Write([]byte("over")); err != nil {
@@ -122,14 +122,14 @@
 		}
 		_ = near.Close()
 		time.AfterFunc(time.Minute, func() { l.Clear() })
-		got, took := arrival(t, far, 4, start)
+		got, took := readArrival(t, far, 4, start)
 		if string(got) != "over" || took != time.Minute {
 			t.Errorf("got %q after %s, want it after the cut", got, took)
 		}
 		if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("got %v, want the end of the stream", err)
 		}
-		shut(near, far)
+		closeBoth(near, far)
 	})
 }
 
@@ -137,53 +137,53 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := testLinks()
 		l.Set("a", "b", Fault{Cut: true})
-		near, far := open(l)
+		near, far := openPipe(l)
 		_ = near.SetWriteDeadline(time.Now().Add(time.Second))
-		n, err := near.Write(make([]byte, 2*lineSize))
-		if n != lineSize || !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("got %d bytes and %v, want %d and a deadline", n, err, lineSize)
+		n, err := near.Write(make([]byte, 2*delayLineSize))
+		if n != delayLineSize || !errors.Is(err, os.ErrDeadlineExceeded) {
+			t.Errorf("got %d bytes and %v, want %d and a deadline", n, err, delayLineSize)
 		}
 		l.Clear()
-		shut(near, far)
+		closeBoth(near, far)
 	})
 }
 
 func TestReadEnds(t *testing.T) {
 	tests := map[string]struct {
-		play func(l *Links, near *conn, far net.Conn)
-		want error
+		trigger func(l *Links, near *conn, far net.Conn)
+		want    error
 	}{
 		"deadline":     {func(_ *Links, near *conn, _ net.Conn) { _ = near.SetDeadline(time.Now().Add(ms)) }, os.ErrDeadlineExceeded},
 		"closed":       {func(_ *Links, near *conn, _ net.Conn) { _ = near.Close() }, net.ErrClosed},
 		"far end":      {func(_ *Links, _ *conn, far net.Conn) { _ = far.Close() }, io.EOF},
 		"broken":       {func(l *Links, _ *conn, _ net.Conn) { l.SetBoth("a", "b", Fault{Refuse: true}) }, syscall.ECONNRESET},
-		"past and set": {func(_ *Links, near *conn, far net.Conn) { movedDeadline(near, far) }, io.EOF},
+		"past and set": {func(_ *Links, near *conn, far net.Conn) { passAndClearDeadline(near, far) }, io.EOF},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				l := testLinks()
-				near, far := open(l)
-				time.AfterFunc(ms, func() { tt.play(l, near, far) })
+				near, far := openPipe(l)
+				time.AfterFunc(ms, func() { tt.trigger(l, near, far) })
 				time.Sleep(ms)
 				synctest.Wait()
 				if _, err := near.Read(make([]byte, 1)); !errors.Is(err, tt.want) {
 					t.Errorf("got %v, want %v", err, tt.want)
 				}
-				shut(near, far)
+				closeBoth(near, far)
 			})
 		})
 	}
 }
 
-// movedDeadline lets a deadline pass and then takes it back.
-func movedDeadline(near, far net.Conn) {
+// passAndClearDeadline lets a deadline pass and then takes it back.
+func passAndClearDeadline(near, far net.Conn) {
 	_ = near.SetReadDeadline(time.Now().Add(-ms))
 	_ = near.SetReadDeadline(time.Time{})
 	time.AfterFunc(time.Second, func() { _ = far.Close() })
 }
 
-func TestCross(t *testing.T) {
+func TestAwaitCrossing(t *testing.T) {
 	tests := map[string]struct {
 		fault Fault
 		want  error
@@ -202,7 +202,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				start := time.Now()
-				err := cross(ctx, l.path(At("a"), At("b")))
+				err := awaitCrossing(ctx, l.path(At("a"), At("b")))
 				if took := time.Since(start); err != tt.want || took != tt.took {
 					t.Errorf("got %v after %s, want %v after %s", err, took, tt.want, tt.took)
 				}
--- a/internal/emulator/link/deadline.go
+++ b/internal/emulator/link/deadline.go
@@ -9,15 +9,15 @@
 type deadline struct {
 	mu    sync.Mutex
 	timer *time.Timer
-	past  chan struct{} // closed when the deadline has passed
+	done  chan struct{} // closed when the deadline has passed
 }
 
-func newDeadline() *deadline { return &deadline{past: make(chan struct{})} }
+func newDeadline() *deadline { return &deadline{done: make(chan struct{})} }
 
-func (d *deadline) wait() <-chan struct{} {
+func (d *deadline) expired() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.past
+	return d.done
 }
 
 // set moves the deadline; the zero time sets none.
@@ -26,24 +26,24 @@
 	defer d.mu.Unlock()
 	fired := d.timer != nil && !d.timer.Stop()
 	d.timer = nil
-	if fired || isClosed(d.past) {
-		d.renew()
+	if fired || isClosed(d.done) {
+		d.reset()
 	}
 	if at.IsZero() {
 		return
 	}
-	past := d.past
+	done := d.done
 	wait := time.Until(at)
 	if wait <= 0 {
-		close(past)
+		close(done)
 		return
 	}
-	d.timer = time.AfterFunc(wait, func() { close(past) })
+	d.timer = time.AfterFunc(wait, func() { close(done) })
 }
 
-// renew makes a new channel for later waits. The old one may be closed late by
+// reset makes a new channel for later waits. The old one may be closed late by
 // a timer that has fired.
-func (d *deadline) renew() { d.past = make(chan struct{}) }
+func (d *deadline) reset() { d.done = make(chan struct{}) }
 
 func isClosed(c <-chan struct{}) bool {
 	select {
--- a/internal/emulator/link/fault.go
+++ b/internal/emulator/link/fault.go
@@ -24,8 +24,8 @@
 	Bandwidth int64
 }
 
-// resend is how long a stream's lost bytes are late: TCP's least timeout on Linux.
-const resend = 200 * time.Millisecond
+// retransmitDelay is how long a stream's lost bytes are late: TCP's least timeout on Linux.
+const retransmitDelay = 200 * time.Millisecond
 
 // path is the one way between two points.
 type path struct {
--- a/internal/emulator/link/links.go
+++ b/internal/emulator/link/links.go
@@ -67,14 +67,14 @@
 
 // Delay returns the one-way delay without faults.
 func (l *Links) Delay(from, to Point) time.Duration {
-	d := l.between(from.Place, to.Place)
+	d := l.placeDelay(from.Place, to.Place)
 	if from.Caller != to.Caller {
 		d += l.latency.Caller
 	}
 	return d
 }
 
-func (l *Links) between(from, to string) time.Duration {
+func (l *Links) placeDelay(from, to string) time.Duration {
 	if from == to {
 		return l.latency.Domain
 	}
--- a/internal/emulator/link/packet.go
+++ b/internal/emulator/link/packet.go
@@ -27,15 +27,15 @@
 	if f.Cut || f.Refuse || c.links.chance(f.Loss) {
 		return len(b), nil
 	}
-	c.send(append([]byte(nil), b...), addr, p.oneWay(f))
+	c.sendAfter(append([]byte(nil), b...), addr, p.oneWay(f))
 	if c.links.chance(f.Duplicate) {
-		c.send(append([]byte(nil), b...), addr, p.oneWay(f))
+		c.sendAfter(append([]byte(nil), b...), addr, p.oneWay(f))
 	}
 	return len(b), nil
 }
 
-// send writes b after a delay. A socket closed meanwhile loses it.
-func (c *packetConn) send(b []byte, addr net.Addr, d time.Duration) {
+// sendAfter writes b after a delay. A socket closed meanwhile loses it.
+func (c *packetConn) sendAfter(b []byte, addr net.Addr, d time.Duration) {
 	if d == 0 {
 		_, _ = c.PacketConn.WriteTo(b, addr)
 		return
--- a/internal/emulator/link/packet_test.go
+++ b/internal/emulator/link/packet_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// sink is a socket that counts what is sent.
-type sink struct {
+// recordingConn is a socket that counts what is sent.
+type recordingConn struct {
 	net.PacketConn
 	mu    sync.Mutex
 	times []time.Time
 }
 
-func (s *sink) WriteTo(b []byte, _ net.Addr) (int, error) {
+func (s *recordingConn) WriteTo(b []byte, _ net.Addr) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.times = append(s.times, time.Now())
@@ -40,7 +40,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				l := testLinks()
 				l.Set("a", "b", tt.fault)
-				s := &sink{}
+				s := &recordingConn{}
 				c := l.PacketConn(s, At("a"), func(net.Addr) Point { return At("b") })
 				start := time.Now()
 				for range n {
--- a/internal/emulator/link/proxy.go
+++ b/internal/emulator/link/proxy.go
@@ -54,7 +54,7 @@
 // forward carries one connection. When it breaks on one side, the other side
 // is reset.
 func (p *Proxy) forward(near net.Conn) {
-	far, err := p.links.DialFrom(p.ctx, source(near), p.from, p.to, p.addr)
+	far, err := p.links.DialFrom(p.ctx, sourceAddr(near), p.from, p.to, p.addr)
 	if err != nil {
 		abort(near)
 		return
@@ -65,23 +65,23 @@
 	})
 	defer stop()
 	var both sync.WaitGroup
-	both.Go(func() { carry(far, near) })
-	both.Go(func() { carry(near, far) })
+	both.Go(func() { copyHalf(far, near) })
+	both.Go(func() { copyHalf(near, far) })
 	both.Wait()
 	_ = far.Close()
 	_ = near.Close()
 }
 
-// source is the address that the far end sees: that of the dialer, as far as it is this machine's.
-func source(near net.Conn) net.Addr {
+// sourceAddr is the address that the far end sees: that of the dialer, as far as it is this machine's.
+func sourceAddr(near net.Conn) net.Addr {
 	if a, ok := near.RemoteAddr().(*net.TCPAddr); ok && a.IP.IsLoopback() {
 		return &net.TCPAddr{IP: a.IP}
 	}
 	return nil
 }
 
-// carry copies one direction and passes its end on.
-func carry(dst, src net.Conn) {
+// copyHalf copies one direction and passes its end on.
+func copyHalf(dst, src net.Conn) {
 	_, err := io.Copy(dst, src)
 	half, ok := dst.(interface{ CloseWrite() error })
 	if err != nil || !ok {
--- a/internal/emulator/link/proxy_test.go
+++ b/internal/emulator/link/proxy_test.go
@@ -40,7 +40,7 @@
 	p := NewProxy(listen(t), l, At("a"), At("b"), ln.Addr().String())
 	defer p.Close()
 
-	ask := func() (string, error) {
+	roundTrip := func() (string, error) {
 		c, err := net.Dial("tcp", p.Addr())
 		if err != nil {
 			return "", err
@@ -53,15 +53,15 @@
 		b, err := io.ReadAll(c)
 		return string(b), err
 	}
-	if got, err := ask(); got != "over" || err != nil {
+	if got, err := roundTrip(); got != "over" || err != nil {
 		t.Errorf("got %q and %v, want the echo", got, err)
 	}
 	l.SetBoth("a", "b", Fault{Refuse: true})
-	if got, err := ask(); err == nil {
+	if got, err := roundTrip(); err == nil {
 		t.Errorf("got %q, want a reset", got)
 	}
 	l.Clear()
-	if got, err := ask(); got != "over" || err != nil {
+	if got, err := roundTrip(); got != "over" || err != nil {
 		t.Errorf("got %q and %v after the fault, want the echo", got, err)
 	}
 }
@@ -80,8 +80,8 @@
 		"far":  func() error { return readOne(far) },
 		"new":  func() error { return dialAndRead(p) },
 	}
-	for name, broken := range ends {
-		if err := broken(); !errors.Is(err, syscall.ECONNRESET) {
+	for name, read := range ends {
+		if err := read(); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("got %v at the %s end, want a reset", err, name)
 		}
 	}
