--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -11,9 +11,8 @@
 	"github.com/juju/errors"
 )
 
-// conn is a connection with a delay line in each direction. It stands at the
-// dialler's end, and stands for the network between: what the far end has not
-// got yet is in the lines.
+// conn is a connection with a delay line in each direction. It wraps the dialer's end and
+// emulates the network: the lines hold the bytes that are in transit.
 type conn struct {
 	net.Conn
 	out, in       *delayLine
@@ -23,16 +22,16 @@
 	closed        chan struct{} // Close was called
 }
 
-// bufferLen is how many bytes of the far end are taken at one time.
+// bufferLen is the size of a read, and of the largest chunk in a delay line.
 const bufferLen = 32 << 10
 
-// DialContext dials addr over TCP as from one point to another: it takes a
-// round trip, and as long as ctx allows while the path is cut.
+// DialContext dials addr over TCP as from one point to another. It takes one round trip; while
+// the path is cut, it waits until ctx ends.
 func (l *Links) DialContext(ctx context.Context, from, to Point, addr string) (net.Conn, error) {
 	return l.DialFrom(ctx, nil, from, to, addr)
 }
 
-// DialFrom is DialContext from a local address; nil leaves it to the system.
+// DialFrom is DialContext from a local address; if that is nil, the system chooses one.
 func (l *Links) DialFrom(ctx context.Context, local net.Addr, from, to Point, addr string) (net.Conn, error) {
 	out, in := l.path(from, to), l.path(to, from)
 	if err := awaitCrossing(ctx, out); err != nil {
@@ -52,8 +51,7 @@
 	return newConn(c, out, in), nil
 }
 
-// Dialer returns DialContext as http.Transport takes it; locate says at which
-// point an address is.
+// Dialer returns a dial function for an http.Transport; locate maps an address to its point.
 func (l *Links) Dialer(from Point, locate func(addr string) Point) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return l.DialContext(ctx, from, locate(addr), addr)
@@ -64,7 +62,8 @@
 	return errors.Annotatef(&net.OpError{Op: "dial", Net: "tcp", Err: err}, "Links.DialContext %s", addr)
 }
 
-// awaitCrossing waits as long as one packet takes over p, sent again while p is cut.
+// awaitCrossing waits for the time in which one packet crosses p, with retransmissions while p
+// is cut. It returns ECONNREFUSED if p refuses, or the error of ctx.
 func awaitCrossing(ctx context.Context, p *path) error {
 	f, changed := p.state()
 	for f.Cut && !f.Refuse {
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// newConn puts lines before an open connection.
+// newConn wraps an open connection with delay lines and starts the goroutines that serve them.
 func newConn(c net.Conn, out, in *path) *conn {
 	w := &conn{
 		Conn:          c,
@@ -106,8 +105,8 @@
 	return w
 }
 
-// transmit carries what the dialler wrote to the far end, also after Close, and
-// closes the connection to it.
+// transmit copies what the dialer wrote to the far end, also after Close, and then closes the
+// connection to it.
 func (c *conn) transmit() {
 	err := c.transmitAll()
 	if err == syscall.ECONNRESET {
@@ -119,7 +118,8 @@
 	_ = c.Conn.Close()
 }
 
-// transmitAll returns what ended the line, or the failure of a write.
+// transmitAll copies the line to the far end until the line ends or a write fails, and returns
+// the error of either.
 func (c *conn) transmitAll() error {
 	b := make([]byte, bufferLen)
 	for {
@@ -135,7 +135,7 @@
 	}
 }
 
-// resetOnClose makes the far end see a reset.
+// resetOnClose makes Close reset the connection to the far end.
 func (c *conn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -148,7 +148,7 @@
 	}
 }
 
-// receive takes in what the far end writes.
+// receive copies what the far end writes into the line to the dialer.
 func (c *conn) receive() {
 	b := make([]byte, bufferLen)
 	for {
@@ -166,7 +166,7 @@
 	}
 }
 
-// streamEnd keeps a clean end as readers compare it.
+// streamEnd returns io.EOF itself, as readers compare it, and other errors with a trace.
 func streamEnd(err error) error {
 	if err == io.EOF {
 		return io.EOF
@@ -174,7 +174,7 @@
 	return errors.Trace(err)
 }
 
-// Read returns what the far end wrote and has arrived.
+// Read returns bytes from the far end that have arrived.
 func (c *conn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -183,7 +183,7 @@
 	return n, c.opError("read", err)
 }
 
-// Write returns when b is on its way.
+// Write returns when b is in transit.
 func (c *conn) Write(b []byte) (int, error) {
 	if isClosed(c.closed) {
 		return 0, c.opError("write", net.ErrClosed)
@@ -207,21 +207,21 @@
 	return &net.OpError{Op: op, Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 }
 
-// CloseWrite ends the stream to the far end, after what is on its way.
+// CloseWrite ends the stream to the far end, after the bytes in transit.
 func (c *conn) CloseWrite() error {
 	c.out.end(io.EOF)
 	return nil
 }
 
-// Close closes the dialler's end. The far end gets what is on its way, then
-// the end of the stream.
+// Close closes the dialer's end. The far end gets the bytes in transit, then the end of the
+// stream.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() { close(c.closed) })
 	c.out.end(net.ErrClosed)
 	return nil
 }
 
-// SetDeadline sets those of Read and Write.
+// SetDeadline sets the deadlines of Read and Write.
 func (c *conn) SetDeadline(at time.Time) error {
 	c.readDeadline.set(at)
 	c.writeDeadline.set(at)
--- a/internal/emulator/link/conn_bench_test.go
+++ b/internal/emulator/link/conn_bench_test.go
@@ -10,13 +10,13 @@
 	"github.com/firlever/firlever/internal/emulator/clock"
 )
 
-// BenchmarkRoundTrip measures one byte there and back over loopback, plain and
-// through links of the given one-way delay.
+// BenchmarkRoundTrip measures the round trip of one byte over loopback, plain and through links
+// of the given one-way delay.
 func BenchmarkRoundTrip(b *testing.B) {
 	c := clock.Start()
 	defer c.Close()
 	benches := map[string]struct {
-		delay time.Duration // none when negative
+		delay time.Duration // negative: no links
 		clock *clock.Clock
 	}{
 		"plain":           {-1, nil},
@@ -39,7 +39,7 @@
 	}
 }
 
-// BenchmarkBulk measures how many bytes/s a link of 1.5 ms carries.
+// BenchmarkBulk measures the throughput over loopback, plain and through a link of 1.5 ms.
 func BenchmarkBulk(b *testing.B) {
 	cl := clock.Start()
 	defer cl.Close()
@@ -67,7 +67,7 @@
 	}
 }
 
-// dialEcho connects to a server that sends back each byte at once.
+// dialEcho connects to a server that echoes each byte at once.
 func dialEcho(b *testing.B, delay time.Duration, cl *clock.Clock) net.Conn {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/emulator/link/conn_test.go
+++ b/internal/emulator/link/conn_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// testLinks holds places in two regions, one of them with two failure domains.
+// testLinks returns links between places in two regions, one with two failure domains.
 func testLinks() *Links {
 	places := map[string]Location{
 		"a": {Region: "r", Domain: "a"},
@@ -53,14 +53,14 @@
 	return newConn(c, l.path(At("a"), At("b")), l.path(At("b"), At("a"))), far
 }
 
-// closeBoth closes both ends and lets what is on its way arrive.
+// closeBoth closes both ends and waits until the bytes in transit have arrived.
 func closeBoth(near *conn, far net.Conn) {
 	_ = near.Close()
 	_ = far.Close()
 	time.Sleep(time.Second)
 }
 
-// readArrival reads n bytes and returns them with the time that it took.
+// readArrival reads n bytes and returns them with the time from since to their arrival.
 func readArrival(t *testing.T, c net.Conn, n int, since time.Time) ([]byte, time.Duration) {
 	t.Helper()
 	b := make([]byte, n)
@@ -118,7 +118,7 @@
 		l.Set("a", "b", Fault{Cut: true})
 		start := time.Now()
 		if _, err := near.Write([]byte("over")); err != nil {
-			t.Errorf("got %v, want a write that tells nothing", err)
+			t.Errorf("got %v, want a write without an error", err)
 		}
 		_ = near.Close()
 		time.AfterFunc(time.Minute, func() { l.Clear() })
@@ -176,7 +176,8 @@
 	}
 }
 
-// passAndClearDeadline lets a deadline pass and then takes it back.
+// passAndClearDeadline sets a deadline in the past, clears it, and closes the far end after a
+// second.
 func passAndClearDeadline(near, far net.Conn) {
 	_ = near.SetReadDeadline(time.Now().Add(-ms))
 	_ = near.SetReadDeadline(time.Time{})
--- a/internal/emulator/link/deadline.go
+++ b/internal/emulator/link/deadline.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// deadline is one that may be moved while others wait for it.
+// deadline is a deadline that may be moved while readers or writers wait for it.
 type deadline struct {
 	mu    sync.Mutex
 	timer *time.Timer
@@ -14,13 +14,14 @@
 
 func newDeadline() *deadline { return &deadline{done: make(chan struct{})} }
 
+// expired returns a channel that is closed when the deadline passes.
 func (d *deadline) expired() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.done
 }
 
-// set moves the deadline; the zero time sets none.
+// set moves the deadline; the zero time clears it.
 func (d *deadline) set(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,8 +42,8 @@
 	d.timer = time.AfterFunc(wait, func() { close(done) })
 }
 
-// reset makes a new channel for later waits. The old one may be closed late by
-// a timer that has fired.
+// reset replaces the channel for later waits, as a timer that has fired may still close the old
+// one. d.mu is held.
 func (d *deadline) reset() { d.done = make(chan struct{}) }
 
 func isClosed(c <-chan struct{}) bool {
--- a/internal/emulator/link/fault.go
+++ b/internal/emulator/link/fault.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Fault is what is wrong on the one way between two points. The zero Fault is
-// a link in order.
+// Fault describes the faults in one direction between two points. The zero Fault is a link
+// without faults.
 type Fault struct {
-	// Cut lets nothing through and tells nobody. Packets vanish. A stream's
-	// bytes wait, as TCP sends them again and again, and go on when it ends.
+	// Cut drops all traffic without an error. Packets are lost. The bytes of a
+	// stream wait, as with TCP's retransmissions, and arrive when Cut ends.
 	Cut bool
-	// Refuse breaks connections at once, and new ones are refused.
+	// Refuse resets connections at once, and new ones are refused.
 	Refuse bool
-	// Loss is the probability to lose a packet, or to hold a stream's bytes up
-	// for the time that it takes to send them again.
+	// Loss is the probability that a packet is lost, or that a stream's bytes
+	// are delayed by a retransmission.
 	Loss float64
 	// Duplicate is the probability that a packet arrives twice.
 	Duplicate float64
@@ -24,17 +24,18 @@
 	Bandwidth int64
 }
 
-// retransmitDelay is how long a stream's lost bytes are late: TCP's least timeout on Linux.
+// retransmitDelay is the delay of a stream's lost bytes: TCP's minimum retransmission timeout on
+// Linux.
 const retransmitDelay = 200 * time.Millisecond
 
-// path is the one way between two points.
+// path is one direction between two points.
 type path struct {
 	links *Links
 	delay time.Duration
 
 	mu      sync.Mutex
 	fault   Fault
-	changed chan struct{} // closed when fault changes, and replaced
+	changed chan struct{} // closed and replaced when fault changes
 }
 
 func (p *path) state() (Fault, <-chan struct{}) {
@@ -51,25 +52,25 @@
 	p.changed = make(chan struct{})
 }
 
-// oneWay returns the delay of what is sent now.
+// oneWay returns the one-way delay under a fault.
 func (p *path) oneWay(f Fault) time.Duration { return p.delay + f.Delay }
 
-// SetPoint sets the fault of the one way between two points.
+// SetPoint sets the fault of one direction between two points.
 func (l *Links) SetPoint(from, to Point, f Fault) { l.path(from, to).set(f) }
 
-// Set sets the fault of the one way between two places, for what runs there.
-// The callers' links are left as they are.
+// Set sets the fault of one direction between two places, for the instances and targets there.
+// The callers' links don't change.
 func (l *Links) Set(from, to string, f Fault) { l.SetPoint(At(from), At(to), f) }
 
-// SetBoth sets the fault of both ways between two places.
+// SetBoth sets the fault of both directions between two places.
 func (l *Links) SetBoth(a, b string, f Fault) {
 	l.Set(a, b, f)
 	l.Set(b, a, f)
 }
 
-// Isolate sets the fault of both ways between a place and all others that have
-// a location or are named in others, the callers of other places included. The
-// place's own callers still reach it.
+// Isolate sets the fault of both directions between a place and all others that have a location
+// or are listed in others, and for callers that cross between them. The place's own callers
+// still reach it.
 func (l *Links) Isolate(place string, f Fault, others ...string) {
 	for other := range l.places {
 		others = append(others, other)
@@ -86,7 +87,7 @@
 	}
 }
 
-// Clear ends all faults.
+// Clear removes all faults.
 func (l *Links) Clear() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/link/line.go
+++ b/internal/emulator/link/line.go
@@ -8,28 +8,27 @@
 	"time"
 )
 
-// delayLineSize is how many bytes are on their way in one direction at most, enough
-// for 800 Mbit/s over 40 ms.
+// delayLineSize bounds the bytes in transit in one direction: enough for 800 Mbit/s over 40 ms.
 const delayLineSize = 4 << 20
 
-// delayLine delays one direction of a stream and keeps its order: bytes are put in
-// with the time at which they come out.
+// delayLine delays one direction of a stream and preserves its order: it queues bytes with the
+// time of their arrival.
 type delayLine struct {
 	path    *path
-	writeMu sync.Mutex // held by the one that waits for room
-	readMu  sync.Mutex // held by the one that waits for bytes
+	writeMu sync.Mutex // held by a write, also while it waits for free space
+	readMu  sync.Mutex // held by a read, also while it waits for bytes
 
 	mu       sync.Mutex
-	chunks   []chunk // in order; one that is due waits for those before it
-	size     int     // bytes in chunks, at most lineSize plus one chunk
+	chunks   []chunk // in order; a chunk that has arrived waits for those before it
+	size     int     // bytes in chunks, at most delayLineSize plus one chunk
 	linkFree time.Time
-	endErr   error // what comes after the chunks; nil while open
+	endErr   error // returned to readers after the chunks; nil while open
 
-	readable chan struct{} // signals to take
-	writable chan struct{} // signals to put
+	readable chan struct{} // notifies a waiting read
+	writable chan struct{} // notifies a waiting write
 }
 
-// chunk is some bytes, or the end of the stream when there are none.
+// chunk holds bytes of the stream, or is the end of the stream if it has none.
 type chunk struct {
 	data    []byte
 	arrival time.Time
@@ -39,8 +38,8 @@
 	return &delayLine{path: p, readable: make(chan struct{}, 1), writable: make(chan struct{}, 1)}
 }
 
-// write puts a copy of b in, waiting for room until stop is closed or the
-// deadline passes.
+// write queues a copy of b. It waits for free space until stop is closed or the deadline
+// passes.
 func (l *delayLine) write(b []byte, stop, deadline <-chan struct{}) (int, error) {
 	l.writeMu.Lock()
 	defer l.writeMu.Unlock()
@@ -63,7 +62,7 @@
 	}
 }
 
-// tryWrite returns false when there's no room.
+// tryWrite queues a copy of b. It returns false if there is no free space.
 func (l *delayLine) tryWrite(b []byte, f Fault) (bool, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +78,7 @@
 	return true, nil
 }
 
-// arrival returns when n bytes that are sent now come out.
+// arrival returns the time at which n bytes that are sent now arrive. l.mu is held.
 func (l *delayLine) arrival(n int, f Fault) time.Time {
 	sent := time.Now()
 	if f.Bandwidth > 0 {
@@ -96,7 +95,7 @@
 	return due
 }
 
-// end puts the end of the stream in: readers get err after all bytes.
+// end queues the end of the stream: readers get err after all bytes.
 func (l *delayLine) end(err error) {
 	f, _ := l.path.state()
 	l.mu.Lock()
@@ -109,8 +108,8 @@
 	notify(l.readable)
 }
 
-// read takes bytes out that are due, waiting for them until stop is closed or
-// the deadline passes.
+// read removes bytes that have arrived. It waits for them until stop is closed or the deadline
+// passes.
 func (l *delayLine) read(b []byte, stop, deadline <-chan struct{}) (int, error) {
 	l.readMu.Lock()
 	defer l.readMu.Unlock()
@@ -129,8 +128,8 @@
 	}
 }
 
-// wait returns when there may be something to take: when the timer of the next
-// chunk ends, or something changes.
+// wait returns nil when a read should be tried again: at due, the arrival of the next chunk, or
+// when the queue or the path's fault changes.
 func (l *delayLine) wait(due time.Time, changed, stop, deadline <-chan struct{}) error {
 	var fired <-chan time.Time
 	if !due.IsZero() {
@@ -150,8 +149,8 @@
 	return nil
 }
 
-// tryRead takes what is due. With nothing due it returns when the next
-// chunk is; zero when there's none or the path is cut.
+// tryRead removes bytes that have arrived. If there are none, it returns the arrival of the next
+// chunk, or zero if there is none or the path is cut.
 func (l *delayLine) tryRead(b []byte, f Fault) (int, time.Time, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,6 +179,7 @@
 	return l.consume(n), time.Time{}, nil
 }
 
+// consume frees the space of n bytes and returns n. l.mu is held.
 func (l *delayLine) consume(n int) int {
 	l.size -= n
 	if n > 0 {
@@ -188,7 +188,7 @@
 	return n
 }
 
-// notify wakes the one who waits, now or next.
+// notify wakes the goroutine that waits on c, or the next one to wait.
 func notify(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/internal/emulator/link/links.go
+++ b/internal/emulator/link/links.go
@@ -1,6 +1,6 @@
-// Package link emulates the network between places over loopback: connections
-// and packets arrive after the one-way delay of their places, and faults can be
-// switched on and off by pair of places while traffic flows.
+// Package link emulates the network between places over loopback: bytes and packets arrive
+// after the one-way delay between their places, and faults can be set for each pair of places
+// while traffic flows.
 package link
 
 import (
@@ -18,19 +18,19 @@
 	Caller bool
 }
 
-// At is the point of what runs in a place.
+// At returns the point of the instances and targets in a place.
 func At(place string) Point { return Point{Place: place} }
 
-// CallerAt is the point of a caller at home in a place.
+// CallerAt returns the point of a caller whose home is a place.
 func CallerAt(place string) Point { return Point{Place: place, Caller: true} }
 
-// Location says where a place is.
+// Location is the region and failure domain of a place.
 type Location struct {
 	Region string
 	Domain string // failure domain
 }
 
-// Latency is the one-way delay by how far two points are from each other.
+// Latency holds the one-way delays by the distance of two points.
 type Latency struct {
 	Domain time.Duration // within one failure domain
 	Region time.Duration // between failure domains of one region
@@ -41,7 +41,7 @@
 // Links holds the delays and faults between places. It is safe for concurrent
 // use.
 type Links struct {
-	places  map[string]Location // never changed after New
+	places  map[string]Location // not changed after New
 	latency Latency
 	clock   *clock.Clock
 
@@ -53,8 +53,8 @@
 // pair is an ordered pair of points.
 type pair struct{ from, to Point }
 
-// New makes links without faults. The seed is that of losses and duplicates;
-// the clock may be nil.
+// New returns links without faults. The seed determines losses and duplicates; the clock may be
+// nil.
 func New(places map[string]Location, latency Latency, seed uint64, c *clock.Clock) *Links {
 	return &Links{
 		places:  places,
@@ -88,7 +88,7 @@
 	return l.latency.Region
 }
 
-// path returns the one way from one point to another, the same one each time.
+// path returns the path from one point to another. It creates it at the first call.
 func (l *Links) path(from, to Point) *path {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/emulator/link/packet.go
+++ b/internal/emulator/link/packet.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// packetConn delays, loses and duplicates what it sends.
+// packetConn delays, loses and duplicates the packets that it sends.
 type packetConn struct {
 	net.PacketConn
 	links  *Links
@@ -13,14 +13,13 @@
 	locate func(net.Addr) Point
 }
 
-// PacketConn wraps a socket at one point, so that packets arrive as over the
-// links; locate says at which point an address is. Each socket wraps only what
-// it sends.
+// PacketConn wraps a socket at one point to send packets over the links; locate maps an address
+// to its point. Only sending is affected: for both directions, wrap both sockets.
 func (l *Links) PacketConn(c net.PacketConn, from Point, locate func(net.Addr) Point) net.PacketConn {
 	return &packetConn{PacketConn: c, links: l, from: from, locate: locate}
 }
 
-// WriteTo sends b and tells nothing of its loss.
+// WriteTo sends b. It returns no error if the packet is lost.
 func (c *packetConn) WriteTo(b []byte, addr net.Addr) (int, error) {
 	p := c.links.path(c.from, c.locate(addr))
 	f, _ := p.state()
@@ -34,7 +33,7 @@
 	return len(b), nil
 }
 
-// sendAfter writes b after a delay. A socket closed meanwhile loses it.
+// sendAfter writes b after a delay. The packet is lost if the socket is closed meanwhile.
 func (c *packetConn) sendAfter(b []byte, addr net.Addr, d time.Duration) {
 	if d == 0 {
 		_, _ = c.PacketConn.WriteTo(b, addr)
--- a/internal/emulator/link/packet_test.go
+++ b/internal/emulator/link/packet_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// recordingConn is a socket that counts what is sent.
+// recordingConn is a socket that records the times of the packets sent.
 type recordingConn struct {
 	net.PacketConn
 	mu    sync.Mutex
--- a/internal/emulator/link/proxy.go
+++ b/internal/emulator/link/proxy.go
@@ -9,8 +9,8 @@
 	"github.com/juju/errors"
 )
 
-// Proxy forwards TCP connections to an address over links, so that faults can
-// be put between real processes.
+// Proxy forwards TCP connections to an address over links, to inject faults between real
+// processes.
 type Proxy struct {
 	ln       net.Listener
 	links    *Links
@@ -21,7 +21,7 @@
 	work     sync.WaitGroup
 }
 
-// NewProxy forwards each connection of ln to addr, as from one point to
+// NewProxy starts a proxy that forwards each connection of ln to addr, as from one point to
 // another, until Close.
 func NewProxy(ln net.Listener, links *Links, from, to Point, addr string) *Proxy {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -33,7 +33,7 @@
 // Addr returns the address to connect to.
 func (p *Proxy) Addr() string { return p.ln.Addr().String() }
 
-// Close breaks all connections and waits until they have ended.
+// Close resets all connections and waits until they have ended.
 func (p *Proxy) Close() error {
 	p.cancel()
 	err := p.ln.Close()
@@ -51,8 +51,7 @@
 	}
 }
 
-// forward carries one connection. When it breaks on one side, the other side
-// is reset.
+// forward copies one connection in both directions. If one side fails, the other is reset.
 func (p *Proxy) forward(near net.Conn) {
 	far, err := p.links.DialFrom(p.ctx, sourceAddr(near), p.from, p.to, p.addr)
 	if err != nil {
@@ -72,7 +71,8 @@
 	_ = near.Close()
 }
 
-// sourceAddr is the address that the far end sees: that of the dialer, as far as it is this machine's.
+// sourceAddr returns the address that the far end sees: that of the dialer if it is a loopback
+// address, else nil.
 func sourceAddr(near net.Conn) net.Addr {
 	if a, ok := near.RemoteAddr().(*net.TCPAddr); ok && a.IP.IsLoopback() {
 		return &net.TCPAddr{IP: a.IP}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// copyHalf copies one direction and passes its end on.
+// copyHalf copies one direction and its end of stream. On an error it resets both sides.
 func copyHalf(dst, src net.Conn) {
 	_, err := io.Copy(dst, src)
 	half, ok := dst.(interface{ CloseWrite() error })
@@ -92,7 +92,7 @@
 	_ = half.CloseWrite()
 }
 
-// abort closes a connection so that the other end sees it broken.
+// abort closes a connection with a reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
--- a/internal/emulator/link/proxy_test.go
+++ b/internal/emulator/link/proxy_test.go
@@ -17,7 +17,7 @@
 	return ln
 }
 
-// echo answers each connection with what it sent, after it ended its sending.
+// echo reads each connection to its end, and then sends back what it read.
 func echo(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -95,8 +95,7 @@
 	return err
 }
 
-// dialAndRead returns the reset, which may come while the connection is opened
-// or after.
+// dialAndRead returns the reset, which may come from opening the connection or from a read.
 func dialAndRead(p *Proxy) error {
 	c, err := net.Dial("tcp", p.Addr())
 	if err != nil {
@@ -115,7 +114,7 @@
 	return c
 }
 
-// connect returns both ends of a connection through p, after a byte went over.
+// connect returns both ends of a connection through p, after one byte has been transferred.
 func connect(t *testing.T, p *Proxy, ln net.Listener) (near, far net.Conn) {
 	t.Helper()
 	near = dial(t, p)
