--- a/internal/emulator/clock/clock.go
+++ b/internal/emulator/clock/clock.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// slice is the longest sleep while timers wait. A timer set for earlier than
+// maxSleep is the longest sleep while timers wait. A timer set for earlier than
 // that may be late by as much.
-const slice = 500 * time.Microsecond
+const maxSleep = 500 * time.Microsecond
 
 // Clock wakes callers at given times. A nil Clock uses the runtime's timers, as
 // tests in virtual time need. It is safe for concurrent use.
@@ -59,7 +59,7 @@
 	}
 	fired := make(chan time.Time, 1)
 	t := &Timer{C: fired, at: at, fire: func(now time.Time) { fired <- now }}
-	t.stop = func() { c.drop(t) }
+	t.stop = func() { c.cancel(t) }
 	c.add(t)
 	return t
 }
@@ -98,8 +98,8 @@
 	}
 }
 
-// drop leaves a stopped timer in its place until it's due.
-func (c *Clock) drop(t *Timer) {
+// cancel leaves a stopped timer in its place until it's due.
+func (c *Clock) cancel(t *Timer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.fire = nil
@@ -123,7 +123,7 @@
 			<-c.wake
 			continue
 		}
-		if d := min(time.Until(next), slice); d > 0 {
+		if d := min(time.Until(next), maxSleep); d > 0 {
 			nanosleep(d)
 		}
 	}
--- a/internal/emulator/inproc/inproc.go
+++ b/internal/emulator/inproc/inproc.go
@@ -14,36 +14,36 @@
 type Store struct {
 	*docstore.Client
 
-	stand *store.Store
+	emulator *store.Store
 }
 
 // New makes an empty store. It returns a *store.ConfigError.
 func New(cfg store.Config) (*Store, error) {
-	stand, err := store.NewStore(cfg)
+	emulator, err := store.NewStore(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &Store{Client: docstore.NewClient(platform.NewStoreOver("stand-in", stand)), stand: stand}, nil
+	return &Store{Client: docstore.NewClient(platform.NewStoreOver("stand-in", emulator)), emulator: emulator}, nil
 }
 
 // SetFaults replaces the faults of the stand-in, also for calls that wait.
-func (s *Store) SetFaults(f store.Faults) { s.stand.SetFaults(f) }
+func (s *Store) SetFaults(f store.Faults) { s.emulator.SetFaults(f) }
 
 // Copy takes a copy of all that the stand-in holds.
-func (s *Store) Copy() *store.Copy { return s.stand.Copy() }
+func (s *Store) Copy() *store.Copy { return s.emulator.Copy() }
 
 // GoBack lets the stand-in come back from a copy. Documents are the system's own: nobody else
 // writes them again.
-func (s *Store) GoBack(c *store.Copy) { s.stand.GoBack(c) }
+func (s *Store) GoBack(c *store.Copy) { s.emulator.GoBack(c) }
 
 // Calls returns how often a path of the platform's store was called.
-func (s *Store) Calls(path string) int { return s.stand.Calls(path) }
+func (s *Store) Calls(path string) int { return s.emulator.Calls(path) }
 
 // Server makes a server of the platform's protocol over the same entries.
-func (s *Store) Server() *http.Server { return s.stand.Server() }
+func (s *Store) Server() *http.Server { return s.emulator.Server() }
 
 // Close ends the stand-in.
 func (s *Store) Close() {
 	s.Client.Close()
-	s.stand.Close()
+	s.emulator.Close()
 }
--- a/internal/emulator/rush/stat.go
+++ b/internal/emulator/rush/stat.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// tick is the unit of the kernel's account.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of the kernel's account.
+const clockTick = 10 * time.Millisecond
 
 // StatError says that the kernel's account of a process can't be read.
 type StatError struct {
@@ -37,5 +37,5 @@
 	if err != nil {
 		return 0, &StatError{Pid: pid, Err: err}
 	}
-	return time.Duration(user+system) * tick, nil
+	return time.Duration(user+system) * clockTick, nil
 }
--- a/internal/emulator/rush/trial.go
+++ b/internal/emulator/rush/trial.go
@@ -18,27 +18,27 @@
 }
 
 const (
-	lightTime = 2 * time.Second
-	trialTime = 4 * time.Second
-	overload  = 1.5 // of the capacity
-	usual     = 1.0 / 3
+	lightDuration  = 2 * time.Second
+	phaseDuration  = 4 * time.Second
+	overloadFactor = 1.5 // of the capacity
+	normalFactor   = 1.0 / 3
 )
 
 // Overload sends a light load of so many requests a second to an instance, half as much again
 // as its processor can do, and a usual load. crowd makes new callers of it. It returns a
 // *StatError.
-func Overload(pid int, light float64, crowd func() *Rush) (*Trial, error) {
+func Overload(pid int, lightRate float64, newCallers func() *Rush) (*Trial, error) {
 	before, err := ProcessorTime(pid)
 	if err != nil {
 		return nil, err
 	}
-	crowd().Play(light, lightTime)
+	newCallers().Play(lightRate, lightDuration)
 	after, err := ProcessorTime(pid)
 	if err != nil {
 		return nil, err
 	}
-	t := &Trial{Capacity: light * lightTime.Seconds() / (after - before).Seconds(), Over: crowd(), Usual: crowd()}
-	t.Answers = t.Over.Play(overload*t.Capacity, trialTime)
-	t.Usual.Play(usual*t.Capacity, trialTime)
+	t := &Trial{Capacity: lightRate * lightDuration.Seconds() / (after - before).Seconds(), Over: newCallers(), Usual: newCallers()}
+	t.Answers = t.Over.Play(overloadFactor*t.Capacity, phaseDuration)
+	t.Usual.Play(normalFactor*t.Capacity, phaseDuration)
 	return t, nil
 }
