--- a/internal/emulator/clock/clock.go
+++ b/internal/emulator/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock wakes its callers within a small part of a millisecond. The
-// runtime's own timers are up to a millisecond late in an idle process, which
-// is as much as the delays that the emulator has to keep.
+// Package clock provides timers that fire within a small fraction of a millisecond of their
+// time. The runtime's own timers are up to a millisecond late in an idle process, which is as
+// much as the delays that the emulator has to keep.
 package clock
 
 import (
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// maxSleep is the longest sleep while timers wait. A timer set for earlier than
-// that may be late by as much.
+// maxSleep bounds a sleep while timers are pending. A timer that is added during a sleep, for a
+// time before its end, may be late by as much.
 const maxSleep = 500 * time.Microsecond
 
-// Clock wakes callers at given times. A nil Clock uses the runtime's timers, as
-// tests in virtual time need. It is safe for concurrent use.
+// Clock fires timers at given times. A nil Clock uses the runtime's timers, as tests in virtual
+// time require. It is safe for concurrent use.
 type Clock struct {
 	mu     sync.Mutex
 	timers timers
@@ -24,14 +24,14 @@
 	done   chan struct{}
 }
 
-// Start makes a clock, which keeps a thread until Close.
+// Start returns a running clock. It occupies a thread until Close.
 func Start() *Clock {
 	c := &Clock{wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go c.run()
 	return c
 }
 
-// Close ends the clock. Timers that wait never fire.
+// Close stops the clock. Pending timers never fire.
 func (c *Clock) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -42,16 +42,16 @@
 
 // Timer fires once.
 type Timer struct {
-	C    <-chan time.Time // gets the time of firing
+	C    <-chan time.Time // receives the time at which the timer fired
 	at   time.Time
 	fire func(now time.Time)
 	stop func()
 }
 
-// Stop lets a timer that hasn't fired never fire.
+// Stop prevents the timer from firing if it hasn't fired yet.
 func (t *Timer) Stop() { t.stop() }
 
-// Timer makes one that fires at a time.
+// Timer returns a timer that fires at a time.
 func (c *Clock) Timer(at time.Time) *Timer {
 	if c == nil {
 		t := time.NewTimer(time.Until(at))
@@ -64,7 +64,7 @@
 	return t
 }
 
-// AfterFunc calls f in a goroutine of its own at a time.
+// AfterFunc calls f in its own goroutine at a time.
 func (c *Clock) AfterFunc(at time.Time, f func()) {
 	if c == nil {
 		time.AfterFunc(time.Until(at), f)
@@ -73,7 +73,7 @@
 	c.add(&Timer{at: at, fire: func(time.Time) { go f() }})
 }
 
-// SleepUntil waits until a time. It returns false if ctx ended before.
+// SleepUntil waits until a time. It returns false if ctx has ended.
 func (c *Clock) SleepUntil(ctx context.Context, at time.Time) bool {
 	if !time.Now().Before(at) {
 		return ctx.Err() == nil
@@ -98,7 +98,7 @@
 	}
 }
 
-// cancel leaves a stopped timer in its place until it's due.
+// cancel prevents a timer from firing. It stays in the heap until it is due.
 func (c *Clock) cancel(t *Timer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// fireDue fires what is due and returns when the next timer is: zero without
-// one. It returns false when the clock is closed.
+// fireDue fires the timers that are due and returns the time of the next one, or zero if there
+// is none. It returns false if the clock is closed.
 func (c *Clock) fireDue(now time.Time) (time.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +147,7 @@
 	return time.Time{}, !c.closed
 }
 
-// timers is a heap by time.
+// timers is a heap of timers, the earliest first.
 type timers []*Timer
 
 func (h timers) Len() int           { return len(h) }
--- a/internal/emulator/clock/sleep_linux.go
+++ b/internal/emulator/clock/sleep_linux.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nanosleep blocks its thread; a signal may end it early.
+// nanosleep blocks its thread for d; a signal may end it early.
 func nanosleep(d time.Duration) {
 	ts := syscall.NsecToTimespec(d.Nanoseconds())
 	_ = syscall.Nanosleep(&ts, nil)
--- a/internal/emulator/inproc/inproc.go
+++ b/internal/emulator/inproc/inproc.go
@@ -1,5 +1,5 @@
-// Package inproc keeps firlever's own documents on the stand-in of the platform's
-// store, in the same process and without sockets, for tests and trials.
+// Package inproc keeps firlever's own documents in the emulated store of the platform, in the
+// same process and without sockets, for tests and trials.
 package inproc
 
 import (
@@ -10,14 +10,15 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Store is the documents' client and the stand-in behind it.
+// Store is a client for documents, with the emulated store that it uses.
 type Store struct {
 	*docstore.Client
 
 	emulator *store.Store
 }
 
-// New makes an empty store. It returns a *store.ConfigError.
+// New returns an empty store, to be closed with Close. It returns a *store.ConfigError if cfg is
+// invalid.
 func New(cfg store.Config) (*Store, error) {
 	emulator, err := store.NewStore(cfg)
 	if err != nil {
@@ -26,23 +27,23 @@
 	return &Store{Client: docstore.NewClient(platform.NewStoreOver("stand-in", emulator)), emulator: emulator}, nil
 }
 
-// SetFaults replaces the faults of the stand-in, also for calls that wait.
+// SetFaults replaces the faults of the emulated store, also for watches that are waiting.
 func (s *Store) SetFaults(f store.Faults) { s.emulator.SetFaults(f) }
 
-// Copy takes a copy of all that the stand-in holds.
+// Copy takes a snapshot of the emulated store's content.
 func (s *Store) Copy() *store.Copy { return s.emulator.Copy() }
 
-// GoBack lets the stand-in come back from a copy. Documents are the system's own: nobody else
-// writes them again.
+// GoBack restores the emulated store from a snapshot. Documents are written by the system
+// itself: no other writer makes lost writes again.
 func (s *Store) GoBack(c *store.Copy) { s.emulator.GoBack(c) }
 
-// Calls returns how often a path of the platform's store was called.
+// Calls returns the number of calls of a path of the platform's store.
 func (s *Store) Calls(path string) int { return s.emulator.Calls(path) }
 
-// Server makes a server of the platform's protocol over the same entries.
+// Server returns an HTTP server that speaks the platform's protocol on the same entries.
 func (s *Store) Server() *http.Server { return s.emulator.Server() }
 
-// Close ends the stand-in.
+// Close closes the client and the emulated store.
 func (s *Store) Close() {
 	s.Client.Close()
 	s.emulator.Close()
--- a/internal/emulator/rush/rush.go
+++ b/internal/emulator/rush/rush.go
@@ -1,5 +1,5 @@
-// Package rush plays callers who send requests to one instance at a rate, whether or not
-// others have been answered, and leave when an answer takes too long.
+// Package rush generates open-loop load: callers send requests to one instance at a fixed rate,
+// whether or not earlier ones have been answered, and abandon a request at its timeout.
 package rush
 
 import (
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Rush is a crowd of such callers. They keep their connections, and close one on which an
-// answer is due when they leave.
+// Rush is a set of callers of one instance. They reuse idle connections, and close the
+// connection of a request that they abandon.
 type Rush struct {
 	address     string
 	timeout     time.Duration
@@ -26,27 +26,27 @@
 	idle []net.Conn // guarded by mu
 }
 
-// New makes callers of an instance who wait for timeout. head is a whole request without a
-// body, by its ID.
+// New returns callers of the instance at address that wait for an answer up to timeout.
+// requestHead returns a whole request without a body, for a request ID.
 func New(address string, timeout time.Duration, requestHead func(id string) string) *Rush {
 	return &Rush{address: address, timeout: timeout, requestHead: requestHead}
 }
 
-// Answered is how many requests got an answer with success.
+// Answered returns the number of requests that were answered 200.
 func (r *Rush) Answered() int64 { return r.answered.Load() }
 
-// All is how many requests ended.
+// All returns the number of requests that ended, with any outcome.
 func (r *Rush) All() int64 { return r.answered.Load() + r.refused.Load() + r.abandoned.Load() }
 
 func (r *Rush) String() string {
-	return fmt.Sprintf("%d answered, %d refused, %d left", r.answered.Load(), r.refused.Load(), r.abandoned.Load())
+	return fmt.Sprintf("%d answered, %d refused, %d abandoned", r.answered.Load(), r.refused.Load(), r.abandoned.Load())
 }
 
-// pollInterval is the pause between two looks at what is due.
+// pollInterval is the time between two checks for requests that are due.
 const pollInterval = time.Millisecond
 
-// Play sends at a rate, in requests a second, for a time, and returns the answers a second in
-// its second half.
+// Play sends requests at a rate per second for a duration, and waits until all have ended. It
+// returns the rate of successful answers in the second half, per second.
 func (r *Rush) Play(rate float64, duration time.Duration) float64 {
 	var sends sync.WaitGroup
 	begin, halfAnswered, sent := time.Now(), int64(-1), 0
@@ -114,7 +114,7 @@
 	return resp.StatusCode, err
 }
 
-// takeIdle returns a connection that is open; nil if there is none.
+// takeIdle removes and returns an idle connection, or returns nil if there is none.
 func (r *Rush) takeIdle() net.Conn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/emulator/rush/trial.go
+++ b/internal/emulator/rush/trial.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Trial is how an instance on one processor fared with more than that can do.
+// Trial is the result of an overload run against an instance on one processor.
 type Trial struct {
-	Capacity float64 // answers a second that the processor can do, by what a light load took
-	Answers  float64 // a second, in the second half of the overload
-	Over     *Rush   // callers of the overload
-	Usual    *Rush   // callers of a usual load right after it
+	Capacity float64 // answers/s that the processor can serve, from its use under a light load
+	Answers  float64 // answers/s in the second half of the overload
+	Over     *Rush   // callers during the overload
+	Usual    *Rush   // callers during a normal load right after it
 }
 
 func (t *Trial) String() string {
-	return fmt.Sprintf("%.0f answers a second of %.0f that the processor can do; %s; afterwards: %s", t.Answers, t.Capacity, t.Over, t.Usual)
+	return fmt.Sprintf("%.0f answers/s of a capacity of %.0f/s; overload: %s; normal load afterwards: %s", t.Answers, t.Capacity, t.Over, t.Usual)
 }
 
 const (
@@ -24,9 +24,10 @@
 	normalFactor   = 1.0 / 3
 )
 
-// Overload sends a light load of so many requests a second to an instance, half as much again
-// as its processor can do, and a usual load. crowd makes new callers of it. It returns a
-// *StatError.
+// Overload sends three loads to an instance in turn: a light one of lightRate requests/s, from
+// which it computes the capacity of the instance's processor, one and a half times that
+// capacity, and a normal load. newCallers returns new callers of the instance. It returns a
+// *StatError if the processor time of pid can't be read.
 func Overload(pid int, lightRate float64, newCallers func() *Rush) (*Trial, error) {
 	before, err := ProcessorTime(pid)
 	if err != nil {
