--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -25,8 +25,8 @@
 // bufferLen is the size of a read, and of the largest chunk in a delay line.
 const bufferLen = 32 << 10
 
-// DialContext dials addr over TCP as from one point to another. It takes one round trip; while
-// the path is cut, it waits until ctx ends.
+// DialContext dials addr over TCP as from one point to another. It takes one round trip, and
+// waits while the path is cut, until ctx ends at the latest.
 func (l *Links) DialContext(ctx context.Context, from, to Point, addr string) (net.Conn, error) {
 	return l.DialFrom(ctx, nil, from, to, addr)
 }
--- a/internal/emulator/link/line.go
+++ b/internal/emulator/link/line.go
@@ -19,10 +19,10 @@
 	readMu  sync.Mutex // held by a read, also while it waits for bytes
 
 	mu       sync.Mutex
-	chunks   []chunk // in order; a chunk that has arrived waits for those before it
-	size     int     // bytes in chunks, at most delayLineSize plus one chunk
-	linkFree time.Time
-	endErr   error // returned to readers after the chunks; nil while open
+	chunks   []chunk   // in order; a chunk that has arrived waits for those before it
+	size     int       // bytes in chunks, at most delayLineSize plus one chunk
+	linkFree time.Time // when the bandwidth limit allows the next bytes
+	endErr   error     // returned to readers after the chunks; nil while open
 
 	readable chan struct{} // notifies a waiting read
 	writable chan struct{} // notifies a waiting write
--- a/internal/emulator/target/notice.go
+++ b/internal/emulator/target/notice.go
@@ -15,12 +15,12 @@
 // Bounds on the requests that may still reach a target after it sent a notice: some are in
 // flight already, and some come from callers that have just started and haven't received it.
 const (
-	noticeGrace  = time.Second // time until callers have received the notice
-	noticeSlack  = 3           // number of requests from callers that have just started
-	backOffGrace = 500 * time.Millisecond
+	noticeGrace  = time.Second            // time until callers have received the notice
+	noticeSlack  = 3                      // number of requests from callers that have just started
+	backOffGrace = 500 * time.Millisecond // noticeGrace for back-off and limits
 	limitWindow  = 4 * time.Second
-	limitFactor  = 1.5
-	limitSlack   = 5
+	limitFactor  = 1.5 // of the limit, in limitWindow
+	limitSlack   = 5   // requests beyond that
 )
 
 // noticeState holds a target's notice about the requests that it accepts, and the requests that
