--- a/internal/emulator/store/copy.go
+++ b/internal/emulator/store/copy.go
@@ -49,7 +49,7 @@
 
 // GoBack restores the store from a snapshot of its own: later writes are lost, and revisions
 // and lease IDs are assigned again. Leases of the snapshot start their TTL anew. The lost
-// writes of operators and targets are kept, to be made again by Rewrite.
+// writes of operators and targets are kept in lostWrites.
 func (s *Store) GoBack(c *Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +68,8 @@
 	s.notifyWatches()
 }
 
-// Rewrite makes the writes of operators and targets again that restores lost, only the last
-// one of each key.
+// Rewrite makes the writes in lostWrites again, only the last one of each key. It stands for
+// the operators and targets, which repeat their writes after a restore.
 func (s *Store) Rewrite() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/store/copy_test.go
+++ b/internal/emulator/store/copy_test.go
@@ -77,7 +77,8 @@
 	})
 }
 
-// External writes are made again after two restores: before the first Rewrite, and after it.
+// External writes can be made again after two restores, also if they were made again between
+// the two.
 func TestRestoreTwice(t *testing.T) {
 	tests := map[string]func(s *Store, snapshot *Copy){
 		"at once":                   func(s *Store, c *Copy) { s.GoBack(c); s.GoBack(c) },
--- a/internal/emulator/target/journal.go
+++ b/internal/emulator/target/journal.go
@@ -103,7 +103,7 @@
 	j.leaveDeadlines[s] = deadline
 }
 
-// Return undoes Leave.
+// Return removes the deadline after which a scope gets no new work.
 func (j *Journal) Return(s Scope) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
