--- a/internal/emulator/clock/clock_test.go
+++ b/internal/emulator/clock/clock_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// BenchmarkWake measures a wait of 1.5 ms: ns/op beyond that are the timer's delay.
+// BenchmarkWake measures a wait of 1.5 ms: ns/op beyond that are the timer's lateness.
 func BenchmarkWake(b *testing.B) {
 	benches := map[string]*Clock{"started": Start(), "runtime": nil}
 	for name, c := range benches {
--- a/internal/emulator/store/copy.go
+++ b/internal/emulator/store/copy.go
@@ -20,7 +20,7 @@
 type externalWrite struct {
 	key     string
 	value   []byte
-	deleted bool
+	removed bool
 }
 
 // Copy is a snapshot of the store's content.
@@ -49,7 +49,7 @@
 
 // GoBack restores the store from a snapshot of its own: later writes are lost, and revisions
 // and lease IDs are assigned again. Leases of the snapshot start their TTL anew. The lost
-// writes of operators and targets are kept in lostWrites.
+// writes of operators and targets are kept, to be made again later.
 func (s *Store) GoBack(c *Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	s.notifyWatches()
 }
 
-// Rewrite makes the writes in lostWrites again, only the last one of each key. It stands for
+// Rewrite makes the lost external writes again, only the last one of each key. It stands for
 // the operators and targets, which repeat their writes after a restore.
 func (s *Store) Rewrite() {
 	s.mu.Lock()
@@ -98,7 +98,7 @@
 		s.droppedExternalWrites += over
 		s.externalWrites = slices.Clone(s.externalWrites[over:])
 	}
-	if w.deleted {
+	if w.removed {
 		s.remove(w.key)
 		return
 	}
--- a/internal/emulator/store/store.go
+++ b/internal/emulator/store/store.go
@@ -120,7 +120,7 @@
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.write(externalWrite{key: key, deleted: true})
+	s.write(externalWrite{key: key, removed: true})
 }
 
 // Get returns the value of a key, or nil.
