--- a/internal/emulator/link/conn.go
+++ b/internal/emulator/link/conn.go
@@ -11,36 +11,35 @@
 	"github.com/juju/errors"
 )
 
-// conn is a connection with a delay line in each direction. It stands at the
-// dialler's end, and stands for the network between: what the far end has not
-// got yet is in the lines.
+// conn is a connection with a delay line in each direction. It wraps the dialer's end and
+// emulates the network: the lines hold the bytes that are in transit.
 type conn struct {
 	net.Conn
-	out, in   *line
-	readPast  *deadline
-	writePast *deadline
-	once      sync.Once
-	closed    chan struct{} // Close was called
+	out, in       *delayLine
+	readDeadline  *deadline
+	writeDeadline *deadline
+	closeOnce     sync.Once
+	closed        chan struct{} // Close was called
 }
 
-// readLen is how many bytes of the far end are taken at one time.
-const readLen = 32 << 10
+// bufferLen is the size of a read, and of the largest chunk in a delay line.
+const bufferLen = 32 << 10
 
-// DialContext dials addr over TCP as from one point to another: it takes a
-// round trip, and as long as ctx allows while the path is cut.
+// DialContext dials addr over TCP as from one point to another. It takes one round trip, and
+// waits while the path is cut, until ctx ends at the latest.
 func (l *Links) DialContext(ctx context.Context, from, to Point, addr string) (net.Conn, error) {
 	return l.DialFrom(ctx, nil, from, to, addr)
 }
 
-// DialFrom is DialContext from a local address; nil leaves it to the system.
+// DialFrom is DialContext from a local address; if that is nil, the system chooses one.
 func (l *Links) DialFrom(ctx context.Context, local net.Addr, from, to Point, addr string) (net.Conn, error) {
 	out, in := l.path(from, to), l.path(to, from)
-	if err := cross(ctx, out); err != nil {
+	if err := awaitCrossing(ctx, out); err != nil {
 		return nil, dialError(addr, err)
 	}
 	d := net.Dialer{LocalAddr: local}
 	c, err := d.DialContext(ctx, "tcp", addr)
-	if crossErr := cross(ctx, in); crossErr != nil {
+	if crossErr := awaitCrossing(ctx, in); crossErr != nil {
 		if c != nil {
 			_ = c.Close()
 		}
@@ -49,11 +48,10 @@
 	if err != nil {
 		return nil, errors.Annotate(err, "Links.DialContext")
 	}
-	return wrap(c, out, in), nil
+	return newConn(c, out, in), nil
 }
 
-// Dialer returns DialContext as http.Transport takes it; locate says at which
-// point an address is.
+// Dialer returns a dial function for an http.Transport; locate maps an address to its point.
 func (l *Links) Dialer(from Point, locate func(addr string) Point) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		return l.DialContext(ctx, from, locate(addr), addr)
@@ -64,8 +62,9 @@
 	return errors.Annotatef(&net.OpError{Op: "dial", Net: "tcp", Err: err}, "Links.DialContext %s", addr)
 }
 
-// cross waits as long as one packet takes over p, sent again while p is cut.
-func cross(ctx context.Context, p *path) error {
+// awaitCrossing waits for the time in which one packet crosses p, with retransmissions while p
+// is cut. It returns ECONNREFUSED if p refuses, or the error of ctx.
+func awaitCrossing(ctx context.Context, p *path) error {
 	f, changed := p.state()
 	for f.Cut && !f.Refuse {
 		select {
@@ -80,7 +79,7 @@
 	}
 	d := p.oneWay(f)
 	if p.links.chance(f.Loss) {
-		d += resend
+		d += retransmitDelay
 	}
 	if d == 0 {
 		return nil
@@ -91,27 +90,27 @@
 	return nil
 }
 
-// wrap puts lines before an open connection.
-func wrap(c net.Conn, out, in *path) *conn {
+// newConn wraps an open connection with delay lines and starts the goroutines that serve them.
+func newConn(c net.Conn, out, in *path) *conn {
 	w := &conn{
-		Conn:      c,
-		out:       newLine(out),
-		in:        newLine(in),
-		readPast:  newDeadline(),
-		writePast: newDeadline(),
-		closed:    make(chan struct{}),
-	}
-	go w.send()
+		Conn:          c,
+		out:           newDelayLine(out),
+		in:            newDelayLine(in),
+		readDeadline:  newDeadline(),
+		writeDeadline: newDeadline(),
+		closed:        make(chan struct{}),
+	}
+	go w.transmit()
 	go w.receive()
 	return w
 }
 
-// send carries what the dialler wrote to the far end, also after Close, and
-// closes the connection to it.
-func (c *conn) send() {
-	err := c.sendAll()
+// transmit copies what the dialer wrote to the far end, also after Close, and then closes the
+// connection to it.
+func (c *conn) transmit() {
+	err := c.transmitAll()
 	if err == syscall.ECONNRESET {
-		c.setLinger()
+		c.resetOnClose()
 	} else {
 		c.closeWrite()
 		<-c.closed
@@ -119,9 +118,10 @@
 	_ = c.Conn.Close()
 }
 
-// sendAll returns what ended the line, or the failure of a write.
-func (c *conn) sendAll() error {
-	b := make([]byte, readLen)
+// transmitAll copies the line to the far end until the line ends or a write fails, and returns
+// the error of either.
+func (c *conn) transmitAll() error {
+	b := make([]byte, bufferLen)
 	for {
 		n, err := c.out.read(b, nil, nil)
 		if err != nil {
@@ -135,8 +135,8 @@
 	}
 }
 
-// setLinger makes the far end see a reset.
-func (c *conn) setLinger() {
+// resetOnClose makes Close reset the connection to the far end.
+func (c *conn) resetOnClose() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
@@ -148,9 +148,9 @@
 	}
 }
 
-// receive takes in what the far end writes.
+// receive copies what the far end writes into the line to the dialer.
 func (c *conn) receive() {
-	b := make([]byte, readLen)
+	b := make([]byte, bufferLen)
 	for {
 		n, err := c.Conn.Read(b)
 		if n > 0 {
@@ -160,38 +160,38 @@
 			}
 		}
 		if err != nil {
-			c.in.end(endOf(err))
+			c.in.end(streamEnd(err))
 			return
 		}
 	}
 }
 
-// endOf keeps a clean end as readers compare it.
-func endOf(err error) error {
+// streamEnd returns io.EOF itself, as readers compare it, and other errors with a trace.
+func streamEnd(err error) error {
 	if err == io.EOF {
 		return io.EOF
 	}
 	return errors.Trace(err)
 }
 
-// Read returns what the far end wrote and has arrived.
+// Read returns bytes from the far end that have arrived.
 func (c *conn) Read(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
-	n, err := c.in.read(b, c.closed, c.readPast.wait())
+	n, err := c.in.read(b, c.closed, c.readDeadline.expired())
 	return n, c.opError("read", err)
 }
 
-// Write returns when b is on its way.
+// Write returns when b is in transit.
 func (c *conn) Write(b []byte) (int, error) {
 	if isClosed(c.closed) {
 		return 0, c.opError("write", net.ErrClosed)
 	}
 	n := 0
 	for n < len(b) {
-		part := b[n:min(len(b), n+readLen)]
-		m, err := c.out.write(part, c.closed, c.writePast.wait())
+		part := b[n:min(len(b), n+bufferLen)]
+		m, err := c.out.write(part, c.closed, c.writeDeadline.expired())
 		n += m
 		if err != nil {
 			return n, c.opError("write", err)
@@ -207,35 +207,35 @@
 	return &net.OpError{Op: op, Net: "tcp", Addr: c.RemoteAddr(), Err: err}
 }
 
-// CloseWrite ends the stream to the far end, after what is on its way.
+// CloseWrite ends the stream to the far end, after the bytes in transit.
 func (c *conn) CloseWrite() error {
 	c.out.end(io.EOF)
 	return nil
 }
 
-// Close closes the dialler's end. The far end gets what is on its way, then
-// the end of the stream.
+// Close closes the dialer's end. The far end gets the bytes in transit, then the end of the
+// stream.
 func (c *conn) Close() error {
-	c.once.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	c.out.end(net.ErrClosed)
 	return nil
 }
 
-// SetDeadline sets those of Read and Write.
+// SetDeadline sets the deadlines of Read and Write.
 func (c *conn) SetDeadline(at time.Time) error {
-	c.readPast.set(at)
-	c.writePast.set(at)
+	c.readDeadline.set(at)
+	c.writeDeadline.set(at)
 	return nil
 }
 
 // SetReadDeadline sets the deadline of Read.
 func (c *conn) SetReadDeadline(at time.Time) error {
-	c.readPast.set(at)
+	c.readDeadline.set(at)
 	return nil
 }
 
 // SetWriteDeadline sets the deadline of Write.
 func (c *conn) SetWriteDeadline(at time.Time) error {
-	c.writePast.set(at)
+	c.writeDeadline.set(at)
 	return nil
 }
--- a/internal/emulator/store/serve.go
+++ b/internal/emulator/store/serve.go
@@ -14,70 +14,71 @@
 	"golang.org/x/time/rate"
 )
 
-// What calls cost of the rate of reads: renewals and stale reads are cheap.
+// Tokens that a call takes from the limiter of reads. A renewal is cheap; a stale read takes
+// none.
 const (
-	readPrice  = 10
-	cheapPrice = 1
+	readCost      = 10
+	cheapReadCost = 1
 )
 
-// limiter allows bursts of one second's worth; it is nil for any number.
-func limiter(perSecond float64) *rate.Limiter {
+// newLimiter returns a limiter with a burst of one second's worth, or nil for an infinite rate.
+func newLimiter(perSecond float64) *rate.Limiter {
 	if math.IsInf(perSecond, 1) {
 		return nil
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), int(perSecond))
 }
 
-// headerTime is how long a caller may take to send a header; calls come from the
-// same machine, or over links of some 20 ms.
-const headerTime = 5 * time.Second
+// readHeaderTimeout bounds the time in which a caller sends the request header. Calls come from
+// the same machine, or over links of some 20 ms.
+const readHeaderTimeout = 5 * time.Second
 
-// Server makes a server of the store.
+// Server returns an HTTP server for the store.
 func (s *Store) Server() *http.Server {
-	return &http.Server{Handler: s, ReadHeaderTimeout: headerTime}
+	return &http.Server{Handler: s, ReadHeaderTimeout: readHeaderTimeout}
 }
 
-// SetFaults replaces the faults, also for calls that wait.
+// SetFaults replaces the faults, also for watches that are waiting.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.wake()
+	s.notifyWatches()
 }
 
-// failing returns the faults in force. s.mu is held.
-func (s *Store) failing(now time.Time) Faults {
+// activeFaults returns the faults in force at now. s.mu is held.
+func (s *Store) activeFaults(now time.Time) Faults {
 	f := s.faults
-	if f.over(now) {
+	if f.expired(now) {
 		f.Refuse, f.Silent = false, false
 	}
 	return f
 }
 
-// fate is what becomes of one call.
-type fate struct {
+// callEffects holds the faults and limits that apply to one call.
+type callEffects struct {
 	Faults
-	busy bool // over the rate
-	lost bool // done and not answered
-	late bool // done after Delay, and not answered
+	overRate bool // answered 429
+	lost     bool // executed and not answered
+	late     bool // executed after Delay, and not answered
 }
 
-// begin counts a call and decides its fate.
-func (s *Store) begin(r *http.Request) fate {
+// admit counts a call and returns the faults and limits that apply to it.
+func (s *Store) admit(r *http.Request) callEffects {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[r.URL.Path]++
 	now := time.Now()
-	f := fate{Faults: s.failing(now)}
+	f := callEffects{Faults: s.activeFaults(now)}
 	if f.Silent || f.Refuse {
 		return f
 	}
 	if host, _, err := net.SplitHostPort(r.RemoteAddr); err == nil && slices.Contains(f.Closed, host) {
-		f.busy = true
+		f.overRate = true
 		return f
 	}
-	f.busy = !s.allow(r, now)
-	if f.busy || !writes(r) {
+	f.overRate = !s.allow(r, now)
+	if f.overRate || !isWrite(r) {
 		return f
 	}
 	switch {
@@ -92,44 +93,44 @@
 	return f
 }
 
-// allow takes a call's price from its rate.
+// allow takes a call's tokens from its limiter and returns false if there are too few.
 func (s *Store) allow(r *http.Request, now time.Time) bool {
 	switch {
-	case writes(r):
+	case isWrite(r):
 		return s.writes == nil || s.writes.AllowN(now, 1)
-	case stale(r):
+	case isStaleRead(r):
 		return true
 	case strings.HasPrefix(r.URL.Path, "/kv-keep/"):
-		return s.reads == nil || s.reads.AllowN(now, cheapPrice)
+		return s.reads == nil || s.reads.AllowN(now, cheapReadCost)
 	}
-	return s.reads == nil || s.reads.AllowN(now, readPrice)
+	return s.reads == nil || s.reads.AllowN(now, readCost)
 }
 
-// writes says whether a call changes anything. A renewal counts as a read.
-func writes(r *http.Request) bool {
+// isWrite reports whether a call counts as a write. A renewal counts as a read.
+func isWrite(r *http.Request) bool {
 	return r.Method != http.MethodGet && !strings.HasPrefix(r.URL.Path, "/kv-keep/")
 }
 
-// ServeHTTP answers a call, or fails it as the faults say.
+// ServeHTTP serves a call, subject to the faults and rate limits.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w = eraWriter{w, s}
-	f := s.begin(r)
+	f := s.admit(r)
 	switch {
 	case f.Silent:
-		s.ignore(r)
+		s.withholdAnswer(r)
 	case f.Refuse:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case f.busy:
+	case f.overRate:
 		w.WriteHeader(http.StatusTooManyRequests)
 	case f.late:
-		s.pause(r, f.Delay)
-		s.router.ServeHTTP(&answer{}, r)
+		s.delayCall(r, f.Delay)
+		s.router.ServeHTTP(&recordedAnswer{}, r)
 		panic(http.ErrAbortHandler)
 	case f.lost:
-		s.router.ServeHTTP(&answer{}, r)
+		s.router.ServeHTTP(&recordedAnswer{}, r)
 		panic(http.ErrAbortHandler)
 	case f.Delay > 0:
-		a := &answer{}
+		a := &recordedAnswer{}
 		s.router.ServeHTTP(eraWriter{a, s}, r)
 		select {
 		case <-time.After(f.Delay):
@@ -142,9 +143,9 @@
 	}
 }
 
-// ignore gives no answer until the caller has left. It reads the body, as the end
-// of the connection is noticed only then.
-func (s *Store) ignore(r *http.Request) {
+// withholdAnswer returns without an answer when the caller has left. It reads the body first,
+// as the server detects the end of the connection only then.
+func (s *Store) withholdAnswer(r *http.Request) {
 	io.Copy(io.Discard, r.Body)
 	select {
 	case <-r.Context().Done():
@@ -152,8 +153,9 @@
 	}
 }
 
-// pause waits, also when the caller has left: the call has arrived whole by then.
-func (s *Store) pause(r *http.Request, d time.Duration) {
+// delayCall waits for d, also if the caller leaves meanwhile: the call has been received whole
+// and is executed all the same.
+func (s *Store) delayCall(r *http.Request, d time.Duration) {
 	b, err := io.ReadAll(r.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
@@ -165,15 +167,15 @@
 	}
 }
 
-// answer keeps what a handler writes.
-type answer struct {
+// recordedAnswer is an http.ResponseWriter that buffers the answer.
+type recordedAnswer struct {
 	status int
 	header http.Header
 	body   bytes.Buffer
 }
 
-// Header returns the headers to be written.
-func (a *answer) Header() http.Header {
+// Header returns the headers of the answer.
+func (a *recordedAnswer) Header() http.Header {
 	if a.header == nil {
 		a.header = make(http.Header)
 	}
@@ -181,25 +183,26 @@
 }
 
 // WriteHeader sets the status.
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (a *recordedAnswer) WriteHeader(status int) { a.status = status }
 
 // Write appends to the body.
-func (a *answer) Write(b []byte) (int, error) { return a.body.Write(b) }
+func (a *recordedAnswer) Write(b []byte) (int, error) { return a.body.Write(b) }
 
-func (a *answer) writeTo(w http.ResponseWriter) {
+func (a *recordedAnswer) writeTo(w http.ResponseWriter) {
 	for name, values := range a.Header() {
 		w.Header()[name] = values
 	}
 	w.WriteHeader(max(a.status, http.StatusOK))
-	w.Write(a.body.Bytes()) // an answer that can't be written has no reader left
+	w.Write(a.body.Bytes()) // a write fails only if the caller has left
 }
 
-// LostError is the error of a call in the same process whose answer is lost.
+// LostError is returned for a call in the same process whose answer was lost.
 type LostError struct{ Path string }
 
 func (e *LostError) Error() string { return "store: no answer to " + e.Path }
 
-// RoundTrip makes a call in the same process, without a connection.
+// RoundTrip serves a call in the same process, without a connection. It returns a *LostError
+// if the answer was lost.
 func (s *Store) RoundTrip(r *http.Request) (*http.Response, error) {
 	if err := r.Context().Err(); err != nil {
 		return nil, err
@@ -207,15 +210,15 @@
 	if r.Body == nil {
 		r.Body = http.NoBody
 	}
-	// The call gets no values of the caller's context, as over a connection: a router
-	// that the caller is in keeps its own there.
+	// As over a connection, values of the caller's context don't pass: if the caller is itself
+	// served by a chi router, that one's routing state is among them.
 	ctx, cancel := context.WithCancel(context.Background())
 	stop := context.AfterFunc(r.Context(), cancel)
-	done := make(chan *answer, 1) // nil: the answer is lost
+	done := make(chan *recordedAnswer, 1) // nil: the answer is lost
 	go func() {
 		defer cancel()
 		defer stop()
-		a := &answer{}
+		a := &recordedAnswer{}
 		defer func() {
 			if v := recover(); v != nil {
 				if v != http.ErrAbortHandler {
--- a/internal/emulator/store/store_test.go
+++ b/internal/emulator/store/store_test.go
@@ -33,23 +33,23 @@
 	}
 }
 
-// ask makes a call and returns its status.
-func ask(t *testing.T, s *Store, method, target, body string) int {
+// callStatus makes a call and returns its status.
+func callStatus(t *testing.T, s *Store, method, target, body string) int {
 	t.Helper()
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, httptest.NewRequest(method, "http://store"+target, strings.NewReader(body)))
 	return w.Code
 }
 
-// Calls over the rate get 429; a renewal costs a tenth of a read, and a stale read
-// nothing of the rate.
+// Calls over the rate limit are answered 429. A renewal takes a tenth of a read's tokens, and a
+// stale read none.
 func TestRate(t *testing.T) {
 	const empty = `{"expected_revision":[],"writes":[],"remove":[]}`
 	tests := map[string]struct {
 		method, target, body string
 		asks                 int
 		every                time.Duration
-		want                 int // taken
+		want                 int // calls accepted
 	}{
 		"burst of writes":      {"POST", "/kv-txn", empty, 1000, 0, 400},
 		"writes over the rate": {"POST", "/kv-lease", `{"ttl_time":"9s"}`, 1000, time.Millisecond, 400 + 399},
@@ -69,20 +69,20 @@
 				defer s.Close()
 				got := 0
 				for range tt.asks {
-					if ask(t, s, tt.method, tt.target, tt.body) != http.StatusTooManyRequests {
+					if callStatus(t, s, tt.method, tt.target, tt.body) != http.StatusTooManyRequests {
 						got++
 					}
 					time.Sleep(tt.every)
 				}
 				if got != tt.want {
-					t.Errorf("got %d taken, want %d", got, tt.want)
+					t.Errorf("got %d calls accepted, want %d", got, tt.want)
 				}
 			})
 		})
 	}
 }
 
-// A stale read sees what is as old as the lag.
+// A stale read returns the state of Config.Lag ago.
 func TestLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, err := NewStore(Defaults())
@@ -95,10 +95,10 @@
 		s.Remove("a")
 		s.Put("b", nil)
 		for at, want := range []int{http.StatusOK, http.StatusNotFound} {
-			if got := ask(t, s, "GET", "/kv-key?key=a&stale_ok=1", ""); got != want {
+			if got := callStatus(t, s, "GET", "/kv-key?key=a&stale_ok=1", ""); got != want {
 				t.Errorf("%d: got status %d of a stale read, want %d", at, got, want)
 			}
-			if got := ask(t, s, "GET", "/kv-key?key=a", ""); got != http.StatusNotFound {
+			if got := callStatus(t, s, "GET", "/kv-key?key=a", ""); got != http.StatusNotFound {
 				t.Errorf("%d: got status %d, want 404", at, got)
 			}
 			time.Sleep(Defaults().Lag)
@@ -106,28 +106,28 @@
 	})
 }
 
-// A caller that is turned away gets 429, while others are served.
-func TestClosed(t *testing.T) {
+// A caller whose address is rate-limited is answered 429, while others are served.
+func TestRateLimitedAddress(t *testing.T) {
 	s := New()
 	defer s.Close()
-	s.SetFaults(Faults{Closed: []string{"192.0.2.1"}}) // what httptest says of its requests
-	if got := ask(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusTooManyRequests {
+	s.SetFaults(Faults{Closed: []string{"192.0.2.1"}}) // the address of httptest's requests
+	if got := callStatus(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusTooManyRequests {
 		t.Errorf("got status %d, want 429", got)
 	}
 	s.SetFaults(Faults{Closed: []string{"192.0.2.2"}})
-	if got := ask(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusOK {
+	if got := callStatus(t, s, "GET", "/kv-range?prefix=a", ""); got != http.StatusOK {
 		t.Errorf("got status %d, want 200", got)
 	}
 }
 
-// A waiting watch ends when the store begins to refuse.
+// A waiting watch is answered 503 when the store begins to refuse calls.
 func TestWatchInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New()
 		defer s.Close()
 		begun := time.Now()
 		time.AfterFunc(time.Second, func() { s.SetFaults(Faults{Refuse: true}) })
-		got := ask(t, s, "GET", "/kv-watch?prefix=a&after=0&wait_ms=30000", "")
+		got := callStatus(t, s, "GET", "/kv-watch?prefix=a&after=0&wait_ms=30000", "")
 		if took := time.Since(begun); got != http.StatusServiceUnavailable || took != time.Second {
 			t.Errorf("got status %d after %s, want 503 after 1s", got, took)
 		}
--- a/internal/emulator/target/journal.go
+++ b/internal/emulator/target/journal.go
@@ -8,22 +8,22 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Scope names a place, a service in a place, or one target: Service and Target
-// are empty in the wider ones.
+// Scope identifies a place, a service in a place, or one target: Service and Target are empty
+// in the wider scopes.
 type Scope struct {
 	Place   string
 	Service string
 	Target  string
 }
 
-// Work is one request that a target starts to work on.
+// Work is one run of a request by a target.
 type Work struct {
 	ID      string // of the request
 	Key     string // idempotency key; empty for none
 	Service string
 	Place   string
 	Target  string
-	Home    string // place of the caller; empty when not told
+	Home    string // place of the caller; empty if the request doesn't carry it
 }
 
 func (w Work) scopes() [3]Scope {
@@ -34,95 +34,94 @@
 	}
 }
 
-// Use is what a scope's targets did.
+// Use counts the requests of a scope's targets.
 type Use struct {
 	Now   int       // requests in flight
-	Peak  int       // most in flight at one time
-	Limit int       // 0 when none was set
+	Peak  int       // maximum of requests in flight
+	Limit int       // bound on requests in flight; 0 for none
 	Runs  int       // requests started
-	Late  int       // requests started after the scope had to be left alone
-	Last  time.Time // when the last request ended
+	Late  int       // requests started after the deadline for leaving the scope
+	Last  time.Time // end of the latest request
 }
 
-// Violation is one broken invariant.
+// Violation is one violation of an invariant.
 type Violation struct {
 	Name   invariant.Name
 	At     time.Time
 	Detail string
 }
 
-// Journal records what all the emulated targets of a process did, as the
-// ground truth that the program's own belief is held against. It is safe for
-// concurrent use.
+// Journal records the requests that all emulated targets of a process ran. It is the ground
+// truth with which the program's own view is compared. It is safe for concurrent use.
 type Journal struct {
-	mu         sync.Mutex
-	epoch      time.Time // start of the first window
-	counter    *invariant.Counter
-	records    map[string]*record
-	uses       map[Scope]*Use
-	leaving    map[Scope]time.Time // deadline after which a scope gets no new work
-	shifts     map[Scope][]int     // shifted requests by window
-	violations []Violation         // the first maxViolations of them
+	mu             sync.Mutex
+	epoch          time.Time // start of the first window
+	counter        *invariant.Counter
+	records        map[string]*record
+	usage          map[Scope]*Use
+	leaveDeadlines map[Scope]time.Time // time after which a scope must get no new work
+	shifts         map[Scope][]int     // number of shifted requests by window
+	violations     []Violation         // the first ones, at most maxViolations
 }
 
-// record is what is known of one request id or idempotency key.
+// record holds the runs of one request ID or idempotency key.
 type record struct {
-	runs    int
-	once    bool // not idempotent: at most one run
-	refused bool // the caller was told that it was not run
+	runs       int
+	atMostOnce bool // not idempotent: at most one run
+	refused    bool // the caller received that it was not run
 }
 
 const (
-	window        = time.Second
+	windowLength  = time.Second
 	maxViolations = 100
 )
 
-// NewJournal makes a journal whose one-second windows begin at epoch. Checks
-// are counted in counter, which may be nil.
+// NewJournal returns a journal whose one-second windows begin at epoch. Checks are counted in
+// counter, which may be nil.
 func NewJournal(counter *invariant.Counter, epoch time.Time) *Journal {
 	return &Journal{
-		epoch:   epoch,
-		counter: counter,
-		records: map[string]*record{},
-		uses:    map[Scope]*Use{},
-		leaving: map[Scope]time.Time{},
-		shifts:  map[Scope][]int{},
+		epoch:          epoch,
+		counter:        counter,
+		records:        map[string]*record{},
+		usage:          map[Scope]*Use{},
+		leaveDeadlines: map[Scope]time.Time{},
+		shifts:         map[Scope][]int{},
 	}
 }
 
-// SetLimit sets how many requests may be in flight in a scope; 0 for no limit.
+// SetLimit sets the maximum of requests in flight in a scope; 0 for no limit.
 func (j *Journal) SetLimit(s Scope, limit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.use(s).Limit = limit
+	j.usageOf(s).Limit = limit
 }
 
-// Leave says that a scope gets no new work after deadline.
+// Leave requires that a scope gets no new work after deadline.
 func (j *Journal) Leave(s Scope, deadline time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.leaving[s] = deadline
+	j.leaveDeadlines[s] = deadline
 }
 
-// Return undoes Leave.
+// Return removes the deadline after which a scope gets no new work.
 func (j *Journal) Return(s Scope) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.leaving, s)
+	delete(j.leaveDeadlines, s)
 }
 
-// Once says that a request id or idempotency key may run at most once. Say it
+// Once requires that a request ID or idempotency key runs at most once. It must be called
 // before the request is sent.
 func (j *Journal) Once(key string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.record(key)
-	r.once = true
+	r.atMostOnce = true
 	j.checkOnce(key, r, time.Now())
 }
 
-// Refused says that the caller was told, as the last word on a request id or
-// key, that it was not run. A run before or after is a violation.
+// Refused records that the caller received, as the final outcome of a request ID or key, that
+// it was not run. A run before or after is a violation.
 func (j *Journal) Refused(key string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -131,39 +130,39 @@
 	j.checkRefused(key, r, time.Now())
 }
 
-// Start records that a target starts to work. Finish must follow.
+// Start records that a target starts a run. Finish must follow.
 func (j *Journal) Start(w Work, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.run(w.ID, now)
+	j.recordRun(w.ID, now)
 	if w.Key != w.ID {
-		j.run(w.Key, now)
+		j.recordRun(w.Key, now)
 	}
 	for _, s := range w.scopes() {
-		j.enter(s, now)
+		j.recordStart(s, now)
 	}
-	j.shift(w, now)
+	j.recordShift(w, now)
 }
 
-// Finish records that the work of Start ended, in whatever way.
+// Finish records that the run of Start ended, with any outcome.
 func (j *Journal) Finish(w Work, now time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, s := range w.scopes() {
-		u := j.use(s)
+		u := j.usageOf(s)
 		u.Now--
 		u.Last = now
 	}
 }
 
-// run counts one run of a request id or key.
-func (j *Journal) run(key string, now time.Time) {
+// recordRun counts one run of a request ID or key.
+func (j *Journal) recordRun(key string, now time.Time) {
 	if key == "" {
 		return
 	}
 	r := j.record(key)
 	r.runs++
-	if r.once {
+	if r.atMostOnce {
 		j.checkOnce(key, r, now)
 	}
 	if r.refused {
@@ -183,9 +182,10 @@
 	})
 }
 
-// enter counts one more request in flight in s.
-func (j *Journal) enter(s Scope, now time.Time) {
-	u := j.use(s)
+// recordStart counts one more request in flight in s, and checks the scope's limit and leave
+// deadline.
+func (j *Journal) recordStart(s Scope, now time.Time) {
+	u := j.usageOf(s)
 	u.Now++
 	u.Runs++
 	u.Peak = max(u.Peak, u.Now)
@@ -194,7 +194,7 @@
 			return fmt.Sprintf("%+v has %d requests in flight, limit %d", s, u.Now, u.Limit)
 		})
 	}
-	deadline, ok := j.leaving[s]
+	deadline, ok := j.leaveDeadlines[s]
 	if !ok {
 		return
 	}
@@ -203,17 +203,17 @@
 		u.Late++
 	}
 	j.check(invariant.Leaving, !late, now, func() string {
-		return fmt.Sprintf("%+v got new work %s too late", s, now.Sub(deadline))
+		return fmt.Sprintf("%+v started a request %s after its leave deadline", s, now.Sub(deadline))
 	})
 }
 
-// shift counts work for another place's caller in its window.
-func (j *Journal) shift(w Work, now time.Time) {
+// recordShift counts a request of another place's caller in its window.
+func (j *Journal) recordShift(w Work, now time.Time) {
 	if w.Home == "" || w.Home == w.Place || now.Before(j.epoch) {
 		return
 	}
 	s := Scope{Place: w.Place, Service: w.Service}
-	i := int(now.Sub(j.epoch) / window)
+	i := int(now.Sub(j.epoch) / windowLength)
 	counts := j.shifts[s]
 	for len(counts) <= i {
 		counts = append(counts, 0)
@@ -238,11 +238,11 @@
 	return r
 }
 
-func (j *Journal) use(s Scope) *Use {
-	u := j.uses[s]
+func (j *Journal) usageOf(s Scope) *Use {
+	u := j.usage[s]
 	if u == nil {
 		u = &Use{}
-		j.uses[s] = u
+		j.usage[s] = u
 	}
 	return u
 }
--- a/internal/emulator/target/serve.go
+++ b/internal/emulator/target/serve.go
@@ -14,23 +14,23 @@
 
 // Headers that a target reads or writes.
 const (
-	headerRequest = "Firlever-Request"
-	headerTimeout = "Firlever-Timeout"
-	headerKey     = "Firlever-Key"
-	headerHome    = "Firlever-Home"
-	headerOutcome = "Firlever-Outcome"
-	headerLeaving = "Firlever-Leaving"
-	headerLimit   = "Firlever-Limit"
-	headerRest    = "Retry-After"
+	headerRequest    = "Firlever-Request"
+	headerTimeout    = "Firlever-Timeout"
+	headerKey        = "Firlever-Key"
+	headerHome       = "Firlever-Home"
+	headerOutcome    = "Firlever-Outcome"
+	headerLeaving    = "Firlever-Leaving"
+	headerLimit      = "Firlever-Limit"
+	headerRetryAfter = "Retry-After"
 
 	outcomeNotRun  = "not-run"
 	outcomeUnknown = "unknown"
 )
 
-// MaxSize is the most bytes that a request may ask for, by the query's size.
+// MaxSize is the largest answer in bytes that the size of a request's query may ask for.
 const MaxSize = 1 << 30
 
-// load is the body of a load answer.
+// load is the body of an answer on /load.
 type load struct {
 	Slots int `json:"slots"`
 	Busy  int `json:"busy"`
@@ -39,25 +39,25 @@
 // ServeHTTP answers probes and requests.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := boottime.Now()
-	rests := t.notices.say(w.Header(), now)
+	backingOff := t.notices.setHeaders(w.Header(), now)
 	switch r.URL.Path {
 	case "/health":
 		t.serveHealth(w, r)
 	case "/load":
 		t.serveLoad(w, r)
 	default:
-		t.notices.arrived(t.journal, t.Scope(), now)
-		if rests {
+		t.notices.checkArrival(t.journal, t.Scope(), now)
+		if backingOff {
 			refuse(w, http.StatusServiceUnavailable)
 			return
 		}
-		w.Header().Del(headerRest)
+		w.Header().Del(headerRetryAfter)
 		t.serveWork(w, r)
 	}
 }
 
 func (t *Target) serveHealth(w http.ResponseWriter, r *http.Request) {
-	w.Header().Del(headerRest)
+	w.Header().Del(headerRetryAfter)
 	s, report, ok := t.probe(r)
 	if !ok {
 		return
@@ -79,7 +79,8 @@
 	_ = json.NewEncoder(w).Encode(load{Slots: t.cfg.Slots, Busy: s.busy})
 }
 
-// probe returns what a report made now knows, after the probe's cost.
+// probe returns the lagged state and the report settings for a health or load answer, after
+// Config.ProbeCost. It returns false if the caller left before.
 func (t *Target) probe(r *http.Request) (sample, Report, bool) {
 	if !t.cfg.Clock.SleepUntil(r.Context(), time.Now().Add(t.cfg.ProbeCost)) {
 		return sample{}, Report{}, false
@@ -90,11 +91,12 @@
 	return t.slots.asOf(time.Now().Add(-report.Lag)), report, true
 }
 
-// serveWork runs one request, if it's whole, in time, and there's a slot.
+// serveWork runs one request if it was received whole and before its timeout, and a slot
+// becomes free.
 func (t *Target) serveWork(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel, ok := withTimeout(r)
 	defer cancel()
-	size, sizeOK := t.size(r)
+	size, sizeOK := t.answerSize(r)
 	if !ok || !sizeOK {
 		refuse(w, http.StatusBadRequest)
 		return
@@ -107,14 +109,14 @@
 		refuse(w, http.StatusServiceUnavailable)
 		return
 	}
-	work := t.work(r)
+	work := t.workOf(r)
 	finish := t.start(work)
 	defer finish()
 	if t.cfg.Fatal != "" && r.URL.Path == t.cfg.Fatal {
-		t.die(r)
+		t.crash(r)
 		return
 	}
-	if !t.cfg.Clock.SleepUntil(ctx, t.due()) {
+	if !t.cfg.Clock.SleepUntil(ctx, t.finishTime()) {
 		w.Header().Set(headerOutcome, outcomeUnknown)
 		w.WriteHeader(http.StatusGatewayTimeout)
 		return
@@ -122,8 +124,8 @@
 	t.answer(ctx, w, work.ID, size, finish)
 }
 
-// start records the work in the journal. The returned function records its end
-// and frees the slot, once.
+// start records the work in the journal. The first call of the returned function records its
+// end and frees the slot.
 func (t *Target) start(work Work) func() {
 	t.journal.Start(work, time.Now())
 	return sync.OnceFunc(func() {
@@ -132,13 +134,13 @@
 	})
 }
 
-// due returns when the work that starts now is done.
-func (t *Target) due() time.Time {
+// finishTime draws a service time and returns the end of the work that starts now.
+func (t *Target) finishTime() time.Time {
 	now := time.Now()
-	return now.Add(t.pace.next(now))
+	return now.Add(t.serviceTimes.next(now))
 }
 
-func (t *Target) work(r *http.Request) Work {
+func (t *Target) workOf(r *http.Request) Work {
 	return Work{
 		ID:      r.Header.Get(headerRequest),
 		Key:     r.Header.Get(headerKey),
@@ -149,8 +151,8 @@
 	}
 }
 
-// size returns how many bytes the request asks for.
-func (t *Target) size(r *http.Request) (int64, bool) {
+// answerSize returns the size in bytes that the request asks for, or false if it is invalid.
+func (t *Target) answerSize(r *http.Request) (int64, bool) {
 	s := r.URL.Query().Get("size")
 	if s == "" {
 		return t.cfg.Size, true
@@ -159,7 +161,8 @@
 	return n, err == nil && n >= 0 && n <= MaxSize
 }
 
-// withTimeout returns the request's context, ended at its own timeout too.
+// withTimeout returns the request's context, bounded by the timeout of its header. It returns
+// false if the header is invalid.
 func withTimeout(r *http.Request) (context.Context, context.CancelFunc, bool) {
 	s := r.Header.Get(headerTimeout)
 	if s == "" {
@@ -170,15 +173,15 @@
 	return ctx, cancel, err == nil
 }
 
-// refuse answers a request of which nothing ran.
+// refuse answers a request that was not run.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(headerOutcome, outcomeNotRun)
 	w.WriteHeader(status)
 }
 
-// answer streams the body at the configured pace. It calls finish before the
-// last byte, so that nobody can hold a whole answer to work still in flight. A
-// body that can't be finished breaks the connection.
+// answer streams the body at the configured rate. It calls finish before the last byte, as no
+// caller may have a whole answer while its request still counts as in flight. If the body can't
+// be finished, the connection is aborted.
 func (t *Target) answer(ctx context.Context, w http.ResponseWriter, id string, size int64, finish func()) {
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.FormatInt(AnswerLen(size), 10))
@@ -192,7 +195,7 @@
 	}
 }
 
-// stream copies n bytes at the configured pace, and returns false if it can't.
+// stream copies n bytes at the configured rate and returns false on failure.
 func (t *Target) stream(ctx context.Context, w http.ResponseWriter, body io.Reader, n int64) bool {
 	start := time.Now()
 	for sent := int64(0); sent < n; {
--- a/internal/emulator/target/slots.go
+++ b/internal/emulator/target/slots.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// slots admits work: so many requests at one time, a short queue behind them.
-// It keeps the past that a lagging report needs.
+// slots admits requests: a fixed number runs concurrently, and a short queue waits. It keeps a
+// history of its state for lagging reports.
 type slots struct {
-	mu       sync.Mutex
-	free     chan struct{} // one token for each free slot
-	size     int
-	queue    int
-	admitted int // waiting and busy, at most size + queue
-	busy     int
-	draining bool
-	healthy  bool
-	past     []sample // by time; the last is the present
+	mu        sync.Mutex
+	free      chan struct{} // one token for each free slot
+	size      int
+	queueSize int
+	admitted  int // waiting and busy, at most size + queueSize
+	busy      int
+	draining  bool
+	healthy   bool
+	history   []sample // by time; the last one is the current state
 }
 
 // sample is the state from a time on, until the next sample.
@@ -27,20 +27,20 @@
 	healthy bool
 }
 
-// keep is how long the past is kept, and the longest lag of a report.
-const keep = 10 * time.Second
+// historyRetention bounds the age of the history, and so the lag of a report.
+const historyRetention = 10 * time.Second
 
 func newSlots(size, queue int, now time.Time) *slots {
-	s := &slots{free: make(chan struct{}, size), size: size, queue: queue, healthy: true}
+	s := &slots{free: make(chan struct{}, size), size: size, queueSize: queue, healthy: true}
 	for range size {
 		s.free <- struct{}{}
 	}
-	s.past = []sample{{at: now, healthy: true}}
+	s.history = []sample{{at: now, healthy: true}}
 	return s
 }
 
-// acquire takes a slot, waiting in the queue when there's room in it. It
-// returns false if the request is refused: nothing ran.
+// acquire takes a slot, waiting in the queue if it isn't full. It returns false if the request
+// is refused or ctx ends first: nothing ran.
 func (s *slots) acquire(ctx context.Context) bool {
 	if !s.admit() {
 		return false
@@ -48,29 +48,30 @@
 	select {
 	case <-s.free:
 	case <-ctx.Done():
-		s.leave()
+		s.abandon()
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy++
-	s.note(time.Now())
+	s.record(time.Now())
 	return true
 }
 
-// admit counts a request in, to wait for a slot.
+// admit counts a request as admitted, and returns false if the queue is full or the target
+// drains.
 func (s *slots) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.draining || s.admitted >= s.size+s.queue {
+	if s.draining || s.admitted >= s.size+s.queueSize {
 		return false
 	}
 	s.admitted++
 	return true
 }
 
-// leave counts out a request that waited in vain.
-func (s *slots) leave() {
+// abandon removes an admitted request that left the queue without a slot.
+func (s *slots) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.admitted--
@@ -80,7 +81,7 @@
 	s.mu.Lock()
 	s.admitted--
 	s.busy--
-	s.note(time.Now())
+	s.record(time.Now())
 	s.mu.Unlock()
 	s.free <- struct{}{}
 }
@@ -89,34 +90,35 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = draining
-	s.note(time.Now())
+	s.record(time.Now())
 }
 
 func (s *slots) setHealthy(healthy bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.healthy = healthy
-	s.note(time.Now())
+	s.record(time.Now())
 }
 
-// note appends the present to the past and drops what no report needs.
-func (s *slots) note(now time.Time) {
-	s.past = append(s.past, sample{at: now, busy: s.busy, healthy: s.healthy && !s.draining})
+// record appends the current state to the history and drops samples that no report needs. s.mu
+// is held.
+func (s *slots) record(now time.Time) {
+	s.history = append(s.history, sample{at: now, busy: s.busy, healthy: s.healthy && !s.draining})
 	old := 0
-	for old+1 < len(s.past) && now.Sub(s.past[old+1].at) > keep {
+	for old+1 < len(s.history) && now.Sub(s.history[old+1].at) > historyRetention {
 		old++
 	}
-	s.past = s.past[old:]
+	s.history = s.history[old:]
 }
 
-// asOf returns the state at a time; the oldest known one before that.
+// asOf returns the state at a time, or the oldest recorded one if that is later.
 func (s *slots) asOf(at time.Time) sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := len(s.past) - 1; i > 0; i-- {
-		if !s.past[i].at.After(at) {
-			return s.past[i]
+	for i := len(s.history) - 1; i > 0; i-- {
+		if !s.history[i].at.After(at) {
+			return s.history[i]
 		}
 	}
-	return s.past[0]
+	return s.history[0]
 }
