--- a/internal/procs/attempt_test.go
+++ b/internal/procs/attempt_test.go
@@ -15,63 +15,63 @@
 )
 
 // A scenario is run again when the machine disturbed it, this many times at most.
-const runs = 3
+const maxRuns = 3
 
 // What shows that the machine was too busy to tell: this process stood still for
 // longer than an instance waits for a target to notice that an attempt was
 // broken off, or for too great a part of the time.
 const (
-	disturbedBy   = 100 * time.Millisecond
-	disturbedPart = 0.05
-	aftermath     = time.Second // how long after a stall its effects are seen
+	maxPause        = 100 * time.Millisecond
+	maxPausedShare  = 0.05
+	pauseEffectTime = time.Second // how long after a stall its effects are seen
 )
 
-// scenario runs one on its own fleets. Broken invariants, wrong answers and
+// runScenario runs one on its own fleets. Broken invariants, wrong answers and
 // crashes fail it at once. A failure that a stall of this process explains fails
 // it if the process never stood still, or after the last run: a disturbed run
 // is repeated, never taken for a pass.
-func scenario(t *testing.T, opts options, run func(f *fleet)) {
+func runScenario(t *testing.T, opts options, run func(f *fleet)) {
 	t.Helper()
 	t.Parallel()
-	for i := range runs {
+	for i := range maxRuns {
 		f := newFleet(t, opts)
 		run(f)
 		f.check()
 		f.close()
-		if t.Failed() || len(f.doubts) > 0 {
+		if t.Failed() || len(f.retryableFailures) > 0 {
 			f.keepLogs()
 		}
-		if len(f.doubts) == 0 || t.Failed() {
+		if len(f.retryableFailures) == 0 || t.Failed() {
 			break
 		}
-		if f.disturbed() && i+1 < runs {
-			t.Logf("disturbed by the machine, run again; not judged:\n%s", strings.Join(f.doubts, "\n"))
+		if f.disturbed() && i+1 < maxRuns {
+			t.Logf("disturbed by the machine, run again; not judged:\n%s", strings.Join(f.retryableFailures, "\n"))
 			continue
 		}
-		for _, text := range f.doubts {
+		for _, text := range f.retryableFailures {
 			t.Error(text)
 		}
 		return
 	}
 }
 
-// doubt notes a failure that a stall of this process could explain.
-func (f *fleet) doubt(format string, args ...any) {
-	f.doubts = append(f.doubts, fmt.Sprintf(format, args...))
+// addRetryableFailure notes a failure that a stall of this process could explain.
+func (f *fleet) addRetryableFailure(format string, args ...any) {
+	f.retryableFailures = append(f.retryableFailures, fmt.Sprintf(format, args...))
 }
 
 func (f *fleet) disturbed() bool {
-	n, total, longest := meter.since(f.began)
+	n, total, longest := processPauses.since(f.began)
 	f.t.Logf("this process stood still %d times, %s in all, %s at most",
 		n, total.Round(time.Millisecond), longest.Round(time.Millisecond))
-	return longest >= disturbedBy || total.Seconds() >= disturbedPart*time.Since(f.began).Seconds()
+	return longest >= maxPause || total.Seconds() >= maxPausedShare*time.Since(f.began).Seconds()
 }
 
 // close ends the fleet's processes.
 func (f *fleet) close() {
-	f.watch.stop()
+	f.monitor.stop()
 	for _, n := range f.nodes {
-		n.end()
+		n.kill()
 	}
 }
 
@@ -84,9 +84,9 @@
 		return
 	}
 	for _, n := range f.nodes {
-		for i, p := range n.past {
+		for i, p := range n.processes {
 			name := filepath.Join(dir, fmt.Sprintf("%s-%d.log", n.id, i))
-			if err := os.WriteFile(name, []byte(p.out.tail(keepLines)), 0o600); err != nil {
+			if err := os.WriteFile(name, []byte(p.out.tail(maxLines)), 0o600); err != nil {
 				f.t.Errorf("log not kept: %v", err)
 			}
 		}
@@ -94,10 +94,10 @@
 	f.t.Logf("logs of all processes: %s", dir)
 }
 
-// none doubts a load in which a request got no whole answer.
-func (f *fleet) none(what string, c *tally) {
+// requireAllAnswered doubts a load in which a request got no whole answer.
+func (f *fleet) requireAllAnswered(what string, c *tally) {
 	if c.sent == 0 || c.failures() > 0 {
-		f.doubt("%s: got %d of %d requests without an answer, want none of some: %s%s", what, c.failures(), c.sent, c, f.story(c))
+		f.addRetryableFailure("%s: got %d of %d requests without an answer, want none of some: %s%s", what, c.failures(), c.sent, c, f.failureLogs(c))
 	}
 }
 
@@ -107,20 +107,20 @@
 	f.t.Helper()
 	for _, v := range f.journal.Violations() {
 		text := fmt.Sprintf("journal: %s at %s: %s", v.Name, v.At.Format(time.StampMilli), v.Detail)
-		if v.Name == invariant.RegionLimit && meter.near(v) {
-			f.doubt("%s", text)
+		if v.Name == invariant.RegionLimit && processPauses.coversNear(v) {
+			f.addRetryableFailure("%s", text)
 			continue
 		}
 		f.t.Error(text)
 	}
 }
 
-// near says whether a violation was seen in a stall or soon after it.
-func (s *stalls) near(v target.Violation) bool {
+// coversNear says whether a violation was seen in a stall or soon after it.
+func (s *pauseLog) coversNear(v target.Violation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.list {
-		if v.At.After(one.from) && v.At.Before(one.to.Add(aftermath)) {
+	for _, p := range s.list {
+		if v.At.After(p.from) && v.At.Before(p.to.Add(pauseEffectTime)) {
 			return true
 		}
 	}
--- a/internal/procs/crash_test.go
+++ b/internal/procs/crash_test.go
@@ -19,9 +19,9 @@
 	f.t.Helper()
 	for _, name := range names {
 		scope := target.Scope{Place: place, Service: service, Target: name}
-		before := f.runs(scope)
+		before := f.runCount(scope)
 		f.await("work for "+name, func() string {
-			if f.runs(scope) > before {
+			if f.runCount(scope) > before {
 				return ""
 			}
 			return "no run"
@@ -36,11 +36,11 @@
 	var found *node
 	var names []string
 	f.await("each instance of "+place+" owns targets", func() string {
-		for _, n := range f.in(place) {
+		for _, n := range f.nodesIn(place) {
 			if !n.alive() {
 				continue
 			}
-			owned := n.owns()
+			owned := n.ownedTargets()
 			if len(owned) == 0 {
 				return n.id + " owns none"
 			}
@@ -54,45 +54,45 @@
 // TestKill: an instance is killed under load; its callers notice only latency,
 // and a replacement under its id serves again.
 func TestKill(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 40 * time.Millisecond}, func(f *fleet) {
-		l := f.load("kill", traffic{home: "a", idempotent: 60, once: 20})
+	runScenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 40 * time.Millisecond}, func(f *fleet) {
+		l := f.load("kill", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
 		time.Sleep(time.Second)
-		dead, targets := f.victim("a")
-		dead.proc.kill()
+		killed, targets := f.victim("a")
+		killed.proc.kill()
 		f.await("the other instance owns all", func() string {
-			for _, n := range f.in("a") {
-				if n.alive() && len(n.owns()) == 6 {
+			for _, n := range f.nodesIn("a") {
+				if n.alive() && len(n.ownedTargets()) == 6 {
 					return ""
 				}
 			}
 			return "some targets are owned by nobody"
 		})
 		f.awaitWork("a", targets)
-		incarnation := dead.incarnation()
-		dead.start()
-		f.settled()
+		incarnation := killed.latestIncarnation()
+		killed.start()
+		f.awaitReady()
 		f.awaitWork("a", targets)
-		f.awaitWork("a", dead.owns())
-		if st, err := dead.status(); err != nil || st.Incarnation <= incarnation {
+		f.awaitWork("a", killed.ownedTargets())
+		if st, err := killed.status(); err != nil || st.Incarnation <= incarnation {
 			t.Errorf("got incarnation %d (%v), want a newer one than %d", st.Incarnation, err, incarnation)
 		}
 		idempotent, _ := l.stop(t)
-		f.none("idempotent", idempotent)
+		f.requireAllAnswered("idempotent", idempotent)
 	})
 }
 
-// incarnation is the newest that the monitor has seen of the node.
-func (n *node) incarnation() uint64 {
-	n.f.watch.mu.Lock()
-	defer n.f.watch.mu.Unlock()
-	return n.f.watch.incarnations[n.id]
+// latestIncarnation is the newest that the monitor has seen of the node.
+func (n *node) latestIncarnation() uint64 {
+	n.f.monitor.mu.Lock()
+	defer n.f.monitor.mu.Unlock()
+	return n.f.monitor.incarnations[n.id]
 }
 
 // TestPause: an instance is stopped for longer than its rights last, under more
 // load than the place takes, and wakes up to a crowd of waiting requests.
 func TestPause(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
-		light := f.load("light", traffic{home: "a", idempotent: 10, once: 5})
+	runScenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
+		light := f.load("light", traffic{home: "a", idempotent: 10, nonIdempotent: 5})
 		time.Sleep(time.Second)
 		paused, targets := f.victim("a")
 		paused.proc.signal(t, syscall.SIGSTOP)
@@ -104,33 +104,33 @@
 			}
 		}
 		// The paused one has free slots when it wakes; the other is kept full.
-		l := f.load("pause", traffic{home: "a", idempotent: 110, once: 20, timeout: 2 * time.Second, reach: other})
+		l := f.load("pause", traffic{home: "a", idempotent: 110, nonIdempotent: 20, timeout: 2 * time.Second, reachable: other})
 		f.awaitWork("a", targets)
 		time.Sleep(time.Until(began.Add(4 * time.Second)))
 		f.awaitWork("a", targets)
 		time.Sleep(time.Second)
-		crowd := f.crowd(paused, 60)
+		burst := f.startBurst(paused, 60)
 		time.Sleep(300 * time.Millisecond)
 		t.Logf("paused for %s", time.Since(began).Round(time.Millisecond))
 		paused.proc.signal(t, syscall.SIGCONT)
-		crowd.Wait()
-		f.settled()
+		burst.Wait()
+		f.awaitReady()
 		f.awaitWork("a", targets)
 		l.stop(t)
 		light.stop(t)
 		if peak := f.journal.Place("a").Peak; peak < 8 {
-			f.doubt("got at most %d requests in flight, want the place to be full", peak)
+			f.addRetryableFailure("got at most %d requests in flight, want the place to be full", peak)
 		}
 	})
 }
 
-// crowd sends requests straight to one instance, to wait there.
-func (f *fleet) crowd(n *node, size int) *sync.WaitGroup {
+// startBurst sends requests straight to one instance, to wait there.
+func (f *fleet) startBurst(n *node, size int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range size {
 		all.Go(func() {
-			r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/call/%s/crowd", n.callers, service), nil)
+			r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/call/%s/crowd", n.callerAddr, service), nil)
 			if err != nil {
 				return
 			}
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -23,14 +23,14 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// patience is the longest that a test waits for what has to come.
-const patience = 45 * time.Second
+// awaitTimeout is the longest that a test waits for what has to come.
+const awaitTimeout = 45 * time.Second
 
 const (
-	service   = "shop/orders"
-	token     = "procs"
-	platformP = "platform" // the platform's point
-	targetsP  = "targets"  // the near end of all links to targets
+	service       = "shop/orders"
+	token         = "procs"
+	platformPoint = "platform" // the platform's point
+	targetsPoint  = "targets"  // the near end of all links to targets
 )
 
 // place is a part of a fleet.
@@ -68,34 +68,34 @@
 
 // fleet is a platform, target stand-ins and instances of several places.
 type fleet struct {
-	t       *testing.T
-	opts    options
-	number  int // of this fleet; its addresses follow from it
-	links   *link.Links
-	store   *inproc.Store
-	kvAddr  string
-	journal *target.Journal
-	targets map[string][]*target.Target // by place
-	nodes   []*node
-	byIP    map[netip.Addr]link.Point // read only once processes run
-	watch   *monitor
-	doubts  []string // failures that a stall could explain
-	began   time.Time
+	t                 *testing.T
+	opts              options
+	number            int // of this fleet; its addresses follow from it
+	links             *link.Links
+	store             *inproc.Store
+	platformAddr      string
+	journal           *target.Journal
+	targets           map[string][]*target.Target // by place
+	nodes             []*node
+	pointByIP         map[netip.Addr]link.Point // read only once processes run
+	monitor           *monitor
+	retryableFailures []string // failures that a stall could explain
+	began             time.Time
 }
 
-var fleets atomic.Int32
+var fleetCount atomic.Int32
 
 // newFleet starts all, and waits until each instance has confirmed rights.
 func newFleet(t *testing.T, opts options) *fleet {
 	t.Helper()
 	opts.defaults()
 	f := &fleet{
-		t: t, opts: opts, number: int(fleets.Add(1)),
-		began:   time.Now(),
-		links:   link.New(nil, link.Latency{}, 1, nil),
-		journal: target.NewJournal(nil, time.Now()),
-		targets: map[string][]*target.Target{},
-		byIP:    map[netip.Addr]link.Point{},
+		t: t, opts: opts, number: int(fleetCount.Add(1)),
+		began:     time.Now(),
+		links:     link.New(nil, link.Latency{}, 1, nil),
+		journal:   target.NewJournal(nil, time.Now()),
+		targets:   map[string][]*target.Target{},
+		pointByIP: map[netip.Addr]link.Point{},
 	}
 	f.startPlatform()
 	for i, p := range opts.places {
@@ -104,14 +104,14 @@
 			f.nodes = append(f.nodes, f.newNode(p.name, i, j+1))
 		}
 	}
-	f.configure()
+	f.createDocuments()
 	for _, p := range opts.places {
-		for _, n := range f.in(p.name)[:p.instances] {
+		for _, n := range f.nodesIn(p.name)[:p.instances] {
 			n.start()
 		}
 	}
-	f.watch = startMonitor(f)
-	f.settled()
+	f.monitor = startMonitor(f)
+	f.awaitReady()
 	return f
 }
 
@@ -125,7 +125,7 @@
 	server := local.Server()
 	go server.Serve(ln)
 	f.t.Cleanup(func() { server.Close() })
-	f.kvAddr = ln.Addr().String()
+	f.platformAddr = ln.Addr().String()
 }
 
 func (f *fleet) listen() net.Listener {
@@ -137,8 +137,8 @@
 	return ln
 }
 
-// proxy forwards to an address over the link between two points.
-func (f *fleet) proxy(from, to, addr string) string {
+// startProxy forwards to an address over the link between two points.
+func (f *fleet) startProxy(from, to, addr string) string {
 	p := link.NewProxy(f.listen(), f.links, link.At(from), link.At(to), addr)
 	f.t.Cleanup(func() { p.Close() })
 	return p.Addr()
@@ -158,19 +158,19 @@
 		f.targets[p.name] = append(f.targets[p.name], tg)
 		f.journal.SetLimit(tg.Scope(), f.opts.slots)
 	}
-	f.journal.SetLimit(target.Scope{Place: p.name}, f.limit(p))
-	f.journal.SetLimit(target.Scope{Place: p.name, Service: service}, f.limit(p))
+	f.journal.SetLimit(target.Scope{Place: p.name}, f.placeLimit(p))
+	f.journal.SetLimit(target.Scope{Place: p.name, Service: service}, f.placeLimit(p))
 }
 
-func (f *fleet) limit(p place) int {
+func (f *fleet) placeLimit(p place) int {
 	if f.opts.limit > 0 {
 		return f.opts.limit
 	}
 	return p.targets * f.opts.slots
 }
 
-// home is the address that callers of a place come from.
-func (f *fleet) home(place int) string { return fmt.Sprintf("127.%d.%d.1", 20+f.number, 100+place) }
+// callerIP is the address that callers of a place come from.
+func (f *fleet) callerIP(place int) string { return fmt.Sprintf("127.%d.%d.1", 20+f.number, 100+place) }
 
 func (f *fleet) placeIndex(name string) int {
 	for i, p := range f.opts.places {
@@ -182,26 +182,26 @@
 	return -1
 }
 
-// configure writes the documents.
-func (f *fleet) configure() {
-	var blocks, sites strings.Builder
+// createDocuments writes the documents.
+func (f *fleet) createDocuments() {
+	var blocks, places strings.Builder
 	for i, p := range f.opts.places {
-		fmt.Fprintf(&blocks, "  - {prefix: %s/32, place: %s}\n", f.home(i), p.name)
-		fmt.Fprintf(&sites, "  %s:\n    limit: %d\n    targets:\n", p.name, f.limit(p))
+		fmt.Fprintf(&blocks, "  - {prefix: %s/32, place: %s}\n", f.callerIP(i), p.name)
+		fmt.Fprintf(&places, "  %s:\n    limit: %d\n    targets:\n", p.name, f.placeLimit(p))
 		for _, tg := range f.targets[p.name] {
 			name := tg.Config().Name
-			fmt.Fprintf(&sites, "      - {name: %s, address: %q, slots: %d, connections: 100}\n",
-				name, f.proxy(targetsP, name, tg.Addr()), f.opts.slots)
+			fmt.Fprintf(&places, "      - {name: %s, address: %q, slots: %d, connections: 100}\n",
+				name, f.startProxy(targetsPoint, name, tg.Addr()), f.opts.slots)
 		}
-		f.write("/places/"+p.name, fmt.Sprintf("region: coast\ndomain: %s\nlimit: %d\n", p.name, f.limit(p)))
+		f.createDocument("/places/"+p.name, fmt.Sprintf("region: coast\ndomain: %s\nlimit: %d\n", p.name, f.placeLimit(p)))
 	}
-	f.write("/blocks/all", "blocks:\n"+blocks.String())
-	f.write("/teams/"+strings.Replace(service, "/", "/services/", 1),
-		fmt.Sprintf("class: interactive\ntimeout: %s\nshift: %d\nplaces:\n%s", f.opts.timeout, f.opts.shift, sites.String()))
+	f.createDocument("/blocks/all", "blocks:\n"+blocks.String())
+	f.createDocument("/teams/"+strings.Replace(service, "/", "/services/", 1),
+		fmt.Sprintf("class: interactive\ntimeout: %s\nshift: %d\nplaces:\n%s", f.opts.timeout, f.opts.shift, places.String()))
 }
 
-// write creates a document in the platform itself.
-func (f *fleet) write(path, body string) {
+// createDocument creates a document in the platform itself.
+func (f *fleet) createDocument(path, body string) {
 	f.t.Helper()
 	if _, err := docstore.PutDocument(context.Background(), f.store, path, 0, []byte(body), "setup"); err != nil {
 		f.t.Fatal(err)
@@ -211,9 +211,9 @@
 // put writes a document through an instance, and returns the version that was accepted.
 func (f *fleet) put(n *node, path string, version uint64, body string) uint64 {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
-	c := operator.NewClient(n.operators, token)
+	c := operator.NewClient(n.operatorAddr, token)
 	defer c.Close()
 	name := fmt.Sprintf("w-%d-%d", f.number, rand.Uint64())
 	doc := settings.Document{Path: path, Version: version, Body: []byte(body)}
@@ -224,8 +224,8 @@
 	return change.Version
 }
 
-// in lists the instances of a place, those not started too.
-func (f *fleet) in(place string) []*node {
+// nodesIn lists the instances of a place, those not started too.
+func (f *fleet) nodesIn(place string) []*node {
 	var list []*node
 	for _, n := range f.nodes {
 		if n.place == place {
@@ -246,9 +246,9 @@
 	return list
 }
 
-// settled waits until each running instance has confirmed rights, and each
+// awaitReady waits until each running instance has confirmed rights, and each
 // target an owner that may use it.
-func (f *fleet) settled() {
+func (f *fleet) awaitReady() {
 	f.t.Helper()
 	f.await("all instances confirmed and all targets owned", func() string {
 		usable := map[string]int{}
@@ -264,13 +264,13 @@
 				usable[tg.Name] += tg.Allowance
 			}
 		}
-		return f.unowned(usable)
+		return f.unownedTarget(usable)
 	})
 }
 
-func (f *fleet) unowned(usable map[string]int) string {
+func (f *fleet) unownedTarget(usable map[string]int) string {
 	for place, list := range f.targets {
-		if !slices.ContainsFunc(f.in(place), (*node).alive) {
+		if !slices.ContainsFunc(f.nodesIn(place), (*node).alive) {
 			continue
 		}
 		for _, tg := range list {
@@ -291,18 +291,18 @@
 		if reason == "" {
 			return time.Since(began)
 		}
-		if time.Since(began) > patience {
-			f.t.Fatalf("%s: still not after %s: %s\n%s", what, patience, reason, f.tails())
+		if time.Since(began) > awaitTimeout {
+			f.t.Fatalf("%s: still not after %s: %s\n%s", what, awaitTimeout, reason, f.lastOutput())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// runs is how much work the targets of a scope have begun.
-func (f *fleet) runs(s target.Scope) int { return f.journal.Use(s).Runs }
+// runCount is how much work the targets of a scope have begun.
+func (f *fleet) runCount(s target.Scope) int { return f.journal.Use(s).Runs }
 
-// tails is what the instances wrote last.
-func (f *fleet) tails() string {
+// lastOutput is what the instances wrote last.
+func (f *fleet) lastOutput() string {
 	var b strings.Builder
 	for _, n := range f.nodes {
 		if n.proc != nil {
@@ -316,20 +316,20 @@
 // by what each instance tells of itself, and no process crashed.
 func (f *fleet) check() {
 	f.t.Helper()
-	f.watch.stop()
+	f.monitor.stop()
 	f.checkJournal()
-	f.watch.report(f.t)
+	f.monitor.report(f.t)
 	for _, n := range f.nodes {
-		for _, p := range n.past {
-			if text := p.out.crash(); text != "" {
+		for _, p := range n.processes {
+			if text := p.out.crashOutput(); text != "" {
 				f.t.Errorf("%s: %s", n.id, text)
 			}
 		}
 	}
 }
 
-// bodyOf reads a document from the platform's stand-in.
-func bodyOf(t *testing.T, f *fleet, path string) []byte {
+// documentBody reads a document from the platform's stand-in.
+func documentBody(t *testing.T, f *fleet, path string) []byte {
 	t.Helper()
 	e, err := f.store.Get(context.Background(), path)
 	if err != nil {
--- a/internal/procs/input_test.go
+++ b/internal/procs/input_test.go
@@ -26,45 +26,45 @@
 
 var platformLine = regexp.MustCompile(`platform at (\S+)`)
 
-// pair is a platform and an instance, both real processes, whose settings were
+// processPair is a platform and an instance, both real processes, whose settings were
 // put in by the command line.
-type pair struct {
-	t                         *testing.T
-	platform, instance        *process
-	callers, peers, operators string
-	f                         *fleet // its targets and platform's stand-in; has no instances
+type processPair struct {
+	t                                  *testing.T
+	platform, instance                 *process
+	callerAddr, peerAddr, operatorAddr string
+	f                                  *fleet // its targets and platform's stand-in; has no instances
 }
 
-func newPair(t *testing.T) *pair {
+func newProcessPair(t *testing.T) *processPair {
 	t.Helper()
-	p := &pair{t: t, f: newFleet(t, options{places: []place{{"a", 0, 1}}})}
+	p := &processPair{t: t, f: newFleet(t, options{places: []place{{"a", 0, 1}}})}
 	p.platform = startProcess(t, "platform", "--listen", "127.0.0.1:0")
 	t.Cleanup(p.platform.kill)
-	address := p.platform.await(t, platformLine)[1]
+	address := p.platform.awaitLine(t, platformLine)[1]
 	p.instance = startProcess(t, "serve", "--id", "only", "--place", "a", "--region", "coast", "--log", "warn",
 		"--callers", "127.0.0.1:0", "--peers", "127.0.0.1:0", "--operators", "127.0.0.1:0", "--log", "info",
 		"--platform", address, "--bootstrap", settings.HashToken(token))
 	t.Cleanup(p.instance.kill)
-	m := p.instance.await(t, servingLine)
-	p.callers, p.peers, p.operators = m[1], m[2], m[3]
+	m := p.instance.awaitLine(t, servingLine)
+	p.callerAddr, p.peerAddr, p.operatorAddr = m[1], m[2], m[3]
 	for _, path := range []string{"/places/a", "/blocks/all", "/teams/shop/services/orders"} {
-		p.put(path, bodyOf(t, p.f, path))
+		p.put(path, documentBody(t, p.f, path))
 	}
 	return p
 }
 
-// unreachable is the exit code while the instance does not have all settings yet.
-const unreachable = 5
+// exitUnreachable is the exit code while the instance does not have all settings yet.
+const exitUnreachable = 5
 
 // put writes a document by the command line.
-func (p *pair) put(path string, body []byte) {
+func (p *processPair) put(path string, body []byte) {
 	p.t.Helper()
 	p.f.await("config put "+path, func() string {
-		cmd := exec.Command(binary, "config", "put", path, "-", "--address", p.operators)
+		cmd := exec.Command(binary, "config", "put", path, "-", "--address", p.operatorAddr)
 		cmd.Env = append(cmd.Environ(), "FIRLEVER_TOKEN="+token)
 		cmd.Stdin = bytes.NewReader(body)
 		out, err := cmd.CombinedOutput()
-		if err != nil && cmd.ProcessState.ExitCode() != unreachable {
+		if err != nil && cmd.ProcessState.ExitCode() != exitUnreachable {
 			p.t.Fatalf("config put %s: %v\n%s", path, err, out)
 		}
 		if err != nil {
@@ -74,14 +74,14 @@
 	})
 }
 
-// serves waits until a request through the instance is answered whole.
-func (p *pair) serves(what string) {
+// awaitAnswer waits until a request through the instance is answered whole.
+func (p *processPair) awaitAnswer(what string) {
 	p.t.Helper()
 	i := 0
 	p.f.await("answer "+what, func() string {
 		i++
-		l := &load{f: p.f, tr: traffic{home: "a", timeout: 2 * time.Second}, client: p.f.clientOf("a", p.callers), began: time.Now()}
-		l.idempotent.others = map[string]int{}
+		l := &load{f: p.f, tr: traffic{home: "a", timeout: 2 * time.Second}, client: p.f.clientForAddresses("a", p.callerAddr), began: time.Now()}
+		l.idempotent.failureCounts = map[string]int{}
 		l.get(fmt.Sprintf("%s-%d-%d", strings.ReplaceAll(what, " ", "-"), p.f.number, i))
 		if l.idempotent.answered == 1 {
 			return ""
@@ -95,8 +95,8 @@
 	}
 }
 
-// ask sends a request by hand, and returns the status and the body.
-func (p *pair) ask(method, url string, header http.Header, body io.Reader) (int, http.Header, []byte) {
+// sendRequest sends a request by hand, and returns the status and the body.
+func (p *processPair) sendRequest(method, url string, header http.Header, body io.Reader) (int, http.Header, []byte) {
 	p.t.Helper()
 	r, err := http.NewRequest(method, url, body)
 	if err != nil {
@@ -120,17 +120,17 @@
 // dropped, and the instance stays up and serves.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
-	p := newPair(t)
-	p.serves("before")
-	p.badCalls()
-	p.badOperators()
-	p.serves("after bad requests")
-	p.garbage()
-	p.serves("after garbage")
-	p.slowClients()
-	p.badCommands()
-	p.serves("after slow clients")
-	st, err := operator.NewClient(p.operators, token).Status(context.Background())
+	p := newProcessPair(t)
+	p.awaitAnswer("before")
+	p.checkBadCalls()
+	p.checkBadOperatorRequests()
+	p.awaitAnswer("after bad requests")
+	p.sendGarbage()
+	p.awaitAnswer("after garbage")
+	p.checkSlowClients()
+	p.checkBadCommands()
+	p.awaitAnswer("after slow clients")
+	st, err := operator.NewClient(p.operatorAddr, token).Status(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,18 +140,18 @@
 		}
 	}
 	for name, proc := range map[string]*process{"instance": p.instance, "platform": p.platform} {
-		if text := proc.out.crash(); text != "" {
+		if text := proc.out.crashOutput(); text != "" {
 			t.Errorf("%s: %s", name, text)
 		}
 	}
-	p.f.watch.stop()
+	p.f.monitor.stop()
 	p.f.checkJournal()
 }
 
-// badCalls goes to the callers' and the peers' address: each is refused as not run.
-func (p *pair) badCalls() {
-	call := "http://" + p.callers
-	hand := "http://" + p.peers
+// checkBadCalls goes to the callers' and the peers' address: each is refused as not run.
+func (p *processPair) checkBadCalls() {
+	callers := "http://" + p.callerAddr
+	peers := "http://" + p.peerAddr
 	long := strings.Repeat("x", 200)
 	tests := map[string]struct {
 		method, url string
@@ -159,38 +159,38 @@
 		body        io.Reader
 		status      int
 	}{
-		"no service":          {"GET", call + "/call/shop", nil, nil, 400},
-		"not a name":          {"GET", call + "/call/SHOP/orders/x", nil, nil, 400},
-		"unknown service":     {"GET", call + "/call/shop/none/x", nil, nil, 404},
-		"unknown look-up":     {"GET", call + "/lookup/shop/none", nil, nil, 404},
-		"bad look-up":         {"GET", call + "/lookup/shop/orders?keys=x", nil, nil, 400},
-		"look-up below zero":  {"GET", call + "/lookup/shop/orders?keys=-1", nil, nil, 400},
-		"look-up of a novel":  {"GET", call + "/lookup/shop/" + long, nil, nil, 400},
-		"bad timeout":         {"GET", call + "/call/shop/orders/x", http.Header{"Firlever-Timeout": {"soon"}}, nil, 400},
-		"timeout below zero":  {"GET", call + "/call/shop/orders/x", http.Header{"Firlever-Timeout": {"-1"}}, nil, 400},
-		"long request id":     {"GET", call + "/call/shop/orders/x", http.Header{"Firlever-Request": {long}}, nil, 400},
-		"long key":            {"POST", call + "/call/shop/orders/x", http.Header{"Firlever-Key": {strings.Repeat(long, 4)}}, nil, 400},
-		"no key":              {"POST", call + "/call/shop/orders/x", nil, nil, 400},
-		"forged key":          {"POST", call + "/call/shop/orders/x", http.Header{"Firlever-Key": {long}}, nil, 400},
-		"hand-off of nothing": {"GET", hand + "/hand/", nil, nil, 400},
-		"hand-off, bad name":  {"GET", hand + "/hand/../x", nil, nil, 400},
-		"forward, forged key": {"POST", hand + "/forward/shop/orders/x", http.Header{"Firlever-Key": {long}}, nil, 400},
+		"no service":          {"GET", callers + "/call/shop", nil, nil, 400},
+		"not a name":          {"GET", callers + "/call/SHOP/orders/x", nil, nil, 400},
+		"unknown service":     {"GET", callers + "/call/shop/none/x", nil, nil, 404},
+		"unknown look-up":     {"GET", callers + "/lookup/shop/none", nil, nil, 404},
+		"bad look-up":         {"GET", callers + "/lookup/shop/orders?keys=x", nil, nil, 400},
+		"look-up below zero":  {"GET", callers + "/lookup/shop/orders?keys=-1", nil, nil, 400},
+		"look-up of a novel":  {"GET", callers + "/lookup/shop/" + long, nil, nil, 400},
+		"bad timeout":         {"GET", callers + "/call/shop/orders/x", http.Header{"Firlever-Timeout": {"soon"}}, nil, 400},
+		"timeout below zero":  {"GET", callers + "/call/shop/orders/x", http.Header{"Firlever-Timeout": {"-1"}}, nil, 400},
+		"long request id":     {"GET", callers + "/call/shop/orders/x", http.Header{"Firlever-Request": {long}}, nil, 400},
+		"long key":            {"POST", callers + "/call/shop/orders/x", http.Header{"Firlever-Key": {strings.Repeat(long, 4)}}, nil, 400},
+		"no key":              {"POST", callers + "/call/shop/orders/x", nil, nil, 400},
+		"forged key":          {"POST", callers + "/call/shop/orders/x", http.Header{"Firlever-Key": {long}}, nil, 400},
+		"hand-off of nothing": {"GET", peers + "/hand/", nil, nil, 400},
+		"hand-off, bad name":  {"GET", peers + "/hand/../x", nil, nil, 400},
+		"forward, forged key": {"POST", peers + "/forward/shop/orders/x", http.Header{"Firlever-Key": {long}}, nil, 400},
 	}
 	for name, tt := range tests {
-		status, header, _ := p.ask(tt.method, tt.url, tt.header, tt.body)
+		status, header, _ := p.sendRequest(tt.method, tt.url, tt.header, tt.body)
 		if status != tt.status || header.Get("Firlever-Outcome") != "not-run" || header.Get("Firlever-Reason") == "" {
 			p.t.Errorf("%s: got %d %q %q, want %d, not-run and a reason", name, status,
 				header.Get("Firlever-Outcome"), header.Get("Firlever-Reason"), tt.status)
 		}
 	}
-	for name, url := range map[string]string{"callers": call + "/lookup/shop/orders", "peers": hand + "/hand/shop/orders/x", "operators": "http://" + p.operators + "/v1/status"} {
-		if status, _, _ := p.ask("GET", url, http.Header{"Large": {strings.Repeat(long, 1000)}}, nil); status != http.StatusRequestHeaderFieldsTooLarge {
+	for name, url := range map[string]string{"callers": callers + "/lookup/shop/orders", "peers": peers + "/hand/shop/orders/x", "operators": "http://" + p.operatorAddr + "/v1/status"} {
+		if status, _, _ := p.sendRequest("GET", url, http.Header{"Large": {strings.Repeat(long, 1000)}}, nil); status != http.StatusRequestHeaderFieldsTooLarge {
 			p.t.Errorf("%s, large header: got %d, want 431", name, status)
 		}
 	}
 	for _, method := range []string{"Digest", "Fetch", "Push", "Status", "None"} {
 		for _, kind := range []string{"application/protobuf", "application/json", "text/html"} {
-			status, _, body := p.ask("POST", hand+"/twirp/firlever.wire.Peer/"+method, http.Header{"Content-Type": {kind}}, bytes.NewReader(noise(2000)))
+			status, _, body := p.sendRequest("POST", peers+"/twirp/firlever.wire.Peer/"+method, http.Header{"Content-Type": {kind}}, bytes.NewReader(randomBytes(2000)))
 			if status < 400 {
 				p.t.Errorf("twirp %s %s: got %d %q, want a refusal", method, kind, status, body)
 			}
@@ -198,9 +198,9 @@
 	}
 }
 
-// badOperators goes to the operators' address: each gets a typed problem.
-func (p *pair) badOperators() {
-	at := "http://" + p.operators + "/v1/documents"
+// checkBadOperatorRequests goes to the operators' address: each gets a typed problem.
+func (p *processPair) checkBadOperatorRequests() {
+	at := "http://" + p.operatorAddr + "/v1/documents"
 	bearer := func(s string) http.Header {
 		return http.Header{"Authorization": {"Bearer " + s}, "If-Match": {`"0"`}}
 	}
@@ -217,16 +217,16 @@
 		"bad path":         {"GET", at + "/nothing/here", bearer(token), nil, operator.CodeInvalid},
 		"no version":       {"PUT", at + "/places/z", http.Header{"Authorization": {"Bearer " + token}}, []byte("region: r\n"), operator.CodePrecondition},
 		"not YAML":         {"PUT", at + "/places/z", bearer(token), []byte("a: [b\n\x00"), operator.CodeFaults},
-		"noise":            {"PUT", at + "/places/z", bearer(token), noise(5000), operator.CodeFaults},
+		"noise":            {"PUT", at + "/places/z", bearer(token), randomBytes(5000), operator.CodeFaults},
 		"unknown field":    {"PUT", at + "/places/z", bearer(token), []byte("region: r\nlimit: 1\ncolour: red\n"), operator.CodeFaults},
 		"impossible limit": {"PUT", at + "/places/z", bearer(token), []byte("region: r\nlimit: -1\n"), operator.CodeFaults},
 		"old version":      {"PUT", at + "/places/a", bearer(token), []byte("region: r\nlimit: 1\n"), operator.CodeConflict},
 		"too large":        {"PUT", at + "/places/z", bearer(token), large, operator.CodeTooLarge},
 		"method":           {"PATCH", at + "/places/z", bearer(token), nil, operator.CodeMethod},
-		"no such route":    {"GET", "http://" + p.operators + "/v2", bearer(token), nil, operator.CodeNotFound},
+		"no such route":    {"GET", "http://" + p.operatorAddr + "/v2", bearer(token), nil, operator.CodeNotFound},
 	}
 	for name, tt := range tests {
-		_, _, body := p.ask(tt.method, tt.url, tt.header, bytes.NewReader(tt.body))
+		_, _, body := p.sendRequest(tt.method, tt.url, tt.header, bytes.NewReader(tt.body))
 		var problem operator.Problem
 		if err := json.Unmarshal(body, &problem); err != nil || problem.Code != tt.code || problem.Reason == "" {
 			p.t.Errorf("%s: got %.200q, want the problem %s with a reason", name, body, tt.code)
@@ -234,8 +234,8 @@
 	}
 }
 
-// noise is the same random bytes each time.
-func noise(n int) []byte {
+// randomBytes is the same random bytes each time.
+func randomBytes(n int) []byte {
 	r := rand.New(rand.NewPCG(7, uint64(n)))
 	b := make([]byte, n)
 	for i := range b {
@@ -244,10 +244,10 @@
 	return b
 }
 
-// garbage goes to all TCP ports and to the UDP port.
-func (p *pair) garbage() {
+// sendGarbage goes to all TCP ports and to the UDP port.
+func (p *processPair) sendGarbage() {
 	for name, address := range p.ports() {
-		for _, b := range [][]byte{noise(100), noise(100_000), []byte("GET / HTTP/9.9\r\n\r\n"), []byte("\r\n\r\n\r\n"), {0x16, 3, 1, 2, 0, 1, 0}} {
+		for _, b := range [][]byte{randomBytes(100), randomBytes(100_000), []byte("GET / HTTP/9.9\r\n\r\n"), []byte("\r\n\r\n\r\n"), {0x16, 3, 1, 2, 0, 1, 0}} {
 			c, err := net.Dial("tcp", address)
 			if err != nil {
 				p.t.Errorf("%s: %v", name, err)
@@ -262,22 +262,22 @@
 			c.Close()
 		}
 	}
-	c, err := net.Dial("udp", p.peers)
+	c, err := net.Dial("udp", p.peerAddr)
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	defer c.Close()
 	for i := range 2000 {
-		_, _ = c.Write(noise(i))
+		_, _ = c.Write(randomBytes(i))
 	}
 }
 
-func (p *pair) ports() map[string]string {
-	u, err := url.Parse("http://" + p.platform.await(p.t, platformLine)[1])
+func (p *processPair) ports() map[string]string {
+	u, err := url.Parse("http://" + p.platform.awaitLine(p.t, platformLine)[1])
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	return map[string]string{"callers": p.callers, "peers": p.peers, "operators": p.operators, "platform": u.Host}
+	return map[string]string{"callers": p.callerAddr, "peers": p.peerAddr, "operators": p.operatorAddr, "platform": u.Host}
 }
 
 func isTimeout(err error) bool {
@@ -285,55 +285,55 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// slowClients opens connections that send a byte now and then. Each port goes
+// checkSlowClients opens connections that send a byte now and then. Each port goes
 // on serving meanwhile, and ends them by itself.
-func (p *pair) slowClients() {
+func (p *processPair) checkSlowClients() {
 	const each = 40
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	left := map[string]int{}
+	notClosed := map[string]int{}
 	for name, address := range p.ports() {
 		for range each {
 			all.Go(func() {
-				if !drip(address) {
+				if !sendSlowly(address) {
 					mu.Lock()
-					left[name]++
+					notClosed[name]++
 					mu.Unlock()
 				}
 			})
 		}
 	}
 	time.Sleep(time.Second)
-	p.serves("beside slow clients")
+	p.awaitAnswer("beside slow clients")
 	all.Wait()
-	for name, n := range left {
+	for name, n := range notClosed {
 		p.t.Errorf("%s: %d of %d clients that are slow to send a header were never cut off", name, n, each)
 	}
 }
 
-// drip sends a header that never ends, and says whether it was cut off.
-func drip(address string) bool {
+// sendSlowly sends a header that never ends, and says whether it was cut off.
+func sendSlowly(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
 	}
 	defer c.Close()
 	_, _ = io.WriteString(c, "GET /lookup/shop/orders HTTP/1.1\r\nHost: x\r\nSlow: ")
-	one := make([]byte, 1)
+	buf := make([]byte, 1)
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 		if _, err := c.Write([]byte("x")); err != nil {
 			return true
 		}
 		_ = c.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
-		if _, err := c.Read(one); err == nil || !isTimeout(err) {
+		if _, err := c.Read(buf); err == nil || !isTimeout(err) {
 			return true
 		}
 	}
 	return false
 }
 
-// badCommands runs the program with faults: each is named, the exit code is 2.
-func (p *pair) badCommands() {
+// checkBadCommands runs the program with faults: each is named, the exit code is 2.
+func (p *processPair) checkBadCommands() {
 	tests := map[string]struct {
 		args []string
 		want []string // parts of what is said
@@ -344,7 +344,7 @@
 		},
 		"unknown flag":  {[]string{"serve", "--colour", "red"}, []string{"colour"}},
 		"bad platform":  {[]string{"platform", "--writes", "-1"}, []string{"writes"}},
-		"bad document":  {[]string{"config", "put", "/places/z", "-", "--address", p.operators}, []string{"limit"}},
+		"bad document":  {[]string{"config", "put", "/places/z", "-", "--address", p.operatorAddr}, []string{"limit"}},
 		"no such thing": {[]string{"nothing"}, []string{"nothing"}},
 	}
 	for name, tt := range tests {
--- a/internal/procs/links_test.go
+++ b/internal/procs/links_test.go
@@ -13,21 +13,21 @@
 // TestBadLinks: links to targets and between instances are slow, late or half
 // open. Requests end by their deadline with a true outcome.
 func TestBadLinks(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 20 * time.Millisecond, timeout: 2 * time.Second}, func(f *fleet) {
-		l := f.load("bad", traffic{home: "a", idempotent: 60, once: 20, timeout: 2 * time.Second})
+	runScenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 20 * time.Millisecond, timeout: 2 * time.Second}, func(f *fleet) {
+		l := f.load("bad", traffic{home: "a", idempotent: 60, nonIdempotent: 20, timeout: 2 * time.Second})
 		large := f.load("bad-large", traffic{home: "a", idempotent: 4, size: 200 << 10, timeout: 2 * time.Second})
-		a := f.in("a")
+		a := f.nodesIn("a")
 		name := func(i int) string { return f.targets["a"][i].Config().Name }
 		faults := []func(){
-			func() { f.links.Set(name(0), targetsP, link.Fault{Cut: true}) }, // answers vanish
-			func() { f.links.Set(targetsP, name(1), link.Fault{Cut: true}) }, // requests vanish
-			func() { f.links.SetBoth(targetsP, name(2), link.Fault{Delay: 300 * time.Millisecond}) },
-			func() { f.links.Set(name(3), targetsP, link.Fault{Bandwidth: 20 << 10}) },
+			func() { f.links.Set(name(0), targetsPoint, link.Fault{Cut: true}) }, // answers vanish
+			func() { f.links.Set(targetsPoint, name(1), link.Fault{Cut: true}) }, // requests vanish
+			func() { f.links.SetBoth(targetsPoint, name(2), link.Fault{Delay: 300 * time.Millisecond}) },
+			func() { f.links.Set(name(3), targetsPoint, link.Fault{Bandwidth: 20 << 10}) },
 			func() { f.links.Set(a[0].id, a[1].id, link.Fault{Cut: true}) }, // one way
 			func() {
-				f.links.SetBoth(a[0].id, f.in("b")[0].id, link.Fault{Loss: 0.3, Delay: 100 * time.Millisecond})
+				f.links.SetBoth(a[0].id, f.nodesIn("b")[0].id, link.Fault{Loss: 0.3, Delay: 100 * time.Millisecond})
 			},
-			func() { f.links.SetBoth(targetsP, name(4), link.Fault{Refuse: true}) },
+			func() { f.links.SetBoth(targetsPoint, name(4), link.Fault{Refuse: true}) },
 		}
 		for _, fault := range faults {
 			fault()
@@ -36,19 +36,19 @@
 		bad, _ := l.stop(t)
 		large.stop(t)
 		if bad.answered < bad.sent/2 {
-			f.doubt("got %d of %d idempotent requests answered, want half or more: one target was never harmed", bad.answered, bad.sent)
+			f.addRetryableFailure("got %d of %d idempotent requests answered, want half or more: one target was never harmed", bad.answered, bad.sent)
 		}
-		f.heal(f.targets["a"][:2])
-		f.settled()
-		f.recovered()
+		f.clearLinkFaults(f.targets["a"][:2])
+		f.awaitReady()
+		f.awaitRecovery()
 	})
 }
 
-// heal ends all faults. Requests that a cut held back come to their targets now,
+// clearLinkFaults ends all faults. Requests that a cut held back come to their targets now,
 // long after the instance gave them up and another instance may have taken the
 // slots: what TCP still delivers is no steering decision, so that the limits of
 // those targets and of their place are not held against it for a second.
-func (f *fleet) heal(cut []*target.Target) {
+func (f *fleet) clearLinkFaults(cut []*target.Target) {
 	scopes := []target.Scope{{Place: "a"}, {Place: "a", Service: service}}
 	for _, tg := range cut {
 		scopes = append(scopes, tg.Scope())
@@ -65,8 +65,8 @@
 	}
 }
 
-// recovered waits until a second of load is answered whole.
-func (f *fleet) recovered() {
+// awaitRecovery waits until a second of load is answered whole.
+func (f *fleet) awaitRecovery() {
 	f.t.Helper()
 	i := 0
 	f.await("all is answered again", func() string {
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -20,34 +20,34 @@
 
 // traffic is an open-loop load of callers at home in one place.
 type traffic struct {
-	home       string
-	idempotent int           // requests/s that may run twice
-	once       int           // requests/s that must not
-	timeout    time.Duration // of one request; 8s
-	size       int64         // bytes of an answer; the target's own if 0
-	reach      []*node       // instances that the callers know and reach; all that run if nil
+	home          string
+	idempotent    int           // requests/s that may run twice
+	nonIdempotent int           // requests/s that must not
+	timeout       time.Duration // of one request; 8s
+	size          int64         // bytes of an answer; the target's own if 0
+	reachable     []*node       // instances that the callers know and reach; all that run if nil
 }
 
 // tally counts how requests ended, by their last word.
 type tally struct {
-	sent     int
-	answered int
-	repeated int            // requests asked about again with their key
-	runsOf   map[int]int    // non-idempotent requests by how often they ran
-	others   map[string]int // ends that are no answer, by outcome and reason
-	faults   []string       // answers that were wrong, ends past the deadline
-	failed   []string       // the first requests that got no answer
-	slowest  time.Duration
-	bySecond []int // answers by the second in which they came, from the load's start
+	sent            int
+	answered        int
+	retried         int            // requests asked about again with their key
+	byRunCount      map[int]int    // non-idempotent requests by how often they ran
+	failureCounts   map[string]int // ends that are no answer, by outcome and reason
+	violations      []string       // answers that were wrong, ends past the deadline
+	failedIDs       []string       // the first requests that got no answer
+	slowest         time.Duration
+	answersBySecond []int // answers by the second in which they came, from the load's start
 }
 
 // failures is how many requests got no whole answer.
 func (c *tally) failures() int { return c.sent - c.answered }
 
-// count is the number of ends that begin with a prefix.
-func (c *tally) count(prefix string) int {
+// countWithPrefix is the number of ends that begin with a prefix.
+func (c *tally) countWithPrefix(prefix string) int {
 	n := 0
-	for end, m := range c.others {
+	for end, m := range c.failureCounts {
 		if strings.HasPrefix(end, prefix) {
 			n += m
 		}
@@ -63,45 +63,45 @@
 	client *caller.Client
 	began  time.Time
 	done   chan struct{}
-	work   sync.WaitGroup
+	wg     sync.WaitGroup
 
-	mu         sync.Mutex
-	idempotent tally
-	once       tally
-	ids        []string // of non-idempotent requests
+	mu            sync.Mutex
+	idempotent    tally
+	nonIdempotent tally
+	requestIDs    []string // of non-idempotent requests
 }
 
-// late is how far past its deadline a request may end, beside the time for which this
+// deadlineTolerance is how far past its deadline a request may end, beside the time for which this
 // process, in which the callers are, stood still itself.
-const late = 2 * time.Second
+const deadlineTolerance = 2 * time.Second
 
 func (f *fleet) load(name string, tr traffic) *load {
 	f.t.Helper()
 	setDefault(&tr.timeout, 8*time.Second)
-	l := &load{f: f, name: fmt.Sprintf("f%d-%s", f.number, name), tr: tr, client: f.client(tr.home, tr.reach), began: time.Now(), done: make(chan struct{})}
-	l.idempotent.others, l.once.others = map[string]int{}, map[string]int{}
-	l.work.Go(func() { l.generate(tr.idempotent, l.get) })
-	l.work.Go(func() { l.generate(tr.once, l.post) })
+	l := &load{f: f, name: fmt.Sprintf("f%d-%s", f.number, name), tr: tr, client: f.clientForNodes(tr.home, tr.reachable), began: time.Now(), done: make(chan struct{})}
+	l.idempotent.failureCounts, l.nonIdempotent.failureCounts = map[string]int{}, map[string]int{}
+	l.wg.Go(func() { l.generate(tr.idempotent, l.get) })
+	l.wg.Go(func() { l.generate(tr.nonIdempotent, l.post) })
 	f.t.Cleanup(func() { l.end() })
 	return l
 }
 
-// client is a caller at home in a place, who reaches some instances, or all.
-func (f *fleet) client(home string, reach []*node) *caller.Client {
+// clientForNodes is a caller at home in a place, who reaches some instances, or all.
+func (f *fleet) clientForNodes(home string, nodes []*node) *caller.Client {
 	f.t.Helper()
 	var entries []string
-	if reach == nil {
-		reach = f.running()
+	if nodes == nil {
+		nodes = f.running()
 	}
-	for _, n := range reach {
-		entries = append(entries, n.callers)
+	for _, n := range nodes {
+		entries = append(entries, n.callerAddr)
 	}
-	return f.clientOf(home, entries...)
+	return f.clientForAddresses(home, entries...)
 }
 
-func (f *fleet) clientOf(home string, entries ...string) *caller.Client {
+func (f *fleet) clientForAddresses(home string, entries ...string) *caller.Client {
 	f.t.Helper()
-	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.home(f.placeIndex(home)))}}
+	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.callerIP(f.placeIndex(home)))}}
 	c, err := caller.New(caller.Config{Entries: entries, Dial: d.DialContext})
 	if err != nil {
 		f.t.Fatal(err)
@@ -115,7 +115,7 @@
 	if rate == 0 {
 		return
 	}
-	gap := time.Second / time.Duration(rate)
+	interval := time.Second / time.Duration(rate)
 	next := time.Now()
 	for i := 0; ; i++ {
 		select {
@@ -123,8 +123,8 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		next = next.Add(gap)
-		l.work.Go(func() { do(fmt.Sprintf("%s-%d-%d", l.name, rate, i)) })
+		next = next.Add(interval)
+		l.wg.Go(func() { do(fmt.Sprintf("%s-%d-%d", l.name, rate, i)) })
 	}
 }
 
@@ -134,7 +134,7 @@
 	default:
 		close(l.done)
 	}
-	l.work.Wait()
+	l.wg.Wait()
 }
 
 func (l *load) request(id, method string) *caller.Request {
@@ -150,11 +150,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), l.tr.timeout)
 	defer cancel()
 	err := l.send(ctx, l.request("i-"+id, http.MethodGet))
-	l.judge("i-"+id, err)
-	l.add(&l.idempotent, "i-"+id, began, err)
+	l.checkOutcome("i-"+id, err)
+	l.recordOutcome(&l.idempotent, "i-"+id, began, err)
 }
 
-const tries = 4 // of a non-idempotent request whose outcome is unknown
+const maxTries = 4 // of a non-idempotent request whose outcome is unknown
 
 // post sends a request that must run at most once, and asks what became of it
 // when that's unknown.
@@ -162,14 +162,14 @@
 	id = "o-" + id
 	l.f.journal.Once(id)
 	l.mu.Lock()
-	l.ids = append(l.ids, id)
+	l.requestIDs = append(l.requestIDs, id)
 	l.mu.Unlock()
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), l.tr.timeout)
 	defer cancel()
 	r := l.request(id, http.MethodPost)
 	var err error
-	for i := range tries {
+	for i := range maxTries {
 		err = l.send(ctx, r)
 		var unknown *caller.UnknownError
 		if !errors.As(err, &unknown) || unknown.Key.Value == "" || ctx.Err() != nil {
@@ -178,13 +178,13 @@
 		r.Key = unknown.Key
 		if i == 0 {
 			l.mu.Lock()
-			l.once.repeated++
+			l.nonIdempotent.retried++
 			l.mu.Unlock()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	l.judge(id, err)
-	l.add(&l.once, id, began, err)
+	l.checkOutcome(id, err)
+	l.recordOutcome(&l.nonIdempotent, id, began, err)
 }
 
 // statusError is a target's answer that is no success.
@@ -204,70 +204,70 @@
 	return target.VerifyAnswer(r.Header.Get("Firlever-Request"), resp.Body)
 }
 
-// judge holds the last word on a request against what ran.
-func (l *load) judge(id string, err error) {
+// checkOutcome holds the last word on a request against what ran.
+func (l *load) checkOutcome(id string, err error) {
 	var notRun *caller.NotRunError
 	if errors.As(err, &notRun) {
 		l.f.journal.Refused(id)
 	}
 	if err == nil && l.f.journal.Ran(id) == 0 {
-		l.fault(id + " was answered and never ran")
+		l.addViolation(id + " was answered and never ran")
 	}
 	var wrong *target.AnswerError
 	if errors.As(err, &wrong) && wrong.Err == nil {
-		l.fault(err.Error())
+		l.addViolation(err.Error())
 	}
 }
 
-func (l *load) fault(text string) {
+func (l *load) addViolation(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.idempotent.faults = append(l.idempotent.faults, text)
+	l.idempotent.violations = append(l.idempotent.violations, text)
 }
 
-// keepFailed is how many failures of a load are told in full.
-const keepFailed = 2
+// maxFailedIDs is how many failures of a load are told in full.
+const maxFailedIDs = 2
 
-func (l *load) add(c *tally, id string, began time.Time, err error) {
+func (l *load) recordOutcome(c *tally, id string, began time.Time, err error) {
 	took := time.Since(began)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.sent++
 	c.slowest = max(c.slowest, took)
-	_, still, _ := meter.since(began)
-	if took > l.tr.timeout+late+still {
-		c.faults = append(c.faults, fmt.Sprintf("a request ended %s past its deadline, and callers stood still for %s", took-l.tr.timeout, still))
+	_, paused, _ := processPauses.since(began)
+	if took > l.tr.timeout+deadlineTolerance+paused {
+		c.violations = append(c.violations, fmt.Sprintf("a request ended %s past its deadline, and callers stood still for %s", took-l.tr.timeout, paused))
 	}
 	if err == nil {
 		c.answered++
-		c.tick(int(time.Since(l.began) / time.Second))
+		c.countAnswer(int(time.Since(l.began) / time.Second))
 		return
 	}
-	c.others[endOf(err)]++
-	if len(c.failed) < keepFailed {
-		c.failed = append(c.failed, id)
+	c.failureCounts[outcomeOf(err)]++
+	if len(c.failedIDs) < maxFailedIDs {
+		c.failedIDs = append(c.failedIDs, id)
 	}
 }
 
-func (c *tally) tick(second int) {
-	for len(c.bySecond) <= second {
-		c.bySecond = append(c.bySecond, 0)
+func (c *tally) countAnswer(second int) {
+	for len(c.answersBySecond) <= second {
+		c.answersBySecond = append(c.answersBySecond, 0)
 	}
-	c.bySecond[second]++
+	c.answersBySecond[second]++
 }
 
-// endOf puts an end that is no answer in a few words.
-func endOf(err error) string {
+// outcomeOf puts an end that is no answer in a few words.
+func outcomeOf(err error) string {
 	var notRun *caller.NotRunError
 	var unknown *caller.UnknownError
-	var cut *caller.IncompleteError
+	var incomplete *caller.IncompleteError
 	var status *statusError
 	switch {
 	case errors.As(err, &notRun):
 		return "not-run " + notRun.Reason
 	case errors.As(err, &unknown):
 		return "unknown " + unknown.Reason
-	case errors.As(err, &cut):
+	case errors.As(err, &incomplete):
 		return "cut"
 	case errors.As(err, &status):
 		return status.Error()
@@ -276,30 +276,30 @@
 }
 
 // stop ends the load, fails the test for wrong answers, and prints the figures.
-func (l *load) stop(t *testing.T) (idempotent, once *tally) {
+func (l *load) stop(t *testing.T) (idempotent, nonIdempotent *tally) {
 	t.Helper()
 	l.end()
-	l.once.runsOf = map[int]int{}
-	for _, id := range l.ids {
-		l.once.runsOf[l.f.journal.Ran(id)]++
+	l.nonIdempotent.byRunCount = map[int]int{}
+	for _, id := range l.requestIDs {
+		l.nonIdempotent.byRunCount[l.f.journal.Ran(id)]++
 	}
-	for _, c := range []*tally{&l.idempotent, &l.once} {
-		for _, text := range c.faults {
+	for _, c := range []*tally{&l.idempotent, &l.nonIdempotent} {
+		for _, text := range c.violations {
 			t.Error(text)
 		}
 	}
 	t.Logf("%s idempotent: %s", l.name, &l.idempotent)
-	t.Logf("%s once: %s; asked again %d, runs per request %v", l.name, &l.once, l.once.repeated, l.once.runsOf)
-	return &l.idempotent, &l.once
+	t.Logf("%s once: %s; asked again %d, runs per request %v", l.name, &l.nonIdempotent, l.nonIdempotent.retried, l.nonIdempotent.byRunCount)
+	return &l.idempotent, &l.nonIdempotent
 }
 
-// story is what the instances logged of the first failures.
-func (f *fleet) story(c *tally) string {
+// failureLogs is what the instances logged of the first failures.
+func (f *fleet) failureLogs(c *tally) string {
 	var b strings.Builder
-	for _, id := range c.failed {
+	for _, id := range c.failedIDs {
 		for _, n := range f.nodes {
-			for _, p := range n.past {
-				for _, line := range p.out.about(id) {
+			for _, p := range n.processes {
+				for _, line := range p.out.linesWithID(id) {
 					fmt.Fprintf(&b, "\n  %s: %s", n.id, line)
 				}
 			}
@@ -310,10 +310,10 @@
 
 func (c *tally) String() string {
 	var ends []string
-	for end, n := range c.others {
+	for end, n := range c.failureCounts {
 		ends = append(ends, fmt.Sprintf("%s %d", end, n))
 	}
 	slices.Sort(ends)
 	return fmt.Sprintf("%d sent, %d answered, slowest %s, by second %v; %s", c.sent, c.answered,
-		c.slowest.Round(time.Millisecond), c.bySecond, strings.Join(ends, ", "))
+		c.slowest.Round(time.Millisecond), c.answersBySecond, strings.Join(ends, ", "))
 }
--- a/internal/procs/main_test.go
+++ b/internal/procs/main_test.go
@@ -17,24 +17,24 @@
 	"time"
 )
 
-// scenarios is how many run at one time: they mostly wait.
-const scenarios = 6
+// parallelScenarios is how many run at one time: they mostly wait.
+const parallelScenarios = 6
 
 // binary is the built program.
 var binary string
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if err := atLeast("test.parallel", scenarios); err != nil {
+	if err := raiseFlag("test.parallel", parallelScenarios); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	os.Exit(run(m))
 }
 
-func atLeast(name string, n int) error {
-	now, err := strconv.Atoi(flag.Lookup(name).Value.String())
-	if err != nil || now >= n {
+func raiseFlag(name string, n int) error {
+	current, err := strconv.Atoi(flag.Lookup(name).Value.String())
+	if err != nil || current >= n {
 		return err
 	}
 	return flag.Set(name, strconv.Itoa(n))
@@ -55,12 +55,12 @@
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		return 1
 	}
-	go meter.watch()
+	go processPauses.record()
 	return m.Run()
 }
 
-// soak is how long the long variants last; zero in a usual run.
-func soak(t *testing.T) time.Duration {
+// soakDuration is how long the long variants last; zero in a usual run.
+func soakDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FIRLEVER_SOAK")
 	if text == "" {
--- a/internal/procs/network_test.go
+++ b/internal/procs/network_test.go
@@ -11,31 +11,31 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// gate stands before an instance's peers' address, TCP and UDP. It tells the
+// peerProxy stands before an instance's peers' address, TCP and UDP. It tells the
 // senders by their addresses, so that each pair of instances has its own link.
-type gate struct {
-	links  *link.Links
-	to     link.Point
-	locate func(netip.Addr) link.Point
-	ln     net.Listener
-	packet net.PacketConn
-	real   atomic.Pointer[net.UDPAddr] // of the instance; nil before it listens
-
-	mu      sync.Mutex
-	lines   map[link.Point]*line
-	proxies []*link.Proxy
-	closed  bool
+type peerProxy struct {
+	links        *link.Links
+	to           link.Point
+	locate       func(netip.Addr) link.Point
+	ln           net.Listener
+	packet       net.PacketConn
+	instanceAddr atomic.Pointer[net.UDPAddr] // of the instance; nil before it listens
+
+	mu        sync.Mutex
+	listeners map[link.Point]*senderListener
+	proxies   []*link.Proxy
+	closed    bool
 }
 
-// line hands the connections of one sender to its proxy.
-type line struct {
+// senderListener hands the connections of one sender to its proxy.
+type senderListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	once  sync.Once
 	done  chan struct{}
 }
 
-func (l *line) Accept() (net.Conn, error) {
+func (l *senderListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -44,15 +44,15 @@
 	}
 }
 
-func (l *line) Close() error {
+func (l *senderListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
 }
 
-func (l *line) Addr() net.Addr { return l.addr }
+func (l *senderListener) Addr() net.Addr { return l.addr }
 
-// newGate listens at one port of ip for both TCP and UDP.
-func newGate(ip string, links *link.Links, to link.Point, locate func(netip.Addr) link.Point) (*gate, error) {
+// newPeerProxy listens at one port of ip for both TCP and UDP.
+func newPeerProxy(ip string, links *link.Links, to link.Point, locate func(netip.Addr) link.Point) (*peerProxy, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
 		return nil, err
@@ -62,32 +62,32 @@
 		ln.Close()
 		return nil, err
 	}
-	g := &gate{links: links, to: to, locate: locate, ln: ln, packet: packet, lines: map[link.Point]*line{}}
-	go g.carryPackets()
+	g := &peerProxy{links: links, to: to, locate: locate, ln: ln, packet: packet, listeners: map[link.Point]*senderListener{}}
+	go g.forwardPackets()
 	return g, nil
 }
 
-func (g *gate) addr() string { return g.ln.Addr().String() }
+func (g *peerProxy) addr() string { return g.ln.Addr().String() }
 
-// open begins to forward to the instance's own address.
-func (g *gate) open(address string) error {
+// forwardTo begins to forward to the instance's own address.
+func (g *peerProxy) forwardTo(address string) error {
 	udp, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return err
 	}
-	if g.real.Swap(udp) == nil {
+	if g.instanceAddr.Swap(udp) == nil {
 		go g.accept()
 	}
 	return nil
 }
 
-func (g *gate) accept() {
+func (g *peerProxy) accept() {
 	for {
 		c, err := g.ln.Accept()
 		if err != nil {
 			return
 		}
-		l := g.line(g.locate(ipOf(c.RemoteAddr())))
+		l := g.listenerFor(g.locate(ipOf(c.RemoteAddr())))
 		if l == nil {
 			c.Close()
 			return
@@ -100,23 +100,23 @@
 	}
 }
 
-// line returns the line of a sender; nil after close.
-func (g *gate) line(from link.Point) *line {
+// listenerFor returns the listenerFor of a sender; nil after close.
+func (g *peerProxy) listenerFor(from link.Point) *senderListener {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.closed {
 		return nil
 	}
-	l := g.lines[from]
+	l := g.listeners[from]
 	if l == nil {
-		l = &line{addr: g.ln.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
-		g.lines[from] = l
-		g.proxies = append(g.proxies, link.NewProxy(l, g.links, from, g.to, g.real.Load().String()))
+		l = &senderListener{addr: g.ln.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
+		g.listeners[from] = l
+		g.proxies = append(g.proxies, link.NewProxy(l, g.links, from, g.to, g.instanceAddr.Load().String()))
 	}
 	return l
 }
 
-func (g *gate) carryPackets() {
+func (g *peerProxy) forwardPackets() {
 	out := map[link.Point]net.PacketConn{}
 	buf := make([]byte, 64<<10)
 	for {
@@ -124,19 +124,19 @@
 		if err != nil {
 			return
 		}
-		own := g.real.Load()
-		if own == nil {
+		instance := g.instanceAddr.Load()
+		if instance == nil {
 			continue
 		}
 		from := g.locate(ipOf(addr))
 		if out[from] == nil {
 			out[from] = g.links.PacketConn(g.packet, from, func(net.Addr) link.Point { return g.to })
 		}
-		_, _ = out[from].WriteTo(buf[:n], own)
+		_, _ = out[from].WriteTo(buf[:n], instance)
 	}
 }
 
-func (g *gate) close() {
+func (g *peerProxy) close() {
 	g.ln.Close()
 	g.packet.Close()
 	g.mu.Lock()
--- a/internal/procs/node_test.go
+++ b/internal/procs/node_test.go
@@ -17,18 +17,18 @@
 
 // node is one instance, over all processes that run under its id.
 type node struct {
-	f        *fleet
-	id       string
-	place    string
-	ip       string
-	gate     *gate  // others reach the instance through it
-	platform string // the instance reaches the platform through it
-
-	callers, peers, operators string // kept when the instance is started again
-
-	mu   sync.Mutex
-	proc *process   // nil before the first; guarded by mu
-	past []*process // all so far, proc too
+	f            *fleet
+	id           string
+	place        string
+	ip           string
+	peerProxy    *peerProxy // others reach the instance through it
+	platformAddr string     // the instance reaches the platform through it
+
+	callerAddr, peerAddr, operatorAddr string // kept when the instance is started again
+
+	mu        sync.Mutex
+	proc      *process   // nil before the first; guarded by mu
+	processes []*process // all so far, proc too
 }
 
 var servingLine = regexp.MustCompile(`serving instance=\S+ callers=(\S+) peers=(\S+) operators=(\S+)`)
@@ -36,16 +36,16 @@
 func (f *fleet) newNode(place string, index, i int) *node {
 	n := &node{f: f, id: fmt.Sprintf("%s-%d", place, i), place: place}
 	n.ip = fmt.Sprintf("127.%d.%d.%d", 20+f.number, index, i)
-	f.byIP[netip.MustParseAddr(n.ip)] = link.At(n.id)
-	g, err := newGate(n.ip, f.links, link.At(n.id), func(a netip.Addr) link.Point { return f.byIP[a] })
+	f.pointByIP[netip.MustParseAddr(n.ip)] = link.At(n.id)
+	g, err := newPeerProxy(n.ip, f.links, link.At(n.id), func(a netip.Addr) link.Point { return f.pointByIP[a] })
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(g.close)
-	n.gate = g
-	n.platform = f.proxy(n.id, platformP, f.kvAddr)
-	n.callers, n.peers, n.operators = n.ip+":0", n.ip+":0", n.ip+":0"
-	f.t.Cleanup(n.end)
+	n.peerProxy = g
+	n.platformAddr = f.startProxy(n.id, platformPoint, f.platformAddr)
+	n.callerAddr, n.peerAddr, n.operatorAddr = n.ip+":0", n.ip+":0", n.ip+":0"
+	f.t.Cleanup(n.kill)
 	return n
 }
 
@@ -55,32 +55,32 @@
 	n.f.t.Helper()
 	args := []string{
 		"serve", "--id", n.id, "--place", n.place, "--region", "coast", "--log", "info",
-		"--callers", n.callers, "--peers", n.peers, "--operators", n.operators,
-		"--advertise-peers", n.gate.addr(), "--source", n.ip,
-		"--platform", n.platform, "--bootstrap", settings.HashToken(token),
+		"--callers", n.callerAddr, "--peers", n.peerAddr, "--operators", n.operatorAddr,
+		"--advertise-peers", n.peerProxy.addr(), "--source", n.ip,
+		"--platform", n.platformAddr, "--bootstrap", settings.HashToken(token),
 	}
 	if d := n.f.opts.linger; d > 0 {
 		args = append(args, "--linger", d.String())
 	}
 	for _, other := range n.f.running() {
-		args = append(args, "--join", other.gate.addr())
+		args = append(args, "--join", other.peerProxy.addr())
 	}
 	p := startProcess(n.f.t, args...)
 	n.mu.Lock()
-	n.past = append(n.past, p)
+	n.processes = append(n.processes, p)
 	n.mu.Unlock()
-	m := p.await(n.f.t, servingLine)
+	m := p.awaitLine(n.f.t, servingLine)
 	n.mu.Lock()
-	n.callers, n.peers, n.operators = m[1], m[2], m[3]
+	n.callerAddr, n.peerAddr, n.operatorAddr = m[1], m[2], m[3]
 	n.proc = p
 	n.mu.Unlock()
-	if err := n.gate.open(n.peers); err != nil {
+	if err := n.peerProxy.forwardTo(n.peerAddr); err != nil {
 		n.f.t.Fatal(err)
 	}
 }
 
-func (n *node) end() {
-	for _, p := range n.past {
+func (n *node) kill() {
+	for _, p := range n.processes {
 		p.kill()
 	}
 }
@@ -104,15 +104,15 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	n.mu.Lock()
-	address := n.operators
+	address := n.operatorAddr
 	n.mu.Unlock()
 	c := operator.NewClient(address, token)
 	defer c.Close()
 	return c.Status(ctx)
 }
 
-// version is that of a document in force at the node; 0 if it can't be told.
-func (n *node) version(path string) uint64 {
+// documentVersion is that of a document in force at the node; 0 if it can't be told.
+func (n *node) documentVersion(path string) uint64 {
 	st, err := n.status()
 	if err != nil {
 		return 0
@@ -125,8 +125,8 @@
 	return 0
 }
 
-// owns lists the targets that the node may use now.
-func (n *node) owns() []string {
+// ownedTargets lists the targets that the node may use now.
+func (n *node) ownedTargets() []string {
 	st, err := n.status()
 	if err != nil {
 		return nil
@@ -143,50 +143,50 @@
 // monitor asks all running instances for their status again and again: a
 // version must never go back, and no invariant be broken.
 type monitor struct {
-	f    *fleet
-	done chan struct{}
-	over chan struct{}
+	f       *fleet
+	done    chan struct{}
+	stopped chan struct{}
 
 	mu           sync.Mutex
 	versions     map[string]uint64 // by instance, incarnation and path
 	checks       map[string]uint64 // by instance, incarnation and invariant
-	faults       map[string]bool
+	violations   map[string]bool
 	incarnations map[string]uint64 // newest by instance
-	asked        int
+	statusCount  int
 }
 
 func startMonitor(f *fleet) *monitor {
 	m := &monitor{
-		f: f, done: make(chan struct{}), over: make(chan struct{}),
-		versions: map[string]uint64{}, checks: map[string]uint64{}, faults: map[string]bool{},
+		f: f, done: make(chan struct{}), stopped: make(chan struct{}),
+		versions: map[string]uint64{}, checks: map[string]uint64{}, violations: map[string]bool{},
 		incarnations: map[string]uint64{},
 	}
 	go m.run()
 	return m
 }
 
-const monitorEvery = 300 * time.Millisecond
+const monitorInterval = 300 * time.Millisecond
 
 func (m *monitor) run() {
-	defer close(m.over)
+	defer close(m.stopped)
 	for {
-		m.ask()
+		m.poll()
 		select {
 		case <-m.done:
-			m.ask()
+			m.poll()
 			return
-		case <-time.After(monitorEvery):
+		case <-time.After(monitorInterval):
 		}
 	}
 }
 
-func (m *monitor) ask() {
+func (m *monitor) poll() {
 	var all sync.WaitGroup
 	for _, n := range m.f.nodes {
 		if n.alive() {
 			all.Go(func() {
 				if st, err := n.status(); err == nil {
-					m.take(st)
+					m.record(st)
 				}
 			})
 		}
@@ -194,22 +194,22 @@
 	all.Wait()
 }
 
-func (m *monitor) take(st operator.Status) {
+func (m *monitor) record(st operator.Status) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
+	m.statusCount++
 	m.incarnations[st.Instance] = max(m.incarnations[st.Instance], st.Incarnation)
-	who := fmt.Sprintf("%s/%d ", st.Instance, st.Incarnation)
+	prefix := fmt.Sprintf("%s/%d ", st.Instance, st.Incarnation)
 	for _, d := range st.Documents {
-		if was := m.versions[who+d.Path]; d.Version < was {
-			m.faults[fmt.Sprintf("%s%s went from version %d back to %d", who, d.Path, was, d.Version)] = true
+		if previous := m.versions[prefix+d.Path]; d.Version < previous {
+			m.violations[fmt.Sprintf("%s%s went from version %d back to %d", prefix, d.Path, previous, d.Version)] = true
 		}
-		m.versions[who+d.Path] = d.Version
+		m.versions[prefix+d.Path] = d.Version
 	}
 	for _, c := range st.Invariants {
-		m.checks[who+string(c.Name)] = uint64(c.Checks)
+		m.checks[prefix+string(c.Name)] = uint64(c.Checks)
 		if c.Violations > 0 {
-			m.faults[fmt.Sprintf("%sbroke %s", who, c.Name)] = true
+			m.violations[fmt.Sprintf("%sbroke %s", prefix, c.Name)] = true
 		}
 	}
 }
@@ -220,5 +220,5 @@
 	default:
 		close(m.done)
 	}
-	<-m.over
+	<-m.stopped
 }
--- a/internal/procs/overload_test.go
+++ b/internal/procs/overload_test.go
@@ -10,14 +10,14 @@
 // TestOverload: a place gets more than it takes, from callers who give up. It
 // goes on to answer as much as it can.
 func TestOverload(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
+	runScenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
 		const seconds = 10
-		l := f.load("overload", traffic{home: "a", idempotent: 110, once: 20, timeout: 2 * time.Second})
+		l := f.load("overload", traffic{home: "a", idempotent: 110, nonIdempotent: 20, timeout: 2 * time.Second})
 		time.Sleep(seconds * time.Second)
-		idempotent, once := l.stop(t)
+		idempotent, nonIdempotent := l.stop(t)
 		first, second := 0, 0
 		for i := range seconds {
-			n := at(idempotent.bySecond, i) + at(once.bySecond, i)
+			n := valueAt(idempotent.answersBySecond, i) + valueAt(nonIdempotent.answersBySecond, i)
 			if i < seconds/2 {
 				first += n
 			} else {
@@ -25,12 +25,12 @@
 			}
 		}
 		if second < first/2 {
-			f.doubt("got %d answers in the second half, want about the %d of the first", second, first)
+			f.addRetryableFailure("got %d answers in the second half, want about the %d of the first", second, first)
 		}
 	})
 }
 
-func at(list []int, i int) int {
+func valueAt(list []int, i int) int {
 	if i < len(list) {
 		return list[i]
 	}
--- a/internal/procs/planned_test.go
+++ b/internal/procs/planned_test.go
@@ -12,86 +12,86 @@
 	"github.com/firlever/firlever/internal/emulator/target"
 )
 
-// leaveWithin is how soon what is drained gets no new work.
-const leaveWithin = 3 * time.Second
+// drainDeadline is how soon what is drained gets no new work.
+const drainDeadline = 3 * time.Second
 
 // drain writes a drain through an instance, and tells the journal when the
 // scope must be left alone.
 func (f *fleet) drain(n *node, path, body string, s target.Scope) {
 	f.t.Helper()
 	f.put(n, path, 0, body)
-	f.journal.Leave(s, time.Now().Add(leaveWithin))
+	f.journal.Leave(s, time.Now().Add(drainDeadline))
 }
 
 // TestPlannedStop: an instance is stopped in plan, then a target and a place are
 // drained, all under load. Nothing is cut.
 func TestPlannedStop(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, mean: 60 * time.Millisecond, slots: 6}, func(f *fleet) {
-		l := f.load("planned", traffic{home: "a", idempotent: 60, once: 20})
-		slow := f.load("large", traffic{home: "a", idempotent: 5, size: 300 << 10})
+	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, mean: 60 * time.Millisecond, slots: 6}, func(f *fleet) {
+		l := f.load("planned", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
+		largeLoad := f.load("large", traffic{home: "a", idempotent: 5, size: 300 << 10})
 		time.Sleep(time.Second)
 
 		stopped, targets := f.victim("a")
 		stopped.proc.signal(t, syscall.SIGTERM)
-		if code := stopped.proc.exit(t); code != 0 {
+		if code := stopped.proc.awaitExit(t); code != 0 {
 			t.Errorf("got exit code %d of a planned stop, want 0:\n%s", code, stopped.proc.out.tail(10))
 		}
 		f.awaitWork("a", targets)
 
 		via := f.running()[0]
-		gone := f.targets["a"][0].Scope()
+		drained := f.targets["a"][0].Scope()
 		team, name, _ := strings.Cut(service, "/")
-		f.drain(via, "/teams/"+team+"/drains/one", fmt.Sprintf("service: %s\ntarget: %s\n", name, gone.Target), gone)
-		time.Sleep(leaveWithin + time.Second)
+		f.drain(via, "/teams/"+team+"/drains/one", fmt.Sprintf("service: %s\ntarget: %s\n", name, drained.Target), drained)
+		time.Sleep(drainDeadline + time.Second)
 		f.drain(via, "/drains/place", "place: a\n", target.Scope{Place: "a"})
-		time.Sleep(leaveWithin + 2*time.Second)
+		time.Sleep(drainDeadline + 2*time.Second)
 		if use := f.journal.Place("a"); use.Now > 0 {
-			f.doubt("got %d requests in flight in the drained place, want none", use.Now)
+			f.addRetryableFailure("got %d requests in flight in the drained place, want none", use.Now)
 		}
 
-		idempotent, once := l.stop(t)
-		large, _ := slow.stop(t)
-		f.none("idempotent", idempotent)
-		f.none("once", once)
-		f.none("large answers", large)
+		idempotent, nonIdempotent := l.stop(t)
+		large, _ := largeLoad.stop(t)
+		f.requireAllAnswered("idempotent", idempotent)
+		f.requireAllAnswered("once", nonIdempotent)
+		f.requireAllAnswered("large answers", large)
 	})
 }
 
 // TestRollingReplacement: all instances are replaced in turn under load, then a
 // whole place is killed and started at once.
 func TestRollingReplacement(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, linger: 1500 * time.Millisecond}, func(f *fleet) {
-		l := f.load("rolling", traffic{home: "a", idempotent: 60, once: 20})
+	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, linger: 1500 * time.Millisecond}, func(f *fleet) {
+		l := f.load("rolling", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
 		for _, n := range f.running() {
 			n.proc.signal(t, syscall.SIGTERM)
-			if code := n.proc.exit(t); code != 0 {
+			if code := n.proc.awaitExit(t); code != 0 {
 				t.Errorf("%s: got exit code %d of a planned stop, want 0", n.id, code)
 			}
 			n.start()
-			f.settled()
+			f.awaitReady()
 		}
-		rolled, once := l.stop(t)
-		f.none("idempotent in the rolling replacement", rolled)
-		if n := once.count("unknown") + once.count("cut"); n > 0 {
-			f.doubt("got %d non-idempotent requests without a known end, want none", n)
+		rolled, nonIdempotent := l.stop(t)
+		f.requireAllAnswered("idempotent in the rolling replacement", rolled)
+		if n := nonIdempotent.countWithPrefix("unknown") + nonIdempotent.countWithPrefix("cut"); n > 0 {
+			f.addRetryableFailure("got %d non-idempotent requests without a known end, want none", n)
 		}
 
-		l = f.load("restart", traffic{home: "a", idempotent: 60, once: 20})
+		l = f.load("restart", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
 		time.Sleep(time.Second)
-		for _, n := range f.in("a")[:2] {
+		for _, n := range f.nodesIn("a")[:2] {
 			n.proc.kill()
 		}
 		time.Sleep(time.Second)
-		for _, n := range f.in("a")[:2] {
+		for _, n := range f.nodesIn("a")[:2] {
 			n.start()
 		}
-		f.settled()
+		f.awaitReady()
 		for _, tg := range f.targets["a"] {
 			f.awaitWork("a", []string{tg.Config().Name})
 		}
 		restarted, _ := l.stop(t)
 		if restarted.answered < restarted.sent*19/20 {
-			f.doubt("restart of a place: got %d of %d answered, want 19 of 20: %s", restarted.answered, restarted.sent, restarted)
+			f.addRetryableFailure("restart of a place: got %d of %d answered, want 19 of 20: %s", restarted.answered, restarted.sent, restarted)
 		}
 	})
 }
--- a/internal/procs/process_test.go
+++ b/internal/procs/process_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-const keepLines = 20_000 // of a process's output
+const maxLines = 20_000 // of a process's output
 
 // process is one run of the program.
 type process struct {
-	cmd  *exec.Cmd
-	out  *output
-	done chan struct{} // closed when it has ended
-	code int           // set before done is closed; -1 if a signal ended it
+	cmd      *exec.Cmd
+	out      *output
+	done     chan struct{} // closed when it has ended
+	exitCode int           // set before done is closed; -1 if a signal ended it
 }
 
 func startProcess(t *testing.T, args ...string) *process {
@@ -32,7 +32,7 @@
 	}
 	go func() {
 		_ = p.cmd.Wait()
-		p.code = p.cmd.ProcessState.ExitCode()
+		p.exitCode = p.cmd.ProcessState.ExitCode()
 		close(p.done)
 	}()
 	return p
@@ -51,28 +51,28 @@
 	<-p.done
 }
 
-// exit waits for the end and returns the exit code.
-func (p *process) exit(t *testing.T) int {
+// awaitExit waits for the end and returns the awaitExit code.
+func (p *process) awaitExit(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.done:
-		return p.code
-	case <-time.After(patience):
+		return p.exitCode
+	case <-time.After(awaitTimeout):
 		t.Fatalf("process did not end; it wrote:\n%s", p.out.tail(30))
 		return -1
 	}
 }
 
-// await returns the submatches of the first line that matches.
-func (p *process) await(t *testing.T, re *regexp.Regexp) []string {
+// awaitLine returns the submatches of the first line that matches.
+func (p *process) awaitLine(t *testing.T, re *regexp.Regexp) []string {
 	t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if m := re.FindStringSubmatch(p.out.tail(keepLines)); m != nil {
+	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if m := re.FindStringSubmatch(p.out.tail(maxLines)); m != nil {
 			return m
 		}
 		select {
 		case <-p.done:
-			t.Fatalf("process ended with %d:\n%s", p.code, p.out.tail(30))
+			t.Fatalf("process ended with %d:\n%s", p.exitCode, p.out.tail(30))
 		default:
 		}
 	}
@@ -82,37 +82,37 @@
 
 // output keeps the last lines that a process wrote, and the first of a crash.
 type output struct {
-	mu    sync.Mutex
-	part  []byte
-	lines []string
-	bad   []string // from the first line of a panic or a race on
+	mu         sync.Mutex
+	partial    []byte
+	lines      []string
+	crashLines []string // from the first line of a panic or a race on
 }
 
 func (o *output) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.part = append(o.part, b...)
+	o.partial = append(o.partial, b...)
 	for {
-		line, rest, ok := bytes.Cut(o.part, []byte("\n"))
+		line, rest, ok := bytes.Cut(o.partial, []byte("\n"))
 		if !ok {
 			return len(b), nil
 		}
-		o.part = rest
+		o.partial = rest
 		o.add(string(line))
 	}
 }
 
 func (o *output) add(line string) {
-	if len(o.bad) > 0 && len(o.bad) < 60 || crashed(line) {
-		o.bad = append(o.bad, line)
+	if len(o.crashLines) > 0 && len(o.crashLines) < 60 || isCrashLine(line) {
+		o.crashLines = append(o.crashLines, line)
 	}
 	o.lines = append(o.lines, line)
-	if len(o.lines) > keepLines {
-		o.lines = o.lines[len(o.lines)-keepLines:]
+	if len(o.lines) > maxLines {
+		o.lines = o.lines[len(o.lines)-maxLines:]
 	}
 }
 
-func crashed(line string) bool {
+func isCrashLine(line string) bool {
 	return strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") ||
 		strings.Contains(line, "DATA RACE") || strings.Contains(line, "http: panic serving")
 }
@@ -123,8 +123,8 @@
 	return strings.Join(o.lines[max(0, len(o.lines)-n):], "\n")
 }
 
-// about returns the lines that name an id.
-func (o *output) about(id string) []string {
+// linesWithID returns the lines that name an id.
+func (o *output) linesWithID(id string) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	var found []string
@@ -136,9 +136,9 @@
 	return found
 }
 
-// crash is what the process wrote of a panic or a race.
-func (o *output) crash() string {
+// crashOutput is what the process wrote of a panic or a race.
+func (o *output) crashOutput() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return strings.Join(o.bad, "\n")
+	return strings.Join(o.crashLines, "\n")
 }
--- a/internal/procs/saturation_test.go
+++ b/internal/procs/saturation_test.go
@@ -10,9 +10,9 @@
 	"github.com/firlever/firlever/internal/emulator/rush"
 )
 
-// crowd are callers of one instance who wait for a time.
-func (n *node) crowd(timeout time.Duration) *rush.Rush {
-	return rush.New(n.callers, timeout, func(id string) string {
+// newOverload are callers of one instance who wait for a time.
+func (n *node) newOverload(timeout time.Duration) *rush.Rush {
+	return rush.New(n.callerAddr, timeout, func(id string) string {
 		return fmt.Sprintf("GET /call/%s/work HTTP/1.1\r\nHost: h\r\nFirlever-Request: %s\r\nFirlever-Timeout: %d\r\n\r\n",
 			service, id, timeout.Milliseconds())
 	})
@@ -22,14 +22,14 @@
 // it can, and all of a usual load right afterwards. It takes FIRLEVER_SOAK, as it needs the
 // machine for itself.
 func TestSoakOverload(t *testing.T) {
-	if soak(t) == 0 {
+	if soakDuration(t) == 0 {
 		t.Skip("set FIRLEVER_SOAK")
 	}
 	t.Setenv("GOMAXPROCS", "1")
 	const timeout = 500 * time.Millisecond
 	f := newFleet(t, options{places: []place{{"a", 1, 4}}, slots: 50, timeout: timeout})
-	n := f.in("a")[0]
-	got, err := rush.Overload(n.proc.cmd.Process.Pid, 1000, func() *rush.Rush { return n.crowd(timeout) })
+	n := f.nodesIn("a")[0]
+	got, err := rush.Overload(n.proc.cmd.Process.Pid, 1000, func() *rush.Rush { return n.newOverload(timeout) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/procs/stall_test.go
+++ b/internal/procs/stall_test.go
@@ -7,32 +7,32 @@
 	"time"
 )
 
-// A stall is a time in which this process stood still: the machine is shared.
+// A pauseInterval is a time in which this process stood still: the machine is shared.
 // The stand-ins of targets, the links and the callers are all in this process.
-type stall struct{ from, to time.Time }
+type pauseInterval struct{ from, to time.Time }
 
 const (
-	stallTick  = 5 * time.Millisecond
-	stallLeast = 50 * time.Millisecond
+	pauseCheckInterval = 5 * time.Millisecond
+	minPause           = 50 * time.Millisecond
 )
 
-// stalls are those since the start of the run. It is safe for concurrent use.
-type stalls struct {
+// pauseLog are those since the start of the run. It is safe for concurrent use.
+type pauseLog struct {
 	mu   sync.Mutex
-	list []stall
+	list []pauseInterval
 }
 
-var meter stalls
+var processPauses pauseLog
 
-// watch notes stalls for as long as the process lives.
-func (s *stalls) watch() {
+// record notes stalls for as long as the process lives.
+func (s *pauseLog) record() {
 	last := time.Now()
 	for {
-		time.Sleep(stallTick)
+		time.Sleep(pauseCheckInterval)
 		now := time.Now()
-		if now.Sub(last) >= stallLeast {
+		if now.Sub(last) >= minPause {
 			s.mu.Lock()
-			s.list = append(s.list, stall{last, now})
+			s.list = append(s.list, pauseInterval{last, now})
 			s.mu.Unlock()
 		}
 		last = now
@@ -40,12 +40,12 @@
 }
 
 // since sums up the stalls that ended after a moment, and gives the longest.
-func (s *stalls) since(from time.Time) (n int, total, longest time.Duration) {
+func (s *pauseLog) since(from time.Time) (n int, total, longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, one := range s.list {
-		if one.to.After(from) {
-			d := one.to.Sub(one.from)
+	for _, p := range s.list {
+		if p.to.After(from) {
+			d := p.to.Sub(p.from)
 			n++
 			total += d
 			longest = max(longest, d)
--- a/internal/procs/standstill_test.go
+++ b/internal/procs/standstill_test.go
@@ -10,23 +10,23 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// standstill is longer than an instance waits for a target to notice that an attempt
+// linkPause is longer than an instance waits for a target to notice that an attempt
 // was broken off.
-const standstill = 1500 * time.Millisecond
+const linkPause = 1500 * time.Millisecond
 
 // TestStalledTarget: what is under way to a target and back stands still, again and
 // again, for longer than the callers wait. When it moves on, the target gets what was
 // broken off meanwhile together with what comes next, and never more than its slots.
 func TestStalledTarget(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 1, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
-		l := f.load("stall", traffic{home: "a", idempotent: 110, once: 20, timeout: 700 * time.Millisecond})
+	runScenario(t, options{places: []place{{"a", 1, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
+		l := f.load("stall", traffic{home: "a", idempotent: 110, nonIdempotent: 20, timeout: 700 * time.Millisecond})
 		for range 5 {
 			for _, tg := range f.targets["a"] {
-				f.links.SetBoth(targetsP, tg.Config().Name, link.Fault{Cut: true})
+				f.links.SetBoth(targetsPoint, tg.Config().Name, link.Fault{Cut: true})
 			}
-			time.Sleep(standstill)
+			time.Sleep(linkPause)
 			f.links.Clear()
-			time.Sleep(standstill)
+			time.Sleep(linkPause)
 		}
 		l.stop(t)
 	})
@@ -36,10 +36,10 @@
 // targets, and goes on. What waited meanwhile is served: nothing is refused for want of
 // room that there is.
 func TestStandstillInCut(t *testing.T) {
-	scenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}}, func(f *fleet) {
-		inside, outside := f.in("a")[:2], f.in("b")[:2]
-		f.between(ids(inside), append(ids(outside), platformP), link.Fault{Cut: true})
-		l := f.load("standstill", traffic{home: "a", idempotent: 60, once: 20, reach: inside})
+	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}}, func(f *fleet) {
+		inside, outside := f.nodesIn("a")[:2], f.nodesIn("b")[:2]
+		f.setFaults(nodeIDs(inside), append(nodeIDs(outside), platformPoint), link.Fault{Cut: true})
+		l := f.load("standstill", traffic{home: "a", idempotent: 60, nonIdempotent: 20, reachable: inside})
 		time.Sleep(time.Second)
 		for _, pause := range []time.Duration{600 * time.Millisecond, 1200 * time.Millisecond} {
 			for _, n := range inside {
@@ -51,17 +51,17 @@
 			}
 			time.Sleep(2 * time.Second)
 			for _, tg := range f.targets["a"] {
-				f.links.SetBoth(targetsP, tg.Config().Name, link.Fault{Cut: true})
+				f.links.SetBoth(targetsPoint, tg.Config().Name, link.Fault{Cut: true})
 			}
 			time.Sleep(pause)
 			for _, tg := range f.targets["a"] {
-				f.links.SetBoth(targetsP, tg.Config().Name, link.Fault{})
+				f.links.SetBoth(targetsPoint, tg.Config().Name, link.Fault{})
 			}
 			time.Sleep(2 * time.Second)
 		}
 		idempotent, _ := l.stop(t)
-		f.none("idempotent of the place that stood still", idempotent)
+		f.requireAllAnswered("idempotent of the place that stood still", idempotent)
 		f.links.Clear()
-		f.settled()
+		f.awaitReady()
 	})
 }
