--- a/internal/procs/crash_test.go
+++ b/internal/procs/crash_test.go
@@ -14,23 +14,24 @@
 	"github.com/firlever/firlever/internal/emulator/target"
 )
 
-// await that the targets named get new work.
+// awaitWork waits until each of the named targets has started a new request.
 func (f *fleet) awaitWork(place string, names []string) {
 	f.t.Helper()
 	for _, name := range names {
 		scope := target.Scope{Place: place, Service: service, Target: name}
 		before := f.runCount(scope)
-		f.await("work for "+name, func() string {
+		f.await("new request at "+name, func() string {
 			if f.runCount(scope) > before {
 				return ""
 			}
-			return "no run"
+			return "none started"
 		})
 	}
 }
 
-// victim picks an instance of a place that owns targets while another owns some too. On a
-// busy machine an instance may take its targets a second after the others have them.
+// victim waits until each running instance of a place owns targets, and returns the last
+// of them with its targets. On a busy machine an instance may take its targets a second
+// after the others have theirs.
 func (f *fleet) victim(place string) (*node, []string) {
 	f.t.Helper()
 	var found *node
@@ -51,21 +52,21 @@
 	return found, names
 }
 
-// TestKill: an instance is killed under load; its callers notice only latency,
-// and a replacement under its id serves again.
+// TestKill kills an instance under load. Callers see only higher latency, and a
+// replacement with the same ID serves again.
 func TestKill(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 40 * time.Millisecond}, func(f *fleet) {
 		l := f.load("kill", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
 		time.Sleep(time.Second)
 		killed, targets := f.victim("a")
 		killed.proc.kill()
-		f.await("the other instance owns all", func() string {
+		f.await("the other instance owns all targets", func() string {
 			for _, n := range f.nodesIn("a") {
 				if n.alive() && len(n.ownedTargets()) == 6 {
 					return ""
 				}
 			}
-			return "some targets are owned by nobody"
+			return "some targets have no owner"
 		})
 		f.awaitWork("a", targets)
 		incarnation := killed.latestIncarnation()
@@ -74,22 +75,23 @@
 		f.awaitWork("a", targets)
 		f.awaitWork("a", killed.ownedTargets())
 		if st, err := killed.status(); err != nil || st.Incarnation <= incarnation {
-			t.Errorf("got incarnation %d (%v), want a newer one than %d", st.Incarnation, err, incarnation)
+			t.Errorf("got incarnation %d (%v), want more than %d", st.Incarnation, err, incarnation)
 		}
 		idempotent, _ := l.stop(t)
 		f.requireAllAnswered("idempotent", idempotent)
 	})
 }
 
-// latestIncarnation is the newest that the monitor has seen of the node.
+// latestIncarnation returns the newest incarnation of the node that the monitor observed.
 func (n *node) latestIncarnation() uint64 {
 	n.f.monitor.mu.Lock()
 	defer n.f.monitor.mu.Unlock()
 	return n.f.monitor.incarnations[n.id]
 }
 
-// TestPause: an instance is stopped for longer than its rights last, under more
-// load than the place takes, and wakes up to a crowd of waiting requests.
+// TestPause stops an instance for longer than its ownership leases last, while the place
+// is overloaded, and resumes it with a burst of requests waiting. The instance must not
+// use targets that another instance took over meanwhile.
 func TestPause(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
 		light := f.load("light", traffic{home: "a", idempotent: 10, nonIdempotent: 5})
@@ -103,7 +105,7 @@
 				other = append(other, n)
 			}
 		}
-		// The paused one has free slots when it wakes; the other is kept full.
+		// The paused instance has free slots when it resumes; the other one is kept full.
 		l := f.load("pause", traffic{home: "a", idempotent: 110, nonIdempotent: 20, timeout: 2 * time.Second, reachable: other})
 		f.awaitWork("a", targets)
 		time.Sleep(time.Until(began.Add(4 * time.Second)))
@@ -124,7 +126,8 @@
 	})
 }
 
-// startBurst sends requests straight to one instance, to wait there.
+// startBurst sends requests directly to one instance, where they wait while it is paused.
+// The returned group is done when all have ended.
 func (f *fleet) startBurst(n *node, size int) *sync.WaitGroup {
 	var all sync.WaitGroup
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
--- a/internal/procs/documents_test.go
+++ b/internal/procs/documents_test.go
@@ -10,11 +10,12 @@
 	"github.com/firlever/firlever/internal/emulator/store"
 )
 
-// TestChangeInForce: a changed document is in force in every instance in time,
-// while half of the packets between instances are lost, and streams are late.
+// TestChangeInForce checks that a changed document is in force in every instance within
+// bound guaranteed by the product, while half of the packets between instances are lost, streams are
+// delayed, and the platform drops the answers to some writes.
 func TestChangeInForce(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 3, 3}, {"b", 2, 2}, {"c", 2, 2}}}, func(f *fleet) {
-		const within = 10 * time.Second // the product's bound
+		const within = 10 * time.Second // bound guaranteed by the product
 		all := f.running()
 		f.setFaults(nodeIDs(all), nodeIDs(all), link.Fault{Loss: 0.5})
 		l := f.load("change", traffic{home: "a", idempotent: 30, nonIdempotent: 10})
@@ -29,7 +30,7 @@
 			f.awaitVersion(blocksPath, version, all)
 			slowest = max(slowest, time.Since(began))
 		}
-		t.Logf("4 changes in force in %d instances, the slowest after %s", len(all), slowest.Round(time.Millisecond))
+		t.Logf("4 changes in force in %d instances, slowest %s", len(all), slowest.Round(time.Millisecond))
 		if slowest > within {
 			f.addRetryableFailure("got a change in force after %s, want %s at most", slowest, within)
 		}
--- a/internal/procs/fleet_test.go
+++ b/internal/procs/fleet_test.go
@@ -23,33 +23,33 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// awaitTimeout is the longest that a test waits for what has to come.
+// awaitTimeout is how long a test waits for an expected condition before it fails.
 const awaitTimeout = 45 * time.Second
 
 const (
 	service       = "shop/orders"
 	token         = "procs"
-	platformPoint = "platform" // the platform's point
-	targetsPoint  = "targets"  // the near end of all links to targets
+	platformPoint = "platform" // link point of the platform
+	targetsPoint  = "targets"  // near end of all links to targets
 )
 
-// place is a part of a fleet.
+// place gives the number of instances and targets of one place of a fleet.
 type place struct {
 	name      string
 	instances int
 	targets   int
 }
 
-// options set up a fleet. The stand-ins take more than their documents say, so
-// that it is firlever alone that keeps the limits.
+// options configure a fleet. The emulated targets accept more requests than their
+// documents allow, because firlever alone has to enforce the limits.
 type options struct {
 	places  []place
-	slots   int           // of each target, as its document says; 4
-	limit   int           // of the service in a place; all slots if 0
-	mean    time.Duration // service time; 5ms
-	timeout time.Duration // of the service; 3s
-	shift   int           // cap; 1000
-	linger  time.Duration // of a planned stop; that of serve if 0
+	slots   int           // per target, as in its document; default 4
+	limit   int           // of the service in a place; 0 means all slots
+	mean    time.Duration // mean service time; default 5ms
+	timeout time.Duration // of the service; default 3s
+	shift   int           // maximum of shifted requests; default 1000
+	linger  time.Duration // of a planned stop; 0 means the default of serve
 }
 
 func (o *options) defaults() {
@@ -66,26 +66,27 @@
 	}
 }
 
-// fleet is a platform, target stand-ins and instances of several places.
+// fleet is an emulated platform, emulated targets, and instances of several places that
+// run as real processes.
 type fleet struct {
 	t                 *testing.T
 	opts              options
-	number            int // of this fleet; its addresses follow from it
+	number            int // number of this fleet, from which its addresses are derived
 	links             *link.Links
 	store             *inproc.Store
 	platformAddr      string
 	journal           *target.Journal
 	targets           map[string][]*target.Target // by place
 	nodes             []*node
-	pointByIP         map[netip.Addr]link.Point // read only once processes run
+	pointByIP         map[netip.Addr]link.Point // not written after the first process has started
 	monitor           *monitor
-	retryableFailures []string // failures that a stall could explain
+	retryableFailures []string // failures that a pause of this process could have caused
 	began             time.Time
 }
 
 var fleetCount atomic.Int32
 
-// newFleet starts all, and waits until each instance has confirmed rights.
+// newFleet starts a fleet and waits until each instance is ready and each target owned.
 func newFleet(t *testing.T, opts options) *fleet {
 	t.Helper()
 	opts.defaults()
@@ -100,7 +101,7 @@
 	f.startPlatform()
 	for i, p := range opts.places {
 		f.startTargets(p)
-		for j := range p.instances + 1 { // one more can be started later
+		for j := range p.instances + 1 { // one spare node that a test can start later
 			f.nodes = append(f.nodes, f.newNode(p.name, i, j+1))
 		}
 	}
@@ -137,7 +138,8 @@
 	return ln
 }
 
-// startProxy forwards to an address over the link between two points.
+// startProxy starts a proxy that forwards to addr over the link between two points, and
+// returns its address.
 func (f *fleet) startProxy(from, to, addr string) string {
 	p := link.NewProxy(f.listen(), f.links, link.At(from), link.At(to), addr)
 	f.t.Cleanup(func() { p.Close() })
@@ -169,7 +171,7 @@
 	return p.targets * f.opts.slots
 }
 
-// callerIP is the address that callers of a place come from.
+// callerIP returns the source address of the callers at home in a place.
 func (f *fleet) callerIP(place int) string { return fmt.Sprintf("127.%d.%d.1", 20+f.number, 100+place) }
 
 func (f *fleet) placeIndex(name string) int {
@@ -182,7 +184,7 @@
 	return -1
 }
 
-// createDocuments writes the documents.
+// createDocuments writes the documents of the places, the address blocks and the service.
 func (f *fleet) createDocuments() {
 	var blocks, places strings.Builder
 	for i, p := range f.opts.places {
@@ -200,7 +202,7 @@
 		fmt.Sprintf("class: interactive\ntimeout: %s\nshift: %d\nplaces:\n%s", f.opts.timeout, f.opts.shift, places.String()))
 }
 
-// createDocument creates a document in the platform itself.
+// createDocument creates a document directly in the platform's store.
 func (f *fleet) createDocument(path, body string) {
 	f.t.Helper()
 	if _, err := docstore.PutDocument(context.Background(), f.store, path, 0, []byte(body), "setup"); err != nil {
@@ -208,7 +210,7 @@
 	}
 }
 
-// put writes a document through an instance, and returns the version that was accepted.
+// put writes a document through an instance and returns the accepted version.
 func (f *fleet) put(n *node, path string, version uint64, body string) uint64 {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
@@ -224,7 +226,7 @@
 	return change.Version
 }
 
-// nodesIn lists the instances of a place, those not started too.
+// nodesIn returns the instances of a place, including those not started.
 func (f *fleet) nodesIn(place string) []*node {
 	var list []*node
 	for _, n := range f.nodes {
@@ -235,7 +237,7 @@
 	return list
 }
 
-// running lists the instances that run.
+// running returns the instances whose processes run.
 func (f *fleet) running() []*node {
 	var list []*node
 	for _, n := range f.nodes {
@@ -246,11 +248,11 @@
 	return list
 }
 
-// awaitReady waits until each running instance has confirmed rights, and each
-// target an owner that may use it.
+// awaitReady waits until each running instance is ready and each target of their places
+// has an owner with an allowance for it.
 func (f *fleet) awaitReady() {
 	f.t.Helper()
-	f.await("all instances confirmed and all targets owned", func() string {
+	f.await("all instances ready and all targets owned", func() string {
 		usable := map[string]int{}
 		for _, n := range f.running() {
 			st, err := n.status()
@@ -268,6 +270,8 @@
 	})
 }
 
+// unownedTarget names a target without allowance at any instance, in a place that has
+// running instances; "" if there is none.
 func (f *fleet) unownedTarget(usable map[string]int) string {
 	for place, list := range f.targets {
 		if !slices.ContainsFunc(f.nodesIn(place), (*node).alive) {
@@ -275,14 +279,15 @@
 		}
 		for _, tg := range list {
 			if usable[tg.Config().Name] == 0 {
-				return tg.Config().Name + " is used by no instance"
+				return tg.Config().Name + " has no owner with an allowance"
 			}
 		}
 	}
 	return ""
 }
 
-// await waits until cond gives no reason to wait any more.
+// await polls cond until it returns no reason to wait, and returns the time that took.
+// It fails the test after awaitTimeout.
 func (f *fleet) await(what string, cond func() string) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -292,16 +297,16 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > awaitTimeout {
-			f.t.Fatalf("%s: still not after %s: %s\n%s", what, awaitTimeout, reason, f.lastOutput())
+			f.t.Fatalf("%s: condition not met within %s: %s\n%s", what, awaitTimeout, reason, f.lastOutput())
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// runCount is how much work the targets of a scope have begun.
+// runCount returns the number of requests that the targets of a scope have started.
 func (f *fleet) runCount(s target.Scope) int { return f.journal.Use(s).Runs }
 
-// lastOutput is what the instances wrote last.
+// lastOutput returns the last lines that each instance wrote.
 func (f *fleet) lastOutput() string {
 	var b strings.Builder
 	for _, n := range f.nodes {
@@ -312,8 +317,8 @@
 	return b.String()
 }
 
-// check ends a scenario: no invariant is broken, by the stand-ins' journal and
-// by what each instance tells of itself, and no process crashed.
+// check fails the test if the targets' journal or the status of an instance shows an
+// invariant violation, or if a process crashed. It stops the monitor.
 func (f *fleet) check() {
 	f.t.Helper()
 	f.monitor.stop()
@@ -328,7 +333,7 @@
 	}
 }
 
-// documentBody reads a document from the platform's stand-in.
+// documentBody reads a document from the emulated platform.
 func documentBody(t *testing.T, f *fleet, path string) []byte {
 	t.Helper()
 	e, err := f.store.Get(context.Background(), path)
--- a/internal/procs/input_test.go
+++ b/internal/procs/input_test.go
@@ -26,13 +26,13 @@
 
 var platformLine = regexp.MustCompile(`platform at (\S+)`)
 
-// processPair is a platform and an instance, both real processes, whose settings were
-// put in by the command line.
+// processPair is a platform and an instance, both real processes, whose settings are
+// written by the command line.
 type processPair struct {
 	t                                  *testing.T
 	platform, instance                 *process
 	callerAddr, peerAddr, operatorAddr string
-	f                                  *fleet // its targets and platform's stand-in; has no instances
+	f                                  *fleet // emulated platform and targets, without instances
 }
 
 func newProcessPair(t *testing.T) *processPair {
@@ -53,10 +53,11 @@
 	return p
 }
 
-// exitUnreachable is the exit code while the instance does not have all settings yet.
+// exitUnreachable is the exit code of a command while the instance has not received all
+// settings.
 const exitUnreachable = 5
 
-// put writes a document by the command line.
+// put writes a document with the command line, retrying while the instance is unreachable.
 func (p *processPair) put(path string, body []byte) {
 	p.t.Helper()
 	p.f.await("config put "+path, func() string {
@@ -74,7 +75,8 @@
 	})
 }
 
-// awaitAnswer waits until a request through the instance is answered whole.
+// awaitAnswer waits until a request through the instance gets a complete answer, and fails
+// the test if the instance has exited.
 func (p *processPair) awaitAnswer(what string) {
 	p.t.Helper()
 	i := 0
@@ -90,12 +92,13 @@
 	})
 	select {
 	case <-p.instance.done:
-		p.t.Fatalf("%s: the instance ended:\n%s", what, p.instance.out.tail(20))
+		p.t.Fatalf("%s: instance exited:\n%s", what, p.instance.out.tail(20))
 	default:
 	}
 }
 
-// sendRequest sends a request by hand, and returns the status and the body.
+// sendRequest sends a request without the client library and returns status, header and
+// body; status 0 if there was no answer.
 func (p *processPair) sendRequest(method, url string, header http.Header, body io.Reader) (int, http.Header, []byte) {
 	p.t.Helper()
 	r, err := http.NewRequest(method, url, body)
@@ -116,8 +119,8 @@
 	return resp.StatusCode, resp.Header, b
 }
 
-// TestBadInput: whatever comes in at any port, it gets a typed error or is
-// dropped, and the instance stays up and serves.
+// TestBadInput checks that invalid input at any port gets a typed error or is dropped,
+// and that the instance stays up and keeps serving.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	p := newProcessPair(t)
@@ -136,7 +139,7 @@
 	}
 	for _, c := range st.Invariants {
 		if c.Violations > 0 {
-			t.Errorf("broke %s", c.Name)
+			t.Errorf("invariant violated: %s", c.Name)
 		}
 	}
 	for name, proc := range map[string]*process{"instance": p.instance, "platform": p.platform} {
@@ -148,7 +151,8 @@
 	p.f.checkJournal()
 }
 
-// checkBadCalls goes to the callers' and the peers' address: each is refused as not run.
+// checkBadCalls sends invalid requests to the addresses for callers and peers. Each must be
+// refused with the outcome not-run and a reason.
 func (p *processPair) checkBadCalls() {
 	callers := "http://" + p.callerAddr
 	peers := "http://" + p.peerAddr
@@ -198,7 +202,8 @@
 	}
 }
 
-// checkBadOperatorRequests goes to the operators' address: each gets a typed problem.
+// checkBadOperatorRequests sends invalid requests to the operators' address. Each must get
+// a typed problem.
 func (p *processPair) checkBadOperatorRequests() {
 	at := "http://" + p.operatorAddr + "/v1/documents"
 	bearer := func(s string) http.Header {
@@ -234,7 +239,7 @@
 	}
 }
 
-// randomBytes is the same random bytes each time.
+// randomBytes returns n random bytes, the same for each n in every run.
 func randomBytes(n int) []byte {
 	r := rand.New(rand.NewPCG(7, uint64(n)))
 	b := make([]byte, n)
@@ -244,7 +249,8 @@
 	return b
 }
 
-// sendGarbage goes to all TCP ports and to the UDP port.
+// sendGarbage sends malformed data to all TCP ports and to the UDP port. No TCP connection
+// may stay open until the client's deadline.
 func (p *processPair) sendGarbage() {
 	for name, address := range p.ports() {
 		for _, b := range [][]byte{randomBytes(100), randomBytes(100_000), []byte("GET / HTTP/9.9\r\n\r\n"), []byte("\r\n\r\n\r\n"), {0x16, 3, 1, 2, 0, 1, 0}} {
@@ -257,7 +263,7 @@
 			_, _ = c.Write(b)
 			_ = c.(*net.TCPConn).CloseWrite()
 			if _, err := io.Copy(io.Discard, c); isTimeout(err) {
-				p.t.Errorf("%s: garbage of %d bytes is kept waiting", name, len(b))
+				p.t.Errorf("%s: connection still open 10 s after %d malformed bytes", name, len(b))
 			}
 			c.Close()
 		}
@@ -272,6 +278,7 @@
 	}
 }
 
+// ports returns the addresses of all TCP listeners by name.
 func (p *processPair) ports() map[string]string {
 	u, err := url.Parse("http://" + p.platform.awaitLine(p.t, platformLine)[1])
 	if err != nil {
@@ -285,8 +292,8 @@
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// checkSlowClients opens connections that send a byte now and then. Each port goes
-// on serving meanwhile, and ends them by itself.
+// checkSlowClients opens connections that send a header a byte at a time. Each port must
+// close them by itself; the instance must keep serving meanwhile.
 func (p *processPair) checkSlowClients() {
 	const each = 40
 	var all sync.WaitGroup
@@ -307,11 +314,12 @@
 	p.awaitAnswer("beside slow clients")
 	all.Wait()
 	for name, n := range notClosed {
-		p.t.Errorf("%s: %d of %d clients that are slow to send a header were never cut off", name, n, each)
+		p.t.Errorf("%s: %d of %d connections with a slow header were not closed by the server", name, n, each)
 	}
 }
 
-// sendSlowly sends a header that never ends, and says whether it was cut off.
+// sendSlowly sends an endless header a byte at a time for up to 20 s, and reports whether
+// the server closed the connection or answered.
 func sendSlowly(address string) bool {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -332,11 +340,12 @@
 	return false
 }
 
-// checkBadCommands runs the program with faults: each is named, the exit code is 2.
+// checkBadCommands runs the program with invalid arguments and documents. The output must
+// name each fault, and the exit code must be 2.
 func (p *processPair) checkBadCommands() {
 	tests := map[string]struct {
 		args []string
-		want []string // parts of what is said
+		want []string // substrings of the output
 	}{
 		"serve, all wrong": {
 			[]string{"serve", "--id", "A B", "--place", "?", "--callers", "x", "--advertise-peers", "y", "--source", "z"},
@@ -358,7 +367,7 @@
 		}
 		for _, part := range tt.want {
 			if !strings.Contains(string(out), part) {
-				p.t.Errorf("%s: got %q, want it to name %q", name, out, part)
+				p.t.Errorf("%s: got output %q, want it to contain %q", name, out, part)
 			}
 		}
 	}
--- a/internal/procs/links_test.go
+++ b/internal/procs/links_test.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/internal/emulator/target"
 )
 
-// TestBadLinks: links to targets and between instances are slow, late or half
-// open. Requests end by their deadline with a true outcome.
+// TestBadLinks makes links to targets and between instances slow, delayed, lossy or cut in
+// one direction. Requests must end by their deadline with a correct outcome.
 func TestBadLinks(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}, mean: 20 * time.Millisecond, timeout: 2 * time.Second}, func(f *fleet) {
 		l := f.load("bad", traffic{home: "a", idempotent: 60, nonIdempotent: 20, timeout: 2 * time.Second})
@@ -19,11 +19,11 @@
 		a := f.nodesIn("a")
 		name := func(i int) string { return f.targets["a"][i].Config().Name }
 		faults := []func(){
-			func() { f.links.Set(name(0), targetsPoint, link.Fault{Cut: true}) }, // answers vanish
-			func() { f.links.Set(targetsPoint, name(1), link.Fault{Cut: true}) }, // requests vanish
+			func() { f.links.Set(name(0), targetsPoint, link.Fault{Cut: true}) }, // answers are lost
+			func() { f.links.Set(targetsPoint, name(1), link.Fault{Cut: true}) }, // requests are lost
 			func() { f.links.SetBoth(targetsPoint, name(2), link.Fault{Delay: 300 * time.Millisecond}) },
 			func() { f.links.Set(name(3), targetsPoint, link.Fault{Bandwidth: 20 << 10}) },
-			func() { f.links.Set(a[0].id, a[1].id, link.Fault{Cut: true}) }, // one way
+			func() { f.links.Set(a[0].id, a[1].id, link.Fault{Cut: true}) }, // one direction only
 			func() {
 				f.links.SetBoth(a[0].id, f.nodesIn("b")[0].id, link.Fault{Loss: 0.3, Delay: 100 * time.Millisecond})
 			},
@@ -36,7 +36,7 @@
 		bad, _ := l.stop(t)
 		large.stop(t)
 		if bad.answered < bad.sent/2 {
-			f.addRetryableFailure("got %d of %d idempotent requests answered, want half or more: one target was never harmed", bad.answered, bad.sent)
+			f.addRetryableFailure("got %d of %d idempotent requests answered, want at least half: one target has no link fault", bad.answered, bad.sent)
 		}
 		f.clearLinkFaults(f.targets["a"][:2])
 		f.awaitReady()
@@ -44,10 +44,10 @@
 	})
 }
 
-// clearLinkFaults ends all faults. Requests that a cut held back come to their targets now,
-// long after the instance gave them up and another instance may have taken the
-// slots: what TCP still delivers is no steering decision, so that the limits of
-// those targets and of their place are not held against it for a second.
+// clearLinkFaults removes all link faults. TCP now delivers requests that a cut held back,
+// long after the instance gave them up and possibly after another instance took the
+// slots. That is not a routing decision, hence the limits of the cut targets and of
+// their place are not checked for one second.
 func (f *fleet) clearLinkFaults(cut []*target.Target) {
 	scopes := []target.Scope{{Place: "a"}, {Place: "a", Service: service}}
 	for _, tg := range cut {
@@ -65,11 +65,11 @@
 	}
 }
 
-// awaitRecovery waits until a second of load is answered whole.
+// awaitRecovery waits until all requests of one second of load get complete answers.
 func (f *fleet) awaitRecovery() {
 	f.t.Helper()
 	i := 0
-	f.await("all is answered again", func() string {
+	f.await("all requests answered again", func() string {
 		i++
 		l := f.load("again", traffic{home: "a", idempotent: 40 + i})
 		time.Sleep(time.Second)
--- a/internal/procs/load_test.go
+++ b/internal/procs/load_test.go
@@ -18,33 +18,33 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-// traffic is an open-loop load of callers at home in one place.
+// traffic describes an open-loop load from callers at home in one place.
 type traffic struct {
 	home          string
 	idempotent    int           // requests/s that may run twice
-	nonIdempotent int           // requests/s that must not
-	timeout       time.Duration // of one request; 8s
-	size          int64         // bytes of an answer; the target's own if 0
-	reachable     []*node       // instances that the callers know and reach; all that run if nil
+	nonIdempotent int           // requests/s that must run at most once
+	timeout       time.Duration // per request; default 8s
+	size          int64         // answer size in bytes; 0 means the target's default
+	reachable     []*node       // instances that the callers are configured with; nil means all that run
 }
 
-// tally counts how requests ended, by their last word.
+// tally counts requests by their final outcome.
 type tally struct {
 	sent            int
 	answered        int
-	retried         int            // requests asked about again with their key
-	byRunCount      map[int]int    // non-idempotent requests by how often they ran
-	failureCounts   map[string]int // ends that are no answer, by outcome and reason
-	violations      []string       // answers that were wrong, ends past the deadline
-	failedIDs       []string       // the first requests that got no answer
+	retried         int            // requests with an unknown outcome that were sent again with their key
+	byRunCount      map[int]int    // number of non-idempotent requests by how often they ran
+	failureCounts   map[string]int // requests without a complete answer, by outcome and reason
+	violations      []string       // wrong answers, and requests that ended too long after their deadline
+	failedIDs       []string       // first requests without a complete answer, up to maxFailedIDs
 	slowest         time.Duration
-	answersBySecond []int // answers by the second in which they came, from the load's start
+	answersBySecond []int // answers per second since the load's start
 }
 
-// failures is how many requests got no whole answer.
+// failures returns the number of requests that got no complete answer.
 func (c *tally) failures() int { return c.sent - c.answered }
 
-// countWithPrefix is the number of ends that begin with a prefix.
+// countWithPrefix returns the number of failures whose outcome begins with a prefix.
 func (c *tally) countWithPrefix(prefix string) int {
 	n := 0
 	for end, m := range c.failureCounts {
@@ -55,7 +55,7 @@
 	return n
 }
 
-// load runs until stop.
+// load generates traffic until stop or end.
 type load struct {
 	f      *fleet
 	name   string
@@ -68,13 +68,14 @@
 	mu            sync.Mutex
 	idempotent    tally
 	nonIdempotent tally
-	requestIDs    []string // of non-idempotent requests
+	requestIDs    []string // of the non-idempotent requests
 }
 
-// deadlineTolerance is how far past its deadline a request may end, beside the time for which this
-// process, in which the callers are, stood still itself.
+// deadlineTolerance is how long after its deadline a request may end, in addition to the
+// pauses of this process, which runs the callers.
 const deadlineTolerance = 2 * time.Second
 
+// load starts a load. It ends with stop, or at the end of the test.
 func (f *fleet) load(name string, tr traffic) *load {
 	f.t.Helper()
 	setDefault(&tr.timeout, 8*time.Second)
@@ -86,7 +87,8 @@
 	return l
 }
 
-// clientForNodes is a caller at home in a place, who reaches some instances, or all.
+// clientForNodes returns a client at home in a place that is configured with the given
+// instances, or with all that run if nodes is nil.
 func (f *fleet) clientForNodes(home string, nodes []*node) *caller.Client {
 	f.t.Helper()
 	var entries []string
@@ -99,6 +101,8 @@
 	return f.clientForAddresses(home, entries...)
 }
 
+// clientForAddresses returns a client at home in a place that is configured with the given
+// caller addresses.
 func (f *fleet) clientForAddresses(home string, entries ...string) *caller.Client {
 	f.t.Helper()
 	d := &net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(f.callerIP(f.placeIndex(home)))}}
@@ -110,7 +114,8 @@
 	return c
 }
 
-// generate starts requests at their intended times.
+// generate starts requests at their scheduled times, without waiting for earlier ones to
+// end.
 func (l *load) generate(rate int, do func(id string)) {
 	if rate == 0 {
 		return
@@ -128,6 +133,7 @@
 	}
 }
 
+// end stops the load and waits for the requests in flight. It may be called repeatedly.
 func (l *load) end() {
 	select {
 	case <-l.done:
@@ -154,10 +160,10 @@
 	l.recordOutcome(&l.idempotent, "i-"+id, began, err)
 }
 
-const maxTries = 4 // of a non-idempotent request whose outcome is unknown
+const maxTries = 4 // sends of a non-idempotent request whose outcome is unknown
 
-// post sends a request that must run at most once, and asks what became of it
-// when that's unknown.
+// post sends a request that must run at most once. While its outcome is unknown, it is
+// sent again with the key that resolves the outcome.
 func (l *load) post(id string) {
 	id = "o-" + id
 	l.f.journal.Once(id)
@@ -187,7 +193,7 @@
 	l.recordOutcome(&l.nonIdempotent, id, began, err)
 }
 
-// statusError is a target's answer that is no success.
+// statusError is an answer of a target with a status other than 200.
 type statusError struct{ status int }
 
 func (e *statusError) Error() string { return fmt.Sprintf("status %d", e.status) }
@@ -204,14 +210,14 @@
 	return target.VerifyAnswer(r.Header.Get("Firlever-Request"), resp.Body)
 }
 
-// checkOutcome holds the last word on a request against what ran.
+// checkOutcome compares the final outcome of a request with the journal of the targets.
 func (l *load) checkOutcome(id string, err error) {
 	var notRun *caller.NotRunError
 	if errors.As(err, &notRun) {
 		l.f.journal.Refused(id)
 	}
 	if err == nil && l.f.journal.Ran(id) == 0 {
-		l.addViolation(id + " was answered and never ran")
+		l.addViolation(id + " was answered but never ran")
 	}
 	var wrong *target.AnswerError
 	if errors.As(err, &wrong) && wrong.Err == nil {
@@ -225,7 +231,7 @@
 	l.idempotent.violations = append(l.idempotent.violations, text)
 }
 
-// maxFailedIDs is how many failures of a load are told in full.
+// maxFailedIDs is the number of failures of a tally whose log lines are printed.
 const maxFailedIDs = 2
 
 func (l *load) recordOutcome(c *tally, id string, began time.Time, err error) {
@@ -236,7 +242,7 @@
 	c.slowest = max(c.slowest, took)
 	_, paused, _ := processPauses.since(began)
 	if took > l.tr.timeout+deadlineTolerance+paused {
-		c.violations = append(c.violations, fmt.Sprintf("a request ended %s past its deadline, and callers stood still for %s", took-l.tr.timeout, paused))
+		c.violations = append(c.violations, fmt.Sprintf("a request ended %s after its deadline, with callers paused for %s", took-l.tr.timeout, paused))
 	}
 	if err == nil {
 		c.answered++
@@ -256,7 +262,7 @@
 	c.answersBySecond[second]++
 }
 
-// outcomeOf puts an end that is no answer in a few words.
+// outcomeOf returns the outcome and reason of a request that got no complete answer.
 func outcomeOf(err error) string {
 	var notRun *caller.NotRunError
 	var unknown *caller.UnknownError
@@ -275,7 +281,7 @@
 	return "wrong"
 }
 
-// stop ends the load, fails the test for wrong answers, and prints the figures.
+// stop ends the load, fails the test for violations, and logs the counts.
 func (l *load) stop(t *testing.T) (idempotent, nonIdempotent *tally) {
 	t.Helper()
 	l.end()
@@ -289,11 +295,11 @@
 		}
 	}
 	t.Logf("%s idempotent: %s", l.name, &l.idempotent)
-	t.Logf("%s once: %s; asked again %d, runs per request %v", l.name, &l.nonIdempotent, l.nonIdempotent.retried, l.nonIdempotent.byRunCount)
+	t.Logf("%s non-idempotent: %s; sent again %d, requests by number of runs %v", l.name, &l.nonIdempotent, l.nonIdempotent.retried, l.nonIdempotent.byRunCount)
 	return &l.idempotent, &l.nonIdempotent
 }
 
-// failureLogs is what the instances logged of the first failures.
+// failureLogs returns what the instances logged about the first failed requests.
 func (f *fleet) failureLogs(c *tally) string {
 	var b strings.Builder
 	for _, id := range c.failedIDs {
--- a/internal/procs/main_test.go
+++ b/internal/procs/main_test.go
@@ -1,9 +1,9 @@
 //go:build linux
 
-// Package procs runs the built program as real processes over loopback, puts
-// faults on the links between them, and holds them against the ground truth of
-// the target stand-ins. It holds tests alone. Linux only: each instance has an
-// address of its own in 127.0.0.0/8, by which the links tell who sends.
+// Package procs runs the built program as real processes over loopback, injects
+// faults into the links between them, and checks them against the journal of the
+// emulated targets. It contains only tests. Linux only: each instance has its own
+// address in 127.0.0.0/8, by which the links identify the sender.
 package procs
 
 import (
@@ -17,10 +17,11 @@
 	"time"
 )
 
-// parallelScenarios is how many run at one time: they mostly wait.
+// parallelScenarios is how many scenarios run in parallel at least. They spend most of
+// their time waiting.
 const parallelScenarios = 6
 
-// binary is the built program.
+// binary is the path of the built program.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -32,6 +33,7 @@
 	os.Exit(run(m))
 }
 
+// raiseFlag sets an integer flag to n if it is lower.
 func raiseFlag(name string, n int) error {
 	current, err := strconv.Atoi(flag.Lookup(name).Value.String())
 	if err != nil || current >= n {
@@ -40,7 +42,7 @@
 	return flag.Set(name, strconv.Itoa(n))
 }
 
-// run builds the program, runs the tests, and removes what it built.
+// run builds the program, runs the tests and removes the build. It returns the exit code.
 func run(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "firlever-procs")
 	if err != nil {
@@ -59,7 +61,7 @@
 	return m.Run()
 }
 
-// soakDuration is how long the long variants last; zero in a usual run.
+// soakDuration returns the duration of soak runs from FIRLEVER_SOAK; zero if it is unset.
 func soakDuration(t *testing.T) time.Duration {
 	t.Helper()
 	text := os.Getenv("FIRLEVER_SOAK")
--- a/internal/procs/network_test.go
+++ b/internal/procs/network_test.go
@@ -11,15 +11,15 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// peerProxy stands before an instance's peers' address, TCP and UDP. It tells the
-// senders by their addresses, so that each pair of instances has its own link.
+// peerProxy forwards TCP and UDP to the peer address of an instance. It identifies senders
+// by their IP addresses, which gives each pair of instances its own link.
 type peerProxy struct {
-	links        *link.Links
-	to           link.Point
-	locate       func(netip.Addr) link.Point
-	ln           net.Listener
-	packet       net.PacketConn
-	instanceAddr atomic.Pointer[net.UDPAddr] // of the instance; nil before it listens
+	links  *link.Links
+	to     link.Point
+	locate func(netip.Addr) link.Point
+	ln     net.Listener
+	packet net.PacketConn
+	real   atomic.Pointer[net.UDPAddr] // peer address of the instance; nil before it listens
 
 	mu        sync.Mutex
 	listeners map[link.Point]*senderListener
@@ -27,7 +27,7 @@
 	closed    bool
 }
 
-// senderListener hands the connections of one sender to its proxy.
+// senderListener is a net.Listener that passes the connections of one sender to its proxy.
 type senderListener struct {
 	addr  net.Addr
 	conns chan net.Conn
@@ -51,7 +51,8 @@
 
 func (l *senderListener) Addr() net.Addr { return l.addr }
 
-// newPeerProxy listens at one port of ip for both TCP and UDP.
+// newPeerProxy listens on one port of ip for both TCP and UDP. Packets are dropped and
+// connections wait until forwardTo is called.
 func newPeerProxy(ip string, links *link.Links, to link.Point, locate func(netip.Addr) link.Point) (*peerProxy, error) {
 	ln, err := net.Listen("tcp", net.JoinHostPort(ip, "0"))
 	if err != nil {
@@ -69,13 +70,14 @@
 
 func (g *peerProxy) addr() string { return g.ln.Addr().String() }
 
-// forwardTo begins to forward to the instance's own address.
+// forwardTo starts forwarding to the instance's own address. Later calls change the address
+// for packets and for senders without a connection so far.
 func (g *peerProxy) forwardTo(address string) error {
 	udp, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return err
 	}
-	if g.instanceAddr.Swap(udp) == nil {
+	if g.real.Swap(udp) == nil {
 		go g.accept()
 	}
 	return nil
@@ -100,7 +102,8 @@
 	}
 }
 
-// listenerFor returns the listenerFor of a sender; nil after close.
+// listenerFor returns the listener of a sender, and starts its proxy on first use. It
+// returns nil after close.
 func (g *peerProxy) listenerFor(from link.Point) *senderListener {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,7 +114,7 @@
 	if l == nil {
 		l = &senderListener{addr: g.ln.Addr(), conns: make(chan net.Conn), done: make(chan struct{})}
 		g.listeners[from] = l
-		g.proxies = append(g.proxies, link.NewProxy(l, g.links, from, g.to, g.instanceAddr.Load().String()))
+		g.proxies = append(g.proxies, link.NewProxy(l, g.links, from, g.to, g.real.Load().String()))
 	}
 	return l
 }
@@ -124,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		instance := g.instanceAddr.Load()
+		instance := g.real.Load()
 		if instance == nil {
 			continue
 		}
--- a/internal/procs/node_test.go
+++ b/internal/procs/node_test.go
@@ -15,20 +15,20 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// node is one instance, over all processes that run under its id.
+// node is one instance, across all processes that run under its ID.
 type node struct {
 	f            *fleet
 	id           string
 	place        string
 	ip           string
-	peerProxy    *peerProxy // others reach the instance through it
-	platformAddr string     // the instance reaches the platform through it
+	peerProxy    *peerProxy // forwards from peers to the instance
+	platformAddr string     // proxy through which the instance reaches the platform
 
-	callerAddr, peerAddr, operatorAddr string // kept when the instance is started again
+	callerAddr, peerAddr, operatorAddr string // kept across restarts of the instance
 
 	mu        sync.Mutex
-	proc      *process   // nil before the first; guarded by mu
-	processes []*process // all so far, proc too
+	proc      *process   // current process, nil before the first start; guarded by mu
+	processes []*process // all processes so far, including proc
 }
 
 var servingLine = regexp.MustCompile(`serving instance=\S+ callers=(\S+) peers=(\S+) operators=(\S+)`)
@@ -49,8 +49,8 @@
 	return n
 }
 
-// start runs a new process under the node's id and waits until it serves. It
-// begins with the peers that run now.
+// start runs a new process under the node's ID and waits until it serves. The process
+// joins through the instances that run now.
 func (n *node) start() {
 	n.f.t.Helper()
 	args := []string{
@@ -85,7 +85,8 @@
 	}
 }
 
-// alive says whether the node's process serves, also when it's stopped.
+// alive reports whether the node's current process has served and not exited. A process
+// stopped by SIGSTOP is alive.
 func (n *node) alive() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +112,8 @@
 	return c.Status(ctx)
 }
 
-// documentVersion is that of a document in force at the node; 0 if it can't be told.
+// documentVersion returns the version of a document in force at the node; 0 if the node
+// does not answer or has no such document.
 func (n *node) documentVersion(path string) uint64 {
 	st, err := n.status()
 	if err != nil {
@@ -125,7 +127,7 @@
 	return 0
 }
 
-// ownedTargets lists the targets that the node may use now.
+// ownedTargets returns the targets that the node owns with an allowance for them.
 func (n *node) ownedTargets() []string {
 	st, err := n.status()
 	if err != nil {
@@ -140,8 +142,9 @@
 	return names
 }
 
-// monitor asks all running instances for their status again and again: a
-// version must never go back, and no invariant be broken.
+// monitor polls the status of all running instances. It records a violation if the version
+// of a document decreases within an incarnation, or if an instance reports an invariant
+// violation.
 type monitor struct {
 	f       *fleet
 	done    chan struct{}
@@ -151,7 +154,7 @@
 	versions     map[string]uint64 // by instance, incarnation and path
 	checks       map[string]uint64 // by instance, incarnation and invariant
 	violations   map[string]bool
-	incarnations map[string]uint64 // newest by instance
+	incarnations map[string]uint64 // newest incarnation by instance
 	statusCount  int
 }
 
@@ -202,14 +205,14 @@
 	prefix := fmt.Sprintf("%s/%d ", st.Instance, st.Incarnation)
 	for _, d := range st.Documents {
 		if previous := m.versions[prefix+d.Path]; d.Version < previous {
-			m.violations[fmt.Sprintf("%s%s went from version %d back to %d", prefix, d.Path, previous, d.Version)] = true
+			m.violations[fmt.Sprintf("%s%s went back from version %d to %d", prefix, d.Path, previous, d.Version)] = true
 		}
 		m.versions[prefix+d.Path] = d.Version
 	}
 	for _, c := range st.Invariants {
 		m.checks[prefix+string(c.Name)] = uint64(c.Checks)
 		if c.Violations > 0 {
-			m.violations[fmt.Sprintf("%sbroke %s", prefix, c.Name)] = true
+			m.violations[fmt.Sprintf("%sviolated %s", prefix, c.Name)] = true
 		}
 	}
 }
--- a/internal/procs/outage_test.go
+++ b/internal/procs/outage_test.go
@@ -12,18 +12,20 @@
 	"github.com/firlever/firlever/internal/emulator/target"
 )
 
-// outageDuration is how long the platform is gone in a usual run.
+// outageDuration is how long the platform is unreachable if FIRLEVER_SOAK does not ask for
+// longer.
 const outageDuration = 12 * time.Second
 
 const blocksPath = "/blocks/more"
 
-// blocksDocument is a document that changes nothing for the scenarios' callers.
+// blocksDocument returns a document with an address block that no caller of the scenarios
+// belongs to.
 func blocksDocument(n int) string {
 	return fmt.Sprintf("blocks:\n  - {prefix: 198.51.100.%d/32, place: a}\n", n)
 }
 
-// awaitVersion waits until a document's version is in force in all instances
-// given, and returns how long that took.
+// awaitVersion waits until a version of a document or a newer one is in force in all given
+// instances, and returns how long that took.
 func (f *fleet) awaitVersion(path string, version uint64, nodes []*node) time.Duration {
 	f.t.Helper()
 	return f.await(fmt.Sprintf("%s at version %d", path, version), func() string {
@@ -36,7 +38,7 @@
 	})
 }
 
-// setFaults sets the fault of both ways setFaults all of two groups of points.
+// setFaults sets a fault in both directions on all links between two groups of points.
 func (f *fleet) setFaults(a, b []string, fault link.Fault) {
 	for _, x := range a {
 		for _, y := range b {
@@ -47,6 +49,7 @@
 	}
 }
 
+// nodeIDs returns the IDs of nodes, which are also their link points.
 func nodeIDs(nodes []*node) []string {
 	var list []string
 	for _, n := range nodes {
@@ -55,13 +58,14 @@
 	return list
 }
 
-// TestPlatformGone: the platform is gone for a while, for some instances by
-// refusal, for others without a word. Requests flow, what was accepted before
-// is in force, and an instance that starts meanwhile gets its documents from peers.
+// TestPlatformGone makes the platform unreachable for a while: connections of some
+// instances are refused, those of others get no answer. Requests must still be served, a
+// document accepted before must come into force, and an instance that starts during the
+// outage must get its documents from peers.
 func TestPlatformGone(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}, {"b", 1, 2}}}, func(f *fleet) {
 		f.store.SetFaults(store.Faults{LoseNext: 1})
-		version := f.put(f.nodesIn("a")[0], blocksPath, 0, blocksDocument(1)) // its answer is lost on the way to the instance
+		version := f.put(f.nodesIn("a")[0], blocksPath, 0, blocksDocument(1)) // the platform's answer to the instance is lost
 		for i, id := range nodeIDs(f.nodes) {
 			f.links.SetBoth(id, platformPoint, link.Fault{Cut: i%2 == 0, Refuse: i%2 == 1})
 		}
@@ -71,17 +75,17 @@
 		lateNode := f.nodesIn("b")[1]
 		lateNode.start()
 		took := f.awaitVersion(blocksPath, version, []*node{lateNode})
-		t.Logf("an instance started in the outage had its documents after %s", took.Round(time.Millisecond))
+		t.Logf("an instance started during the outage had its documents after %s", took.Round(time.Millisecond))
 		lateLoad := &load{f: f, tr: traffic{home: "b", timeout: 4 * time.Second}, name: "late", client: f.clientForAddresses("b", lateNode.callerAddr), began: time.Now()}
 		lateLoad.idempotent.failureCounts = map[string]int{}
 		for i := range 20 {
 			lateLoad.get(fmt.Sprintf("late-%d-%d", f.number, i))
 		}
-		f.requireAllAnswered("requests to the instance started in the outage", &lateLoad.idempotent)
+		f.requireAllAnswered("requests to the instance started during the outage", &lateLoad.idempotent)
 		time.Sleep(time.Until(began.Add(max(outageDuration, soakDuration(t)))))
 		f.links.Clear()
 		f.awaitReady()
-		f.await("the late instance owns targets", func() string {
+		f.await("the instance started during the outage owns targets", func() string {
 			if len(lateNode.ownedTargets()) > 0 || len(f.nodesIn("b")[0].ownedTargets()) == 2 {
 				return ""
 			}
@@ -90,13 +94,14 @@
 		idempotentA, nonIdempotentA := loadA.stop(t)
 		idempotentB, _ := loadB.stop(t)
 		f.requireAllAnswered("idempotent of a", idempotentA)
-		f.requireAllAnswered("once of a", nonIdempotentA)
+		f.requireAllAnswered("non-idempotent of a", nonIdempotentA)
 		f.requireAllAnswered("idempotent of b", idempotentB)
 	})
 }
 
-// TestPlaceCutOff: one place is cut off from all else, the platform too. It goes
-// on with its own targets; when the cut ends, the documents converge forward.
+// TestPlaceCutOff partitions one place from all others and from the platform. It must keep
+// using its own targets. After the partition heals, its documents must reach the version
+// written meanwhile.
 func TestPlaceCutOff(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}}, func(f *fleet) {
 		first := f.put(f.nodesIn("a")[0], blocksPath, 0, blocksDocument(1))
@@ -107,30 +112,30 @@
 		time.Sleep(time.Second)
 		second := f.put(outside[0], blocksPath, first, blocksDocument(2))
 		f.awaitVersion(blocksPath, second, outside)
-		f.await("the others know that the place is gone", func() string { return f.peerNotInState(outside[1], "a", "dead", "") })
+		f.await("the other place considers the partitioned one dead", func() string { return f.peerNotInState(outside[1], "a", "dead", "") })
 		before := f.runCount(target.Scope{Place: "a"})
 		time.Sleep(5 * time.Second)
 		if runs := f.runCount(target.Scope{Place: "a"}) - before; runs == 0 {
-			t.Error("got no work for the targets of the place that is cut off")
+			t.Error("got no requests at the targets of the partitioned place, want some")
 		}
 		for _, n := range inside {
 			if got := n.documentVersion(blocksPath); got != first {
-				t.Errorf("%s: got version %d in the cut, want %d", n.id, got, first)
+				t.Errorf("%s: got version %d during the partition, want %d", n.id, got, first)
 			}
 		}
-		idempotentA, _ := loadA.stop(t) // its callers reach the cut place alone
-		f.requireAllAnswered("idempotent in the cut", idempotentA)
+		idempotentA, _ := loadA.stop(t) // its callers reach only the partitioned place
+		f.requireAllAnswered("idempotent in the partitioned place", idempotentA)
 		f.links.Clear()
-		t.Logf("documents converged %s after the cut", f.awaitVersion(blocksPath, second, f.running()).Round(time.Millisecond))
+		t.Logf("documents converged %s after the partition", f.awaitVersion(blocksPath, second, f.running()).Round(time.Millisecond))
 		f.awaitReady()
 		idempotentB, nonIdempotentB := loadB.stop(t)
-		f.requireAllAnswered("idempotent of the rest", idempotentB)
-		f.requireAllAnswered("once of the rest", nonIdempotentB)
+		f.requireAllAnswered("idempotent of the other place", idempotentB)
+		f.requireAllAnswered("non-idempotent of the other place", nonIdempotentB)
 	})
 }
 
-// peerNotInState says why a node does not see all instances of a place in a state; a
-// missing one counts as the state named in gone.
+// peerNotInState names a peer in place that n does not list in one of the states; "" if
+// there is none. Instances that n does not list at all are not checked.
 func (f *fleet) peerNotInState(n *node, place string, states ...string) string {
 	st, err := n.status()
 	if err != nil {
--- a/internal/procs/overload_test.go
+++ b/internal/procs/overload_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestOverload: a place gets more than it takes, from callers who give up. It
-// goes on to answer as much as it can.
+// TestOverload sends a place more requests than it can serve, from callers that time out.
+// The rate of answers must not collapse over time.
 func TestOverload(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
 		const seconds = 10
@@ -25,11 +25,12 @@
 			}
 		}
 		if second < first/2 {
-			f.addRetryableFailure("got %d answers in the second half, want about the %d of the first", second, first)
+			f.addRetryableFailure("got %d answers in the second half, want at least half of the %d in the first", second, first)
 		}
 	})
 }
 
+// valueAt returns list[i], or 0 past the end.
 func valueAt(list []int, i int) int {
 	if i < len(list) {
 		return list[i]
--- a/internal/procs/planned_test.go
+++ b/internal/procs/planned_test.go
@@ -12,19 +12,19 @@
 	"github.com/firlever/firlever/internal/emulator/target"
 )
 
-// drainDeadline is how soon what is drained gets no new work.
+// drainDeadline is how long after a drain its scope may still get new requests.
 const drainDeadline = 3 * time.Second
 
-// drain writes a drain through an instance, and tells the journal when the
-// scope must be left alone.
+// drain writes a drain document through an instance. The journal reports requests that the
+// scope gets after drainDeadline as violations.
 func (f *fleet) drain(n *node, path, body string, s target.Scope) {
 	f.t.Helper()
 	f.put(n, path, 0, body)
 	f.journal.Leave(s, time.Now().Add(drainDeadline))
 }
 
-// TestPlannedStop: an instance is stopped in plan, then a target and a place are
-// drained, all under load. Nothing is cut.
+// TestPlannedStop stops an instance with SIGTERM, then drains a target and a whole place, all
+// under load. Every request must get a complete answer.
 func TestPlannedStop(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, mean: 60 * time.Millisecond, slots: 6}, func(f *fleet) {
 		l := f.load("planned", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
@@ -52,13 +52,13 @@
 		idempotent, nonIdempotent := l.stop(t)
 		large, _ := largeLoad.stop(t)
 		f.requireAllAnswered("idempotent", idempotent)
-		f.requireAllAnswered("once", nonIdempotent)
+		f.requireAllAnswered("non-idempotent", nonIdempotent)
 		f.requireAllAnswered("large answers", large)
 	})
 }
 
-// TestRollingReplacement: all instances are replaced in turn under load, then a
-// whole place is killed and started at once.
+// TestRollingReplacement replaces all instances in turn under load, then kills all
+// instances of one place and starts them again.
 func TestRollingReplacement(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}, linger: 1500 * time.Millisecond}, func(f *fleet) {
 		l := f.load("rolling", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
@@ -73,7 +73,7 @@
 		rolled, nonIdempotent := l.stop(t)
 		f.requireAllAnswered("idempotent in the rolling replacement", rolled)
 		if n := nonIdempotent.countWithPrefix("unknown") + nonIdempotent.countWithPrefix("cut"); n > 0 {
-			f.addRetryableFailure("got %d non-idempotent requests without a known end, want none", n)
+			f.addRetryableFailure("got %d non-idempotent requests with an unknown outcome or an incomplete answer, want none", n)
 		}
 
 		l = f.load("restart", traffic{home: "a", idempotent: 60, nonIdempotent: 20})
@@ -91,7 +91,7 @@
 		}
 		restarted, _ := l.stop(t)
 		if restarted.answered < restarted.sent*19/20 {
-			f.addRetryableFailure("restart of a place: got %d of %d answered, want 19 of 20: %s", restarted.answered, restarted.sent, restarted)
+			f.addRetryableFailure("restart of a place: got %d of %d requests answered, want at least 95%%: %s", restarted.answered, restarted.sent, restarted)
 		}
 	})
 }
--- a/internal/procs/process_test.go
+++ b/internal/procs/process_test.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-const maxLines = 20_000 // of a process's output
+const maxLines = 20_000 // lines kept of a process's output
 
 // process is one run of the program.
 type process struct {
 	cmd      *exec.Cmd
 	out      *output
-	done     chan struct{} // closed when it has ended
-	exitCode int           // set before done is closed; -1 if a signal ended it
+	done     chan struct{} // closed when the process has exited
+	exitCode int           // set before done is closed; -1 if a signal killed the process
 }
 
 func startProcess(t *testing.T, args ...string) *process {
@@ -45,25 +45,26 @@
 	}
 }
 
-// kill ends the process as a crash would, and waits until it's gone.
+// kill sends SIGKILL, as a stand-in for a crash, and waits until the process has exited.
 func (p *process) kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// awaitExit waits for the end and returns the awaitExit code.
+// awaitExit waits until the process has exited and returns its exit code.
 func (p *process) awaitExit(t *testing.T) int {
 	t.Helper()
 	select {
 	case <-p.done:
 		return p.exitCode
 	case <-time.After(awaitTimeout):
-		t.Fatalf("process did not end; it wrote:\n%s", p.out.tail(30))
+		t.Fatalf("process did not exit; its last output:\n%s", p.out.tail(30))
 		return -1
 	}
 }
 
-// awaitLine returns the submatches of the first line that matches.
+// awaitLine waits for a line of output that matches re, and returns its submatches. It
+// fails the test if the process exits first.
 func (p *process) awaitLine(t *testing.T, re *regexp.Regexp) []string {
 	t.Helper()
 	for end := time.Now().Add(awaitTimeout); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -72,20 +73,21 @@
 		}
 		select {
 		case <-p.done:
-			t.Fatalf("process ended with %d:\n%s", p.exitCode, p.out.tail(30))
+			t.Fatalf("process exited with code %d:\n%s", p.exitCode, p.out.tail(30))
 		default:
 		}
 	}
-	t.Fatalf("no line like %s in:\n%s", re, p.out.tail(30))
+	t.Fatalf("no line matches %s; last output:\n%s", re, p.out.tail(30))
 	return nil
 }
 
-// output keeps the last lines that a process wrote, and the first of a crash.
+// output keeps the last lines that a process wrote, and the first lines of a crash. It is
+// safe for concurrent use.
 type output struct {
 	mu         sync.Mutex
 	partial    []byte
 	lines      []string
-	crashLines []string // from the first line of a panic or a race on
+	crashLines []string // first 60 lines from the start of a panic or data race, and the first line of each later one
 }
 
 func (o *output) Write(b []byte) (int, error) {
@@ -123,7 +125,7 @@
 	return strings.Join(o.lines[max(0, len(o.lines)-n):], "\n")
 }
 
-// linesWithID returns the lines that name an id.
+// linesWithID returns the kept lines that contain an ID followed by a space.
 func (o *output) linesWithID(id string) []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,7 +138,8 @@
 	return found
 }
 
-// crashOutput is what the process wrote of a panic or a race.
+// crashOutput returns what the process wrote about a panic or data race; "" if there was
+// none.
 func (o *output) crashOutput() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/procs/race_test.go
+++ b/internal/procs/race_test.go
@@ -2,5 +2,5 @@
 
 package procs
 
-// buildFlags make the processes find races when the tests do.
+// buildFlags builds the processes with the race detector if the tests use it.
 var buildFlags = []string{"-race"}
--- a/internal/procs/report_test.go
+++ b/internal/procs/report_test.go
@@ -4,7 +4,7 @@
 
 import "testing"
 
-// report fails the test for what was seen, and prints how much was checked.
+// report fails the test for each violation, and logs how much was checked.
 func (m *monitor) report(t *testing.T) {
 	t.Helper()
 	m.mu.Lock()
@@ -17,7 +17,7 @@
 		checks += n
 	}
 	if m.statusCount == 0 || checks == 0 {
-		t.Errorf("got %d reports with %d checks, want some", m.statusCount, checks)
+		t.Errorf("got %d status reports with %d invariant checks, want some of both", m.statusCount, checks)
 	}
-	t.Logf("invariants: %d checks in the processes, %d reports read, %d faults", checks, m.statusCount, len(m.violations))
+	t.Logf("invariants: %d checks in the processes, %d status reports read, %d violations", checks, m.statusCount, len(m.violations))
 }
--- a/internal/procs/saturation_test.go
+++ b/internal/procs/saturation_test.go
@@ -10,7 +10,7 @@
 	"github.com/firlever/firlever/internal/emulator/rush"
 )
 
-// newOverload are callers of one instance who wait for a time.
+// newOverload returns callers of the node that wait for at most timeout per request.
 func (n *node) newOverload(timeout time.Duration) *rush.Rush {
 	return rush.New(n.callerAddr, timeout, func(id string) string {
 		return fmt.Sprintf("GET /call/%s/work HTTP/1.1\r\nHost: h\r\nFirlever-Request: %s\r\nFirlever-Timeout: %d\r\n\r\n",
@@ -18,9 +18,10 @@
 	})
 }
 
-// An instance on one processor that gets half as much again as that can do answers as much as
-// it can, and all of a usual load right afterwards. It takes FIRLEVER_SOAK, as it needs the
-// machine for itself.
+// TestSoakOverload offers an instance on one processor one and a half times its capacity. It
+// must keep answering at half its capacity or more, and answer nearly all of a normal load
+// right afterwards. The test runs only with FIRLEVER_SOAK, since it needs the machine for
+// itself.
 func TestSoakOverload(t *testing.T) {
 	if soakDuration(t) == 0 {
 		t.Skip("set FIRLEVER_SOAK")
@@ -35,9 +36,9 @@
 	}
 	t.Log(got)
 	if want := got.Capacity / 2; got.Answers < want {
-		t.Errorf("got %.0f answers a second, want %.0f", got.Answers, want)
+		t.Errorf("got %.0f answers/s, want at least %.0f", got.Answers, want)
 	}
 	if got, want := got.Usual.Answered(), got.Usual.All()*9/10; got < want {
-		t.Errorf("got %d answers afterwards, want %d", got, want)
+		t.Errorf("got %d answers afterwards, want at least %d", got, want)
 	}
 }
--- a/internal/procs/stall_test.go
+++ b/internal/procs/stall_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A pauseInterval is a time in which this process stood still: the machine is shared.
-// The stand-ins of targets, the links and the callers are all in this process.
+// pauseInterval is a time in which this process got no processor time, which happens on a
+// shared machine. The emulated targets, the links and the callers all run in this process.
 type pauseInterval struct{ from, to time.Time }
 
 const (
@@ -16,7 +16,8 @@
 	minPause           = 50 * time.Millisecond
 )
 
-// pauseLog are those since the start of the run. It is safe for concurrent use.
+// pauseLog holds the pauses since the start of the test process. It is safe for concurrent
+// use.
 type pauseLog struct {
 	mu   sync.Mutex
 	list []pauseInterval
@@ -24,7 +25,7 @@
 
 var processPauses pauseLog
 
-// record notes stalls for as long as the process lives.
+// record detects and records pauses. It never returns.
 func (s *pauseLog) record() {
 	last := time.Now()
 	for {
@@ -39,7 +40,8 @@
 	}
 }
 
-// since sums up the stalls that ended after a moment, and gives the longest.
+// since returns the number, total and longest duration of the pauses that ended after a
+// time.
 func (s *pauseLog) since(from time.Time) (n int, total, longest time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/procs/standstill_test.go
+++ b/internal/procs/standstill_test.go
@@ -10,13 +10,12 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// linkPause is longer than an instance waits for a target to notice that an attempt
-// was broken off.
+// linkPause is longer than an instance waits for a target to notice an aborted attempt.
 const linkPause = 1500 * time.Millisecond
 
-// TestStalledTarget: what is under way to a target and back stands still, again and
-// again, for longer than the callers wait. When it moves on, the target gets what was
-// broken off meanwhile together with what comes next, and never more than its slots.
+// TestStalledTarget repeatedly holds back all data to and from the targets for longer than
+// the callers wait. When data flows again, a target gets the attempts aborted meanwhile
+// together with new ones, and must never get more requests than it has slots.
 func TestStalledTarget(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 1, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
 		l := f.load("stall", traffic{home: "a", idempotent: 110, nonIdempotent: 20, timeout: 700 * time.Millisecond})
@@ -32,9 +31,9 @@
 	})
 }
 
-// TestStandstillInCut: a place that is cut off stands still, its instances and then its
-// targets, and goes on. What waited meanwhile is served: nothing is refused for want of
-// room that there is.
+// TestStandstillInCut pauses first the instances and then the links to the targets of a
+// partitioned place. Requests that waited meanwhile must be served after each pause:
+// none may be refused for lack of slots that are in fact free.
 func TestStandstillInCut(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 4}, {"b", 2, 4}}}, func(f *fleet) {
 		inside, outside := f.nodesIn("a")[:2], f.nodesIn("b")[:2]
@@ -60,7 +59,7 @@
 			time.Sleep(2 * time.Second)
 		}
 		idempotent, _ := l.stop(t)
-		f.requireAllAnswered("idempotent of the place that stood still", idempotent)
+		f.requireAllAnswered("idempotent of the paused place", idempotent)
 		f.links.Clear()
 		f.awaitReady()
 	})
