--- a/internal/procs/crash_test.go
+++ b/internal/procs/crash_test.go
@@ -90,8 +90,8 @@
 }
 
 // TestPause stops an instance for longer than its ownership leases last, while the place
-// is overloaded, and resumes it with a burst of requests waiting. The instance must not
-// use targets that another instance took over meanwhile.
+// is overloaded, and resumes it with a burst of requests waiting. Another instance has
+// taken over its targets meanwhile, and no limit may be exceeded.
 func TestPause(t *testing.T) {
 	runScenario(t, options{places: []place{{"a", 2, 6}}, mean: 150 * time.Millisecond, slots: 2, timeout: 2 * time.Second}, func(f *fleet) {
 		light := f.load("light", traffic{home: "a", idempotent: 10, nonIdempotent: 5})
