--- a/internal/demo/address.go
+++ b/internal/demo/address.go
@@ -8,8 +8,8 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// hostOf is the first address of a prefix that a host can have.
-func hostOf(prefix string) (string, error) {
+// firstHost is the first address of a prefix that a host can have.
+func firstHost(prefix string) (string, error) {
 	p, err := netip.ParsePrefix(prefix)
 	if err != nil {
 		return "", err
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -22,20 +22,20 @@
 
 // How callers act.
 const (
-	headerRequest = "Firlever-Request"
-	headerTimeout = "Firlever-Timeout"
-	idlePerTarget = 64
-	reasonCut     = "cut-short"
-	slow          = 500 * time.Millisecond // an answer that takes longer is logged
-	askAgain      = 3                      // tries to learn of an unknown outcome
-	askPause      = 200 * time.Millisecond // between them, unless told otherwise
+	headerRequest     = "Firlever-Request"
+	headerTimeout     = "Firlever-Timeout"
+	idlePerTarget     = 64
+	reasonIncomplete  = "cut-short"
+	slowAnswer        = 500 * time.Millisecond // an answer that takes longer is logged
+	outcomeTries      = 3                      // tries to learn of an unknown outcome
+	outcomeRetryDelay = 200 * time.Millisecond // between them, unless told otherwise
 )
 
 // callers send the requests of a run, each from its home place.
 type callers struct {
-	f       *fleet
-	clients map[string]*caller.Client  // by home place
-	direct  map[string]*http.Transport // by home place
+	f                *fleet
+	clients          map[string]*caller.Client  // by home place
+	directTransports map[string]*http.Transport // by home place
 }
 
 func newCallers(f *fleet) (*callers, error) {
@@ -43,14 +43,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &callers{f: f, clients: make(map[string]*caller.Client), direct: make(map[string]*http.Transport)}
+	c := &callers{f: f, clients: make(map[string]*caller.Client), directTransports: make(map[string]*http.Transport)}
 	for i, place := range f.snapshot.Places() {
 		dial := f.dialerOf(place, addresses[place])
-		cfg := caller.Config{Entries: f.roll.entries(place), Dial: dial, Seed: f.cfg.Seed + uint64(i)}
+		cfg := caller.Config{Entries: f.instances.callerAddresses(place), Dial: dial, Seed: f.cfg.Seed + uint64(i)}
 		if c.clients[place], err = caller.New(cfg); err != nil {
 			return nil, jujuerrors.Annotate(err, "demo.newCallers")
 		}
-		c.direct[place] = &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerTarget, DisableCompression: true}
+		c.directTransports[place] = &http.Transport{DialContext: dial, MaxIdleConnsPerHost: idlePerTarget, DisableCompression: true}
 	}
 	return c, nil
 }
@@ -71,7 +71,7 @@
 	for _, client := range c.clients {
 		client.Close()
 	}
-	for _, t := range c.direct {
+	for _, t := range c.directTransports {
 		t.CloseIdleConnections()
 	}
 }
@@ -90,7 +90,7 @@
 		c.f.journal.Refused(r.ID)
 	}
 	if result.Outcome == load.Answered {
-		c.f.truth.Check(invariant.WholeAnswer, result.Wrong == nil, func() string { return result.Wrong.Error() })
+		c.f.observerChecks.Check(invariant.WholeAnswer, result.Wrong == nil, func() string { return result.Wrong.Error() })
 	}
 	return result
 }
@@ -98,7 +98,7 @@
 // log tells of a request that failed or took long.
 func (c *callers) log(r load.Request, result load.Result) {
 	took := time.Since(r.Due)
-	if c.f.cfg.Log == nil || result.Outcome == load.Answered && took < slow {
+	if c.f.cfg.Log == nil || result.Outcome == load.Answered && took < slowAnswer {
 		return
 	}
 	c.f.cfg.Log.Warn("caller", "request", r.ID, "service", r.Service, "home", r.Place,
@@ -114,24 +114,24 @@
 		req.SetBytes(make([]byte, r.Body))
 	}
 	var result load.Result
-	cut := false // an answer broke off: the request has run, whatever is said of its next try
-	for range askAgain {
+	incomplete := false // an answer broke off: the request has run, whatever is said of its next try
+	for range outcomeTries {
 		resp, err := c.clients[r.Place].Do(ctx, r.Service, req)
 		if err == nil {
-			result = read(r, resp.Status, resp.Body)
+			result = readAnswer(r, resp.Status, resp.Body)
 			resp.Body.Close()
-			if result.Reason == reasonCut && r.Idempotent && ctx.Err() == nil {
-				cut = true
+			if result.Reason == reasonIncomplete && r.Idempotent && ctx.Err() == nil {
+				incomplete = true
 				continue
 			}
 			return result
 		}
-		result = failed(err)
-		if cut && result.Outcome == load.Refused {
+		result = failureResult(err)
+		if incomplete && result.Outcome == load.Refused {
 			result.Outcome = load.Unknown
 		}
 		var unknown *caller.UnknownError
-		if !errors.As(err, &unknown) || r.Idempotent || !pause(ctx, unknown.RetryAt) {
+		if !errors.As(err, &unknown) || r.Idempotent || !waitForRetry(ctx, unknown.RetryAt) {
 			return result
 		}
 		req.Key = unknown.Key
@@ -139,11 +139,11 @@
 	return result
 }
 
-// pause waits until an unknown outcome may be asked for again. It returns false
+// waitForRetry waits until an unknown outcome may be asked for again. It returns false
 // when that is past the deadline.
-func pause(ctx context.Context, until time.Time) bool {
+func waitForRetry(ctx context.Context, until time.Time) bool {
 	if until.IsZero() {
-		until = time.Now().Add(askPause)
+		until = time.Now().Add(outcomeRetryDelay)
 	}
 	t := time.NewTimer(time.Until(until))
 	defer t.Stop()
@@ -155,7 +155,7 @@
 	}
 }
 
-func failed(err error) load.Result {
+func failureResult(err error) load.Result {
 	var notRun *caller.NotRunError
 	var unknown *caller.UnknownError
 	switch {
@@ -170,20 +170,20 @@
 	return load.Result{Outcome: load.Unknown, Reason: "error"}
 }
 
-// read verifies an answer. One that ends with an error was not passed off as
+// readAnswer verifies an answer. One that ends with an error was not passed off as
 // whole.
-func read(r load.Request, status int, body io.Reader) load.Result {
+func readAnswer(r load.Request, status int, body io.Reader) load.Result {
 	if status != http.StatusOK {
 		return load.Result{Outcome: load.Unknown, Reason: "status-" + strconv.Itoa(status)}
 	}
 	err := target.VerifyAnswer(r.ID, body)
-	var cut *caller.IncompleteError
+	var incomplete *caller.IncompleteError
 	switch {
-	case errors.As(err, &cut) && errors.Is(err, context.DeadlineExceeded):
+	case errors.As(err, &incomplete) && errors.Is(err, context.DeadlineExceeded):
 		// The caller's own deadline passed while the answer came in; nothing broke.
 		return load.Result{Outcome: load.Unknown, Reason: caller.ReasonTimeout}
-	case errors.As(err, &cut):
-		return load.Result{Outcome: load.Unknown, Reason: reasonCut}
+	case errors.As(err, &incomplete):
+		return load.Result{Outcome: load.Unknown, Reason: reasonIncomplete}
 	}
 	return load.Result{Outcome: load.Answered, Wrong: err}
 }
@@ -192,17 +192,17 @@
 
 // callDirect calls a target without an instance between.
 func (c *callers) callDirect(ctx context.Context, r load.Request) load.Result {
-	url := "http://" + c.f.direct[r.Place] + pathOf(r)
+	url := "http://" + c.f.directTargets[r.Place] + pathOf(r)
 	req, err := http.NewRequestWithContext(ctx, r.Method, url, nil)
 	if err != nil {
 		return load.Result{Outcome: load.Refused, Reason: "request"}
 	}
 	req.Header.Set(headerRequest, r.ID)
 	req.Header.Set(headerTimeout, strconv.FormatInt(time.Until(r.Deadline).Milliseconds(), 10))
-	resp, err := c.direct[r.Place].RoundTrip(req)
+	resp, err := c.directTransports[r.Place].RoundTrip(req)
 	if err != nil {
 		return load.Result{Outcome: load.Unknown, Reason: "direct"}
 	}
 	defer resp.Body.Close()
-	return read(r, resp.StatusCode, resp.Body)
+	return readAnswer(r, resp.StatusCode, resp.Body)
 }
--- a/internal/demo/caller_test.go
+++ b/internal/demo/caller_test.go
@@ -14,19 +14,19 @@
 )
 
 // An answer that breaks off was lost, unless its caller's own deadline ended it.
-func TestReadCutAnswer(t *testing.T) {
+func TestReadIncompleteAnswer(t *testing.T) {
 	tests := map[string]struct {
 		err    error
 		reason string
 	}{
-		"connection lost": {io.ErrUnexpectedEOF, reasonCut},
-		"reset":           {errors.New("connection reset by peer"), reasonCut},
+		"connection lost": {io.ErrUnexpectedEOF, reasonIncomplete},
+		"reset":           {errors.New("connection reset by peer"), reasonIncomplete},
 		"deadline":        {context.DeadlineExceeded, caller.ReasonTimeout},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			body := io.MultiReader(io.LimitReader(target.Answer("r", 1000), 500), iotest.ErrReader(&caller.IncompleteError{Err: tt.err}))
-			got := read(load.Request{ID: "r"}, http.StatusOK, body)
+			got := readAnswer(load.Request{ID: "r"}, http.StatusOK, body)
 			if got.Outcome != load.Unknown || got.Reason != tt.reason {
 				t.Errorf("got %+v, want an unknown outcome for %s", got, tt.reason)
 			}
--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -29,9 +29,9 @@
 
 // Bounds of a Config.
 const (
-	minFor  = 2 * time.Second
-	maxFor  = time.Hour
-	maxRate = 4.0
+	minDuration = 2 * time.Second
+	maxDuration = time.Hour
+	maxRate     = 4.0
 )
 
 // Defaults sets what is left at zero.
@@ -65,7 +65,7 @@
 	}
 	policies := []core.Policy{core.PolicyOwner, core.PolicyRandom, core.PolicyTwo}
 	check(len(c.Documents) > 0, "there are no documents")
-	check(c.For >= minFor && c.For <= maxFor, "for is %s, want %s to %s", c.For, minFor, maxFor)
+	check(c.For >= minDuration && c.For <= maxDuration, "for is %s, want %s to %s", c.For, minDuration, maxDuration)
 	check(c.Rate > 0 && c.Rate <= maxRate, "rate is %g, want more than 0, at most %g", c.Rate, maxRate)
 	check(slices.Contains(policies, c.Policy), "policy is %q, want one of %v", c.Policy, policies)
 	for _, k := range c.Faults {
--- a/internal/demo/crash_test.go
+++ b/internal/demo/crash_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range rep.Invariants {
-		if c.Name == invariant.Contained && c.Checks < shownBy {
-			t.Errorf("got %d targets ended, want %d at least", c.Checks, shownBy)
+		if c.Name == invariant.Contained && c.Checks < crashesToDetect {
+			t.Errorf("got %d targets ended, want %d at least", c.Checks, crashesToDetect)
 		}
 		if c.Violations > 0 {
 			t.Errorf("got %s broken %d times of %d", c.Name, c.Violations, c.Checks)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return planner{snapshot: s, profile: profileFor(s), rate: rate, once: once}
+	return planner{snapshot: s, profile: profileFor(s), rate: rate, oncePaths: once}
 }
 
 func TestRewrite(t *testing.T) {
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestDistribute(t *testing.T) {
 	tests := map[string]struct {
 		n    int
 		want map[string]int
@@ -77,8 +77,8 @@
 		t.Run(name, func(t *testing.T) {
 			_, s := example(t, name)
 			got := map[string]int{}
-			for _, seat := range spread(s, tt.n) {
-				got[seat.place]++
+			for _, pl := range distribute(s, tt.n) {
+				got[pl.place]++
 			}
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
@@ -192,7 +192,7 @@
 	if rep.Added == nil || rep.Added.Added != 0.5 {
 		t.Errorf("got added %+v, want 0.5", rep.Added)
 	}
-	sum := together([]invariant.Count{{Name: "a", Checks: 1}}, []invariant.Count{{Name: "a", Checks: 2, Violations: 1}})
+	sum := sumCounts([]invariant.Count{{Name: "a", Checks: 1}}, []invariant.Count{{Name: "a", Checks: 2, Violations: 1}})
 	if sum[0].Checks != 3 || sum[0].Violations != 1 {
 		t.Errorf("got %+v", sum)
 	}
--- a/internal/demo/documents.go
+++ b/internal/demo/documents.go
@@ -21,14 +21,14 @@
 func Load(dir string) ([]settings.Document, error) {
 	fsys := os.DirFS(dir)
 	if _, err := os.Stat(dir); err != nil {
-		built, subErr := examples.Dir(filepath.Base(dir))
+		embedded, subErr := examples.Dir(filepath.Base(dir))
 		if subErr != nil {
 			return nil, errors.Annotate(err, "demo.Load")
 		}
-		if _, statErr := fs.Stat(built, "."); statErr != nil {
+		if _, statErr := fs.Stat(embedded, "."); statErr != nil {
 			return nil, errors.Annotate(err, "demo.Load")
 		}
-		fsys = built
+		fsys = embedded
 	}
 	docs, err := files.LoadDir(fsys)
 	return docs, errors.Annotate(err, "demo.Load")
@@ -36,7 +36,7 @@
 
 // rewrite gives each target of the documents the address that move tells, so
 // that several runs fit on one machine.
-func rewrite(docs []settings.Document, move map[string]string) ([]settings.Document, error) {
+func rewrite(docs []settings.Document, addresses map[string]string) ([]settings.Document, error) {
 	out := make([]settings.Document, 0, len(docs))
 	for _, doc := range docs {
 		path, err := settings.ParsePath(doc.Path)
@@ -44,7 +44,7 @@
 			return nil, errors.Annotate(err, "demo.rewrite")
 		}
 		if path.Kind == settings.KindService {
-			if doc.Body, err = rewriteService(doc.Body, move); err != nil {
+			if doc.Body, err = rewriteService(doc.Body, addresses); err != nil {
 				return nil, errors.Annotatef(err, "demo.rewrite %s", doc.Path)
 			}
 		}
@@ -53,14 +53,14 @@
 	return out, nil
 }
 
-func rewriteService(body []byte, move map[string]string) ([]byte, error) {
+func rewriteService(body []byte, addresses map[string]string) ([]byte, error) {
 	var s settings.Service
 	if err := yaml.Unmarshal(body, &s); err != nil {
 		return nil, errors.Trace(err)
 	}
 	for _, site := range s.Places {
 		for i, t := range site.Targets {
-			site.Targets[i].Address = cmp.Or(move[t.Address], t.Address)
+			site.Targets[i].Address = cmp.Or(addresses[t.Address], t.Address)
 		}
 	}
 	return yaml.Marshal(s)
@@ -89,25 +89,25 @@
 	return paths, nil
 }
 
-// spread deals n instances out over the places, those with the highest limits
+// distribute deals n instances out over the places, those with the highest limits
 // first.
-func spread(s *settings.Snapshot, n int) []seat {
+func distribute(s *settings.Snapshot, n int) []placement {
 	places := slices.Clone(s.Places())
 	slices.SortStableFunc(places, func(a, b string) int {
 		pa, _ := s.Place(a)
 		pb, _ := s.Place(b)
 		return cmp.Compare(pb.Limit, pa.Limit)
 	})
-	seats := make([]seat, 0, n)
+	placements := make([]placement, 0, n)
 	for i := range n {
 		place := places[i%len(places)]
-		seats = append(seats, seat{id: fmt.Sprintf("%s-%d", place, i/len(places)+1), place: place})
+		placements = append(placements, placement{id: fmt.Sprintf("%s-%d", place, i/len(places)+1), place: place})
 	}
-	return seats
+	return placements
 }
 
-// seat is an instance's name and place.
-type seat struct{ id, place string }
+// placement is an instance's name and place.
+type placement struct{ id, place string }
 
 // homeAddresses finds an address of the callers of each place: the first one of
 // the place's first block.
@@ -117,7 +117,7 @@
 		if _, ok := addresses[b.Place]; ok {
 			continue
 		}
-		a, err := hostOf(b.Prefix)
+		a, err := firstHost(b.Prefix)
 		if err != nil {
 			return nil, errors.Annotate(err, "demo.homeAddresses")
 		}
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -56,9 +56,9 @@
 
 // Shape of a schedule, in shares of the run.
 const (
-	faultFirst  = 0.15 // the earliest start of a fault
-	faultLast   = 0.45 // the latest start of a fault
-	faultLength = 0.4  // of the time for which it lasts
+	earliestStart = 0.15 // the earliest start of a fault
+	latestStart   = 0.45 // the latest start of a fault
+	faultLength   = 0.4  // of the time for which it lasts
 )
 
 // schedule draws one fault of each kind. The place that is cut off is not
@@ -68,16 +68,16 @@
 	places, instances = shuffled(rng, places), shuffled(rng, instances)
 	var list []Fault
 	for _, k := range allFaults {
-		at := share(total, faultFirst+rng.Float64()*(faultLast-faultFirst))
+		at := fraction(total, earliestStart+rng.Float64()*(latestStart-earliestStart))
 		if !slices.Contains(kinds, k) {
 			continue
 		}
-		f := Fault{Kind: k, At: at, Back: at + share(total, faultLength)}
+		f := Fault{Kind: k, At: at, Back: at + fraction(total, faultLength)}
 		switch k {
 		case FaultKill, FaultStop:
-			f.On, instances = first(instances)
+			f.On, instances = takeFirst(instances)
 		case FaultDrain, FaultCut, FaultNotice:
-			f.On, places = first(places)
+			f.On, places = takeFirst(places)
 		}
 		list = append(list, f)
 	}
@@ -88,7 +88,7 @@
 // faultStream keeps the draws of faults apart from others of the same seed.
 const faultStream = 0xfa17
 
-func share(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
+func fraction(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
 
 func shuffled(rng *rand.Rand, names []string) []string {
 	names = slices.Sorted(slices.Values(names))
@@ -96,8 +96,8 @@
 	return names
 }
 
-// first takes the first name off; the last one stays.
-func first(names []string) (string, []string) {
+// takeFirst takes the takeFirst name off; the last one stays.
+func takeFirst(names []string) (string, []string) {
 	if len(names) == 1 {
 		return names[0], names
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -32,23 +32,23 @@
 	snapshot *settings.Snapshot // of the documents as they were at the start
 	docs     []settings.Document
 
-	clock     *clock.Clock
-	links     *link.Links
-	directory *directory
-	program   *invariant.Counter // what the instances check themselves
-	truth     *invariant.Counter // what the journal and the callers see
-	journal   *target.Journal
-	apart     *target.Journal // of the targets that are called directly
+	clock          *clock.Clock
+	links          *link.Links
+	directory      *directory
+	instanceChecks *invariant.Counter // what the instances check themselves
+	observerChecks *invariant.Counter // what the journal and the callers see
+	journal        *target.Journal
+	directJournal  *target.Journal // of the targets that are called directly
 
-	store   *inproc.Store // the operators' own way to the platform, which answers the instances too
-	proxies map[string]*link.Proxy
-	started uint64            // targets that were started
-	mortals []*mortal         // the same
-	ends    ends              // of targets under the request that ends them
-	direct  map[string]string // address of the target to call directly, by place
-	roll    *roll
-	details details
-	closers []func()
+	store          *inproc.Store // the operators' own way to the platform, which answers the instances too
+	proxies        map[string]*link.Proxy
+	targetsStarted uint64              // targets that were started
+	targets        []*restartingTarget // the same
+	crashes        crashTimes          // of targets under the request that ends them
+	directTargets  map[string]string   // address of the target to call directly, by place
+	instances      *instanceSet
+	details        details
+	closers        []func()
 }
 
 func newFleet(cfg Config) (*fleet, error) {
@@ -58,14 +58,14 @@
 	}
 	f := &fleet{
 		cfg: cfg, profile: profileFor(s), snapshot: s,
-		clock: clock.Start(), directory: newDirectory(), roll: newRoll(),
-		proxies: make(map[string]*link.Proxy), direct: make(map[string]string),
+		clock: clock.Start(), directory: newDirectory(), instances: newInstanceSet(),
+		proxies: make(map[string]*link.Proxy), directTargets: make(map[string]string),
 	}
-	f.program, f.truth = invariant.New(f.details.add), invariant.New(f.details.add)
+	f.instanceChecks, f.observerChecks = invariant.New(f.details.add), invariant.New(f.details.add)
 	f.closers = append(f.closers, f.clock.Close)
 	f.links = link.New(locations(s), f.profile.Latency, cfg.Seed, f.clock)
-	f.journal = target.NewJournal(f.truth, time.Now().Truncate(time.Second))
-	f.apart = target.NewJournal(nil, time.Now())
+	f.journal = target.NewJournal(f.observerChecks, time.Now().Truncate(time.Second))
+	f.directJournal = target.NewJournal(nil, time.Now())
 	for _, step := range []func() error{f.startPlatform, f.startTargets, f.seedDocuments, f.startInstances} {
 		if err := step(); err != nil {
 			f.close()
@@ -130,7 +130,7 @@
 
 // close ends everything, the last started first.
 func (f *fleet) close() {
-	for _, p := range f.roll.live() {
+	for _, p := range f.instances.running() {
 		p.kill()
 	}
 	for i := len(f.closers) - 1; i >= 0; i-- {
--- a/internal/demo/inject.go
+++ b/internal/demo/inject.go
@@ -20,13 +20,13 @@
 
 // Times of faults.
 const (
-	suspension  = 3 * time.Second        // longer than a tenure lasts without a confirmation
-	leaveWithin = 3 * time.Second        // after which a drained place gets no new work
-	leaveSeen   = 500 * time.Millisecond // for which a drain lasts on at least, to see that
-	stopWait    = 20 * time.Second
-	writeEvery  = 100 * time.Millisecond // between two tries of a drain's document
-	awayTime    = time.Second            // for which the platform is away until it comes back from a copy
-	againWithin = 10 * time.Second       // after which it holds again what it had lost
+	suspensionLength   = 3 * time.Second        // longer than a tenure lasts without a confirmation
+	drainDeadline      = 3 * time.Second        // after which a drained place gets no new work
+	drainObservation   = 500 * time.Millisecond // for which a drain lasts on at least, to see that
+	stopTimeout        = 20 * time.Second
+	writeRetryInterval = 100 * time.Millisecond // between two tries of a drain's document
+	restoreOutage      = time.Second            // for which the platform is away until it comes back from a copy
+	recoveryTimeout    = 10 * time.Second       // after which it holds again what it had lost
 )
 
 // Event is a fault as it happened.
@@ -46,17 +46,17 @@
 // inject carries the schedule out, each fault by itself.
 func (r *run) inject(ctx context.Context) {
 	var ids []string
-	for _, p := range r.f.roll.live() {
+	for _, p := range r.f.instances.running() {
 		ids = append(ids, p.id)
 	}
 	list := schedule(r.f.cfg.Seed, r.f.cfg.Faults, r.f.snapshot.Places(), ids, r.f.cfg.For)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, fault := range list {
-		all.Go(func() {
-			if !r.until(ctx, fault.At) {
+		wg.Go(func() {
+			if !r.sleepUntil(ctx, fault.At) {
 				return
 			}
-			err := r.carryOut(ctx, fault)
+			err := r.injectFault(ctx, fault)
 			e := Event{Fault: fault}
 			if err != nil {
 				e.Note = err.Error()
@@ -66,10 +66,10 @@
 			r.events = append(r.events, e)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func (r *run) carryOut(ctx context.Context, fault Fault) error {
+func (r *run) injectFault(ctx context.Context, fault Fault) error {
 	switch fault.Kind {
 	case FaultKill:
 		return r.kill(ctx, fault)
@@ -79,16 +79,16 @@
 		return r.drain(ctx, fault)
 	case FaultCut:
 		r.f.links.Isolate(fault.On, link.Fault{Cut: true})
-		r.until(ctx, fault.Back)
+		r.sleepUntil(ctx, fault.Back)
 		r.f.links.Isolate(fault.On, link.Fault{})
 	case FaultPlatform:
 		r.f.store.SetFaults(store.Faults{Refuse: true, Until: r.start.Add(fault.Back)})
 	case FaultRestore:
 		return r.restore(ctx, fault)
 	case FaultSuspend:
-		boottime.Suspend(suspension)
+		boottime.Suspend(suspensionLength)
 	case FaultNotice:
-		r.f.constrain(fault.On, r.start.Add(fault.Back))
+		r.f.setNotices(fault.On, r.start.Add(fault.Back))
 	case FaultCrash:
 		return r.crash(ctx, fault)
 	}
@@ -97,42 +97,42 @@
 
 // kill lets an instance die, and starts a new incarnation.
 func (r *run) kill(ctx context.Context, fault Fault) error {
-	p := r.f.roll.take(fault.On)
+	p := r.f.instances.remove(fault.On)
 	p.kill()
-	r.until(ctx, fault.Back)
-	return r.replace(p.seat)
+	r.sleepUntil(ctx, fault.Back)
+	return r.replace(p.placement)
 }
 
 // restore lets the platform come back from a copy that is as old as the fault lasts, and sees
 // that nothing of what it has lost stays so.
 func (r *run) restore(ctx context.Context, fault Fault) error {
-	c := r.f.store.Copy()
-	r.until(ctx, fault.Back-awayTime)
+	snapshot := r.f.store.Copy()
+	r.sleepUntil(ctx, fault.Back-restoreOutage)
 	lost, _, err := r.f.store.List(ctx, "/") // that it may lose, unless it is away already
 	r.f.store.SetFaults(store.Faults{Refuse: true, Until: r.start.Add(fault.Back)})
-	r.until(ctx, fault.Back)
-	r.f.store.GoBack(c)
-	for end := time.Now().Add(againWithin); len(lost) > 0 && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(writeEvery) {
-		lost = r.behind(ctx, lost)
+	r.sleepUntil(ctx, fault.Back)
+	r.f.store.GoBack(snapshot)
+	for end := time.Now().Add(recoveryTimeout); len(lost) > 0 && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(writeRetryInterval) {
+		lost = r.outdated(ctx, lost)
 	}
 	for _, e := range lost {
-		r.f.truth.Check(invariant.ConfigForward, false, func() string {
+		r.f.observerChecks.Check(invariant.ConfigForward, false, func() string {
 			return fmt.Sprintf("the platform has not got %s at version %d again", e.Path, e.Version)
 		})
 	}
-	r.f.truth.Check(invariant.ConfigForward, true, nil)
+	r.f.observerChecks.Check(invariant.ConfigForward, true, nil)
 	return err
 }
 
-// behind returns those entries of which the platform has an earlier version, or none, as far as it
+// outdated returns those entries of which the platform has an earlier version, or none, as far as it
 // tells.
-func (r *run) behind(ctx context.Context, entries []docstore.Entry) []docstore.Entry {
-	now, _, err := r.f.store.List(ctx, "/")
+func (r *run) outdated(ctx context.Context, entries []docstore.Entry) []docstore.Entry {
+	current, _, err := r.f.store.List(ctx, "/")
 	if err != nil {
 		return entries
 	}
-	versions := make(map[string]uint64, len(now))
-	for _, e := range now {
+	versions := make(map[string]uint64, len(current))
+	for _, e := range current {
 		versions[e.Path] = e.Version
 	}
 	return slices.DeleteFunc(entries, func(e docstore.Entry) bool { return versions[e.Path] >= e.Version })
@@ -140,26 +140,26 @@
 
 // stop is a planned stop, and a start after it.
 func (r *run) stop(ctx context.Context, fault Fault) error {
-	p := r.f.roll.take(fault.On)
-	ctx, cancel := context.WithTimeout(ctx, stopWait)
+	p := r.f.instances.remove(fault.On)
+	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
 	defer cancel()
-	err := p.in.Stop(ctx)
+	err := p.instance.Stop(ctx)
 	p.conns.freeze()
 	p.conns.closeAll()
 	p.client.Close()
-	r.f.truth.Check(invariant.GracefulStop, err == nil, func() string { return p.id + ": " + err.Error() })
+	r.f.observerChecks.Check(invariant.GracefulStop, err == nil, func() string { return p.id + ": " + err.Error() })
 	if err != nil {
 		return err
 	}
-	return r.replace(p.seat)
+	return r.replace(p.placement)
 }
 
-func (r *run) replace(s seat) error {
-	p, err := r.f.startProcess(s)
+func (r *run) replace(pl placement) error {
+	p, err := r.f.startProcess(pl)
 	if err != nil {
 		return err
 	}
-	r.f.roll.add(p)
+	r.f.instances.add(p)
 	return nil
 }
 
@@ -171,7 +171,7 @@
 		return err
 	}
 	var result docstore.PutResult
-	err = r.insist(ctx, fault.Back, func() error {
+	err = r.retryWrite(ctx, fault.Back, func() error {
 		var err error
 		result, err = docstore.PutDocument(ctx, r.f.store, path, 0, body, "demo-drain")
 		return err
@@ -181,29 +181,29 @@
 	}
 	accepted := time.Now()
 	scope := target.Scope{Place: fault.On}
-	r.f.journal.Leave(scope, accepted.Add(leaveWithin))
-	r.until(ctx, max(fault.Back, accepted.Sub(r.start)+leaveWithin+leaveSeen))
+	r.f.journal.Leave(scope, accepted.Add(drainDeadline))
+	r.sleepUntil(ctx, max(fault.Back, accepted.Sub(r.start)+drainDeadline+drainObservation))
 	r.f.journal.Return(scope)
-	r.drained(scope, accepted)
-	return r.insist(ctx, r.f.cfg.For+stopWait, func() error {
+	r.recordDrain(scope, accepted)
+	return r.retryWrite(ctx, r.f.cfg.For+stopTimeout, func() error {
 		_, err := docstore.DeleteDocument(ctx, r.f.store, path, result.Version, "demo-undrain")
 		return err
 	})
 }
 
-// insist repeats a write until it is accepted, as an operator does in an outage
+// retryWrite repeats a write until it is accepted, as an operator does in an outage
 // of the platform, or until a time of the run is past.
-func (r *run) insist(ctx context.Context, last time.Duration, write func() error) error {
+func (r *run) retryWrite(ctx context.Context, deadline time.Duration, write func() error) error {
 	for {
 		err := write()
-		if err == nil || ctx.Err() != nil || time.Since(r.start) >= last {
+		if err == nil || ctx.Err() != nil || time.Since(r.start) >= deadline {
 			return err
 		}
-		r.until(ctx, time.Since(r.start)+writeEvery)
+		r.sleepUntil(ctx, time.Since(r.start)+writeRetryInterval)
 	}
 }
 
-func (r *run) drained(scope target.Scope, accepted time.Time) {
+func (r *run) recordDrain(scope target.Scope, accepted time.Time) {
 	u := r.f.journal.Use(scope)
 	d := Drain{Place: scope.Place, Left: u.Now, Late: u.Late, Millis: millis(max(u.Last.Sub(accepted), 0))}
 	r.mu.Lock()
@@ -224,18 +224,18 @@
 
 // When documents are changed, in shares of the run, and how that is followed.
 const (
-	changeEvery = 0.2
-	changeLast  = 0.9
-	changeWait  = 10 * time.Second
-	changePoll  = 10 * time.Millisecond
+	changeInterval     = 0.2
+	changeEnd          = 0.9
+	changeTimeout      = 10 * time.Second
+	changePollInterval = 10 * time.Millisecond
 )
 
-// change rewrites a document now and then, and sees it spread.
-func (r *run) change(ctx context.Context) {
+// changeDocuments rewrites a document now and then, and sees it spread.
+func (r *run) changeDocuments(ctx context.Context) {
 	path := settings.BlocksPath("demo")
 	var version uint64
-	for n, part := 1, changeEvery; part < changeLast; n, part = n+1, part+changeEvery {
-		if !r.until(ctx, share(r.f.cfg.For, part)) {
+	for n, part := 1, changeInterval; part < changeEnd; n, part = n+1, part+changeInterval {
+		if !r.sleepUntil(ctx, fraction(r.f.cfg.For, part)) {
 			return
 		}
 		body := fmt.Appendf(nil, "blocks:\n  - {prefix: 192.0.2.%d/32, place: %s}\n", n, r.f.snapshot.Places()[0])
@@ -245,7 +245,7 @@
 			c.Note = err.Error()
 		} else {
 			version = result.Version
-			r.follow(ctx, &c, version)
+			r.awaitVersion(ctx, &c, version)
 		}
 		r.mu.Lock()
 		r.changes = append(r.changes, c)
--- a/internal/demo/notice.go
+++ b/internal/demo/notice.go
@@ -6,28 +6,28 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// limitShare is the part of a target's usual requests that it takes while it names a limit.
-const limitShare = 0.25
+// limitFraction is the part of a target's usual requests that it takes while it names a limit.
+const limitFraction = 0.25
 
-// constrain makes the targets of a place say until a time, in turn, that they take fewer requests,
+// setNotices makes the targets of a place say until a time, in turn, that they take fewer requests,
 // that they leave, and that they want rest.
-func (f *fleet) constrain(place string, until time.Time) {
+func (f *fleet) setNotices(place string, until time.Time) {
 	n := 0
-	for _, m := range f.mortals {
-		if m.cfg.Place != place || m.journal != f.journal {
+	for _, t := range f.targets {
+		if t.cfg.Place != place || t.journal != f.journal {
 			continue
 		}
-		usual := f.cfg.Rate * float64(m.cfg.Slots) / m.cfg.Mean.Seconds()
-		m.say([]notice.Notice{
-			{Limited: true, Limit: limitShare * usual}, {Leaving: true}, {Rest: time.Until(until)},
+		typical := f.cfg.Rate * float64(t.cfg.Slots) / t.cfg.Mean.Seconds()
+		t.setNotice([]notice.Notice{
+			{Limited: true, Limit: limitFraction * typical}, {Leaving: true}, {Rest: time.Until(until)},
 		}[n%3], until)
 		n++
 	}
 }
 
-// say makes the target say something in all answers until a time.
-func (m *mortal) say(n notice.Notice, until time.Time) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.now.SetNotice(n, until)
+// setNotice makes the target setNotice something in all answers until a time.
+func (t *restartingTarget) setNotice(n notice.Notice, until time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.current.SetNotice(n, until)
 }
--- a/internal/demo/plan.go
+++ b/internal/demo/plan.go
@@ -10,18 +10,18 @@
 
 // Shape of the load.
 const (
-	rampTime    = time.Second // over which the load grows
-	onceShare   = 0.5         // of a service with non-idempotent requests
-	onceBody    = 512         // bytes of a non-idempotent request's body
-	directRate  = 30          // direct calls/s at one place
-	directTeam  = "direct"    // marks the streams that leave the instances out
-	streamPath  = "/"
-	prefixStart = "demo"
+	rampTime           = time.Second // over which the load grows
+	nonIdempotentShare = 0.5         // of a service with non-idempotent requests
+	nonIdempotentBody  = 512         // bytes of a non-idempotent request's body
+	directRate         = 30          // direct calls/s at one place
+	directTeam         = "direct"    // marks the streams that leave the instances out
+	streamPath         = "/"
+	idPrefix           = "demo"
 )
 
 // capacity is how many requests/s a site can take.
 func capacity(site settings.Site, w Work) float64 {
-	return float64(site.Limit) / w.slot().Seconds()
+	return float64(site.Limit) / w.slotTime().Seconds()
 }
 
 // oncePath is a path of the service whose POST is not idempotent, if any rule
@@ -37,10 +37,10 @@
 
 // planner makes the streams of a run.
 type planner struct {
-	snapshot *settings.Snapshot
-	profile  Profile
-	rate     float64
-	once     map[settings.ServiceID]string // path of non-idempotent requests
+	snapshot  *settings.Snapshot
+	profile   Profile
+	rate      float64
+	oncePaths map[settings.ServiceID]string // path of non-idempotent requests
 }
 
 // streams are those of all services at all places, each place sending the share
@@ -64,12 +64,12 @@
 		return nil
 	}
 	var list []load.Stream
-	path, keyed := p.once[service.ID()]
-	if keyed {
-		s := stream(service, place, rate*onceShare, w.Sizes[0])
-		s.Method, s.Path, s.Body, s.Idempotent = http.MethodPost, path, onceBody, false
+	path, nonIdempotent := p.oncePaths[service.ID()]
+	if nonIdempotent {
+		s := stream(service, place, rate*nonIdempotentShare, w.Sizes[0])
+		s.Method, s.Path, s.Body, s.Idempotent = http.MethodPost, path, nonIdempotentBody, false
 		list = append(list, s)
-		rate *= 1 - onceShare
+		rate *= 1 - nonIdempotentShare
 	}
 	for _, size := range w.Sizes {
 		list = append(list, stream(service, place, rate/float64(len(w.Sizes)), size))
@@ -87,7 +87,7 @@
 // directStreams call a target beside the service's own, in the callers' place
 // and over the same links, to measure what the instance between adds.
 func (p planner) directStreams() []load.Stream {
-	service, ok := p.measured()
+	service, ok := p.measuredService()
 	if !ok {
 		return nil
 	}
@@ -102,12 +102,12 @@
 
 func directName(id settings.ServiceID) string { return directTeam + "/" + id.Name }
 
-// measured is the service whose added latency is measured: the first
+// measuredService is the service whose added latency is measuredService: the first
 // interactive one all of whose requests are idempotent.
-func (p planner) measured() (*settings.CompiledService, bool) {
+func (p planner) measuredService() (*settings.CompiledService, bool) {
 	for _, id := range p.snapshot.Services() {
 		service, _ := p.snapshot.Service(id)
-		if _, keyed := p.once[id]; !service.Bulk() && !keyed {
+		if _, nonIdempotent := p.oncePaths[id]; !service.Bulk() && !nonIdempotent {
 			return service, true
 		}
 	}
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -16,17 +16,17 @@
 // process is one running instance with all its connections, so that it can die
 // as a process would.
 type process struct {
-	seat
-	in     *instance.Instance
-	client *docstore.Client
-	conns  *connections
+	placement
+	instance *instance.Instance
+	client   *docstore.Client
+	conns    *connections
 }
 
 // kill ends the instance as SIGKILL would: every connection breaks, and what is
 // left of its goroutines reaches nobody.
 func (p *process) kill() {
 	p.conns.freeze()
-	p.in.Kill()
+	p.instance.Kill()
 	p.conns.closeAll()
 	p.client.Close()
 }
@@ -42,14 +42,14 @@
 
 type connection struct {
 	net.Conn
-	of *connections
+	owner *connections
 }
 
 // Close closes the connection and forgets it.
 func (c *connection) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+	c.owner.mu.Lock()
+	delete(c.owner.open, c)
+	c.owner.mu.Unlock()
 	return c.Conn.Close()
 }
 
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &connection{Conn: raw, of: c}
+	conn := &connection{Conn: raw, owner: c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.frozen {
@@ -101,29 +101,29 @@
 const portTries = 20
 
 // startProcess runs a new incarnation of an instance.
-func (f *fleet) startProcess(s seat) (*process, error) {
+func (f *fleet) startProcess(pl placement) (*process, error) {
 	var err error
 	for range portTries {
 		var p *process
-		if p, err = f.newProcess(s); err == nil {
-			for _, a := range []string{p.in.Callers(), p.in.Peers()} {
-				f.directory.add(a, link.At(s.place))
+		if p, err = f.newProcess(pl); err == nil {
+			for _, a := range []string{p.instance.Callers(), p.instance.Peers()} {
+				f.directory.add(a, link.At(pl.place))
 			}
-			p.in.Start()
+			p.instance.Start()
 			return p, nil
 		}
 	}
-	return nil, errors.Annotatef(err, "fleet.startProcess %s", s.id)
+	return nil, errors.Annotatef(err, "fleet.startProcess %s", pl.id)
 }
 
-func (f *fleet) newProcess(s seat) (*process, error) {
-	at := link.At(s.place)
-	p := &process{seat: s, client: docstore.NewClient(platform.NewStore(f.proxies[s.place].Addr()))}
+func (f *fleet) newProcess(pl placement) (*process, error) {
+	at := link.At(pl.place)
+	p := &process{placement: pl, client: docstore.NewClient(platform.NewStore(f.proxies[pl.place].Addr()))}
 	p.conns = &connections{dial: f.links.Dialer(at, f.directory.locate), open: make(map[*connection]struct{})}
-	place, _ := f.snapshot.Place(s.place)
+	place, _ := f.snapshot.Place(pl.place)
 	cfg := instance.Config{
-		ID: s.id, Callers: loopback, Peers: loopback, Operators: loopback,
-		Place: s.place, Domain: place.Domain, Region: place.Region, Join: f.roll.peers(s.place),
+		ID: pl.id, Callers: loopback, Peers: loopback, Operators: loopback,
+		Place: pl.place, Domain: place.Domain, Region: place.Region, Join: f.instances.peerAddresses(pl.place),
 		Policy: f.cfg.Policy, Store: p.client, Dial: p.conns.Dial,
 		Packet: func(address string) (net.PacketConn, error) {
 			c, err := net.ListenPacket("udp", address)
@@ -132,9 +132,9 @@
 			}
 			return f.links.PacketConn(c, at, f.directory.locateAddr), nil
 		},
-		Checks: f.program, Log: f.cfg.Log,
+		Checks: f.instanceChecks, Log: f.cfg.Log,
 	}
 	var err error
-	p.in, err = instance.New(cfg)
+	p.instance, err = instance.New(cfg)
 	return p, err
 }
--- a/internal/demo/profile.go
+++ b/internal/demo/profile.go
@@ -26,8 +26,8 @@
 	Pace  int64         // bytes/s of one answer; 0 sets no limit
 }
 
-// slot is how long an average request keeps a slot.
-func (w Work) slot() time.Duration {
+// slotTime is how long an average request keeps a slotTime.
+func (w Work) slotTime() time.Duration {
 	if w.Pace == 0 {
 		return w.Mean
 	}
@@ -40,12 +40,12 @@
 }
 
 var (
-	small = []int64{256}
-	large = []int64{256 << 10, 512 << 10, 1 << 20}
+	smallAnswers = []int64{256}
+	largeAnswers = []int64{256 << 10, 512 << 10, 1 << 20}
 )
 
-// bulkPace is how fast a target sends one bulk answer, in bytes/s.
-const bulkPace = 4 << 20
+// bulkRate is how fast a target sends one bulk answer, in bytes/s.
+const bulkRate = 4 << 20
 
 // profiles are those of the users' deployments.
 var profiles = []Profile{
@@ -54,9 +54,9 @@
 		Connection: time.Millisecond,
 		Instances:  10,
 		Work: map[string]Work{
-			"fleetwatch": {Mean: 30 * time.Millisecond, Sizes: small},
-			"runorder":   {Mean: 45 * time.Millisecond, Sizes: small},
-			"chartstore": {Mean: 40 * time.Millisecond, Sizes: large, Pace: bulkPace},
+			"fleetwatch": {Mean: 30 * time.Millisecond, Sizes: smallAnswers},
+			"runorder":   {Mean: 45 * time.Millisecond, Sizes: smallAnswers},
+			"chartstore": {Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate},
 		},
 	},
 	{
@@ -65,9 +65,9 @@
 		Probe:      6 * time.Millisecond,
 		Instances:  9,
 		Work: map[string]Work{
-			"ledger-view":  {Mean: 20 * time.Millisecond, Sizes: small},
-			"lodge-pay":    {Mean: 40 * time.Millisecond, Sizes: small},
-			"bundle-serve": {Mean: 40 * time.Millisecond, Sizes: large, Pace: bulkPace},
+			"ledger-view":  {Mean: 20 * time.Millisecond, Sizes: smallAnswers},
+			"lodge-pay":    {Mean: 40 * time.Millisecond, Sizes: smallAnswers},
+			"bundle-serve": {Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate},
 		},
 	},
 }
@@ -91,7 +91,7 @@
 		return w
 	}
 	if service.Bulk() {
-		return Work{Mean: 40 * time.Millisecond, Sizes: large, Pace: bulkPace}
+		return Work{Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate}
 	}
-	return Work{Mean: 10 * time.Millisecond, Sizes: small}
+	return Work{Mean: 10 * time.Millisecond, Sizes: smallAnswers}
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -71,7 +71,7 @@
 		Settings: f.cfg.Name, Policy: f.cfg.Policy, Seed: f.cfg.Seed,
 		Held: result.Held, Seconds: result.Seconds,
 		Drains: r.drains, Changes: r.changes, Faults: r.events,
-		Invariants: together(f.program.Counts(), f.truth.Counts()),
+		Invariants: sumCounts(f.instanceChecks.Counts(), f.observerChecks.Counts()),
 	}
 	rep.addServices(result.Services, r.planner)
 	for _, c := range rep.Invariants {
@@ -94,15 +94,15 @@
 	}
 	for _, s := range result.Services {
 		for _, e := range s.Errors {
-			lost := e.Word == caller.ReasonLost || e.Word == reasonCut
-			r.f.truth.Check(invariant.GracefulStop, !lost, func() string { return s.Name + " lost answers" })
+			lost := e.Word == caller.ReasonLost || e.Word == reasonIncomplete
+			r.f.observerChecks.Check(invariant.GracefulStop, !lost, func() string { return s.Name + " lost answers" })
 		}
 	}
 }
 
 // addServices takes in the services, and sets the direct calls apart.
 func (rep *Report) addServices(services []load.Service, p planner) {
-	measured, ok := p.measured()
+	measured, ok := p.measuredService()
 	var direct, through, slow float64
 	for _, s := range services {
 		if ok && s.Name == directName(measured.ID()) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// together adds two tallies of the same names.
-func together(a, b []invariant.Count) []invariant.Count {
+// sumCounts adds two tallies of the same names.
+func sumCounts(a, b []invariant.Count) []invariant.Count {
 	sum := slices.Clone(a)
 	for i := range sum {
 		sum[i].Checks += b[i].Checks
--- a/internal/demo/roll.go
+++ b/internal/demo/roll.go
@@ -12,54 +12,54 @@
 	"github.com/firlever/firlever/internal/owner"
 )
 
-// roll holds the running instances. It is safe for concurrent use.
-type roll struct {
+// instanceSet holds the running instances. It is safe for concurrent use.
+type instanceSet struct {
 	mu   sync.Mutex
-	list map[string]*process // by the instance's name
+	byID map[string]*process // by the instance's name
 }
 
-func newRoll() *roll { return &roll{list: make(map[string]*process)} }
+func newInstanceSet() *instanceSet { return &instanceSet{byID: make(map[string]*process)} }
 
-func (r *roll) add(p *process) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.list[p.id] = p
+func (s *instanceSet) add(p *process) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.byID[p.id] = p
 }
 
-// take removes an instance; nil if it isn't running.
-func (r *roll) take(id string) *process {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	p := r.list[id]
-	delete(r.list, id)
+// remove removes an instance; nil if it isn't running.
+func (s *instanceSet) remove(id string) *process {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	p := s.byID[id]
+	delete(s.byID, id)
 	return p
 }
 
-// live are the running instances by name.
-func (r *roll) live() []*process {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	all := make([]*process, 0, len(r.list))
-	for _, p := range r.list {
+// running are the running instances by name.
+func (s *instanceSet) running() []*process {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	all := make([]*process, 0, len(s.byID))
+	for _, p := range s.byID {
 		all = append(all, p)
 	}
 	slices.SortFunc(all, func(a, b *process) int { return strings.Compare(a.id, b.id) })
 	return all
 }
 
-// peers are the peers' addresses of the running instances, those of a place first.
-func (r *roll) peers(place string) []string {
-	return r.addresses(place, func(p *process) string { return p.in.Peers() })
+// peerAddresses are the peerAddresses' addresses of the running instances, those of a place first.
+func (s *instanceSet) peerAddresses(place string) []string {
+	return s.addresses(place, func(p *process) string { return p.instance.Peers() })
 }
 
-// entries are the callers' addresses of the running instances, those of a place first.
-func (r *roll) entries(place string) []string {
-	return r.addresses(place, func(p *process) string { return p.in.Callers() })
+// callerAddresses are the callers' addresses of the running instances, those of a place first.
+func (s *instanceSet) callerAddresses(place string) []string {
+	return s.addresses(place, func(p *process) string { return p.instance.Callers() })
 }
 
-func (r *roll) addresses(place string, of func(*process) string) []string {
+func (s *instanceSet) addresses(place string, of func(*process) string) []string {
 	var near, far []string
-	for _, p := range r.live() {
+	for _, p := range s.running() {
 		if p.place == place {
 			near = append(near, of(p))
 		} else {
@@ -71,9 +71,9 @@
 
 // Times of the start.
 const (
-	readyWait  = 15 * time.Second // longest wait for the rosters
-	readyEvery = 20 * time.Millisecond
-	settleTime = 4 * time.Second // for all to learn of each other by the platform's list, which lags
+	readyTimeout      = 15 * time.Second // longest wait for the rosters
+	readyPollInterval = 20 * time.Millisecond
+	discoveryTime     = 4 * time.Second // for all to learn of each other by the platform's list, which lags
 )
 
 // NotReadyError says that the instances did not get ready in time.
@@ -85,31 +85,31 @@
 
 // startInstances starts all instances, and waits until each is in its place's roster.
 func (f *fleet) startInstances() error {
-	seats := spread(f.snapshot, f.profile.Instances)
+	placements := distribute(f.snapshot, f.profile.Instances)
 	want := make(map[string]int)
-	for _, s := range seats {
-		p, err := f.startProcess(s)
+	for _, pl := range placements {
+		p, err := f.startProcess(pl)
 		if err != nil {
 			return errors.Trace(err)
 		}
-		f.roll.add(p)
-		want[s.place]++
+		f.instances.add(p)
+		want[pl.place]++
 	}
-	deadline := time.Now().Add(readyWait)
+	deadline := time.Now().Add(readyTimeout)
 	for place, n := range want {
-		for f.members(place) < n {
+		for f.rosterSize(place) < n {
 			if time.Now().After(deadline) {
 				return &NotReadyError{Place: place}
 			}
-			time.Sleep(readyEvery)
+			time.Sleep(readyPollInterval)
 		}
 	}
-	time.Sleep(settleTime)
+	time.Sleep(discoveryTime)
 	return nil
 }
 
-// members is how many instances a place's roster names.
-func (f *fleet) members(place string) int {
+// rosterSize is how many instances a place's roster names.
+func (f *fleet) rosterSize(place string) int {
 	e, err := f.store.Get(context.Background(), "/rosters/"+place)
 	if err != nil {
 		return 0
@@ -121,9 +121,9 @@
 	return len(r.Members)
 }
 
-// has says whether this very incarnation is running.
-func (r *roll) has(p *process) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.list[p.id] == p
+// contains says whether this very incarnation is running.
+func (s *instanceSet) contains(p *process) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.byID[p.id] == p
 }
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -44,17 +44,17 @@
 	}
 	defer f.close()
 	defer debug.SetGCPercent(debug.SetGCPercent(gcPercent))
-	r := &run{f: f, planner: planner{snapshot: f.snapshot, profile: f.profile, rate: cfg.Rate, once: once}}
-	result, err := r.play(ctx)
+	r := &run{f: f, planner: planner{snapshot: f.snapshot, profile: f.profile, rate: cfg.Rate, oncePaths: once}}
+	result, err := r.runLoad(ctx)
 	if err != nil {
 		return nil, errors.Annotate(err, "demo.Run")
 	}
 	return r.report(result), nil
 }
 
-// play sends the load, with the faults and the changes of documents beside it.
-func (r *run) play(ctx context.Context) (*load.Report, error) {
-	if service, ok := r.planner.measured(); ok {
+// runLoad sends the load, with the faults and the changes of documents beside it.
+func (r *run) runLoad(ctx context.Context) (*load.Report, error) {
+	if service, ok := r.planner.measuredService(); ok {
 		if err := r.f.startDirect(service); err != nil {
 			return nil, err
 		}
@@ -66,18 +66,18 @@
 	defer c.close()
 	plan := load.Plan{
 		Streams: r.planner.streams(), For: r.f.cfg.For, Ramp: min(rampTime, r.f.cfg.For/2),
-		Seed: r.f.cfg.Seed, Prefix: prefixStart, Clock: r.f.clock,
+		Seed: r.f.cfg.Seed, Prefix: idPrefix, Clock: r.f.clock,
 	}
 	r.start = time.Now()
-	var beside sync.WaitGroup
-	beside.Go(func() { r.inject(ctx) })
-	beside.Go(func() { r.change(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { r.inject(ctx) })
+	background.Go(func() { r.changeDocuments(ctx) })
 	result, err := load.Run(ctx, plan, c.do)
-	beside.Wait()
+	background.Wait()
 	return result, err
 }
 
-// until waits until a time of the run. It returns false when ctx ends before.
-func (r *run) until(ctx context.Context, at time.Duration) bool {
+// sleepUntil waits sleepUntil a time of the run. It returns false when ctx ends before.
+func (r *run) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return r.f.clock.SleepUntil(ctx, r.start.Add(at))
 }
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -13,17 +13,17 @@
 
 // How targets behave, beside what the profile says.
 const (
-	spreadOfWork = 0.2 // sigma of the log-normal service times
-	coldFactor   = 3
-	coldRequests = 50
-	coldTime     = 2 * time.Second
-	reportLag    = 300 * time.Millisecond
+	serviceTimeSigma = 0.2 // sigma of the log-normal service times
+	coldFactor       = 3
+	coldRequests     = 50
+	coldTime         = 2 * time.Second
+	reportLag        = 300 * time.Millisecond
 )
 
 // startTargets starts a stand-in for each target of the documents, tells the
 // journal the limits, and rewrites the documents' addresses.
 func (f *fleet) startTargets() error {
-	move := make(map[string]string)
+	addresses := make(map[string]string)
 	for _, id := range f.snapshot.Services() {
 		service, _ := f.snapshot.Service(id)
 		for _, place := range service.Places() {
@@ -34,7 +34,7 @@
 				if err != nil {
 					return err
 				}
-				move[t.Address] = address
+				addresses[t.Address] = address
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		f.journal.SetLimit(target.Scope{Place: name}, p.Limit)
 	}
 	var err error
-	f.docs, err = rewrite(f.cfg.Documents, move)
+	f.docs, err = rewrite(f.cfg.Documents, addresses)
 	return err
 }
 
@@ -53,7 +53,7 @@
 		Service: service.ID().String(), Place: place, Name: t.Name,
 		Slots: t.Slots, Connections: t.Connections,
 		ConnectionCost: f.profile.Connection, ProbeCost: f.profile.Probe,
-		Mean: w.Mean, Spread: spreadOfWork, Seed: f.cfg.Seed + f.started,
+		Mean: w.Mean, Spread: serviceTimeSigma, Seed: f.cfg.Seed + f.targetsStarted,
 		Cold: coldFactor, WarmRequests: coldRequests, WarmFor: coldTime,
 		Pace: w.Pace, Report: target.Report{Lag: reportLag}, Clock: f.clock,
 	}
@@ -68,11 +68,11 @@
 		}
 		cfg := f.targetConfig(service, place, site.Targets[0])
 		cfg.Cold, cfg.WarmRequests, cfg.WarmFor = 1, 0, 0
-		address, err := f.startTarget(cfg, f.apart)
+		address, err := f.startTarget(cfg, f.directJournal)
 		if err != nil {
 			return err
 		}
-		f.direct[place] = address
+		f.directTargets[place] = address
 	}
 	return nil
 }
@@ -82,14 +82,14 @@
 	if err != nil {
 		return "", errors.Annotate(err, "fleet.startTarget")
 	}
-	f.started++
-	m := &mortal{f: f, cfg: cfg, journal: j}
-	if err := m.start(ln); err != nil {
+	f.targetsStarted++
+	t := &restartingTarget{f: f, cfg: cfg, journal: j}
+	if err := t.start(ln); err != nil {
 		ln.Close()
 		return "", errors.Annotate(err, "fleet.startTarget")
 	}
-	f.mortals = append(f.mortals, m)
-	f.closers = append(f.closers, m.close)
+	f.targets = append(f.targets, t)
+	f.closers = append(f.closers, t.close)
 	address := ln.Addr().String()
 	f.directory.add(address, link.At(cfg.Place))
 	return address, nil
