--- a/internal/demo/address.go
+++ b/internal/demo/address.go
@@ -8,7 +8,7 @@
 	"github.com/firlever/firlever/internal/emulator/link"
 )
 
-// firstHost is the first address of a prefix that a host can have.
+// firstHost returns the first address of a prefix that a host can have.
 func firstHost(prefix string) (string, error) {
 	p, err := netip.ParsePrefix(prefix)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return a.String(), nil
 }
 
-// directory knows at which point of the network an address is. It is safe for
+// directory maps addresses to points of the emulated network. It is safe for
 // concurrent use.
 type directory struct {
 	mu     sync.Mutex
@@ -36,7 +36,8 @@
 	d.points[address] = p
 }
 
-// locate is where an address is; one that nobody knows is far from all.
+// locate returns the point of an address. An unknown address has the zero
+// Point, which is far from all others.
 func (d *directory) locate(address string) link.Point {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/demo/caller.go
+++ b/internal/demo/caller.go
@@ -20,18 +20,18 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-// How callers act.
+// Headers, reasons and limits of the callers.
 const (
 	headerRequest     = "Firlever-Request"
 	headerTimeout     = "Firlever-Timeout"
 	idlePerTarget     = 64
 	reasonIncomplete  = "cut-short"
 	slowAnswer        = 500 * time.Millisecond // an answer that takes longer is logged
-	outcomeTries      = 3                      // tries to learn of an unknown outcome
-	outcomeRetryDelay = 200 * time.Millisecond // between them, unless told otherwise
+	outcomeTries      = 3                      // attempts to obtain an unknown outcome
+	outcomeRetryDelay = 200 * time.Millisecond // between these attempts, unless the error gives a time
 )
 
-// callers send the requests of a run, each from its home place.
+// callers sends the requests of a run, each from its home place.
 type callers struct {
 	f                *fleet
 	clients          map[string]*caller.Client  // by home place
@@ -55,8 +55,8 @@
 	return c, nil
 }
 
-// dialerOf opens connections as a caller at home in a place, from an address of
-// its block.
+// dialerOf returns a dial function for callers whose home is the given place.
+// If address is a loopback address, connections are opened from it.
 func (f *fleet) dialerOf(place, address string) func(context.Context, string, string) (net.Conn, error) {
 	var local net.Addr
 	if ip := net.ParseIP(address); ip != nil && ip.IsLoopback() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// do sends one request, verifies its answer and tells the journal.
+// do sends one request, verifies its answer and records the result in the journal.
 func (c *callers) do(ctx context.Context, r load.Request) load.Result {
 	if strings.HasPrefix(r.Service, directTeam+"/") {
 		return c.callDirect(ctx, r)
@@ -95,7 +95,7 @@
 	return result
 }
 
-// log tells of a request that failed or took long.
+// log logs a request that failed or was slow.
 func (c *callers) log(r load.Request, result load.Result) {
 	took := time.Since(r.Due)
 	if c.f.cfg.Log == nil || result.Outcome == load.Answered && took < slowAnswer {
@@ -114,7 +114,7 @@
 		req.SetBytes(make([]byte, r.Body))
 	}
 	var result load.Result
-	incomplete := false // an answer broke off: the request has run, whatever is said of its next try
+	incomplete := false // an answer was truncated: the request has run, even if its retry is refused
 	for range outcomeTries {
 		resp, err := c.clients[r.Place].Do(ctx, r.Service, req)
 		if err == nil {
@@ -139,8 +139,8 @@
 	return result
 }
 
-// waitForRetry waits until an unknown outcome may be asked for again. It returns false
-// when that is past the deadline.
+// waitForRetry waits until an unknown outcome may be requested again. It returns
+// false if ctx ends first.
 func waitForRetry(ctx context.Context, until time.Time) bool {
 	if until.IsZero() {
 		until = time.Now().Add(outcomeRetryDelay)
@@ -162,7 +162,7 @@
 	case errors.As(err, &notRun):
 		return load.Result{Outcome: load.Refused, Reason: notRun.Reason}
 	case errors.As(err, &unknown) && errors.Is(err, context.Canceled):
-		// The client gave an instance up halfway to the deadline; nothing broke.
+		// The client gave up on an instance halfway to the deadline; no connection failed.
 		return load.Result{Outcome: load.Unknown, Reason: caller.ReasonTimeout}
 	case errors.As(err, &unknown):
 		return load.Result{Outcome: load.Unknown, Reason: unknown.Reason}
@@ -170,8 +170,8 @@
 	return load.Result{Outcome: load.Unknown, Reason: "error"}
 }
 
-// readAnswer verifies an answer. One that ends with an error was not passed off as
-// whole.
+// readAnswer verifies an answer. One that ends with a *caller.IncompleteError isn't
+// wrong: the truncation was reported, and the outcome is unknown.
 func readAnswer(r load.Request, status int, body io.Reader) load.Result {
 	if status != http.StatusOK {
 		return load.Result{Outcome: load.Unknown, Reason: "status-" + strconv.Itoa(status)}
@@ -180,7 +180,7 @@
 	var incomplete *caller.IncompleteError
 	switch {
 	case errors.As(err, &incomplete) && errors.Is(err, context.DeadlineExceeded):
-		// The caller's own deadline passed while the answer came in; nothing broke.
+		// The caller's own deadline passed while the answer was read; no connection failed.
 		return load.Result{Outcome: load.Unknown, Reason: caller.ReasonTimeout}
 	case errors.As(err, &incomplete):
 		return load.Result{Outcome: load.Unknown, Reason: reasonIncomplete}
@@ -190,7 +190,7 @@
 
 func pathOf(r load.Request) string { return fmt.Sprintf("%s?size=%d", r.Path, r.Size) }
 
-// callDirect calls a target without an instance between.
+// callDirect calls a target directly, not through an instance.
 func (c *callers) callDirect(ctx context.Context, r load.Request) load.Result {
 	url := "http://" + c.f.directTargets[r.Place] + pathOf(r)
 	req, err := http.NewRequestWithContext(ctx, r.Method, url, nil)
--- a/internal/demo/caller_test.go
+++ b/internal/demo/caller_test.go
@@ -13,7 +13,7 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-// An answer that breaks off was lost, unless its caller's own deadline ended it.
+// A truncated answer counts as lost, unless the caller's own deadline ended it.
 func TestReadIncompleteAnswer(t *testing.T) {
 	tests := map[string]struct {
 		err    error
--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -1,6 +1,6 @@
-// Package demo runs a whole deployment in one process, over loopback: the
-// platform's stand-in, real instances, targets' stand-ins and callers, with the
-// latencies of the real places between them, and reports what was measured.
+// Package demo runs a whole deployment in one process, over loopback: an emulated
+// platform, real instances, emulated targets and callers, with the latencies of
+// the real places between them. It reports what was measured.
 package demo
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Config says what to run.
+// Config describes a run.
 type Config struct {
-	Name      string              // of the deployment, for the report
+	Name      string              // name of the deployment in the report
 	Documents []settings.Document // the operators' documents
 	For       time.Duration       // how long callers send requests
-	Rate      float64             // load as a share of the sites' capacity
+	Rate      float64             // load as a fraction of the sites' capacity
 	Seed      uint64              // of arrivals, service times and the schedule of faults
 	Policy    core.Policy
-	Faults    []FaultKind // kinds of faults to inject; none for none
+	Faults    []FaultKind // kinds of faults to inject; may be empty
 	Log       *log.Logger // of the instances; nil logs nothing
 }
 
@@ -34,7 +34,7 @@
 	maxRate     = 4.0
 )
 
-// Defaults sets what is left at zero.
+// Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
 	if c.For == 0 {
 		c.For = 10 * time.Second
@@ -50,12 +50,12 @@
 	}
 }
 
-// ConfigError names every fault of a Config.
+// ConfigError lists all invalid values of a Config.
 type ConfigError struct{ Faults []string }
 
 func (e *ConfigError) Error() string { return "demo: " + strings.Join(e.Faults, "; ") }
 
-// Validate returns a *ConfigError that names every fault at once, or nil.
+// Validate returns a *ConfigError that lists all invalid values, or nil.
 func (c *Config) Validate() error {
 	var faults []string
 	check := func(ok bool, format string, args ...any) {
--- a/internal/demo/crash.go
+++ b/internal/demo/crash.go
@@ -14,20 +14,21 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// The request that ends each target that runs it.
+// Settings of the poison request, which crashes each target that runs it.
 const (
 	crashPath     = "/crash"
 	crashInterval = 50 * time.Millisecond
 	crashTimeout  = 2 * time.Second
-	restartDelay  = 300 * time.Millisecond // until a target is back
-	// crashesToDetect is how many targets of a place have to end until that shows what the request
-	// does, and spreadTime how long the place's instances may then take to know.
+	restartDelay  = 300 * time.Millisecond // from a target's crash to its restart
+	// crashesToDetect is the number of crashed targets of a place after which the request is
+	// recognised as poison, and propagationTime the time within which all instances of the
+	// place must then have received that.
 	crashesToDetect = 3
 	propagationTime = time.Second
 )
 
-// restartingTarget is a stand-in for a target that comes back at its address when a request has
-// ended it.
+// restartingTarget is an emulated target that restarts at the same address after a poison request
+// has crashed it.
 type restartingTarget struct {
 	f       *fleet
 	cfg     target.Config
@@ -38,7 +39,7 @@
 	closed  bool           // guarded by mu
 }
 
-// start runs the target.
+// start runs the target on ln. It returns net.ErrClosed after close.
 func (t *restartingTarget) start(ln net.Listener) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -53,13 +54,13 @@
 	return err
 }
 
-// restart notes that the request has restart the target, and starts it again.
+// restart records a crash of the target and starts it again after restartDelay.
 func (t *restartingTarget) restart(address string) {
 	t.f.crashes.add(t.f.observerChecks, t.cfg.Place, time.Now())
 	time.Sleep(restartDelay)
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return // the port was taken meanwhile: it stays away
+		return // the port has been taken meanwhile: the target stays down
 	}
 	if t.start(ln) != nil {
 		ln.Close()
@@ -73,14 +74,15 @@
 	t.current.Close()
 }
 
-// crashTimes are the crashTimes of targets under the request, by place. It is safe for concurrent use.
+// crashTimes records when poison requests crashed targets. It is safe for concurrent use.
 type crashTimes struct {
 	mu    sync.Mutex
-	times map[string][]time.Time // guarded by mu
+	times map[string][]time.Time // by place; guarded by mu
 	total int                    // guarded by mu
 }
 
-// add counts an end, and checks that the place did not know better.
+// add records a crash. It checks that the crash did not come after the place's instances had to
+// suppress the request.
 func (c *crashTimes) add(checks *invariant.Counter, place string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,15 +94,15 @@
 	n := len(c.times[place])
 	overdue := n > crashesToDetect && now.After(c.times[place][crashesToDetect-1].Add(propagationTime))
 	checks.Check(invariant.Contained, !overdue, func() string {
-		return fmt.Sprintf("one request has ended %d targets of %s, the last %s after the third", n, place, now.Sub(c.times[place][crashesToDetect-1]))
+		return fmt.Sprintf("one request has crashed %d targets of %s, the last %s after the third", n, place, now.Sub(c.times[place][crashesToDetect-1]))
 	})
 }
 
-// crash sends the request again and again, from each place in turn.
+// crash sends the poison request every crashInterval until fault.Back, from each place in turn.
 func (r *run) crash(ctx context.Context, fault Fault) error {
 	service := r.f.snapshot.Services()[0]
 	if s, ok := r.planner.measuredService(); ok {
-		service = s.ID() // its requests are short, so that the targets have room for this one
+		service = s.ID() // its requests are short, so its targets have free slots for this one
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -123,7 +125,8 @@
 	return nil
 }
 
-// sendCrashRequest sends the request once. What comes of it shows at the targets.
+// sendCrashRequest sends the poison request once. It ignores the result: crashes are recorded at
+// the targets.
 func (r *run) sendCrashRequest(ctx context.Context, client *http.Client, address string, n int) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
 	if err != nil {
--- a/internal/demo/crash_test.go
+++ b/internal/demo/crash_test.go
@@ -7,10 +7,10 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// One request ends each target that runs it, and is sent again every 50 ms, from each place
-// in turn. The instances of a place know soon what it does: on the code that judged each
-// attempt by itself, each place lost targets as long as the request came, 36 of them in 2.4 s,
-// and hundreds of other requests were refused for want of room.
+// A poison request crashes each target that runs it, and is sent every 50 ms, from each place in
+// turn. The instances of a place must soon recognise and suppress it. When each attempt was judged
+// by itself, every place lost targets for as long as the request was sent, 36 of them in 2.4 s, and
+// hundreds of other requests were refused for lack of free slots.
 func TestCrash(t *testing.T) {
 	docs, err := Load("moreton-bay")
 	if err != nil {
@@ -24,10 +24,10 @@
 	}
 	for _, c := range rep.Invariants {
 		if c.Name == invariant.Contained && c.Checks < crashesToDetect {
-			t.Errorf("got %d targets ended, want %d at least", c.Checks, crashesToDetect)
+			t.Errorf("got %d crashed targets, want at least %d", c.Checks, crashesToDetect)
 		}
 		if c.Violations > 0 {
-			t.Errorf("got %s broken %d times of %d", c.Name, c.Violations, c.Checks)
+			t.Errorf("got %d violations of %s in %d checks", c.Violations, c.Name, c.Checks)
 		}
 	}
 	for _, d := range rep.Details {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -57,7 +57,7 @@
 	}
 	site.Targets[0].Address = "127.1.1.1:9000"
 	if !reflect.DeepEqual(service, old) {
-		t.Errorf("got another service than before, beside the address")
+		t.Errorf("got a service that differs in more than the address")
 	}
 }
 
@@ -90,8 +90,8 @@
 func TestStreams(t *testing.T) {
 	tests := map[string]struct {
 		service string
-		want    float64 // requests/s at half of the capacity
-		once    string  // path of the non-idempotent half
+		want    float64 // requests/s at half the capacity
+		once    string  // path of the non-idempotent requests, which are half of them
 	}{
 		"moreton-bay": {"robotics/runorder", 0.5 * 78 / 0.045, "/dispatch"},
 		"tidewright":  {"payments/lodge-pay", 0.5 * 30 / 0.040, "/lodgement"},
@@ -109,7 +109,7 @@
 				}
 			}
 			if math.Abs(got-tt.want) > 0.01 || math.Abs(once-tt.want/2) > 0.01 {
-				t.Errorf("got %g requests/s, %g of them once; want %g, half of them once", got, once, tt.want)
+				t.Errorf("got %g requests/s, %g of them non-idempotent; want %g, half of them non-idempotent", got, once, tt.want)
 			}
 		})
 	}
--- a/internal/demo/details.go
+++ b/internal/demo/details.go
@@ -7,11 +7,11 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// maxDetails is how many violations are told in full.
+// maxDetails is the number of violations that are reported in full.
 const maxDetails = 100
 
-// details keeps the first violations that the program or a caller reports. It
-// is safe for concurrent use.
+// details holds the first violations that the instances, the journal and the
+// callers report. It is safe for concurrent use.
 type details struct {
 	mu    sync.Mutex
 	lines []string
--- a/internal/demo/documents.go
+++ b/internal/demo/documents.go
@@ -16,8 +16,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Load reads a directory of documents. One that isn't there but has the name
-// of an example is taken from the program itself.
+// Load reads a directory of documents. If dir doesn't exist but its last element
+// is the name of an example, the copy embedded in the program is read.
 func Load(dir string) ([]settings.Document, error) {
 	fsys := os.DirFS(dir)
 	if _, err := os.Stat(dir); err != nil {
@@ -34,8 +34,8 @@
 	return docs, errors.Annotate(err, "demo.Load")
 }
 
-// rewrite gives each target of the documents the address that move tells, so
-// that several runs fit on one machine.
+// rewrite replaces the addresses of targets in the documents, by old address, to
+// let several runs share one machine.
 func rewrite(docs []settings.Document, addresses map[string]string) ([]settings.Document, error) {
 	out := make([]settings.Document, 0, len(docs))
 	for _, doc := range docs {
@@ -66,8 +66,8 @@
 	return yaml.Marshal(s)
 }
 
-// oncePaths finds for each service a path whose POST is not idempotent, if a
-// rule declares one.
+// oncePaths returns, for each service with a rule that declares POST requests
+// non-idempotent, the path prefix of the first such rule.
 func oncePaths(docs []settings.Document) (map[settings.ServiceID]string, error) {
 	paths := make(map[settings.ServiceID]string)
 	for _, doc := range docs {
@@ -89,8 +89,8 @@
 	return paths, nil
 }
 
-// distribute deals n instances out over the places, those with the highest limits
-// first.
+// distribute assigns n instances to the places in turn, in descending order of
+// the places' limits.
 func distribute(s *settings.Snapshot, n int) []placement {
 	places := slices.Clone(s.Places())
 	slices.SortStableFunc(places, func(a, b string) int {
@@ -106,11 +106,11 @@
 	return placements
 }
 
-// placement is an instance's name and place.
+// placement is the ID of an instance and the place in which it runs.
 type placement struct{ id, place string }
 
-// homeAddresses finds an address of the callers of each place: the first one of
-// the place's first block.
+// homeAddresses returns an address for the callers of each place: the first host
+// address of the place's first block.
 func homeAddresses(s *settings.Snapshot) (map[string]string, error) {
 	addresses := make(map[string]string)
 	for _, b := range s.Blocks() {
--- a/internal/demo/fault.go
+++ b/internal/demo/fault.go
@@ -11,23 +11,23 @@
 // FaultKind is a kind of fault or planned change during a run.
 type FaultKind string
 
-// The kinds.
+// Kinds of faults.
 const (
-	FaultKill     FaultKind = "kill"     // an instance dies; a new incarnation replaces it
-	FaultDrain    FaultKind = "drain"    // a place is drained, and undrained
-	FaultStop     FaultKind = "stop"     // an instance stops as planned, and starts again
-	FaultCut      FaultKind = "cut"      // a place is cut off from all else
-	FaultPlatform FaultKind = "platform" // the platform has an outage
-	FaultCrash    FaultKind = "crash"    // a request that is sent again and again ends each target that runs it
-	FaultNotice   FaultKind = "notice"   // targets of a place say in their answers that they leave, want rest, or name a limit
-	FaultRestore  FaultKind = "restore"  // the platform comes back from a copy of itself, after a moment away
-	FaultSuspend  FaultKind = "suspend"  // the clocks of all instances go on as if their machines had been suspended
+	FaultKill     FaultKind = "kill"     // an instance is killed; a new incarnation replaces it
+	FaultDrain    FaultKind = "drain"    // a place is drained and undrained
+	FaultStop     FaultKind = "stop"     // an instance is stopped gracefully and started again
+	FaultCut      FaultKind = "cut"      // a place is partitioned from all others and from the platform
+	FaultPlatform FaultKind = "platform" // the platform refuses all calls for a time
+	FaultCrash    FaultKind = "crash"    // a poison request, which crashes each target that runs it, is sent repeatedly
+	FaultNotice   FaultKind = "notice"   // targets of a place announce a limit, a back-off or that they leave
+	FaultRestore  FaultKind = "restore"  // the platform is restored from a snapshot after a short outage
+	FaultSuspend  FaultKind = "suspend"  // the clocks of all instances advance as if their machines had been suspended
 )
 
 var allFaults = []FaultKind{FaultKill, FaultDrain, FaultStop, FaultCut, FaultPlatform, FaultCrash, FaultSuspend, FaultNotice, FaultRestore}
 
-// ParseFaults reads a list such as "kill,cut", "none" or "all". Another word
-// gives a *ConfigError.
+// ParseFaults parses a comma-separated list such as "kill,cut", "none" or "all".
+// It returns a *ConfigError for any other word.
 func ParseFaults(s string) ([]FaultKind, error) {
 	switch s {
 	case "", "none":
@@ -39,30 +39,32 @@
 	for word := range strings.SplitSeq(s, ",") {
 		k := FaultKind(strings.TrimSpace(word))
 		if !slices.Contains(allFaults, k) {
-			return nil, &ConfigError{Faults: []string{`fault "` + string(k) + `" is none of none, all, kill, drain, stop, cut, platform, crash, suspend, notice, restore`}}
+			return nil, &ConfigError{Faults: []string{`fault "` + string(k) + `" is not one of none, all, kill, drain, stop, cut, platform, crash, suspend, notice, restore`}}
 		}
 		kinds = append(kinds, k)
 	}
 	return kinds, nil
 }
 
-// Fault is one event of a schedule.
+// Fault is one scheduled fault.
 type Fault struct {
 	Kind FaultKind     `json:"kind"`
-	On   string        `json:"on,omitempty"` // instance or place; empty for the platform, a crash and a suspension
-	At   time.Duration `json:"at"`           // from the first request on
-	Back time.Duration `json:"back"`         // when it is undone, from the first request on
+	On   string        `json:"on,omitempty"` // instance or place; empty for faults of the platform, crashes and suspensions
+	At   time.Duration `json:"at"`           // start, relative to the start of the load
+	Back time.Duration `json:"back"`         // end, relative to the start of the load
 }
 
-// Shape of a schedule, in shares of the run.
+// Times in a schedule, as fractions of the run.
 const (
-	earliestStart = 0.15 // the earliest start of a fault
-	latestStart   = 0.45 // the latest start of a fault
-	faultLength   = 0.4  // of the time for which it lasts
+	earliestStart = 0.15 // of a fault
+	latestStart   = 0.45 // of a fault
+	faultLength   = 0.4  // duration of a fault
 )
 
-// schedule draws one fault of each kind. The place that is cut off is not
-// the one that is drained or whose targets want less, and no instance is hit twice.
+// schedule draws one fault of each of the given kinds, ordered by start. The times
+// of a fault don't depend on which other kinds are given. The places of a drain, a
+// partition and a notice differ, and so do the instances of a kill and a stop, as
+// long as there are enough of them.
 func schedule(seed uint64, kinds []FaultKind, places, instances []string, total time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, faultStream))
 	places, instances = shuffled(rng, places), shuffled(rng, instances)
@@ -85,7 +87,7 @@
 	return list
 }
 
-// faultStream keeps the draws of faults apart from others of the same seed.
+// faultStream separates the random stream of faults from others of the same seed.
 const faultStream = 0xfa17
 
 func fraction(d time.Duration, part float64) time.Duration { return time.Duration(float64(d) * part) }
@@ -96,7 +98,7 @@
 	return names
 }
 
-// takeFirst takes the takeFirst name off; the last one stays.
+// takeFirst returns the first name and the others. A single name stays in the list.
 func takeFirst(names []string) (string, []string) {
 	if len(names) == 1 {
 		return names[0], names
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -18,37 +18,37 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// loopback is an address whose port the system chooses.
+// loopback is a listening address with a port chosen by the system.
 const loopback = "127.0.0.1:0"
 
-// platformPoint is where the platform runs: a failure domain of its own in the
-// first region.
+// platformPoint is the point of the platform: a failure domain of its own in the
+// region of the first place.
 const platformPoint = "platform"
 
-// fleet is all that runs: the network, the platform, targets and instances.
+// fleet holds all parts of a deployment: the network, the platform, targets and instances.
 type fleet struct {
 	cfg      Config
 	profile  Profile
-	snapshot *settings.Snapshot // of the documents as they were at the start
-	docs     []settings.Document
+	snapshot *settings.Snapshot  // compiled from cfg.Documents
+	docs     []settings.Document // with the targets' addresses of this run
 
 	clock          *clock.Clock
 	links          *link.Links
 	directory      *directory
-	instanceChecks *invariant.Counter // what the instances check themselves
-	observerChecks *invariant.Counter // what the journal and the callers see
+	instanceChecks *invariant.Counter // made by the instances
+	observerChecks *invariant.Counter // made by the journal, the targets, the callers and the run
 	journal        *target.Journal
-	directJournal  *target.Journal // of the targets that are called directly
+	directJournal  *target.Journal // of targets that are called directly
 
-	store          *inproc.Store // the operators' own way to the platform, which answers the instances too
-	proxies        map[string]*link.Proxy
-	targetsStarted uint64              // targets that were started
-	targets        []*restartingTarget // the same
-	crashes        crashTimes          // of targets under the request that ends them
-	directTargets  map[string]string   // address of the target to call directly, by place
+	store          *inproc.Store          // platform's store; used directly here, and by instances through the proxies
+	proxies        map[string]*link.Proxy // to the platform, by place
+	targetsStarted uint64                 // number of targets started
+	targets        []*restartingTarget    // all targets, also those called directly
+	crashes        crashTimes             // caused by poison requests
+	directTargets  map[string]string      // address of the directly called target, by place
 	instances      *instanceSet
 	details        details
-	closers        []func()
+	closers        []func() // run by close in reverse order
 }
 
 func newFleet(cfg Config) (*fleet, error) {
@@ -75,7 +75,7 @@
 	return f, nil
 }
 
-// locations are those of the places and of the platform.
+// locations returns the locations of all places and of the platform.
 func locations(s *settings.Snapshot) map[string]link.Location {
 	m := make(map[string]link.Location)
 	for i, name := range s.Places() {
@@ -88,8 +88,8 @@
 	return m
 }
 
-// startPlatform serves the platform over TCP, with one proxy for each place so
-// that calls take the links.
+// startPlatform serves the platform over TCP, with a proxy for each place through
+// which calls pass over the emulated links.
 func (f *fleet) startPlatform() error {
 	cfg := store.Defaults()
 	cfg.Seed = f.cfg.Seed
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// seedDocuments writes the documents with the targets' addresses of this run.
+// seedDocuments writes the documents, with the targets' addresses of this run, to the store.
 func (f *fleet) seedDocuments() error {
 	for _, doc := range f.docs {
 		write := fmt.Sprintf("seed-%d", len(doc.Path))
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// close ends everything, the last started first.
+// close kills the instances, then closes all other parts in reverse order of their start.
 func (f *fleet) close() {
 	for _, p := range f.instances.running() {
 		p.kill()
--- a/internal/demo/follow.go
+++ b/internal/demo/follow.go
@@ -8,8 +8,10 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// awaitVersion asks the instances that run now for the version that they have in
-// force, until all have the new one. Those that end meanwhile are left out.
+// awaitVersion polls the instances that are running when it is called until all
+// have the given version of c.Path in force, until changeTimeout has passed or until
+// ctx ends. It sets c.Instances, c.Missing and c.Millis. Instances that end meanwhile
+// don't count.
 func (r *run) awaitVersion(ctx context.Context, c *Change, version uint64) {
 	start := time.Now()
 	waiting := r.f.instances.running()
@@ -34,7 +36,9 @@
 	c.Millis = millis(time.Since(start))
 }
 
-// versionAt asks one instance, past the emulated network.
+// versionAt returns the version of a document that an instance has in force, 0 if
+// the instance has none or doesn't answer. The call bypasses the emulated network.
+// The bool is false if the call failed and the instance isn't running any more.
 func (r *run) versionAt(ctx context.Context, p *process, path string) (uint64, bool) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
--- a/internal/demo/inject.go
+++ b/internal/demo/inject.go
@@ -18,32 +18,32 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Times of faults.
+// Durations and intervals of faults.
 const (
-	suspensionLength   = 3 * time.Second        // longer than a tenure lasts without a confirmation
-	drainDeadline      = 3 * time.Second        // after which a drained place gets no new work
-	drainObservation   = 500 * time.Millisecond // for which a drain lasts on at least, to see that
+	suspensionLength   = 3 * time.Second        // longer than an ownership lease lasts without renewal
+	drainDeadline      = 3 * time.Second        // from the accepted document until a drained place gets no new requests
+	drainObservation   = 500 * time.Millisecond // minimum time after drainDeadline in which late requests are counted
 	stopTimeout        = 20 * time.Second
-	writeRetryInterval = 100 * time.Millisecond // between two tries of a drain's document
-	restoreOutage      = time.Second            // for which the platform is away until it comes back from a copy
-	recoveryTimeout    = 10 * time.Second       // after which it holds again what it had lost
+	writeRetryInterval = 100 * time.Millisecond // between attempts to write a document, and between checks after a restore
+	restoreOutage      = time.Second            // outage of the platform before it is restored
+	recoveryTimeout    = 10 * time.Second       // from the restore until the platform has the lost versions again
 )
 
-// Event is a fault as it happened.
+// Event is a fault that was injected.
 type Event struct {
 	Fault
-	Note string `json:"note,omitempty"` // why it did not go as planned
+	Note string `json:"note,omitempty"` // error while the fault was injected or undone
 }
 
-// Drain is how one drain went.
+// Drain is the result of one drain.
 type Drain struct {
 	Place  string  `json:"place"`
-	Millis float64 `json:"ms"` // from the accepted document to the end of the last request
-	Left   int     `json:"left"`
-	Late   int     `json:"late"` // requests started too long after the document
+	Millis float64 `json:"ms"`   // from the accepted document to the end of the last request
+	Left   int     `json:"left"` // requests still running when the place was undrained
+	Late   int     `json:"late"` // requests started more than drainDeadline after the document
 }
 
-// inject carries the schedule out, each fault by itself.
+// inject runs the schedule, each fault in its own goroutine, and waits for all of them.
 func (r *run) inject(ctx context.Context) {
 	var ids []string
 	for _, p := range r.f.instances.running() {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// kill lets an instance die, and starts a new incarnation.
+// kill kills an instance and starts a new incarnation at fault.Back.
 func (r *run) kill(ctx context.Context, fault Fault) error {
 	p := r.f.instances.remove(fault.On)
 	p.kill()
@@ -103,12 +103,12 @@
 	return r.replace(p.placement)
 }
 
-// restore lets the platform come back from a copy that is as old as the fault lasts, and sees
-// that nothing of what it has lost stays so.
+// restore restores the platform at fault.Back from a snapshot taken at the start of the fault. It
+// checks that all versions lost by this are written again within recoveryTimeout.
 func (r *run) restore(ctx context.Context, fault Fault) error {
 	snapshot := r.f.store.Copy()
 	r.sleepUntil(ctx, fault.Back-restoreOutage)
-	lost, _, err := r.f.store.List(ctx, "/") // that it may lose, unless it is away already
+	lost, _, err := r.f.store.List(ctx, "/") // entries that may be lost; none if the platform is unreachable already
 	r.f.store.SetFaults(store.Faults{Refuse: true, Until: r.start.Add(fault.Back)})
 	r.sleepUntil(ctx, fault.Back)
 	r.f.store.GoBack(snapshot)
@@ -117,15 +117,15 @@
 	}
 	for _, e := range lost {
 		r.f.observerChecks.Check(invariant.ConfigForward, false, func() string {
-			return fmt.Sprintf("the platform has not got %s at version %d again", e.Path, e.Version)
+			return fmt.Sprintf("the platform did not recover %s at version %d", e.Path, e.Version)
 		})
 	}
 	r.f.observerChecks.Check(invariant.ConfigForward, true, nil)
 	return err
 }
 
-// outdated returns those entries of which the platform has an earlier version, or none, as far as it
-// tells.
+// outdated returns those entries of which the platform has an earlier version or none. If the
+// platform can't be read, it returns all of them.
 func (r *run) outdated(ctx context.Context, entries []docstore.Entry) []docstore.Entry {
 	current, _, err := r.f.store.List(ctx, "/")
 	if err != nil {
@@ -138,7 +138,7 @@
 	return slices.DeleteFunc(entries, func(e docstore.Entry) bool { return versions[e.Path] >= e.Version })
 }
 
-// stop is a planned stop, and a start after it.
+// stop stops an instance gracefully and starts a new incarnation.
 func (r *run) stop(ctx context.Context, fault Fault) error {
 	p := r.f.instances.remove(fault.On)
 	ctx, cancel := context.WithTimeout(ctx, stopTimeout)
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// drain drains a place by a document, and undrains it.
+// drain drains a place by writing a document, and undrains it by deleting that document.
 func (r *run) drain(ctx context.Context, fault Fault) error {
 	path := settings.DrainPath("demo-" + fault.On)
 	body, err := yaml.Marshal(settings.Drain{Place: fault.On, Reason: "demo"})
@@ -192,7 +192,8 @@
 }
 
 // retryWrite repeats a write until it is accepted, as an operator does in an outage
-// of the platform, or until a time of the run is past.
+// of the platform. It returns the last error if ctx ends or deadline, counted from
+// the start of the load, passes first.
 func (r *run) retryWrite(ctx context.Context, deadline time.Duration, write func() error) error {
 	for {
 		err := write()
@@ -213,16 +214,17 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Change is how one changed document spread.
+// Change is the result of one change of a document.
 type Change struct {
 	Path      string  `json:"path"`
-	Millis    float64 `json:"ms"`        // until all these instances had it in force
-	Instances int     `json:"instances"` // that ran from the change on until they had it
-	Missing   int     `json:"missing"`   // instances that did not get it in time
-	Note      string  `json:"note,omitempty"`
+	Millis    float64 `json:"ms"`             // until all instances had it in force, or until the time-out
+	Instances int     `json:"instances"`      // running at the change, without those that ended meanwhile
+	Missing   int     `json:"missing"`        // instances that did not have it in force in time
+	Note      string  `json:"note,omitempty"` // error of the write
 }
 
-// When documents are changed, in shares of the run, and how that is followed.
+// Changes of documents: changeInterval and changeEnd are fractions of the run, and
+// the others apply while instances are polled for the new version.
 const (
 	changeInterval     = 0.2
 	changeEnd          = 0.9
@@ -230,7 +232,8 @@
 	changePollInterval = 10 * time.Millisecond
 )
 
-// changeDocuments rewrites a document now and then, and sees it spread.
+// changeDocuments rewrites a document at intervals and measures how long the
+// instances take to have it in force.
 func (r *run) changeDocuments(ctx context.Context) {
 	path := settings.BlocksPath("demo")
 	var version uint64
--- a/internal/demo/notice.go
+++ b/internal/demo/notice.go
@@ -6,11 +6,12 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// limitFraction is the part of a target's usual requests that it takes while it names a limit.
+// limitFraction is the limit that a target announces, as a fraction of its average request rate.
 const limitFraction = 0.25
 
-// setNotices makes the targets of a place say until a time, in turn, that they take fewer requests,
-// that they leave, and that they want rest.
+// setNotices makes each target of a place announce a notice until the given time: in turn, a limit
+// on its request rate, that it leaves, and a back-off. Targets that are called directly are left
+// out.
 func (f *fleet) setNotices(place string, until time.Time) {
 	n := 0
 	for _, t := range f.targets {
@@ -25,7 +26,7 @@
 	}
 }
 
-// setNotice makes the target setNotice something in all answers until a time.
+// setNotice makes the target send n in all answers until the given time.
 func (t *restartingTarget) setNotice(n notice.Notice, until time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/demo/notice_test.go
+++ b/internal/demo/notice_test.go
@@ -7,8 +7,8 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Targets that leave, want rest or name a limit get no more than they want, while instances are
-// killed and the platform is away.
+// Targets that announce a limit, a back-off or that they leave receive only requests that their
+// notices allow, while instances are killed and the platform has an outage.
 func TestNotice(t *testing.T) {
 	docs, err := Load("moreton-bay")
 	if err != nil {
@@ -23,10 +23,10 @@
 	}
 	for _, c := range rep.Invariants {
 		if c.Name == invariant.Wanted && c.Checks == 0 {
-			t.Error("got no request at a target that had said what it wants")
+			t.Error("got no request at a target that had announced a notice")
 		}
 		if c.Violations > 0 {
-			t.Errorf("got %s broken %d times of %d", c.Name, c.Violations, c.Checks)
+			t.Errorf("got %d violations of %s in %d checks", c.Violations, c.Name, c.Checks)
 		}
 	}
 	for _, d := range rep.Details {
--- a/internal/demo/plan.go
+++ b/internal/demo/plan.go
@@ -8,24 +8,24 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
-	rampTime           = time.Second // over which the load grows
-	nonIdempotentShare = 0.5         // of a service with non-idempotent requests
-	nonIdempotentBody  = 512         // bytes of a non-idempotent request's body
+	rampTime           = time.Second // time in which the load grows to its full rate
+	nonIdempotentShare = 0.5         // of the requests of a service that has a non-idempotent path
+	nonIdempotentBody  = 512         // size of a non-idempotent request's body, in bytes
 	directRate         = 30          // direct calls/s at one place
-	directTeam         = "direct"    // marks the streams that leave the instances out
+	directTeam         = "direct"    // team in the service names of streams that bypass the instances
 	streamPath         = "/"
 	idPrefix           = "demo"
 )
 
-// capacity is how many requests/s a site can take.
+// capacity returns the number of requests/s that a site can serve.
 func capacity(site settings.Site, w Work) float64 {
 	return float64(site.Limit) / w.slotTime().Seconds()
 }
 
-// oncePath is a path of the service whose POST is not idempotent, if any rule
-// declares one.
+// oncePath returns the path prefix of the first rule that declares POST requests
+// non-idempotent. The bool is false if there is none.
 func oncePath(s settings.Service) (string, bool) {
 	for _, r := range s.Rules {
 		if !r.Idempotent && (r.Method == "" || r.Method == http.MethodPost) {
@@ -35,16 +35,16 @@
 	return "", false
 }
 
-// planner makes the streams of a run.
+// planner computes the request streams of a run.
 type planner struct {
 	snapshot  *settings.Snapshot
 	profile   Profile
-	rate      float64
-	oncePaths map[settings.ServiceID]string // path of non-idempotent requests
+	rate      float64                       // load as a fraction of the sites' capacity
+	oncePaths map[settings.ServiceID]string // path of non-idempotent requests, by service
 }
 
-// streams are those of all services at all places, each place sending the share
-// of what its own sites can take.
+// streams returns the streams of all services at all places, and the direct ones.
+// The rate at a place is a fraction of the capacity of its own sites.
 func (p planner) streams() []load.Stream {
 	var list []load.Stream
 	for _, id := range p.snapshot.Services() {
@@ -84,8 +84,9 @@
 	}
 }
 
-// directStreams call a target beside the service's own, in the callers' place
-// and over the same links, to measure what the instance between adds.
+// directStreams returns streams that call, without an instance, a separate target
+// in the callers' place over the same links. They are the baseline for the latency
+// that an instance adds.
 func (p planner) directStreams() []load.Stream {
 	service, ok := p.measuredService()
 	if !ok {
@@ -102,8 +103,9 @@
 
 func directName(id settings.ServiceID) string { return directTeam + "/" + id.Name }
 
-// measuredService is the service whose added latency is measuredService: the first
-// interactive one all of whose requests are idempotent.
+// measuredService returns the service whose added latency is measured: the first
+// interactive one with only idempotent requests. The bool is false if there is
+// none.
 func (p planner) measuredService() (*settings.CompiledService, bool) {
 	for _, id := range p.snapshot.Services() {
 		service, _ := p.snapshot.Service(id)
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -13,8 +13,8 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// process is one running instance with all its connections, so that it can die
-// as a process would.
+// process is one running instance with all connections that it has dialled, which
+// allows it to be killed as an operating system process is.
 type process struct {
 	placement
 	instance *instance.Instance
@@ -22,8 +22,8 @@
 	conns    *connections
 }
 
-// kill ends the instance as SIGKILL would: every connection breaks, and what is
-// left of its goroutines reaches nobody.
+// kill ends the instance as SIGKILL would: all connections are closed, and
+// goroutines that are still running reach no other process.
 func (p *process) kill() {
 	p.conns.freeze()
 	p.instance.Kill()
@@ -31,13 +31,13 @@
 	p.client.Close()
 }
 
-// connections are those that a process has dialled. Safe for concurrent use.
+// connections holds the open connections that a process has dialled. It is safe for concurrent use.
 type connections struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu     sync.Mutex
-	frozen bool
-	open   map[*connection]struct{}
+	frozen bool                     // no new connections are opened; guarded by mu
+	open   map[*connection]struct{} // guarded by mu
 }
 
 type connection struct {
@@ -45,7 +45,7 @@
 	owner *connections
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from the open ones.
 func (c *connection) Close() error {
 	c.owner.mu.Lock()
 	delete(c.owner.open, c)
@@ -53,8 +53,8 @@
 	return c.Conn.Close()
 }
 
-// Dial opens a connection. A frozen process gets none, nor an error before ctx
-// ends: it would act upon that.
+// Dial opens a connection. In a frozen process it blocks until ctx ends and returns
+// its error, since the instance would react to an earlier one.
 func (c *connections) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if c.isFrozen() {
 		<-ctx.Done()
@@ -96,11 +96,11 @@
 	clear(c.open)
 }
 
-// portTries is how often a start is tried: the UDP port of a chosen TCP port
-// may be taken.
+// portTries is the number of attempts to start an instance: the UDP port with the
+// number of the chosen TCP port may be taken.
 const portTries = 20
 
-// startProcess runs a new incarnation of an instance.
+// startProcess starts a new incarnation of an instance.
 func (f *fleet) startProcess(pl placement) (*process, error) {
 	var err error
 	for range portTries {
--- a/internal/demo/profile.go
+++ b/internal/demo/profile.go
@@ -7,26 +7,26 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Profile is what a deployment's documents don't tell: its network, its size
-// and how long its targets take. The latencies and sizes are the users' own,
-// the service times are ours: so long that half of the capacity is a load which
-// one machine can send.
+// Profile describes what the documents of a deployment don't contain: its network,
+// its size and the service times of its targets. The latencies and sizes were given
+// by the users. The service times are assumed, and long enough for one machine to
+// send a load of half the capacity.
 type Profile struct {
 	Latency    link.Latency
-	Connection time.Duration // of a new connection to a target
-	Probe      time.Duration // of one health or load answer
+	Connection time.Duration // cost of a new connection to a target
+	Probe      time.Duration // cost of one health or load answer
 	Instances  int
 	Work       map[string]Work // by the service's name
 }
 
-// Work is what one request of a service costs its target.
+// Work describes the cost of one request of a service at its target.
 type Work struct {
-	Mean  time.Duration // service time when warm, without the body
-	Sizes []int64       // bytes of answers, drawn evenly
+	Mean  time.Duration // mean service time of a warm target, without sending the body
+	Sizes []int64       // sizes of answers in bytes; requests are divided equally among them
 	Pace  int64         // bytes/s of one answer; 0 sets no limit
 }
 
-// slotTime is how long an average request keeps a slotTime.
+// slotTime returns how long an average request occupies a slot.
 func (w Work) slotTime() time.Duration {
 	if w.Pace == 0 {
 		return w.Mean
@@ -39,15 +39,16 @@
 	return w.Mean + time.Duration(mean/float64(w.Pace)*float64(time.Second))
 }
 
+// Sizes of answers in bytes.
 var (
 	smallAnswers = []int64{256}
 	largeAnswers = []int64{256 << 10, 512 << 10, 1 << 20}
 )
 
-// bulkRate is how fast a target sends one bulk answer, in bytes/s.
+// bulkRate is the rate at which a target sends one bulk answer, in bytes/s.
 const bulkRate = 4 << 20
 
-// profiles are those of the users' deployments.
+// profiles holds the profiles of the users' deployments.
 var profiles = []Profile{
 	{
 		Latency:    link.Latency{Region: 1500 * time.Microsecond, World: 20 * time.Millisecond, Caller: time.Millisecond},
@@ -72,8 +73,8 @@
 	},
 }
 
-// profileFor finds the profile that knows one of the services; the first one
-// serves for documents of nobody we know.
+// profileFor returns the first profile that contains one of the services. For
+// other deployments it returns the first profile.
 func profileFor(s *settings.Snapshot) Profile {
 	for _, p := range profiles {
 		for _, id := range s.Services() {
@@ -85,7 +86,8 @@
 	return profiles[0]
 }
 
-// work is what a service's requests cost; unknown ones go by their class.
+// work returns the cost of a service's requests. For a service that isn't in the
+// profile, the cost depends on its class alone.
 func (p Profile) work(service *settings.CompiledService) Work {
 	if w, ok := p.Work[service.ID().Name]; ok {
 		return w
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -14,7 +14,7 @@
 	"github.com/firlever/firlever/pkg/caller"
 )
 
-// Report is what a run measured. Latencies are in milliseconds, from the
+// Report holds the results of a run. Latencies are in milliseconds, from the
 // intended start of a request to the last byte of its answer.
 type Report struct {
 	Settings string      `json:"settings"`
@@ -36,31 +36,32 @@
 	Details    []string          `json:"details,omitempty"` // of the first violations
 }
 
-// Added is what the instance between caller and target adds to the median.
+// Added is the latency that the instance between caller and target adds to the
+// median. The other latencies are medians too, unless stated otherwise.
 type Added struct {
 	Service string  `json:"service"`
 	Direct  float64 `json:"direct"`
 	Through float64 `json:"through"`
 	Added   float64 `json:"added"`
-	Slow    float64 `json:"slow"` // p99 of the direct calls: much over their median tells of a busy machine
+	Slow    float64 `json:"slow"` // p99 of the direct calls; far above their median on a busy machine
 }
 
-// Headroom is how far a place, or a service in it, was below its limit.
+// Headroom compares the peak of requests at a place, or of a service at it, with the limit.
 type Headroom struct {
 	Place   string `json:"place"`
 	Service string `json:"service,omitempty"`
 	Limit   int    `json:"limit"`
 	Peak    int    `json:"peak"`
-	Least   int    `json:"least"` // headroom at the peak
+	Least   int    `json:"least"` // headroom at the peak: Limit - Peak
 }
 
-// Shift is by how much the shifted requests of a service at a place grew at
-// most from one second to the next, as its targets saw them.
+// Shift counts the requests of a service that were shifted to a place, as its
+// targets received them.
 type Shift struct {
 	Place   string `json:"place"`
 	Service string `json:"service"`
 	Cap     int    `json:"cap"`
-	Growth  int    `json:"growth"`
+	Growth  int    `json:"growth"` // largest growth from one second to the next
 	Total   int    `json:"total"`
 }
 
@@ -84,8 +85,8 @@
 	return rep
 }
 
-// checkStops holds a run without crashes to what a planned stop promises: no
-// caller loses an answer.
+// checkStops checks that no caller lost an answer, as planned stops promise. It
+// checks nothing in runs with a fault of kind kill, cut or platform.
 func (r *run) checkStops(result *load.Report) {
 	for _, k := range []FaultKind{FaultKill, FaultCut, FaultPlatform} {
 		if slices.Contains(r.f.cfg.Faults, k) {
@@ -100,7 +101,8 @@
 	}
 }
 
-// addServices takes in the services, and sets the direct calls apart.
+// addServices adds the results of the services to the report and its totals. Direct
+// calls only serve to compute the added latency.
 func (rep *Report) addServices(services []load.Service, p planner) {
 	measured, ok := p.measuredService()
 	var direct, through, slow float64
@@ -124,7 +126,7 @@
 	}
 }
 
-// sumCounts adds two tallies of the same names.
+// sumCounts adds two lists of counts that have the same names in the same order.
 func sumCounts(a, b []invariant.Count) []invariant.Count {
 	sum := slices.Clone(a)
 	for i := range sum {
@@ -172,7 +174,7 @@
 	return list
 }
 
-// WriteJSON writes the report as one line.
+// WriteJSON writes the report as one line of JSON.
 func (rep *Report) WriteJSON(w io.Writer) error {
 	return errors.Annotate(json.NewEncoder(w).Encode(rep), "Report.WriteJSON")
 }
--- a/internal/demo/restore_test.go
+++ b/internal/demo/restore_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The platform comes back from a copy while an instance is killed and a place is drained. Nothing
-// that was confirmed comes back older, and no limit is broken.
+// The platform is restored from a snapshot while an instance is killed and a place is drained.
+// Nothing that was confirmed may return to an older version, and no limit may be exceeded.
 func TestRestore(t *testing.T) {
 	docs, err := Load("moreton-bay")
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	for _, c := range rep.Invariants {
 		if c.Violations > 0 {
-			t.Errorf("got %s broken %d times of %d", c.Name, c.Violations, c.Checks)
+			t.Errorf("got %d violations of %s in %d checks", c.Violations, c.Name, c.Checks)
 		}
 	}
 	for _, e := range rep.Faults {
--- a/internal/demo/roll.go
+++ b/internal/demo/roll.go
@@ -15,7 +15,7 @@
 // instanceSet holds the running instances. It is safe for concurrent use.
 type instanceSet struct {
 	mu   sync.Mutex
-	byID map[string]*process // by the instance's name
+	byID map[string]*process // by the instance's ID; guarded by mu
 }
 
 func newInstanceSet() *instanceSet { return &instanceSet{byID: make(map[string]*process)} }
@@ -26,7 +26,7 @@
 	s.byID[p.id] = p
 }
 
-// remove removes an instance; nil if it isn't running.
+// remove removes an instance and returns it, or nil if it isn't running.
 func (s *instanceSet) remove(id string) *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,7 +35,7 @@
 	return p
 }
 
-// running are the running instances by name.
+// running returns the running instances, sorted by ID.
 func (s *instanceSet) running() []*process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,12 +47,12 @@
 	return all
 }
 
-// peerAddresses are the peerAddresses' addresses of the running instances, those of a place first.
+// peerAddresses returns the addresses of the running instances for peers, those at place first.
 func (s *instanceSet) peerAddresses(place string) []string {
 	return s.addresses(place, func(p *process) string { return p.instance.Peers() })
 }
 
-// callerAddresses are the callers' addresses of the running instances, those of a place first.
+// callerAddresses returns the addresses of the running instances for callers, those at place first.
 func (s *instanceSet) callerAddresses(place string) []string {
 	return s.addresses(place, func(p *process) string { return p.instance.Callers() })
 }
@@ -69,21 +69,22 @@
 	return append(near, far...)
 }
 
-// Times of the start.
+// Times for the start of the instances.
 const (
-	readyTimeout      = 15 * time.Second // longest wait for the rosters
+	readyTimeout      = 15 * time.Second // until the rosters are complete
 	readyPollInterval = 20 * time.Millisecond
-	discoveryTime     = 4 * time.Second // for all to learn of each other by the platform's list, which lags
+	discoveryTime     = 4 * time.Second // for instances to discover each other through the platform's list, which lags
 )
 
-// NotReadyError says that the instances did not get ready in time.
+// NotReadyError reports that a place's roster was not complete in time.
 type NotReadyError struct{ Place string }
 
 func (e *NotReadyError) Error() string {
 	return "demo: the roster of " + e.Place + " was not complete in time"
 }
 
-// startInstances starts all instances, and waits until each is in its place's roster.
+// startInstances starts all instances, and waits until each is in its place's roster and then for
+// discoveryTime. It returns a *NotReadyError if a roster isn't complete in time.
 func (f *fleet) startInstances() error {
 	placements := distribute(f.snapshot, f.profile.Instances)
 	want := make(map[string]int)
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// rosterSize is how many instances a place's roster names.
+// rosterSize returns the number of instances in a place's roster, 0 if it can't be read.
 func (f *fleet) rosterSize(place string) int {
 	e, err := f.store.Get(context.Background(), "/rosters/"+place)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return len(r.Members)
 }
 
-// contains says whether this very incarnation is running.
+// contains reports whether this incarnation of the instance is running.
 func (s *instanceSet) contains(p *process) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -15,7 +15,7 @@
 type run struct {
 	f       *fleet
 	planner planner
-	start   time.Time
+	start   time.Time // of the load; times of the run count from it
 
 	mu      sync.Mutex
 	drains  []Drain  // guarded by mu
@@ -23,12 +23,12 @@
 	events  []Event  // guarded by mu
 }
 
-// gcPercent is the garbage collector's setting during a run: one process does
-// the work of a hundred here, and has the memory for it.
+// gcPercent is the garbage collection target percentage during a run. It is high
+// because one process does the work of a hundred here and has enough memory.
 const gcPercent = 400
 
-// Run starts a deployment, puts it under load and returns what was measured. It
-// returns a *ConfigError if cfg is at fault.
+// Run starts a deployment, sends requests to it and returns the results. It returns
+// a *ConfigError if cfg is invalid.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
@@ -52,7 +52,7 @@
 	return r.report(result), nil
 }
 
-// runLoad sends the load, with the faults and the changes of documents beside it.
+// runLoad sends the load while it injects faults and changes documents.
 func (r *run) runLoad(ctx context.Context) (*load.Report, error) {
 	if service, ok := r.planner.measuredService(); ok {
 		if err := r.f.startDirect(service); err != nil {
@@ -77,7 +77,8 @@
 	return result, err
 }
 
-// sleepUntil waits sleepUntil a time of the run. It returns false when ctx ends before.
+// sleepUntil sleeps until the given time, counted from the start of the load. It
+// returns false if ctx ends first.
 func (r *run) sleepUntil(ctx context.Context, at time.Duration) bool {
 	return r.f.clock.SleepUntil(ctx, r.start.Add(at))
 }
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -10,7 +10,7 @@
 	"github.com/firlever/firlever/internal/load"
 )
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as tables in plain text.
 func (rep *Report) WriteTable(w io.Writer) error {
 	fmt.Fprintf(w, "%s, policy %s, seed %d\n\n", rep.Settings, rep.Policy, rep.Seed)
 	sent := load.Report{Counts: rep.Counts, Held: rep.Held, Seconds: rep.Seconds, Services: rep.Services}
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -11,7 +11,7 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// How targets behave, beside what the profile says.
+// Behaviour of targets that no profile sets.
 const (
 	serviceTimeSigma = 0.2 // sigma of the log-normal service times
 	coldFactor       = 3
@@ -20,8 +20,8 @@
 	reportLag        = 300 * time.Millisecond
 )
 
-// startTargets starts a stand-in for each target of the documents, tells the
-// journal the limits, and rewrites the documents' addresses.
+// startTargets starts an emulated target for each target of the documents, sets
+// the limits in the journal, and replaces the addresses in the documents.
 func (f *fleet) startTargets() error {
 	addresses := make(map[string]string)
 	for _, id := range f.snapshot.Services() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// startDirect starts, in each place, a target that only direct calls reach.
+// startDirect starts, in each place of the service, a target for direct calls alone.
 func (f *fleet) startDirect(service *settings.CompiledService) error {
 	for _, place := range service.Places() {
 		site, _ := service.Site(place)
