--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return planner{snapshot: s, profile: profileFor(s), rate: rate, once: once}
+	return planner{snapshot: s, profile: profileFor(s), rate: rate, oncePaths: once}
 }
 
 func TestRewrite(t *testing.T) {
@@ -57,11 +57,11 @@
 	}
 	site.Targets[0].Address = "127.1.1.1:9000"
 	if !reflect.DeepEqual(service, old) {
-		t.Errorf("got another service than before, beside the address")
+		t.Errorf("got a service that differs in more than the address")
 	}
 }
 
-func TestSpread(t *testing.T) {
+func TestDistribute(t *testing.T) {
 	tests := map[string]struct {
 		n    int
 		want map[string]int
@@ -77,8 +77,8 @@
 		t.Run(name, func(t *testing.T) {
 			_, s := example(t, name)
 			got := map[string]int{}
-			for _, seat := range spread(s, tt.n) {
-				got[seat.place]++
+			for _, pl := range distribute(s, tt.n) {
+				got[pl.place]++
 			}
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
@@ -90,8 +90,8 @@
 func TestStreams(t *testing.T) {
 	tests := map[string]struct {
 		service string
-		want    float64 // requests/s at half of the capacity
-		once    string  // path of the non-idempotent half
+		want    float64 // requests/s at half the capacity
+		once    string  // path of the non-idempotent requests, which are half of them
 	}{
 		"moreton-bay": {"robotics/runorder", 0.5 * 78 / 0.045, "/dispatch"},
 		"tidewright":  {"payments/lodge-pay", 0.5 * 30 / 0.040, "/lodgement"},
@@ -109,7 +109,7 @@
 				}
 			}
 			if math.Abs(got-tt.want) > 0.01 || math.Abs(once-tt.want/2) > 0.01 {
-				t.Errorf("got %g requests/s, %g of them once; want %g, half of them once", got, once, tt.want)
+				t.Errorf("got %g requests/s, %g of them non-idempotent; want %g, half of them non-idempotent", got, once, tt.want)
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 	if rep.Added == nil || rep.Added.Added != 0.5 {
 		t.Errorf("got added %+v, want 0.5", rep.Added)
 	}
-	sum := together([]invariant.Count{{Name: "a", Checks: 1}}, []invariant.Count{{Name: "a", Checks: 2, Violations: 1}})
+	sum := sumCounts([]invariant.Count{{Name: "a", Checks: 1}}, []invariant.Count{{Name: "a", Checks: 2, Violations: 1}})
 	if sum[0].Checks != 3 || sum[0].Violations != 1 {
 		t.Errorf("got %+v", sum)
 	}
--- a/internal/demo/plan.go
+++ b/internal/demo/plan.go
@@ -8,24 +8,24 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
-	rampTime    = time.Second // over which the load grows
-	onceShare   = 0.5         // of a service with non-idempotent requests
-	onceBody    = 512         // bytes of a non-idempotent request's body
-	directRate  = 30          // direct calls/s at one place
-	directTeam  = "direct"    // marks the streams that leave the instances out
-	streamPath  = "/"
-	prefixStart = "demo"
+	rampTime           = time.Second // time in which the load grows to its full rate
+	nonIdempotentShare = 0.5         // of the requests of a service that has a non-idempotent path
+	nonIdempotentBody  = 512         // size of a non-idempotent request's body, in bytes
+	directRate         = 30          // direct calls/s at one place
+	directTeam         = "direct"    // team in the service names of streams that bypass the instances
+	streamPath         = "/"
+	idPrefix           = "demo"
 )
 
-// capacity is how many requests/s a site can take.
+// capacity returns the number of requests/s that a site can serve.
 func capacity(site settings.Site, w Work) float64 {
-	return float64(site.Limit) / w.slot().Seconds()
+	return float64(site.Limit) / w.slotTime().Seconds()
 }
 
-// oncePath is a path of the service whose POST is not idempotent, if any rule
-// declares one.
+// oncePath returns the path prefix of the first rule that declares POST requests
+// non-idempotent. The bool is false if there is none.
 func oncePath(s settings.Service) (string, bool) {
 	for _, r := range s.Rules {
 		if !r.Idempotent && (r.Method == "" || r.Method == http.MethodPost) {
@@ -35,16 +35,16 @@
 	return "", false
 }
 
-// planner makes the streams of a run.
+// planner computes the request streams of a run.
 type planner struct {
-	snapshot *settings.Snapshot
-	profile  Profile
-	rate     float64
-	once     map[settings.ServiceID]string // path of non-idempotent requests
+	snapshot  *settings.Snapshot
+	profile   Profile
+	rate      float64                       // load as a fraction of the sites' capacity
+	oncePaths map[settings.ServiceID]string // path of non-idempotent requests, by service
 }
 
-// streams are those of all services at all places, each place sending the share
-// of what its own sites can take.
+// streams returns the streams of all services at all places, and the direct ones.
+// The rate at a place is a fraction of the capacity of its own sites.
 func (p planner) streams() []load.Stream {
 	var list []load.Stream
 	for _, id := range p.snapshot.Services() {
@@ -64,12 +64,12 @@
 		return nil
 	}
 	var list []load.Stream
-	path, keyed := p.once[service.ID()]
-	if keyed {
-		s := stream(service, place, rate*onceShare, w.Sizes[0])
-		s.Method, s.Path, s.Body, s.Idempotent = http.MethodPost, path, onceBody, false
+	path, nonIdempotent := p.oncePaths[service.ID()]
+	if nonIdempotent {
+		s := stream(service, place, rate*nonIdempotentShare, w.Sizes[0])
+		s.Method, s.Path, s.Body, s.Idempotent = http.MethodPost, path, nonIdempotentBody, false
 		list = append(list, s)
-		rate *= 1 - onceShare
+		rate *= 1 - nonIdempotentShare
 	}
 	for _, size := range w.Sizes {
 		list = append(list, stream(service, place, rate/float64(len(w.Sizes)), size))
@@ -84,10 +84,11 @@
 	}
 }
 
-// directStreams call a target beside the service's own, in the callers' place
-// and over the same links, to measure what the instance between adds.
+// directStreams returns streams that call, without an instance, a separate target
+// in the callers' place over the same links. They are the baseline for the latency
+// that an instance adds.
 func (p planner) directStreams() []load.Stream {
-	service, ok := p.measured()
+	service, ok := p.measuredService()
 	if !ok {
 		return nil
 	}
@@ -102,12 +103,13 @@
 
 func directName(id settings.ServiceID) string { return directTeam + "/" + id.Name }
 
-// measured is the service whose added latency is measured: the first
-// interactive one all of whose requests are idempotent.
-func (p planner) measured() (*settings.CompiledService, bool) {
+// measuredService returns the service whose added latency is measured: the first
+// interactive one with only idempotent requests. The bool is false if there is
+// none.
+func (p planner) measuredService() (*settings.CompiledService, bool) {
 	for _, id := range p.snapshot.Services() {
 		service, _ := p.snapshot.Service(id)
-		if _, keyed := p.once[id]; !service.Bulk() && !keyed {
+		if _, nonIdempotent := p.oncePaths[id]; !service.Bulk() && !nonIdempotent {
 			return service, true
 		}
 	}
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -13,48 +13,48 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// process is one running instance with all its connections, so that it can die
-// as a process would.
+// process is one running instance with all connections that it has dialled, which
+// allows it to be killed as an operating system process is.
 type process struct {
-	seat
-	in     *instance.Instance
-	client *docstore.Client
-	conns  *connections
+	placement
+	instance *instance.Instance
+	client   *docstore.Client
+	conns    *connections
 }
 
-// kill ends the instance as SIGKILL would: every connection breaks, and what is
-// left of its goroutines reaches nobody.
+// kill ends the instance as SIGKILL would: all connections are closed, and
+// goroutines that are still running reach no other process.
 func (p *process) kill() {
 	p.conns.freeze()
-	p.in.Kill()
+	p.instance.Kill()
 	p.conns.closeAll()
 	p.client.Close()
 }
 
-// connections are those that a process has dialled. Safe for concurrent use.
+// connections holds the open connections that a process has dialled. It is safe for concurrent use.
 type connections struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 	mu     sync.Mutex
-	frozen bool
-	open   map[*connection]struct{}
+	frozen bool                     // no new connections are opened; guarded by mu
+	open   map[*connection]struct{} // guarded by mu
 }
 
 type connection struct {
 	net.Conn
-	of *connections
+	owner *connections
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and removes it from the open ones.
 func (c *connection) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+	c.owner.mu.Lock()
+	delete(c.owner.open, c)
+	c.owner.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Dial opens a connection. A frozen process gets none, nor an error before ctx
-// ends: it would act upon that.
+// Dial opens a connection. In a frozen process it blocks until ctx ends and returns
+// its error, since the instance would react to an earlier one.
 func (c *connections) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if c.isFrozen() {
 		<-ctx.Done()
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &connection{Conn: raw, of: c}
+	conn := &connection{Conn: raw, owner: c}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.frozen {
@@ -96,34 +96,34 @@
 	clear(c.open)
 }
 
-// portTries is how often a start is tried: the UDP port of a chosen TCP port
-// may be taken.
+// portTries is the number of attempts to start an instance: the UDP port with the
+// number of the chosen TCP port may be taken.
 const portTries = 20
 
-// startProcess runs a new incarnation of an instance.
-func (f *fleet) startProcess(s seat) (*process, error) {
+// startProcess starts a new incarnation of an instance.
+func (f *fleet) startProcess(pl placement) (*process, error) {
 	var err error
 	for range portTries {
 		var p *process
-		if p, err = f.newProcess(s); err == nil {
-			for _, a := range []string{p.in.Callers(), p.in.Peers()} {
-				f.directory.add(a, link.At(s.place))
+		if p, err = f.newProcess(pl); err == nil {
+			for _, a := range []string{p.instance.Callers(), p.instance.Peers()} {
+				f.directory.add(a, link.At(pl.place))
 			}
-			p.in.Start()
+			p.instance.Start()
 			return p, nil
 		}
 	}
-	return nil, errors.Annotatef(err, "fleet.startProcess %s", s.id)
+	return nil, errors.Annotatef(err, "fleet.startProcess %s", pl.id)
 }
 
-func (f *fleet) newProcess(s seat) (*process, error) {
-	at := link.At(s.place)
-	p := &process{seat: s, client: docstore.NewClient(platform.NewStore(f.proxies[s.place].Addr()))}
+func (f *fleet) newProcess(pl placement) (*process, error) {
+	at := link.At(pl.place)
+	p := &process{placement: pl, client: docstore.NewClient(platform.NewStore(f.proxies[pl.place].Addr()))}
 	p.conns = &connections{dial: f.links.Dialer(at, f.directory.locate), open: make(map[*connection]struct{})}
-	place, _ := f.snapshot.Place(s.place)
+	place, _ := f.snapshot.Place(pl.place)
 	cfg := instance.Config{
-		ID: s.id, Callers: loopback, Peers: loopback, Operators: loopback,
-		Place: s.place, Domain: place.Domain, Region: place.Region, Join: f.roll.peers(s.place),
+		ID: pl.id, Callers: loopback, Peers: loopback, Operators: loopback,
+		Place: pl.place, Domain: place.Domain, Region: place.Region, Join: f.instances.peerAddresses(pl.place),
 		Policy: f.cfg.Policy, Store: p.client, Dial: p.conns.Dial,
 		Packet: func(address string) (net.PacketConn, error) {
 			c, err := net.ListenPacket("udp", address)
@@ -132,9 +132,9 @@
 			}
 			return f.links.PacketConn(c, at, f.directory.locateAddr), nil
 		},
-		Checks: f.program, Log: f.cfg.Log,
+		Checks: f.instanceChecks, Log: f.cfg.Log,
 	}
 	var err error
-	p.in, err = instance.New(cfg)
+	p.instance, err = instance.New(cfg)
 	return p, err
 }
