--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -54,8 +54,8 @@
 	f.StringVar(&flags.logLevel, "log", "info", "lowest level that is logged: debug, info, warn, error")
 	f.BoolVar(&flags.check, "check", false, "check the settings and exit")
 	f.IntVar(&flags.metricsPort, "metrics", 0, "port that serves metrics; 0 for none")
-	f.IntVar(&cfg.LogRate, "log-rate", edge.DefaultLogRate, "log lines/s about successful requests")
-	f.DurationVar(&cfg.TTL, "ttl", edge.DefaultTTL, "how long callers may cache the answer to a look-up")
+	f.IntVar(&cfg.SuccessLogRate, "log-rate", edge.DefaultSuccessLogRate, "log lines/s about successful requests")
+	f.DurationVar(&cfg.LookupTTL, "ttl", edge.DefaultLookupTTL, "how long callers may cache the answer to a look-up")
 	f.Float64Var(&cfg.ByteCost, "byte-cost", 0, "cost of a byte between failure domains, in nanoseconds of latency; 0 for the default")
 	return cmd
 }
@@ -76,7 +76,7 @@
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
 	cfg.Settings = settings
-	cfg.Load = overload.NewMeter(settings.Cores)
+	cfg.Overload = overload.NewMeter(settings.Cores)
 	if flags.check {
 		return checkEdge(cmd, cfg)
 	}
@@ -105,8 +105,8 @@
 	}
 	logger.Info("settings read", "path", flags.settings, "unread", settings.Unread)
 	logger.Info("started", "instance", settings.Instance, "domain", settings.Domain, "region", settings.Region,
-		"callers", settings.Callers, "peers", node.Peers(), "store", settings.Store, "first", settings.FirstStart)
-	go node.Watch(cmd.Context(), flags.settings)
+		"callers", settings.Callers, "peers", node.PeerAddress(), "store", settings.Store, "first", settings.FirstStart)
+	go node.WatchSettings(cmd.Context(), flags.settings)
 	for s := range signals {
 		if s != syscall.SIGHUP {
 			break
--- a/internal/edge/busy.go
+++ b/internal/edge/busy.go
@@ -16,7 +16,7 @@
 // refuseOverloaded refuses a request that this overloaded process has no time for. If all were
 // accepted, each would take so long that its caller leaves before the answer.
 func (n *Node) refuseOverloaded(r *http1.Request) *http1.Response {
-	share := n.cfg.Load.Share()
+	share := n.cfg.Overload.Share()
 	why := &refusal{
 		status: http.StatusServiceUnavailable, reason: "overloaded",
 		retryAfter: minRetryAfter + rand.N(time.Duration(share*float64(overloadRetrySpread))+1),
--- a/internal/edge/config.go
+++ b/internal/edge/config.go
@@ -15,32 +15,32 @@
 
 // Config configures a Node.
 type Config struct {
-	Settings platform.Settings
-	Log      *log.Logger
-	Metrics  *metrics.Set
-	Load     *overload.Meter // of this process; with nil, no request is refused because of overload
-	ByteCost float64         // nanoseconds of latency that one byte between failure domains is worth; 0: the default
-	LogRate  int             // lines a second about successful requests
-	TTL      time.Duration   // how long callers may cache the answer to a look-up
+	Settings       platform.Settings
+	Log            *log.Logger
+	Metrics        *metrics.Set
+	Overload       *overload.Meter // of this process; with nil, no request is refused because of overload
+	ByteCost       float64         // nanoseconds of latency that one byte between failure domains is worth; 0: the default
+	SuccessLogRate int             // lines a second about successful requests
+	LookupTTL      time.Duration   // how long callers may cache the answer to a look-up
 }
 
 // Defaults of Config.
 const (
-	// DefaultLogRate: 100 lines of about 300 bytes are at most 30 KB a second.
-	DefaultLogRate = 100
-	// DefaultTTL: a planned stop has a few seconds, and some callers cache an answer three
+	// DefaultSuccessLogRate: 100 lines of about 300 bytes are at most 30 KB a second.
+	DefaultSuccessLogRate = 100
+	// DefaultLookupTTL: a planned stop has a few seconds, and some callers cache an answer three
 	// times as long as its TTL: with 1 s, the last of them has looked up again 3 s after the
 	// signal.
-	DefaultTTL = time.Second
+	DefaultLookupTTL = time.Second
 )
 
 // Defaults sets the fields that are zero to their defaults.
 func (c *Config) Defaults() {
-	if c.LogRate == 0 {
-		c.LogRate = DefaultLogRate
+	if c.SuccessLogRate == 0 {
+		c.SuccessLogRate = DefaultSuccessLogRate
 	}
-	if c.TTL == 0 {
-		c.TTL = DefaultTTL
+	if c.LookupTTL == 0 {
+		c.LookupTTL = DefaultLookupTTL
 	}
 }
 
--- a/internal/edge/gauges.go
+++ b/internal/edge/gauges.go
@@ -36,7 +36,7 @@
 func (n *Node) gauges(at time.Time) metrics.Edge {
 	e := metrics.Edge{
 		Ready: n.Ready(), Connections: n.server.Open(), Instances: len(n.instances.names()),
-		Revision: n.mirror.Revision().Count(), Epoch: n.store.Epoch(), StoreAge: n.mirror.Age(at), Refusing: n.cfg.Load.Share(),
+		Revision: n.mirror.Revision().Count(), Epoch: n.store.Epoch(), StoreAge: n.mirror.Age(at), Refusing: n.cfg.Overload.Share(),
 	}
 	current := n.rules.Load()
 	if current == nil {
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -75,7 +75,7 @@
 	n := &Node{
 		cfg: cfg, store: platform.NewStore(s.Store), pool: http1.NewPool(s.IP), fleet: fleet,
 		evacuated: make(map[string]bool), answerSizes: make(map[string]float64),
-		successLimiter: logs.NewLimiter(cfg.LogRate), failureLimiter: logs.NewLimiter(failureLogRate),
+		successLimiter: logs.NewLimiter(cfg.SuccessLogRate), failureLimiter: logs.NewLimiter(failureLogRate),
 	}
 	n.store.Note(n.countStoreCall)
 	n.processStart = time.Now().UnixNano()
@@ -88,7 +88,7 @@
 	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Told: n.loadReports, Hear: n.receiveLoadReports, Failed: n.loadExchangeFailed})
 	n.registrar = newRegistrar(n)
 	n.crashes = newCrashTracker(n)
-	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.refuseEarly, Busy: cfg.Load.Refuse, TooBusy: n.refuseOverloaded, Limits: n.limits, Unreadable: n.refuseUnreadable})
+	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.refuseEarly, Busy: cfg.Overload.Refuse, TooBusy: n.refuseOverloaded, Limits: n.limits, Unreadable: n.refuseUnreadable})
 	return n, nil
 }
 
@@ -178,8 +178,8 @@
 	return n.serveWeb(&address, mux)
 }
 
-// Peers returns the address for other instances, IP:port.
-func (n *Node) Peers() string { return n.peerAddress }
+// PeerAddress returns the address for other instances, IP:port.
+func (n *Node) PeerAddress() string { return n.peerAddress }
 
 // peerHandler serves other instances.
 func (n *Node) peerHandler() http.Handler {
--- a/internal/edge/node_test.go
+++ b/internal/edge/node_test.go
@@ -139,7 +139,7 @@
 	replies := make(chan reply)
 	go func() { replies <- r.send("GET", "/get/x") }()
 	r.eventually("the target works", func() bool { return target.runs() == 1 })
-	r.node.cfg.TTL = 300 * time.Millisecond // what follows happens before callers should have left
+	r.node.cfg.LookupTTL = 300 * time.Millisecond // what follows happens before callers should have left
 	stopped := make(chan struct{})
 	go func() {
 		r.node.Stop()
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -57,13 +57,13 @@
 // lookupTTL returns how long callers may cache the answer to a look-up.
 func (n *Node) lookupTTL() time.Duration {
 	if limit := n.bounds.Load().LookupTTL; limit > 0 {
-		return min(n.cfg.TTL, limit)
+		return min(n.cfg.LookupTTL, limit)
 	}
-	return n.cfg.TTL
+	return n.cfg.LookupTTL
 }
 
-// Watch reloads the settings file when it has changed without a signal, until ctx ends.
-func (n *Node) Watch(ctx context.Context, path string) {
+// WatchSettings reloads the settings file when it has changed without a signal, until ctx ends.
+func (n *Node) WatchSettings(ctx context.Context, path string) {
 	last := readFileVersion(path)
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
--- a/internal/edge/reload_test.go
+++ b/internal/edge/reload_test.go
@@ -58,7 +58,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go r.node.Watch(ctx, path)
+	go r.node.WatchSettings(ctx, path)
 	time.Sleep(10 * time.Millisecond)
 	if err := os.WriteFile(path, []byte(settingsText+"# changed\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -63,9 +63,9 @@
 	r.t.Helper()
 	regions := map[string]string{"n1": "north", "s1": "south"}
 	n, err := New(Config{
-		Log:  log.New(io.Discard),
-		Load: r.load,
-		TTL:  50 * time.Millisecond,
+		Log:       log.New(io.Discard),
+		Overload:  r.load,
+		LookupTTL: 50 * time.Millisecond,
 		Settings: platform.Settings{
 			Instance: name, Domain: domain, Region: regions[domain], Regions: regions,
 			Callers: anyPort, Ready: anyPort, Lookups: anyPort, Peers: anyPort, Store: r.url,
