--- a/internal/callers/body_test.go
+++ b/internal/callers/body_test.go
@@ -236,7 +236,7 @@
 		w.Write(make([]byte, 64<<20))
 	}))
 	g.sendRaw("GET /call/shop/orders/ HTTP/1.1\r\nHost: a\r\nFirlever-Timeout: 200\r\n\r\n")
-	g.waitFor("the request", func(st core.Status) bool { return st.Open == 1 })
+	g.waitFor("the request", func(st core.Status) bool { return st.InFlight == 1 })
 	g.idle()
 }
 
--- a/internal/callers/capacity_test.go
+++ b/internal/callers/capacity_test.go
@@ -39,7 +39,7 @@
 	dispatcher.Step(core.Applied{Snapshot: s})
 	var list []core.Peer
 	for i := range peers {
-		list = append(list, core.Peer{ID: fmt.Sprintf("p%03d", i), Incarnation: 1, Place: "here", Callers: "127.0.0.1:2"})
+		list = append(list, core.Peer{ID: fmt.Sprintf("p%03d", i), Incarnation: 1, Place: "here", CallersAddress: "127.0.0.1:2"})
 	}
 	dispatcher.Step(core.PeersChanged{Peers: list})
 	return New(Config{Instance: "i", Callers: "127.0.0.1:1"}, dispatcher, targets.New(nil))
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -23,8 +23,8 @@
 
 // TellCrashes carries out a decision to report crashed targets: it sends the update to all of its
 // peers in parallel.
-func (s *Server) TellCrashes(ctx context.Context, d core.TellCrashes) {
-	body, err := json.Marshal(d.News)
+func (s *Server) TellCrashes(ctx context.Context, d core.SendCrashes) {
+	body, err := json.Marshal(d.Update)
 	if err != nil {
 		s.recordCrashUpdate(d, err)
 		return
@@ -63,23 +63,23 @@
 }
 
 // recordCrashUpdate counts a sent update and logs its reports.
-func (s *Server) recordCrashUpdate(d core.TellCrashes, err error) {
+func (s *Server) recordCrashUpdate(d core.SendCrashes, err error) {
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: "tell-crashes"})
 	if s.cfg.Log == nil {
 		return
 	}
-	for _, r := range d.News.Reports {
+	for _, r := range d.Update.Reports {
 		s.cfg.Log.Warn("target ended", "target", r.Target, "prints", r.Prints, "peers", len(d.Peers), "err", err)
 	}
-	if len(d.News.Answered) > 0 {
-		s.cfg.Log.Info("request answered", "prints", d.News.Answered, "peers", len(d.Peers), "err", err)
+	if len(d.Update.Answered) > 0 {
+		s.cfg.Log.Info("request answered", "prints", d.Update.Answered, "peers", len(d.Peers), "err", err)
 	}
 }
 
 // receiveCrashes handles an update about crashed targets from a peer.
 func (s *Server) receiveCrashes(w http.ResponseWriter, r *http.Request) {
 	b, err := io.ReadAll(io.LimitReader(r.Body, maxCrashUpdate))
-	var update core.CrashNews
+	var update core.CrashUpdate
 	if err == nil {
 		err = json.Unmarshal(b, &update)
 	}
@@ -87,7 +87,7 @@
 		s.badRequest(w, http.StatusBadRequest, err)
 		return
 	}
-	s.dispatcher.Step(core.CrashesHeard{News: update})
+	s.dispatcher.Step(core.CrashesReceived{Update: update})
 	s.setWriteDeadline(w, s.dispatcher.Now().Add(replyTimeout))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/callers/crash_test.go
+++ b/internal/callers/crash_test.go
@@ -23,14 +23,14 @@
 	front := httptest.NewServer(receiver.server.Callers())
 	defer front.Close()
 	poison := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Print()
-	update := core.CrashNews{Place: "west"}
+	update := core.CrashUpdate{Place: "west"}
 	for i := range 3 {
 		update.Reports = append(update.Reports, core.CrashReport{
 			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{poison}},
 		})
 	}
 	peer := core.Peer{ID: "west", Address: receiver.peers.Listener.Addr().String()}
-	sender.server.TellCrashes(t.Context(), core.TellCrashes{Peers: []core.Peer{peer}, News: update})
+	sender.server.TellCrashes(t.Context(), core.SendCrashes{Peers: []core.Peer{peer}, Update: update})
 	tests := map[string]struct {
 		path, key, reason string
 		status            int
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -70,17 +70,17 @@
 	x.s.recordDecision(x.req, d)
 	switch d := d.(type) {
 	case core.Serve:
-		t := attempt{deadline: d.Deadline, detached: d.RunOn, home: d.Home, linkRate: d.Link, target: d.Target, connEnd: make(chan targets.End, 1)}
+		t := attempt{deadline: d.Deadline, detached: d.Detached, home: d.Home, linkRate: d.AnswerRate, target: d.Target, connEnd: make(chan targets.End, 1)}
 		return x.send(t, x.outgoing(t, d.Address, ""), x.handleTargetAnswer)
-	case core.Hand:
-		t := attempt{deadline: d.Deadline, detached: d.RunOn, home: d.Home, toPeer: true, linkRate: d.Link, uploadRate: d.Upload}
+	case core.HandOff:
+		t := attempt{deadline: d.Deadline, detached: d.Detached, home: d.Home, toPeer: true, linkRate: d.AnswerRate, uploadRate: d.UploadRate}
 		out := x.outgoing(t, d.Peer.Address, PrefixHand)
 		setCount(out.Header, HeaderWant, d.Want)
 		return x.send(t, out, x.handleOwnerAnswer(d))
 	case core.Forward:
 		t := attempt{deadline: d.Deadline, detached: true, home: d.Home, toPeer: true}
 		return x.send(t, x.outgoing(t, d.Peer.Address, PrefixForward), x.handlePeerAnswer)
-	case core.Repeat:
+	case core.Replay:
 		x.repeat(d)
 		return true
 	case core.Refuse:
@@ -157,13 +157,13 @@
 	x.setReadDeadline(t.deadline.Add(replyTimeout))
 	t.began = x.s.dispatcher.Now()
 	setTimeLeft(out.Header, HeaderTimeout, t.began, t.deadline)
-	if !x.req.Start.IsZero() {
-		setTimeLeft(out.Header, HeaderStart, t.began, x.req.Start)
+	if !x.req.StartDeadline.IsZero() {
+		setTimeLeft(out.Header, HeaderStart, t.began, x.req.StartDeadline)
 	}
 	resp, err := x.s.client.Send(ctx, out, t.onConnEnd())
 	if err != nil {
 		ev := sendFailure(err)
-		ev.Broken = ev.Result == core.Failed && abortedByRemote(ctx, err)
+		ev.Aborted = ev.Result == core.Failed && abortedByRemote(ctx, err)
 		x.fail(t, ev)
 		return false
 	}
@@ -192,8 +192,8 @@
 // fail reports an attempt without an answer to the node, and whether the caller caused the failure.
 func (x *exchange) fail(t attempt, ev core.Finished) {
 	t.reqBody.stop()
-	ev.Spent = x.body.consumed.Load()
-	ev.Gone = ev.Gone || x.body.aborted.Load() || !t.detached && x.r.Context().Err() != nil
+	ev.BodyConsumed = x.body.consumed.Load()
+	ev.CallerGone = ev.CallerGone || x.body.aborted.Load() || !t.detached && x.r.Context().Err() != nil
 	x.finish(t, ev)
 }
 
@@ -220,7 +220,7 @@
 	select {
 	case end := <-t.connEnd:
 		if end != targets.Unnoticed {
-			s.dispatcher.Step(core.Ended{ID: id, Target: t.target, Cut: end == targets.Reset})
+			s.dispatcher.Step(core.ConnectionEnded{ID: id, Target: t.target, Reset: end == targets.Reset})
 		}
 	case <-time.After(connEndTimeout): // the node has already released the slot
 	}
@@ -233,9 +233,9 @@
 	x.s.dispatcher.Step(received)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == OutcomeNotRun {
 		now := x.s.dispatcher.Now()
-		ev := core.Finished{Result: core.NotRun, Proof: once.ProofRefusal, Retry: retryAfter(resp.Header, now)}
-		if ev.Retry.IsZero() && received.Notice.Rest > 0 {
-			ev.Retry = now.Add(received.Notice.Rest)
+		ev := core.Finished{Result: core.NotRun, Proof: once.ProofRefusal, RetryAt: retryAfter(resp.Header, now)}
+		if ev.RetryAt.IsZero() && received.Notice.Rest > 0 {
+			ev.RetryAt = now.Add(received.Notice.Rest)
 		}
 		x.fail(t, ev)
 		return false
@@ -245,7 +245,7 @@
 
 // handleOwnerAnswer handles the answer of the peer that a request was handed off to, with the grant
 // that it offers.
-func (x *exchange) handleOwnerAnswer(d core.Hand) answerHandler {
+func (x *exchange) handleOwnerAnswer(d core.HandOff) answerHandler {
 	return func(t attempt, resp *http.Response) bool {
 		ev := grantReceived(resp.Header, t.began, d.Peer)
 		ev.ID, ev.Service, ev.Home = x.id, x.req.Service, d.Home
@@ -257,9 +257,9 @@
 // handlePeerAnswer handles another instance's answer.
 func (x *exchange) handlePeerAnswer(t attempt, resp *http.Response) bool {
 	ev := core.Finished{
-		Result: core.Failed,
-		Reason: core.Reason(resp.Header.Get(HeaderReason)),
-		Retry:  retryAfter(resp.Header, x.s.dispatcher.Now()),
+		Result:  core.Failed,
+		Reason:  core.Reason(resp.Header.Get(HeaderReason)),
+		RetryAt: retryAfter(resp.Header, x.s.dispatcher.Now()),
 	}
 	switch resp.Header.Get(HeaderOutcome) {
 	case OutcomeAnswered:
--- a/internal/callers/fuzz_test.go
+++ b/internal/callers/fuzz_test.go
@@ -36,8 +36,8 @@
 		if !strings.HasPrefix(req.Path, "/") || req.Name == "" || !printable(req.Name) {
 			t.Errorf("got path %q and name %q", req.Path, req.Name)
 		}
-		if !req.Deadline.IsZero() && req.Deadline.Before(now) || !req.Start.IsZero() && req.Start.Before(now) {
-			t.Errorf("got deadline %s and start %s before now", req.Deadline, req.Start)
+		if !req.Deadline.IsZero() && req.Deadline.Before(now) || !req.StartDeadline.IsZero() && req.StartDeadline.Before(now) {
+			t.Errorf("got deadline %s and start %s before now", req.Deadline, req.StartDeadline)
 		}
 	})
 }
--- a/internal/callers/grant.go
+++ b/internal/callers/grant.go
@@ -40,9 +40,9 @@
 
 // grantReceived reads a peer's offer. began is a time before the peer was asked, so that a grant
 // expires at this instance first, however long the answer took.
-func grantReceived(h http.Header, began time.Time, p core.Peer) core.GrantHeard {
+func grantReceived(h http.Header, began time.Time, p core.Peer) core.GrantReceived {
 	until := began.Add(time.Duration(headerCount(h, HeaderUntil)) * time.Millisecond)
-	return core.GrantHeard{
+	return core.GrantReceived{
 		Peer: p.ID, Incarnation: p.Incarnation, Until: until,
 		Free: headerCount(h, HeaderFree), Grant: headerCount(h, HeaderGrant),
 	}
--- a/internal/callers/header.go
+++ b/internal/callers/header.go
@@ -49,10 +49,10 @@
 
 // Noticed reads the notice in a target's answer. A successful answer is complete if its
 // headers could be read: what it doesn't state no longer holds.
-func Noticed(target owner.TargetKey, asked time.Time, resp *http.Response) core.Noticed {
+func Noticed(target owner.TargetKey, asked time.Time, resp *http.Response) core.NoticeReceived {
 	n, unread := noticeHeaders.Read(resp.StatusCode, resp.Header)
-	return core.Noticed{
-		Target: target, Asked: asked, Notice: n, Unread: unread, Whole: resp.StatusCode < http.StatusMultipleChoices && unread == nil,
+	return core.NoticeReceived{
+		Target: target, Sent: asked, Notice: n, Unreadable: unread, Complete: resp.StatusCode < http.StatusMultipleChoices && unread == nil,
 	}
 }
 
--- a/internal/callers/link_test.go
+++ b/internal/callers/link_test.go
@@ -198,7 +198,7 @@
 					got <- n
 				}()
 			}
-			g.waitFor("all downloads", func(st core.Status) bool { return st.Open >= tt.downloads })
+			g.waitFor("all downloads", func(st core.Status) bool { return st.InFlight >= tt.downloads })
 			var took []time.Duration
 			began := time.Now()
 			for b.Loop() {
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -47,14 +47,14 @@
 	switch d := d.(type) {
 	case core.Serve:
 		return kindServe, d.Reason
-	case core.Hand:
+	case core.HandOff:
 		return kindHand, d.Reason
 	case core.Forward:
 		return kindForward, d.Reason
 	case core.Hold:
 		return kindHold, core.ReasonFull
-	case core.Repeat:
-		return kindRepeat, core.ReasonRepeat
+	case core.Replay:
+		return kindRepeat, core.ReasonReplay
 	case core.Refuse:
 		if d.Unknown {
 			return kindUnknown, d.Reason
@@ -70,7 +70,7 @@
 	switch d := d.(type) {
 	case core.Serve:
 		return []any{"target", d.Target.Name, "attempt", d.Attempt, "home", d.Home, "shifted", d.Shifted, "passed", d.Passed}
-	case core.Hand:
+	case core.HandOff:
 		return []any{
 			"instance", d.Peer.ID, "place", d.Peer.Place, "attempt", d.Attempt, "home", d.Home,
 			"granted", d.Granted, "want", d.Want, "passed", d.Passed,
@@ -79,7 +79,7 @@
 		return []any{"instance", d.Peer.ID}
 	case core.Hold:
 		return []any{"until", d.Until, "passed", d.Passed}
-	case core.Repeat:
+	case core.Replay:
 		return []any{"status", d.Answer.Status}
 	case core.Refuse:
 		return []any{"retry", d.RetryAt, "passed", d.Passed}
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -30,7 +30,7 @@
 	}
 	start, err := readStart(resp)
 	if err != nil {
-		x.fail(t, core.Finished{Result: core.Failed, Broken: abortedByRemote(t.ctx, err)})
+		x.fail(t, core.Finished{Result: core.Failed, Aborted: abortedByRemote(t.ctx, err)})
 		return false
 	}
 	if len(start) > maxBuffered {
@@ -129,7 +129,7 @@
 	x.w.WriteHeader(resp.StatusCode)
 	n, err := x.copy(t, io.MultiReader(bytes.NewReader(start), resp.Body), resp.ContentLength < 0)
 	if err != nil {
-		x.fail(t, core.Finished{Result: core.Failed, Final: true, Gone: x.callerGone, Broken: !x.callerGone && abortedByRemote(t.ctx, err)})
+		x.fail(t, core.Finished{Result: core.Failed, Final: true, CallerGone: x.callerGone, Aborted: !x.callerGone && abortedByRemote(t.ctx, err)})
 		x.abort()
 	}
 	x.checkLength(resp, n)
@@ -216,12 +216,12 @@
 }
 
 // repeat writes the recorded answer of a key.
-func (x *exchange) repeat(d core.Repeat) {
+func (x *exchange) repeat(d core.Replay) {
 	if d.Answer.Dropped {
 		// The request has run, but its answer was too large to keep.
 		x.refuse(core.Refuse{ID: d.ID, Unknown: true, Reason: core.ReasonNotKept})
 		return
 	}
-	x.setAnswerHeaders(OutcomeAnswered, core.ReasonRepeat)
+	x.setAnswerHeaders(OutcomeAnswered, core.ReasonReplay)
 	x.writeAnswer(d.Answer.Status, d.Answer.Header, d.Answer.Body)
 }
--- a/internal/callers/request.go
+++ b/internal/callers/request.go
@@ -52,7 +52,7 @@
 	if req.Deadline, err = deadline(r, HeaderTimeout, now); err != nil {
 		return req, err
 	}
-	req.Start, err = deadline(r, HeaderStart, now)
+	req.StartDeadline, err = deadline(r, HeaderStart, now)
 	return req, err
 }
 
--- a/internal/callers/rig_test.go
+++ b/internal/callers/rig_test.go
@@ -82,7 +82,7 @@
 // once the target has answered.
 func (g *rig) control(d core.Decision) {
 	if p, ok := d.(core.Probe); ok {
-		go g.dispatcher.Step(core.Probed{Target: p.Target, Asked: p.Asked, Healthy: true, Slots: 4})
+		go g.dispatcher.Step(core.Probed{Target: p.Target, Sent: p.Sent, Healthy: true, Slots: 4})
 	}
 }
 
@@ -221,7 +221,7 @@
 				return false
 			}
 		}
-		return st.Open == 0 && st.Queued == 0
+		return st.InFlight == 0 && st.Queued == 0
 	})
 }
 
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -93,7 +93,7 @@
 			s.badRequest(w, http.StatusBadRequest, err)
 			return
 		}
-		x.req.Again = retryAt
+		x.req.OverloadedUntil = retryAt
 		if origin != core.FromCaller {
 			x.req.Home = r.Header.Get(HeaderHome)
 		}
@@ -128,8 +128,8 @@
 	if x.body.remaining == nil && r.ContentLength != 0 {
 		c.SetReadDeadline(time.Time{})
 	}
-	x.req.Print = fingerprint(r, x.route, x.body)
-	x.req.Sent = crashFingerprint(r, x.route, x.body)
+	x.req.Fingerprint = fingerprint(r, x.route, x.body)
+	x.req.CrashFingerprint = crashFingerprint(r, x.route, x.body)
 	return x, nil
 }
 
@@ -192,7 +192,7 @@
 	if p.ID == s.cfg.Instance {
 		return s.cfg.Callers
 	}
-	return p.Callers
+	return p.CallersAddress
 }
 
 // refuseLookup answers a look-up that failed.
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -212,7 +212,7 @@
 			continue
 		}
 		n.probes[key] = now.Add(n.cfg.Probe)
-		n.decide(Probe{Target: key, Address: n.addresses[key], Asked: now})
+		n.decide(Probe{Target: key, Address: n.addresses[key], Sent: now})
 	}
 }
 
@@ -250,7 +250,7 @@
 		s.health.Observe(now, ev.Target, health.Failed, 0)
 		return
 	}
-	n.targetResponded(now, ev.Target, ev.Asked)
+	n.targetResponded(now, ev.Target, ev.Sent)
 	n.reports[ev.Target] = ev.Busy
 	s.health.Claim(now, ev.Target, ev.Healthy, ev.Slots, ev.Busy)
 	s.health.Probed(now, ev.Target, ev.Healthy)
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -32,8 +32,8 @@
 	if !f.idempotent && f.origin != FromPeer && !n.beginKey(now, f) {
 		return
 	}
-	if !f.req.Again.IsZero() {
-		f.lowerRetryAt(f.req.Again)
+	if !f.req.OverloadedUntil.IsZero() {
+		f.lowerRetryAt(f.req.OverloadedUntil)
 		n.refuse(now, f, ReasonOverloaded)
 		return
 	}
@@ -87,7 +87,7 @@
 		n.refuse(now, f, ReasonBadKey)
 		return false
 	}
-	verdict := n.once.Begin(now, key, f.req.Print, f.req.Name)
+	verdict := n.once.Begin(now, key, f.req.Fingerprint, f.req.Name)
 	if verdict.Kind == once.VerdictRun {
 		f.key, f.keyed, f.keyAttempt = key, true, verdict.Attempt
 		return true
@@ -105,7 +105,7 @@
 	switch v.Kind {
 	case once.VerdictAnswered:
 		delete(n.requests, f.id)
-		n.decide(Repeat{ID: f.id, Answer: v.Outcome})
+		n.decide(Replay{ID: f.id, Answer: v.Outcome})
 	case once.VerdictRunning:
 		f.lowerRetryAt(now.Add(retryRunning))
 		n.refuseUnknown(f, ReasonKeyRunning)
--- a/internal/core/baseline.go
+++ b/internal/core/baseline.go
@@ -20,7 +20,7 @@
 		return ReasonNoTargets, false
 	}
 	key := keys[n.cfg.Rand.IntN(len(keys))]
-	if n.cfg.Policy == PolicyTwo {
+	if n.cfg.Policy == PolicyTwoChoices {
 		other := keys[n.cfg.Rand.IntN(len(keys))]
 		if n.reports[other] < n.reports[key] {
 			key = other
--- a/internal/core/caller_test.go
+++ b/internal/core/caller_test.go
@@ -152,7 +152,7 @@
 	}
 	if k.service == serviceWrite {
 		req.Method = "POST"
-		req.Print = once.NewFingerprint(req.Method, k.name, nil)
+		req.Fingerprint = once.NewFingerprint(req.Method, k.name, nil)
 	}
 	a := &callerAttempt{k: k, key: k.key, name: req.Name}
 	place := w.home[name]
--- a/internal/core/capacity_test.go
+++ b/internal/core/capacity_test.go
@@ -92,10 +92,10 @@
 func (w benchSize) peerList() []Peer {
 	var peers []Peer
 	for i := range w.roster - 1 {
-		peers = append(peers, Peer{ID: fmt.Sprintf("entry-%04d", i+1), Incarnation: 1, Place: placeName(0), Address: "10.0.0.1:1", Callers: "10.0.0.1:2"})
+		peers = append(peers, Peer{ID: fmt.Sprintf("entry-%04d", i+1), Incarnation: 1, Place: placeName(0), Address: "10.0.0.1:1", CallersAddress: "10.0.0.1:2"})
 	}
 	for i := range w.peers {
-		peers = append(peers, Peer{ID: fmt.Sprintf("far-%04d", i), Incarnation: 1, Place: placeName(1 + i%max(w.places-1, 1)), Address: "10.0.0.1:1", Callers: "10.0.0.1:2"})
+		peers = append(peers, Peer{ID: fmt.Sprintf("far-%04d", i), Incarnation: 1, Place: placeName(1 + i%max(w.places-1, 1)), Address: "10.0.0.1:1", CallersAddress: "10.0.0.1:2"})
 	}
 	return peers
 }
@@ -232,7 +232,7 @@
 		t.Fatal(err)
 	}
 	owned := len(n.owners.Owned())
-	n.Step(now.Add(3*time.Hour), RosterHeard{Roster: next})
+	n.Step(now.Add(3*time.Hour), RosterReceived{Roster: next})
 	if got := len(n.owners.Owned()); got <= owned {
 		t.Errorf("got %d owned targets after a member left, want more than %d", got, owned)
 	}
@@ -261,7 +261,7 @@
 	}{
 		"answers":          {Answered, PolicyOwner, 0},
 		"refuses":          {NotRun, PolicyOwner, 9},
-		"answers baseline": {Answered, PolicyTwo, 9},
+		"answers baseline": {Answered, PolicyTwoChoices, 9},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -180,8 +180,8 @@
 			c.failf("%s does not run at the end", name)
 			return
 		}
-		if len(p.exchanges) > 0 || p.node.Open() > 0 {
-			c.failf("%s has %d requests, its node %d, long after the last", p, len(p.exchanges), p.node.Open())
+		if len(p.exchanges) > 0 || p.node.InFlight() > 0 {
+			c.failf("%s has %d requests, its node %d, long after the last", p, len(p.exchanges), p.node.InFlight())
 		}
 		c.recovered(p)
 	}
@@ -212,7 +212,7 @@
 		if p == nil {
 			return
 		}
-		for _, r := range p.node.Rooms(p.local()) {
+		for _, r := range p.node.FreeSlots(p.local()) {
 			if r.Service == serviceID(service) {
 				free += r.Free
 			}
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -42,9 +42,9 @@
 
 // Policies. All but PolicyOwner are baselines for measurements.
 const (
-	PolicyOwner  Policy = "owner"  // the production policy: each target has one owner
-	PolicyRandom Policy = "random" // any target of the place, without limits
-	PolicyTwo    Policy = "two"    // the less loaded of two random targets, by reported load
+	PolicyOwner      Policy = "owner"  // the production policy: each target has one owner
+	PolicyRandom     Policy = "random" // any target of the place, without limits
+	PolicyTwoChoices Policy = "two"    // the less loaded of two random targets, by reported load
 )
 
 // Defaults replaces zero values by defaults.
@@ -101,7 +101,7 @@
 	need(c.Skew >= 0 && c.Skew < 1, "skew is not in [0, 1)")
 	need(c.Cache > 0, "cache is not positive")
 	need(c.Queue > 0, "queue is not positive")
-	need(c.Policy == PolicyOwner || c.Policy == PolicyRandom || c.Policy == PolicyTwo, "policy is not known")
+	need(c.Policy == PolicyOwner || c.Policy == PolicyRandom || c.Policy == PolicyTwoChoices, "policy is not known")
 	if len(faults) > 0 {
 		return &ConfigError{Faults: faults}
 	}
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -51,25 +51,25 @@
 	crash.Report
 }
 
-// TellCrashes sends peers the targets that crashed and the requests that were answered
+// SendCrashes sends peers the targets that crashed and the requests that were answered
 // since.
-type TellCrashes struct {
-	Peers []Peer
-	News  CrashNews
+type SendCrashes struct {
+	Peers  []Peer
+	Update CrashUpdate
 }
 
-// CrashNews is the update that one instance sends to another.
-type CrashNews struct {
+// CrashUpdate is the update that one instance sends to another.
+type CrashUpdate struct {
 	Place    string        `json:"place"` // of the sender; empty if the update must not be relayed
 	Reports  []CrashReport `json:"reports"`
 	Answered []crash.Print `json:"answered"`
 }
 
-// CrashesHeard delivers an update from a peer.
-type CrashesHeard struct{ News CrashNews }
+// CrashesReceived delivers an update from a peer.
+type CrashesReceived struct{ Update CrashUpdate }
 
-func (TellCrashes) decision() {}
-func (CrashesHeard) event()   {}
+func (SendCrashes) decision()  {}
+func (CrashesReceived) event() {}
 
 func newCrashTracker() crashTracker {
 	return crashTracker{book: crash.NewBook(), aborts: make(map[owner.TargetKey]*abortedExchange)}
@@ -78,7 +78,7 @@
 // refusePoison refuses a request that crashes the targets that run it, whatever its
 // origin. It reports whether it refused the request.
 func (n *Node) refusePoison(now time.Time, f *inFlight) bool {
-	if n.crashes.book.Guilty()[f.req.Sent] == 0 {
+	if n.crashes.book.Guilty()[f.req.CrashFingerprint] == 0 {
 		return false
 	}
 	f.lowerRetryAt(now.Add(crashRetention))
@@ -89,7 +89,7 @@
 // recordAbort records that a target aborted an attempt, and probes whether the target
 // still runs.
 func (n *Node) recordAbort(now time.Time, f *inFlight) {
-	if n.crashes.recent.Has(now, f.req.Sent) {
+	if n.crashes.recent.Has(now, f.req.CrashFingerprint) {
 		return
 	}
 	b := n.crashes.aborts[f.target]
@@ -97,17 +97,17 @@
 		b = &abortedExchange{at: now}
 		n.crashes.aborts[f.target] = b
 	}
-	if !slices.Contains(b.fingerprints, f.req.Sent) {
-		b.fingerprints = append(b.fingerprints, f.req.Sent)
+	if !slices.Contains(b.fingerprints, f.req.CrashFingerprint) {
+		b.fingerprints = append(b.fingerprints, f.req.CrashFingerprint)
 	}
-	n.decide(Probe{Target: f.target, Address: n.addresses[f.target], Asked: now, Look: true})
+	n.decide(Probe{Target: f.target, Address: n.addresses[f.target], Sent: now, NewConnection: true})
 }
 
 // resolveAbort evaluates a probe that was sent after a target aborted attempts. Later
 // aborts are recorded anew.
 func (n *Node) resolveAbort(now time.Time, ev Probed) {
 	b := n.crashes.aborts[ev.Target]
-	if b == nil || ev.Asked.Before(b.at) || ev.Err && !ev.Refused {
+	if b == nil || ev.Sent.Before(b.at) || ev.Err && !ev.Refused {
 		return
 	}
 	delete(n.crashes.aborts, ev.Target)
@@ -119,7 +119,7 @@
 	name := fmt.Sprintf("%s/%d-%d", n.cfg.Instance, n.cfg.Incarnation, e.lastReport)
 	r := CrashReport{Key: name, Report: crash.Report{Target: ev.Target.Service.String() + "/" + ev.Target.Name + "@" + name, Prints: b.fingerprints}}
 	n.storeReport(now, r)
-	n.notifyAll(CrashNews{Place: n.cfg.Place, Reports: []CrashReport{r}})
+	n.notifyAll(CrashUpdate{Place: n.cfg.Place, Reports: []CrashReport{r}})
 }
 
 // storeReport adds a report to the book. It returns false if the book already has it.
@@ -157,7 +157,7 @@
 	if ev.Status >= http.StatusMultipleChoices {
 		return
 	}
-	p := f.req.Sent
+	p := f.req.CrashFingerprint
 	n.crashes.recent.Add(now, p)
 	count := n.crashes.book.Count(p)
 	if count == 0 {
@@ -165,14 +165,14 @@
 	}
 	n.crashes.book.Answered(p, crash.Unwritten)
 	if count >= minCrashesToReport {
-		n.notifyAll(CrashNews{Place: n.cfg.Place, Answered: []crash.Print{p}})
+		n.notifyAll(CrashUpdate{Place: n.cfg.Place, Answered: []crash.Print{p}})
 	}
 }
 
 // crashesReceived applies a peer's update, and relays it within this place if it comes
 // from another.
-func (n *Node) crashesReceived(now time.Time, update CrashNews) {
-	relay := CrashNews{Answered: update.Answered}
+func (n *Node) crashesReceived(now time.Time, update CrashUpdate) {
+	relay := CrashUpdate{Answered: update.Answered}
 	for _, r := range update.Reports {
 		if n.storeReport(now, r) {
 			relay.Reports = append(relay.Reports, r)
@@ -188,7 +188,7 @@
 
 // notifyAll sends an update to the other instances of this place and to some of each
 // other place.
-func (n *Node) notifyAll(update CrashNews) {
+func (n *Node) notifyAll(update CrashUpdate) {
 	peers := slices.Clone(n.peers.byPlace[n.cfg.Place])
 	for _, place := range slices.Sorted(maps.Keys(n.peers.byPlace)) {
 		if list := n.peers.byPlace[place]; place != n.cfg.Place {
@@ -198,9 +198,9 @@
 	n.notify(peers, update)
 }
 
-func (n *Node) notify(peers []Peer, update CrashNews) {
+func (n *Node) notify(peers []Peer, update CrashUpdate) {
 	if len(peers) > 0 {
-		n.decide(TellCrashes{Peers: peers, News: update})
+		n.decide(SendCrashes{Peers: peers, Update: update})
 	}
 }
 
@@ -220,7 +220,7 @@
 			return
 		}
 	}
-	update := CrashNews{}
+	update := CrashUpdate{}
 	for _, m := range n.crashes.reports {
 		// Requests that were answered since are left out, as the new instance has no record
 		// of those answers.
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -17,7 +17,7 @@
 // name.
 func (n *Node) sendFingerprint(now time.Time, id ID, p crash.Print) string {
 	ev := request(id, "10.1.0.1")
-	ev.Request.Sent = p
+	ev.Request.CrashFingerprint = p
 	return decisionName(n.Step(now, ev))
 }
 
@@ -26,16 +26,16 @@
 func (n *Node) crashTarget(t *testing.T, now time.Time, id ID) []Decision {
 	t.Helper()
 	asked := false
-	for _, d := range n.Step(now, Finished{ID: id, Result: Failed, Broken: true}) {
+	for _, d := range n.Step(now, Finished{ID: id, Result: Failed, Aborted: true}) {
 		p, ok := d.(Probe)
-		asked = asked || ok && p.Look && p.Target == testTarget
+		asked = asked || ok && p.NewConnection && p.Target == testTarget
 	}
 	if !asked {
 		t.Error("got no probe of a target that aborted an attempt")
 	}
-	n.Step(now, Ended{ID: id, Target: testTarget})
-	decisions := n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
-	n.Step(now, Probed{Target: testTarget, Asked: now, Healthy: true, Slots: 2})
+	n.Step(now, ConnectionEnded{ID: id, Target: testTarget})
+	decisions := n.Step(now, Probed{Target: testTarget, Sent: now, Err: true, Refused: true})
+	n.Step(now, Probed{Target: testTarget, Sent: now, Healthy: true, Slots: 2})
 	return decisions
 }
 
@@ -84,41 +84,41 @@
 func TestNoCrashEvidence(t *testing.T) {
 	tests := map[string]func(n *Node, now time.Time, id ID){
 		"the target lives": func(n *Node, now time.Time, id ID) {
-			n.Step(now, Finished{ID: id, Result: Failed, Broken: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Healthy: true, Slots: 2})
+			n.Step(now, Finished{ID: id, Result: Failed, Aborted: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Healthy: true, Slots: 2})
 		},
 		"it is not known": func(n *Node, now time.Time, id ID) {
-			n.Step(now, Finished{ID: id, Result: Failed, Broken: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Err: true})
+			n.Step(now, Finished{ID: id, Result: Failed, Aborted: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Err: true})
 		},
 		"an end that was seen before": func(n *Node, now time.Time, id ID) {
-			n.Step(now, Finished{ID: id, Result: Failed, Broken: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now.Add(-time.Millisecond), Err: true, Refused: true})
+			n.Step(now, Finished{ID: id, Result: Failed, Aborted: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now.Add(-time.Millisecond), Err: true, Refused: true})
 		},
 		"the caller left": func(n *Node, now time.Time, id ID) {
-			n.Step(now, Finished{ID: id, Result: Failed, Broken: true, Gone: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
+			n.Step(now, Finished{ID: id, Result: Failed, Aborted: true, CallerGone: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Err: true, Refused: true})
 		},
 		"its time was over": func(n *Node, now time.Time, id ID) {
 			n.Step(now, Finished{ID: id, Result: Failed})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Err: true, Refused: true})
 		},
 		"it was answered shortly before": func(n *Node, now time.Time, id ID) {
 			n.Step(now, Finished{ID: id, Result: Failed})
-			n.Step(now, Ended{ID: id, Target: testTarget})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Healthy: true, Slots: 2})
+			n.Step(now, ConnectionEnded{ID: id, Target: testTarget})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Healthy: true, Slots: 2})
 			n.sendFingerprint(now, 100+id, poison)
 			n.Step(now, Finished{ID: 100 + id, Result: Answered, Status: 200})
 			n.sendFingerprint(now, 200+id, poison)
-			n.Step(now, Finished{ID: 200 + id, Result: Failed, Broken: true})
-			n.Step(now, Ended{ID: 200 + id, Target: testTarget})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Healthy: true, Slots: 2})
+			n.Step(now, Finished{ID: 200 + id, Result: Failed, Aborted: true})
+			n.Step(now, ConnectionEnded{ID: 200 + id, Target: testTarget})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Err: true, Refused: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Healthy: true, Slots: 2})
 		},
 		"it is answered between": func(n *Node, now time.Time, id ID) {
-			n.Step(now, Finished{ID: id, Result: Failed, Broken: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Err: true, Refused: true})
-			n.Step(now, Probed{Target: testTarget, Asked: now, Healthy: true, Slots: 2})
+			n.Step(now, Finished{ID: id, Result: Failed, Aborted: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Err: true, Refused: true})
+			n.Step(now, Probed{Target: testTarget, Sent: now, Healthy: true, Slots: 2})
 			n.sendFingerprint(now, 100+id, poison)
 			n.Step(now, Finished{ID: 100 + id, Result: Answered, Status: 200})
 		},
@@ -134,7 +134,7 @@
 					t.Fatalf("got request %d refused as a poison request", id)
 				}
 				play(n, now, id)
-				n.Step(now, Ended{ID: id, Target: testTarget})
+				n.Step(now, ConnectionEnded{ID: id, Target: testTarget})
 			}
 		})
 	}
@@ -151,7 +151,7 @@
 	if got := n.sendFingerprint(now, 3, poison); got != "hold" {
 		t.Fatalf("got %s, want hold", got)
 	}
-	n.Step(now, CrashesHeard{News: threeCrashes("")})
+	n.Step(now, CrashesReceived{Update: threeCrashes("")})
 	if got := decisionName(n.Step(now, Finished{ID: 1, Result: Answered, Status: 200})); got != "refuse ends-targets" {
 		t.Errorf("got %s when a slot became free, want it refused", got)
 	}
@@ -159,8 +159,8 @@
 
 // threeCrashes returns one instance's update about three targets that crashed under the
 // poison request.
-func threeCrashes(place string) CrashNews {
-	update := CrashNews{Place: place}
+func threeCrashes(place string) CrashUpdate {
+	update := CrashUpdate{Place: place}
 	for i := range 3 {
 		update.Reports = append(update.Reports, CrashReport{
 			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{poison, harmless + crash.Print(i)}},
@@ -173,14 +173,14 @@
 func notified(decisions []Decision) string {
 	text := ""
 	for _, d := range decisions {
-		send, ok := d.(TellCrashes)
+		send, ok := d.(SendCrashes)
 		if !ok {
 			continue
 		}
 		for _, p := range send.Peers {
 			text += p.ID + " "
 		}
-		text += fmt.Sprint(len(send.News.Reports), " ends ", len(send.News.Answered), " answered;")
+		text += fmt.Sprint(len(send.Update.Reports), " ends ", len(send.Update.Answered), " answered;")
 	}
 	return text
 }
@@ -203,32 +203,32 @@
 			return n.crashTarget(t, begin, 1)
 		}, "i2 i3 w1 w2 1 ends 0 answered;"},
 		"by a peer of this place": {func(_ *testing.T, n *Node) []Decision {
-			return n.Step(begin, CrashesHeard{News: threeCrashes("east")})
+			return n.Step(begin, CrashesReceived{Update: threeCrashes("east")})
 		}, ""},
 		"at the start of this one": {func(_ *testing.T, n *Node) []Decision {
-			return n.Step(begin, CrashesHeard{News: threeCrashes("")})
+			return n.Step(begin, CrashesReceived{Update: threeCrashes("")})
 		}, ""},
 		"by a peer of another place": {func(_ *testing.T, n *Node) []Decision {
-			return n.Step(begin, CrashesHeard{News: threeCrashes("west")})
+			return n.Step(begin, CrashesReceived{Update: threeCrashes("west")})
 		}, "i2 i3 3 ends 0 answered;"},
 		"twice": {func(_ *testing.T, n *Node) []Decision {
-			n.Step(begin, CrashesHeard{News: threeCrashes("west")})
-			return n.Step(begin, CrashesHeard{News: threeCrashes("west")})
+			n.Step(begin, CrashesReceived{Update: threeCrashes("west")})
+			return n.Step(begin, CrashesReceived{Update: threeCrashes("west")})
 		}, ""},
 		"an answer near to being held back": {func(_ *testing.T, n *Node) []Decision {
 			update := threeCrashes("east")
 			update.Reports = update.Reports[:2]
-			n.Step(begin, CrashesHeard{News: update})
+			n.Step(begin, CrashesReceived{Update: update})
 			n.sendFingerprint(begin, 1, poison)
 			return n.Step(begin, Finished{ID: 1, Result: Answered, Status: 200})
 		}, "i2 i3 w1 w2 0 ends 1 answered;"},
 		"a newcomer": {func(_ *testing.T, n *Node) []Decision {
-			n.Step(begin, CrashesHeard{News: threeCrashes("east")})
+			n.Step(begin, CrashesReceived{Update: threeCrashes("east")})
 			return n.Step(begin, restarted)
 		}, "i2 3 ends 0 answered;"},
 		"a newcomer after an answer": {func(_ *testing.T, n *Node) []Decision {
-			n.Step(begin, CrashesHeard{News: threeCrashes("east")})
-			n.Step(begin, CrashesHeard{News: CrashNews{Answered: []crash.Print{poison, harmless}}})
+			n.Step(begin, CrashesReceived{Update: threeCrashes("east")})
+			n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Print{poison, harmless}}})
 			return n.Step(begin, restarted)
 		}, "i2 2 ends 0 answered;"},
 	}
@@ -247,11 +247,11 @@
 // again after an answer elsewhere.
 func TestCrashesReceived(t *testing.T) {
 	n := testNode(t, nil)
-	n.Step(begin, CrashesHeard{News: threeCrashes("east")})
+	n.Step(begin, CrashesReceived{Update: threeCrashes("east")})
 	if got := n.sendFingerprint(begin, 1, poison); got != "refuse ends-targets" {
 		t.Errorf("got %s, want it refused", got)
 	}
-	n.Step(begin, CrashesHeard{News: CrashNews{Answered: []crash.Print{poison}}})
+	n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Print{poison}}})
 	if got := n.sendFingerprint(begin, 2, poison); got != "serve" {
 		t.Errorf("got %s after an answer elsewhere, want serve", got)
 	}
--- a/internal/core/decision.go
+++ b/internal/core/decision.go
@@ -45,7 +45,7 @@
 	ReasonStopping        Reason = "stopping"        // the instance is in a planned stop
 	ReasonNoSettings      Reason = "no-settings"     // no configuration has arrived yet
 	ReasonBadRequest      Reason = "bad-request"     // the request is invalid
-	ReasonRepeat          Reason = "repeat"          // the recorded answer of the key's first request
+	ReasonReplay          Reason = "repeat"          // the recorded answer of the key's first request
 	ReasonNotKept         Reason = "answer-not-kept" // the key's request was answered, but the answer was too large to record
 	ReasonPoisonRequest   Reason = "ends-targets"    // the request crashed the targets that ran it
 	ReasonBackingOff      Reason = "resting"         // the targets are backing off
@@ -62,33 +62,33 @@
 
 // Serve sends a request to a target that this instance owns.
 type Serve struct {
-	ID       ID
-	Target   owner.TargetKey
-	Address  string
-	Deadline time.Time
-	Attempt  int
-	Shifted  bool
-	RunOn    bool  // the attempt continues if the caller disconnects
-	Link     int64 // limit in bytes/s for an answer that leaves this place; 0 for none
-	Home     string
-	Reason   Reason
-	Passed   []Passed
+	ID         ID
+	Target     owner.TargetKey
+	Address    string
+	Deadline   time.Time
+	Attempt    int
+	Shifted    bool
+	Detached   bool  // the attempt continues if the caller disconnects
+	AnswerRate int64 // limit in bytes/s for an answer that leaves this place; 0 for none
+	Home       string
+	Reason     Reason
+	Passed     []Passed
 }
 
-// Hand hands a request off to a peer, which serves it from its own targets.
-type Hand struct {
-	ID       ID
-	Peer     Peer
-	Deadline time.Time
-	Attempt  int
-	RunOn    bool  // the attempt continues if the caller disconnects
-	Link     int64 // limit in bytes/s for an answer that leaves this place; 0 for none
-	Upload   int64 // limit in bytes/s for a body that leaves this place; 0 for none
-	Home     string
-	Granted  bool // the peer has granted it
-	Want     int  // further grants that the peer is asked for
-	Reason   Reason
-	Passed   []Passed
+// HandOff hands a request off to a peer, which serves it from its own targets.
+type HandOff struct {
+	ID         ID
+	Peer       Peer
+	Deadline   time.Time
+	Attempt    int
+	Detached   bool  // the attempt continues if the caller disconnects
+	AnswerRate int64 // limit in bytes/s for an answer that leaves this place; 0 for none
+	UploadRate int64 // limit in bytes/s for a body that leaves this place; 0 for none
+	Home       string
+	Granted    bool // the peer has granted it
+	Want       int  // further grants that the peer is asked for
+	Reason     Reason
+	Passed     []Passed
 }
 
 // AskGrant asks a peer of another place for grants, or returns some. Nothing waits for
@@ -127,8 +127,8 @@
 	Passed  []Passed
 }
 
-// Repeat answers a request with the recorded answer of its key's first request.
-type Repeat struct {
+// Replay answers a request with the recorded answer of its key's first request.
+type Replay struct {
 	ID     ID
 	Answer once.Outcome
 }
@@ -142,10 +142,10 @@
 
 // Probe asks a target for its health and load.
 type Probe struct {
-	Target  owner.TargetKey
-	Address string
-	Asked   time.Time // copied into the result
-	Look    bool      // over a new connection: a kept one may belong to a process that has ended
+	Target        owner.TargetKey
+	Address       string
+	Sent          time.Time // copied into the result
+	NewConnection bool      // over a new connection: a kept one may belong to a process that has ended
 }
 
 // Reasons for roster changes.
@@ -157,11 +157,11 @@
 )
 
 func (Serve) decision()      {}
-func (Hand) decision()       {}
+func (HandOff) decision()    {}
 func (Forward) decision()    {}
 func (Hold) decision()       {}
 func (Refuse) decision()     {}
-func (Repeat) decision()     {}
+func (Replay) decision()     {}
 func (SwapRoster) decision() {}
 func (Probe) decision()      {}
 func (AskGrant) decision()   {}
@@ -180,7 +180,7 @@
 	switch d := d.(type) {
 	case Serve:
 		return d.ID, true
-	case Hand:
+	case HandOff:
 		return d.ID, true
 	case Forward:
 		return d.ID, true
@@ -188,7 +188,7 @@
 		return d.ID, true
 	case Refuse:
 		return d.ID, true
-	case Repeat:
+	case Replay:
 		return d.ID, true
 	}
 	return 0, false
--- a/internal/core/demand.go
+++ b/internal/core/demand.go
@@ -158,7 +158,7 @@
 		n.demandOf(f.dest).ungranted--
 		f.ungranted = false
 	}
-	if ev.Result == Answered || ev.Gone {
+	if ev.Result == Answered || ev.CallerGone {
 		return
 	}
 	n.holdings.Take(now, f.peer, f.dest.use, n.holdings.Held(now, f.peer, f.dest.use))
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -22,20 +22,20 @@
 
 // Request holds the properties of a request that decide where it goes.
 type Request struct {
-	Service    settings.ServiceID
-	Method     string
-	Path       string // below the service; starts with "/"
-	Caller     netip.Addr
-	Home       string // the caller's home place, if a peer has already determined it
-	From       string // the instance that handed the request off; empty otherwise
-	Name       string // request ID as the caller sees it
-	Key        string // idempotency key; empty if the caller sent none
-	Print      once.Fingerprint
-	Sent       crash.Print // fingerprint for crash reports: equal if the same caller sends the request again
-	Deadline   time.Time
-	Start      time.Time // deadline for the start of the answer; zero if it is Deadline
-	Again      time.Time // when to retry, as this process is overloaded; zero if it is not
-	Replayable bool      // the body can be sent again; Finished reports when it no longer can
+	Service          settings.ServiceID
+	Method           string
+	Path             string // below the service; starts with "/"
+	Caller           netip.Addr
+	Home             string // the caller's home place, if a peer has already determined it
+	From             string // the instance that handed the request off; empty otherwise
+	Name             string // request ID as the caller sees it
+	Key              string // idempotency key; empty if the caller sent none
+	Fingerprint      once.Fingerprint
+	CrashFingerprint crash.Print // fingerprint for crash reports: equal if the same caller sends the request again
+	Deadline         time.Time
+	StartDeadline    time.Time // deadline for the start of the answer; zero if it is Deadline
+	OverloadedUntil  time.Time // when to retry, as this process is overloaded; zero if it is not
+	Replayable       bool      // the body can be sent again; Finished reports when it no longer can
 }
 
 // Origin is where a request came from.
@@ -68,49 +68,49 @@
 // Finished reports the end of the latest attempt of a request, which holds its slot until
 // then.
 type Finished struct {
-	ID      ID
-	Result  Result
-	Status  int
-	Took    time.Duration
-	Header  http.Header // for the record of a non-idempotent request
-	Body    []byte      // for the same record
-	Proof   once.Proof  // for NotRun
-	Dropped bool        // the answer was too large to keep Header and Body
-	Reason  Reason      // a peer's reason for not running it
-	Retry   time.Time
-	Final   bool // part of the answer was sent to the caller, so no other attempt is possible
-	Gone    bool // the caller cancelled it, which says nothing about the target
-	Spent   bool // the body can't be sent again
-	Broken  bool // the target closed the connection before a complete answer, without a timeout or cancellation
+	ID           ID
+	Result       Result
+	Status       int
+	Took         time.Duration
+	Header       http.Header // for the record of a non-idempotent request
+	Body         []byte      // for the same record
+	Proof        once.Proof  // for NotRun
+	Dropped      bool        // the answer was too large to keep Header and Body
+	Reason       Reason      // a peer's reason for not running it
+	RetryAt      time.Time
+	Final        bool // part of the answer was sent to the caller, so no other attempt is possible
+	CallerGone   bool // the caller cancelled it, which says nothing about the target
+	BodyConsumed bool // the body can't be sent again
+	Aborted      bool // the target closed the connection before a complete answer, without a timeout or cancellation
 }
 
-// Ended reports that the connection of an aborted attempt has ended at the target as
+// ConnectionEnded reports that the connection of an aborted attempt has ended at the target as
 // well, so that the target no longer works on the attempt.
-type Ended struct {
+type ConnectionEnded struct {
 	ID     ID
 	Target owner.TargetKey
-	Cut    bool // the connection was reset, which does not show that the target's work has ended
+	Reset  bool // the connection was reset, which does not show that the target's work has ended
 }
 
 // Cancelled reports that the caller has disconnected or its deadline has passed.
 type Cancelled struct{ ID ID }
 
-// Room is an owner's report of its free capacity for one service.
-type Room struct {
+// FreeSlots is an owner's report of its free capacity for one service.
+type FreeSlots struct {
 	Service settings.ServiceID
 	Free    int
 	Queued  int
 }
 
-// RoomHeard delivers a peer's reports of its free capacity.
-type RoomHeard struct {
-	Peer  string
-	Rooms []Room
+// FreeSlotsReceived delivers a peer's reports of its free capacity.
+type FreeSlotsReceived struct {
+	Peer     string
+	Services []FreeSlots
 }
 
-// GrantHeard delivers a peer's offer, sent with an answer or in response to a request for
+// GrantReceived delivers a peer's offer, sent with an answer or in response to a request for
 // grants.
-type GrantHeard struct {
+type GrantReceived struct {
 	ID          ID // of the request that was handed off; 0 if the peer was asked directly
 	Peer        string
 	Incarnation uint64 // of the peer that was asked
@@ -123,14 +123,14 @@
 
 // Peer is another instance, as reported by the membership protocol.
 type Peer struct {
-	ID          string
-	Incarnation uint64
-	Address     string
-	Callers     string
-	Place       string
-	Domain      string
-	Region      string
-	Leaving     bool
+	ID             string
+	Incarnation    uint64
+	Address        string
+	CallersAddress string
+	Place          string
+	Domain         string
+	Region         string
+	Leaving        bool
 }
 
 // PeersChanged replaces the list of live peers. The list is sorted by ID and leaves out
@@ -147,8 +147,8 @@
 	Sent   time.Time
 }
 
-// RosterHeard delivers a roster received from a peer.
-type RosterHeard struct{ Roster owner.Roster }
+// RosterReceived delivers a roster received from a peer.
+type RosterReceived struct{ Roster owner.Roster }
 
 // PeerAcked reports that a peer acknowledged a heartbeat that was sent at Sent, with the
 // promise that an acknowledgement makes.
@@ -176,7 +176,7 @@
 // Probed delivers the answer to a health probe, or reports that there was none.
 type Probed struct {
 	Target  owner.TargetKey
-	Asked   time.Time // copied from the Probe
+	Sent    time.Time // copied from the Probe
 	Err     bool
 	Refused bool // the target's address refuses connections; only with Err
 	Healthy bool
@@ -190,20 +190,20 @@
 // Tick reports that time has passed.
 type Tick struct{}
 
-func (Arrived) event()      {}
-func (Finished) event()     {}
-func (Cancelled) event()    {}
-func (Ended) event()        {}
-func (RoomHeard) event()    {}
-func (GrantHeard) event()   {}
-func (PeersChanged) event() {}
-func (Applied) event()      {}
-func (RosterRead) event()   {}
-func (RosterHeard) event()  {}
-func (PeerAcked) event()    {}
-func (Listed) event()       {}
-func (Released) event()     {}
-func (SwapFailed) event()   {}
-func (Probed) event()       {}
-func (Stopping) event()     {}
-func (Tick) event()         {}
+func (Arrived) event()           {}
+func (Finished) event()          {}
+func (Cancelled) event()         {}
+func (ConnectionEnded) event()   {}
+func (FreeSlotsReceived) event() {}
+func (GrantReceived) event()     {}
+func (PeersChanged) event()      {}
+func (Applied) event()           {}
+func (RosterRead) event()        {}
+func (RosterReceived) event()    {}
+func (PeerAcked) event()         {}
+func (Listed) event()            {}
+func (Released) event()          {}
+func (SwapFailed) event()        {}
+func (Probed) event()            {}
+func (Stopping) event()          {}
+func (Tick) event()              {}
--- a/internal/core/exchange_test.go
+++ b/internal/core/exchange_test.go
@@ -64,7 +64,7 @@
 	switch d := d.(type) {
 	case core.Serve:
 		x.serve(d)
-	case core.Hand:
+	case core.HandOff:
 		x.send(core.FromPeer, d.Peer, d.Home, d.Deadline)
 	case core.Forward:
 		x.send(core.FromForward, d.Peer, "", d.Deadline)
@@ -147,7 +147,7 @@
 		ev.Proof = once.ProofRefusal
 	}
 	if ans.retry > 0 {
-		ev.Retry = a.x.p.local().Add(ans.retry)
+		ev.RetryAt = a.x.p.local().Add(ans.retry)
 	}
 	return ev
 }
@@ -207,7 +207,7 @@
 	w := a.x.p.w
 	report := func() {
 		w.after(w.between(200*time.Microsecond, 2*time.Millisecond), func() {
-			a.x.p.deliver(func() { a.x.p.step(core.Ended{ID: a.x.id, Target: a.target, Cut: a.reset}) })
+			a.x.p.deliver(func() { a.x.p.step(core.ConnectionEnded{ID: a.x.id, Target: a.target, Reset: a.reset}) })
 		})
 	}
 	if a.work != nil && !a.work.over && !a.reset {
@@ -242,12 +242,12 @@
 			ans.retry = max(d.RetryAt.Sub(x.p.local()), time.Millisecond)
 		}
 		x.final(ans)
-	case core.Repeat:
+	case core.Replay:
 		if d.Answer.Dropped {
 			x.final(answer{kind: core.Failed, reason: core.ReasonNotKept})
 			return true
 		}
-		x.final(answer{kind: core.Answered, body: string(d.Answer.Body), reason: core.ReasonRepeat})
+		x.final(answer{kind: core.Answered, body: string(d.Answer.Body), reason: core.ReasonReplay})
 	default:
 		return false
 	}
--- a/internal/core/flight.go
+++ b/internal/core/flight.go
@@ -59,10 +59,10 @@
 // startDeadline returns until when an attempt may start: the caller abandons an attempt
 // whose answer does not begin in time, so a later start would be wasted work.
 func (f *inFlight) startDeadline() time.Time {
-	if f.req.Start.IsZero() || f.req.Start.After(f.req.Deadline) {
+	if f.req.StartDeadline.IsZero() || f.req.StartDeadline.After(f.req.Deadline) {
 		return f.req.Deadline
 	}
-	return f.req.Start
+	return f.req.StartDeadline
 }
 
 func (f *inFlight) hasTried(name string) bool { return slices.Contains(f.tried, name) }
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -20,8 +20,8 @@
 				at = at.Add(5)
 				n.Step(at, Tick{})
 				n.Step(at, request(i+1, "10.1.0.1"))
-				n.Step(at, Finished{ID: i + 1, Result: Failed, Gone: tt.gone})
-				n.Step(at, Ended{ID: i + 1, Target: testTarget})
+				n.Step(at, Finished{ID: i + 1, Result: Failed, CallerGone: tt.gone})
+				n.Step(at, ConnectionEnded{ID: i + 1, Target: testTarget})
 			}
 			got := n.Status(at).Targets[0].Health
 			if tt.want == "warm" && got != tt.want || tt.want != "warm" && got == "warm" {
@@ -39,8 +39,8 @@
 		want string
 	}{
 		"stays":      {Finished{Result: NotRun}, "refuse target-failed"},
-		"went":       {Finished{Result: Failed, Gone: true}, "refuse caller-gone"},
-		"went early": {Finished{Result: NotRun, Gone: true}, "refuse caller-gone"},
+		"went":       {Finished{Result: Failed, CallerGone: true}, "refuse caller-gone"},
+		"went early": {Finished{Result: NotRun, CallerGone: true}, "refuse caller-gone"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			if got := decisionName(n.Step(begin, tt.ev)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
-			if got := n.Open(); got != 0 {
+			if got := n.InFlight(); got != 0 {
 				t.Errorf("got %d requests left inside, want 0", got)
 			}
 		})
--- a/internal/core/gossip_test.go
+++ b/internal/core/gossip_test.go
@@ -15,7 +15,7 @@
 	leaving    bool
 	roster     owner.Roster
 	release    owner.Release
-	freeSlots  []core.Room
+	freeSlots  []core.FreeSlots
 	docs       []settings.Document // rarely set
 	allDocs    bool                // docs holds all of the sender's documents
 	withRoster bool                // the roster itself is included
@@ -31,7 +31,7 @@
 		}
 		m := ping{
 			from: p, sent: p.local(), leaving: p.leaving, roster: p.node.Roster(),
-			release: p.node.Release(), freeSlots: p.node.Rooms(p.local()), withRoster: p.w.chance(0.1),
+			release: p.node.Release(), freeSlots: p.node.FreeSlots(p.local()), withRoster: p.w.chance(0.1),
 		}
 		if p.w.chance(0.2) {
 			m.docs = p.someDocs()
@@ -64,9 +64,9 @@
 		p.ack(m)
 	}
 	p.step(core.Released{Release: m.release})
-	p.step(core.RoomHeard{Peer: m.from.name, Rooms: m.freeSlots})
+	p.step(core.FreeSlotsReceived{Peer: m.from.name, Services: m.freeSlots})
 	if m.withRoster {
-		p.step(core.RosterHeard{Roster: m.roster})
+		p.step(core.RosterReceived{Roster: m.roster})
 	}
 }
 
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -108,7 +108,7 @@
 }
 
 // grantReceived processes a peer's offer.
-func (n *Node) grantReceived(now time.Time, ev GrantHeard) {
+func (n *Node) grantReceived(now time.Time, ev GrantReceived) {
 	peer, ok := n.peer(ev.Peer)
 	if !ok || peer.Incarnation != ev.Incarnation {
 		return
@@ -127,7 +127,7 @@
 
 // localSlotsReceived stores the free slots that a peer of this place reported after a
 // hand-off.
-func (n *Node) localSlotsReceived(ev GrantHeard) {
+func (n *Node) localSlotsReceived(ev GrantReceived) {
 	if f, ok := n.requests[ev.ID]; ok && f.stage == stagePeer {
 		f.slotsReported = true
 		r := n.slotsOf(ev.Peer, ev.Service)
--- a/internal/core/grant_test.go
+++ b/internal/core/grant_test.go
@@ -23,14 +23,14 @@
 	return Peer{ID: "i2", Incarnation: incarnation, Place: "west", Domain: "west", Region: "coast"}
 }
 
-func westGrant(n int, until time.Time) GrantHeard {
-	return GrantHeard{Peer: "i2", Incarnation: 1, Service: ordersID, Home: "east", Grant: n, Until: until}
+func westGrant(n int, until time.Time) GrantReceived {
+	return GrantReceived{Peer: "i2", Incarnation: 1, Service: ordersID, Home: "east", Grant: n, Until: until}
 }
 
 // handOffReason returns the reason of the hand-off among decisions, if any.
 func handOffReason(decisions []Decision) Reason {
 	for _, d := range decisions {
-		if h, ok := d.(Hand); ok {
+		if h, ok := d.(HandOff); ok {
 			return h.Reason
 		}
 	}
@@ -51,9 +51,9 @@
 		"of the former":      {[]Event{PeersChanged{Peers: []Peer{westPeer(2)}}, westGrant(1, soon)}, begin, ""},
 		"granter is back":    {[]Event{westGrant(1, soon), PeersChanged{Peers: []Peer{westPeer(2)}}}, begin, ""},
 		"granter is gone":    {[]Event{westGrant(1, soon), PeersChanged{}}, begin, ""},
-		"granter refused":    {[]Event{westGrant(1, soon), Finished{ID: 1, Result: NotRun, Retry: soon}}, begin, ""},
+		"granter refused":    {[]Event{westGrant(1, soon), Finished{ID: 1, Result: NotRun, RetryAt: soon}}, begin, ""},
 		"granter can't tell": {[]Event{westGrant(1, soon), Finished{ID: 1, Result: Failed, Final: true}}, begin, ""},
-		"caller gave up":     {[]Event{westGrant(1, soon), Finished{ID: 1, Result: Failed, Gone: true}}, begin, ReasonGrant},
+		"caller gave up":     {[]Event{westGrant(1, soon), Finished{ID: 1, Result: Failed, CallerGone: true}}, begin, ReasonGrant},
 		"first one answered": {[]Event{Finished{ID: 1, Result: Answered}}, begin, ReasonUngranted},
 	}
 	for name, tt := range tests {
@@ -210,11 +210,11 @@
 		t.Run(name, func(t *testing.T) {
 			n := testNode(t, nil)
 			n.Step(begin, PeersChanged{Peers: []Peer{{ID: "i9", Incarnation: 1, Place: "east", Domain: "east", Region: "coast"}}})
-			n.Step(begin, RoomHeard{Peer: "i9", Rooms: []Room{{Service: ordersID, Free: 1}}})
+			n.Step(begin, FreeSlotsReceived{Peer: "i9", Services: []FreeSlots{{Service: ordersID, Free: 1}}})
 			for id := range ID(3) { // two slots here, one hand-off
 				n.Step(begin, request(id+1, "10.1.0.1"))
 			}
-			n.Step(begin, GrantHeard{ID: 3, Peer: "i9", Incarnation: 1, Service: ordersID, Free: tt.free})
+			n.Step(begin, GrantReceived{ID: 3, Peer: "i9", Incarnation: 1, Service: ordersID, Free: tt.free})
 			n.Step(begin, Finished{ID: 3, Result: Answered})
 			if got := decisionName(n.Step(begin, request(4, "10.1.0.1"))); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
--- a/internal/core/link_test.go
+++ b/internal/core/link_test.go
@@ -81,7 +81,7 @@
 				t.Fatalf("got %+v, want one decision", decisions)
 			}
 			d, ok := decisions[0].(Serve)
-			if !ok || d.Link != tt.want {
+			if !ok || d.AnswerRate != tt.want {
 				t.Errorf("got %+v, want it served at %d bytes/s", decisions[0], tt.want)
 			}
 		})
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// Named returns until when callers may cache a look-up, answered here, that leads them to
+// LookupValidUntil returns until when callers may cache a look-up, answered here, that leads them to
 // the instance id. ok reports that the time is final, because id has announced that it is
 // leaving, or is this instance and stopping.
-func (n *Node) Named(id string) (until time.Time, ok bool) {
+func (n *Node) LookupValidUntil(id string) (until time.Time, ok bool) {
 	p, known := n.peer(id)
 	return n.lookupUntil[id], known && p.Leaving || id == n.cfg.Instance && n.stopping
 }
--- a/internal/core/loss_world_test.go
+++ b/internal/core/loss_world_test.go
@@ -63,7 +63,7 @@
 	home    string
 	arrived time.Time
 	id      ID
-	handOff Hand // latest hand-off
+	handOff HandOff // latest hand-off
 }
 
 type tally struct {
@@ -205,11 +205,11 @@
 }
 
 func (w *lossSimulation) sendFreeSlots(id string) {
-	rooms, release := w.nodes[id].Rooms(w.now), w.nodes[id].Release()
+	rooms, release := w.nodes[id].FreeSlots(w.now), w.nodes[id].Release()
 	for _, q := range w.ids {
 		if q != id && placeOf(q) == placeOf(id) {
 			w.after(lossNearDelay, func() {
-				w.step(q, RoomHeard{Peer: id, Rooms: rooms})
+				w.step(q, FreeSlotsReceived{Peer: id, Services: rooms})
 				w.step(q, Released{Release: release})
 			})
 		}
@@ -267,7 +267,7 @@
 			w.step(id, Finished{ID: d.ID, Result: Answered, Status: 200, Took: took})
 			w.finish(tr, Finished{Result: Answered, Status: 200})
 		})
-	case Hand:
+	case HandOff:
 		if d.Peer.Place != p {
 			w.counts.handOffs++
 		}
@@ -275,7 +275,7 @@
 		tr.handOff = d
 		w.after(delayOf(id, d.Peer.ID), func() { w.begin(&hop{node: d.Peer.ID, from: tr, home: tr.home}, FromPeer, id) })
 	case Refuse:
-		w.finish(w.open[d.ID], Finished{Result: NotRun, Reason: d.Reason, Retry: d.RetryAt})
+		w.finish(w.open[d.ID], Finished{Result: NotRun, Reason: d.Reason, RetryAt: d.RetryAt})
 	case AskGrant:
 		w.counts.asks++
 		sent := w.now
@@ -287,7 +287,7 @@
 	o := w.nodes[d.Peer.ID].Offer(w.now, Ask{Peer: id, Service: d.Service, Home: d.Home, Want: d.Want, Release: d.Release})
 	life := o.Until.Sub(w.now)
 	w.after(lossFarDelay, func() {
-		w.step(id, GrantHeard{Peer: d.Peer.ID, Incarnation: 1, Service: d.Service, Home: d.Home, Free: o.Free, Grant: o.Grant, Until: sent.Add(life)})
+		w.step(id, GrantReceived{Peer: d.Peer.ID, Incarnation: 1, Service: d.Service, Home: d.Home, Free: o.Free, Grant: o.Grant, Until: sent.Add(life)})
 	})
 }
 
@@ -305,7 +305,7 @@
 		w.counts.refusedHandOffs++
 	}
 	w.after(delayOf(upstream.node, tr.node), func() {
-		w.step(upstream.node, GrantHeard{
+		w.step(upstream.node, GrantReceived{
 			ID: upstream.id, Peer: tr.node, Incarnation: 1, Service: ordersID, Home: upstream.handOff.Home,
 			Free: o.Free, Grant: o.Grant, Until: sent.Add(life),
 		})
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -91,13 +91,13 @@
 		n.arrived(now, ev)
 	case Finished:
 		n.finished(now, ev)
-	case Ended:
+	case ConnectionEnded:
 		n.connectionEnded(now, ev)
 	case Cancelled:
 		n.cancelled(now, ev)
-	case RoomHeard:
+	case FreeSlotsReceived:
 		n.freeSlotsReceived(now, ev)
-	case GrantHeard:
+	case GrantReceived:
 		n.grantReceived(now, ev)
 	case PeersChanged:
 		n.peersChanged(now, ev)
@@ -105,7 +105,7 @@
 		n.applySnapshot(now, ev.Snapshot)
 	case RosterRead:
 		n.rosterRead(now, ev)
-	case RosterHeard:
+	case RosterReceived:
 		n.setRoster(now, ev.Roster)
 	case PeerAcked:
 		n.owners.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
@@ -118,10 +118,10 @@
 		n.owners.Abandon(ev.Removed)
 	case Probed:
 		n.probed(now, ev)
-	case Noticed:
+	case NoticeReceived:
 		n.noticeReceived(now, ev)
-	case CrashesHeard:
-		n.crashesReceived(now, ev.News)
+	case CrashesReceived:
+		n.crashesReceived(now, ev.Update)
 	case Stopping:
 		n.stop(now)
 	case Tick:
--- a/internal/core/node_test.go
+++ b/internal/core/node_test.go
@@ -90,7 +90,7 @@
 		switch d := d.(type) {
 		case Serve:
 			return "serve"
-		case Hand:
+		case HandOff:
 			return "hand"
 		case Hold:
 			return "hold"
@@ -151,10 +151,10 @@
 func TestSlotOfBrokenAttemptSettles(t *testing.T) {
 	const settle, timeout = 250 * time.Millisecond, 2 * time.Second
 	answered := func(asked time.Duration) Event {
-		return Probed{Target: testTarget, Asked: begin.Add(asked), Healthy: true, Slots: 2}
+		return Probed{Target: testTarget, Sent: begin.Add(asked), Healthy: true, Slots: 2}
 	}
-	ended := func(cut bool) Event { return Ended{ID: 1, Target: testTarget, Cut: cut} }
-	other := Ended{ID: 2, Target: testTarget}
+	ended := func(cut bool) Event { return ConnectionEnded{ID: 1, Target: testTarget, Reset: cut} }
+	other := ConnectionEnded{ID: 2, Target: testTarget}
 	type step struct {
 		at time.Duration // after the abort
 		ev Event
@@ -211,7 +211,7 @@
 	n.Step(begin, Tick{}) // the first probe
 	n.Step(begin, request(1, "10.1.0.1"))
 	n.Step(begin, Finished{ID: 1, Result: Failed, Final: true})
-	n.Step(begin, Ended{ID: 1, Target: testTarget, Cut: true})
+	n.Step(begin, ConnectionEnded{ID: 1, Target: testTarget, Reset: true})
 	at := begin.Add(250 * time.Millisecond)
 	var got []Probe
 	for _, d := range n.Step(at, Tick{}) {
@@ -219,7 +219,7 @@
 			got = append(got, p)
 		}
 	}
-	if len(got) != 1 || got[0].Target != testTarget || !got[0].Asked.Equal(at) {
+	if len(got) != 1 || got[0].Target != testTarget || !got[0].Sent.Equal(at) {
 		t.Errorf("got probes %v, want one of %v at %v", got, testTarget, at)
 	}
 }
@@ -238,8 +238,8 @@
 			now := begin
 			for i := range ID(8) {
 				n.Step(now, request(2*i, "10.1.0.1"))
-				n.Step(now, Finished{ID: 2 * i, Result: Failed, Gone: tt.gone, Final: true})
-				n.Step(now, Ended{ID: 2 * i, Target: testTarget})
+				n.Step(now, Finished{ID: 2 * i, Result: Failed, CallerGone: tt.gone, Final: true})
+				n.Step(now, ConnectionEnded{ID: 2 * i, Target: testTarget})
 				now = now.Add(300 * time.Millisecond)
 				n.Step(now, Tick{})
 			}
@@ -318,7 +318,7 @@
 	}{
 		"owner":  {PolicyOwner, "hold"},
 		"random": {PolicyRandom, "serve"},
-		"two":    {PolicyTwo, "serve"},
+		"two":    {PolicyTwoChoices, "serve"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/core/notice.go
+++ b/internal/core/notice.go
@@ -23,26 +23,26 @@
 	zeroLimitBackOff = 10 * time.Second
 )
 
-// Noticed delivers the notice of a target, from an answer or a probe, about the requests
+// NoticeReceived delivers the notice of a target, from an answer or a probe, about the requests
 // that it accepts.
-type Noticed struct {
-	Target owner.TargetKey
-	Asked  time.Time // when the request or probe was sent
-	Notice notice.Notice
-	Unread []string // the parts that could not be parsed
-	Whole  bool     // from a successful answer: a constraint that the notice does not state has ended
+type NoticeReceived struct {
+	Target     owner.TargetKey
+	Sent       time.Time // when the request or probe was sent
+	Notice     notice.Notice
+	Unreadable []string // the parts that could not be parsed
+	Complete   bool     // from a successful answer: a constraint that the notice does not state has ended
 }
 
-func (Noticed) event() {}
+func (NoticeReceived) event() {}
 
-// TargetNews reports that a target's constraints have changed.
-type TargetNews struct {
-	Target owner.TargetKey
-	Notice notice.Notice
-	Unread []string
+// ReportNotice reports that a target's constraints have changed.
+type ReportNotice struct {
+	Target     owner.TargetKey
+	Notice     notice.Notice
+	Unreadable []string
 }
 
-func (TargetNews) decision() {}
+func (ReportNotice) decision() {}
 
 // constraint is what a target has announced about the requests that it accepts. As the
 // target has one owner, a limit for all instances together is a limit for this instance.
@@ -58,14 +58,14 @@
 
 // noticeReceived applies a target's notice. Queued requests that have no other option
 // left are refused.
-func (n *Node) noticeReceived(now time.Time, ev Noticed) {
+func (n *Node) noticeReceived(now time.Time, ev NoticeReceived) {
 	s, ok := n.services[ev.Target.Service]
 	if !ok || !slices.Contains(s.keys, ev.Target) {
 		return
 	}
 	c := s.constraints[ev.Target]
 	if c == nil {
-		if !ev.Notice.Any() && ev.Unread == nil {
+		if !ev.Notice.Any() && ev.Unreadable == nil {
 			return
 		}
 		c = &constraint{}
@@ -77,30 +77,30 @@
 		c.next = now.Add(n.requestInterval(now, ev.Target, c))
 	}
 	if changed {
-		n.decide(TargetNews{Target: ev.Target, Notice: ev.Notice, Unread: ev.Unread})
+		n.decide(ReportNotice{Target: ev.Target, Notice: ev.Notice, Unreadable: ev.Unreadable})
 		n.rerouteQueued(now, ev.Target.Service)
 	}
 }
 
 // apply merges a notice into the constraint, and reports whether anything changed.
-func (c *constraint) apply(now time.Time, ev Noticed) bool {
+func (c *constraint) apply(now time.Time, ev NoticeReceived) bool {
 	before := *c
 	if ev.Notice.Rest > 0 {
 		if ends := now.Add(ev.Notice.Rest); ends.After(c.backOffUntil) {
 			c.backOffUntil = ends
 		}
 	}
-	later := ev.Asked.After(c.updated)
-	if ev.Notice.Leaving || ev.Whole && later {
+	later := ev.Sent.After(c.updated)
+	if ev.Notice.Leaving || ev.Complete && later {
 		c.leaving = ev.Notice.Leaving
 	}
-	if ev.Notice.Limited || ev.Whole && later {
+	if ev.Notice.Limited || ev.Complete && later {
 		c.limited, c.rate = ev.Notice.Limited, ev.Notice.Limit
 	}
 	if ev.Notice.Any() {
 		c.updated = now
 	}
-	c.unreadable = ev.Unread != nil
+	c.unreadable = ev.Unreadable != nil
 	return c.unreadable != before.unreadable || c.leaving != before.leaving || c.limited != before.limited || c.rate != before.rate ||
 		c.backOffUntil != before.backOffUntil && !now.Before(before.backOffUntil)
 }
--- a/internal/core/notice_test.go
+++ b/internal/core/notice_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	n := testNode(t, nil)
 	n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
-	n.Step(at, Noticed{Target: testTarget, Asked: at, Notice: sent, Whole: sent.Rest == 0})
+	n.Step(at, NoticeReceived{Target: testTarget, Sent: at, Notice: sent, Complete: sent.Rest == 0})
 	return n
 }
 
@@ -38,16 +38,16 @@
 	}
 	handed := request(3, "10.1.0.1")
 	handed.Origin, handed.Request.From = FromPeer, "i2"
-	ways := map[string]func(n *Node, ev Noticed) []Decision{
-		"arrives": func(n *Node, ev Noticed) []Decision {
+	ways := map[string]func(n *Node, ev NoticeReceived) []Decision{
+		"arrives": func(n *Node, ev NoticeReceived) []Decision {
 			n.Step(at, ev)
 			return n.Step(at, request(3, "10.1.0.1"))
 		},
-		"is handed over": func(n *Node, ev Noticed) []Decision {
+		"is handed over": func(n *Node, ev NoticeReceived) []Decision {
 			n.Step(at, ev)
 			return n.Step(at, handed)
 		},
-		"waits": func(n *Node, ev Noticed) []Decision {
+		"waits": func(n *Node, ev NoticeReceived) []Decision {
 			n.Step(at, request(1, "10.1.0.1"))
 			n.Step(at, request(2, "10.1.0.1"))
 			if got := decisionName(n.Step(at, request(3, "10.1.0.1"))); got != "hold" {
@@ -55,11 +55,11 @@
 			}
 			return n.Step(at, ev)
 		},
-		"was refused there": func(n *Node, ev Noticed) []Decision {
+		"was refused there": func(n *Node, ev NoticeReceived) []Decision {
 			n.Step(at, request(3, "10.1.0.1"))
 			n.Step(at, ev)
 			retry, _ := n.unavailableUntil(at, testTarget)
-			return n.Step(at, Finished{ID: 3, Result: NotRun, Proof: once.ProofRefusal, Retry: retry})
+			return n.Step(at, Finished{ID: 3, Result: NotRun, Proof: once.ProofRefusal, RetryAt: retry})
 		},
 	}
 	for name, tt := range notices {
@@ -68,7 +68,7 @@
 				n := testNode(t, nil)
 				n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
 				var got Refuse
-				for _, d := range send(n, Noticed{Target: testTarget, Asked: at, Notice: tt.sent, Whole: tt.sent.Rest == 0}) {
+				for _, d := range send(n, NoticeReceived{Target: testTarget, Sent: at, Notice: tt.sent, Complete: tt.sent.Rest == 0}) {
 					if r, ok := d.(Refuse); ok {
 						got = r
 					}
@@ -79,7 +79,7 @@
 				if wait := got.RetryAt.Sub(at); wait < tt.after || wait > tt.after+retrySpread {
 					t.Errorf("got a retry delay of %s, want %s or up to %s more", wait, tt.after, retrySpread)
 				}
-				for _, r := range n.Rooms(at) {
+				for _, r := range n.FreeSlots(at) {
 					if r.Free != 0 {
 						t.Errorf("got %d free slots reported to peers, want none", r.Free)
 					}
@@ -95,24 +95,24 @@
 	at := begin.Add(2 * time.Second)
 	tests := map[string]struct {
 		sent  notice.Notice
-		later Noticed
+		later NoticeReceived
 		after time.Duration
 		want  string
 	}{
-		"rest":                      {backOffNotice, Noticed{}, 3 * time.Second, "serve"},
-		"rest, an answer meanwhile": {backOffNotice, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "refuse resting"},
-		"leaving goes on":           {leavingNotice, Noticed{}, time.Minute, "refuse drained"},
-		"leaving, asked before":     {leavingNotice, Noticed{Asked: at.Add(-1), Whole: true}, time.Second, "refuse drained"},
-		"leaving, a failure":        {leavingNotice, Noticed{Asked: at.Add(1)}, time.Second, "refuse drained"},
-		"leaving, a probe":          {leavingNotice, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "serve"},
-		"limit over":                {notice.Notice{Limited: true}, Noticed{Asked: at.Add(1), Whole: true}, time.Second, "serve"},
-		"no requests, a trial":      {notice.Notice{Limited: true}, Noticed{}, zeroLimitBackOff, "serve"},
-		"no requests":               {notice.Notice{Limited: true}, Noticed{}, zeroLimitBackOff - 1, "refuse limited"},
+		"rest":                      {backOffNotice, NoticeReceived{}, 3 * time.Second, "serve"},
+		"rest, an answer meanwhile": {backOffNotice, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "refuse resting"},
+		"leaving goes on":           {leavingNotice, NoticeReceived{}, time.Minute, "refuse drained"},
+		"leaving, asked before":     {leavingNotice, NoticeReceived{Sent: at.Add(-1), Complete: true}, time.Second, "refuse drained"},
+		"leaving, a failure":        {leavingNotice, NoticeReceived{Sent: at.Add(1)}, time.Second, "refuse drained"},
+		"leaving, a probe":          {leavingNotice, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "serve"},
+		"limit over":                {notice.Notice{Limited: true}, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "serve"},
+		"no requests, a trial":      {notice.Notice{Limited: true}, NoticeReceived{}, zeroLimitBackOff, "serve"},
+		"no requests":               {notice.Notice{Limited: true}, NoticeReceived{}, zeroLimitBackOff - 1, "refuse limited"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			n := nodeWithNotice(t, at, tt.sent)
-			if !tt.later.Asked.IsZero() {
+			if !tt.later.Sent.IsZero() {
 				tt.later.Target = testTarget
 				n.Step(at.Add(time.Millisecond), tt.later)
 			}
@@ -130,8 +130,8 @@
 	n := nodeWithNotice(t, at, notice.Notice{})
 	reports := 0
 	for i := range 3 {
-		for _, d := range n.Step(at, Noticed{Target: testTarget, Asked: at, Unread: []string{"Firlever-Limit: many"}, Whole: true}) {
-			if _, ok := d.(TargetNews); ok {
+		for _, d := range n.Step(at, NoticeReceived{Target: testTarget, Sent: at, Unreadable: []string{"Firlever-Limit: many"}, Complete: true}) {
+			if _, ok := d.(ReportNotice); ok {
 				reports++
 			}
 		}
@@ -155,7 +155,7 @@
 		id := ID(i + 1)
 		if decisionName(n.Step(now, request(id, "10.1.0.1"))) == "serve" {
 			got++
-			n.Step(now, Noticed{Target: testTarget, Asked: now, Notice: limitNotice, Whole: true})
+			n.Step(now, NoticeReceived{Target: testTarget, Sent: now, Notice: limitNotice, Complete: true})
 			n.Step(now, Finished{ID: id, Result: Answered, Status: 200, Took: time.Millisecond})
 		}
 	}
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -29,7 +29,7 @@
 		})
 	case ev.Final:
 		n.complete(now, f, once.Outcome{Kind: once.OutcomeUnknown})
-	case ev.Gone:
+	case ev.CallerGone:
 		n.retryOrRefuse(now, f, ev, ev.Result == NotRun)
 	case forwarded:
 		n.forwardFailed(now, f, ev)
@@ -63,7 +63,7 @@
 	case stageTarget:
 		n.freeSlot(now, f, ev)
 		n.recordAttempt(now, f, ev)
-		if ev.Broken && !ev.Gone {
+		if ev.Aborted && !ev.CallerGone {
 			n.recordAbort(now, f)
 		}
 		f.tried = append(f.tried, f.target.Name)
@@ -76,9 +76,9 @@
 	}
 	f.stage = stageNew
 	f.mayHaveRun = f.mayHaveRun || ev.Result == Failed
-	f.req.Replayable = f.req.Replayable && !ev.Spent
-	if !ev.Retry.IsZero() {
-		f.lowerRetryAt(ev.Retry)
+	f.req.Replayable = f.req.Replayable && !ev.BodyConsumed
+	if !ev.RetryAt.IsZero() {
+		f.lowerRetryAt(ev.RetryAt)
 	}
 }
 
@@ -123,7 +123,7 @@
 		kind = health.Timeout
 	}
 	n.queue.Completed(now, f.req.Service, ev.Took)
-	if ev.Gone {
+	if ev.CallerGone {
 		return
 	}
 	n.state(now, f.req.Service).health.Observe(now, f.target, kind, ev.Took)
@@ -144,7 +144,7 @@
 	if f.keyed && !proof {
 		n.once.Finish(now, f.key, f.keyAttempt, once.Outcome{Kind: once.OutcomeUnknown})
 	}
-	if ev.Gone {
+	if ev.CallerGone {
 		n.refuse(now, f, ReasonCallerGone)
 		return
 	}
--- a/internal/core/quarantine.go
+++ b/internal/core/quarantine.go
@@ -36,14 +36,14 @@
 }
 
 // connectionEnded processes how the connection of an aborted attempt ended.
-func (n *Node) connectionEnded(now time.Time, ev Ended) {
+func (n *Node) connectionEnded(now time.Time, ev ConnectionEnded) {
 	i := slices.IndexFunc(n.quarantine, func(s quarantinedSlot) bool {
 		return s.request == ev.ID && s.target == ev.Target && !s.reset
 	})
 	if i < 0 {
 		return
 	}
-	if ev.Cut {
+	if ev.Reset {
 		n.quarantine[i].reset = true
 		return
 	}
--- a/internal/core/room.go
+++ b/internal/core/room.go
@@ -35,8 +35,8 @@
 }
 
 // freeSlotsReceived stores a peer's own counts.
-func (n *Node) freeSlotsReceived(now time.Time, ev RoomHeard) {
-	for _, r := range ev.Rooms {
+func (n *Node) freeSlotsReceived(now time.Time, ev FreeSlotsReceived) {
+	for _, r := range ev.Services {
 		estimate := n.slotsOf(ev.Peer, r.Service)
 		estimate.free = max(r.Free-r.Queued, 0)
 		estimate.backOffUntil = time.Time{}
@@ -55,12 +55,12 @@
 // report or the end of the back-off.
 func (n *Node) slotReturned(now time.Time, peer string, service settings.ServiceID, ev Finished) {
 	r := n.slotsOf(peer, service)
-	if ev.Result == Answered || ev.Gone {
+	if ev.Result == Answered || ev.CallerGone {
 		r.free++
 		return
 	}
 	r.free = 0
-	r.backOffUntil = ev.Retry
+	r.backOffUntil = ev.RetryAt
 	if r.backOffUntil.IsZero() {
 		r.backOffUntil = now.Add(retryFull)
 	}
@@ -110,20 +110,20 @@
 	return false
 }
 
-// Rooms returns the free capacity that this instance reports to the peers of its place,
+// FreeSlots returns the free capacity that this instance reports to the peers of its place,
 // for each service that has targets there.
-func (n *Node) Rooms(now time.Time) []Room {
+func (n *Node) FreeSlots(now time.Time) []FreeSlots {
 	if n.snapshot == nil {
 		return nil
 	}
-	var rooms []Room
+	var rooms []FreeSlots
 	for _, id := range n.snapshot.Services() {
 		if s, ok := n.services[id]; ok && len(s.keys) > 0 {
 			free := n.owners.FreeService(now, id)
 			if _, why := n.allUnavailableUntil(now, id); why != "" {
 				free = 0
 			}
-			rooms = append(rooms, Room{Service: id, Free: free})
+			rooms = append(rooms, FreeSlots{Service: id, Free: free})
 		}
 	}
 	return rooms
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -203,8 +203,8 @@
 	return len(n.requests) == 0 && (!ok || m.Incarnation != n.cfg.Incarnation)
 }
 
-// Open returns the number of requests in this instance.
-func (n *Node) Open() int { return len(n.requests) }
+// InFlight returns the number of requests in this instance.
+func (n *Node) InFlight() int { return len(n.requests) }
 
 // peersChanged applies a new list of live peers.
 func (n *Node) peersChanged(now time.Time, ev PeersChanged) {
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -153,7 +153,7 @@
 	f.attempts++
 	n.decide(Serve{
 		ID: f.id, Target: key, Address: n.addresses[key], Deadline: f.req.Deadline,
-		Attempt: f.attempts, Shifted: shifted, RunOn: !f.idempotent, Link: n.answerRate(f),
+		Attempt: f.attempts, Shifted: shifted, Detached: !f.idempotent, AnswerRate: n.answerRate(f),
 		Home: f.home, Reason: reason, Passed: f.passed,
 	})
 }
@@ -211,9 +211,9 @@
 	}
 	f.stage, f.peer = stagePeer, peer.ID
 	f.attempts++
-	n.decide(Hand{
-		ID: f.id, Peer: peer, Deadline: f.req.Deadline, Attempt: f.attempts, RunOn: !f.idempotent, Home: f.home,
-		Link: n.answerRate(f), Upload: n.linkShare(f, peer.Place), Reason: reason, Granted: granted, Want: want, Passed: f.passed,
+	n.decide(HandOff{
+		ID: f.id, Peer: peer, Deadline: f.req.Deadline, Attempt: f.attempts, Detached: !f.idempotent, Home: f.home,
+		AnswerRate: n.answerRate(f), UploadRate: n.linkShare(f, peer.Place), Reason: reason, Granted: granted, Want: want, Passed: f.passed,
 	})
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -9,15 +9,15 @@
 
 // TargetStatus is the status of one target, as seen by its owner.
 type TargetStatus struct {
-	Key      owner.TargetKey
-	Address  string
-	Owner    string
-	Limit    int // share of the service's limit
-	Usable   int // slots that this instance may use now; 0 unless it is the owner
-	InFlight int // requests of this instance
-	Health   string
-	Drained  bool
-	Usual    time.Duration // average latency of recent answers; 0 before the first
+	Key            owner.TargetKey
+	Address        string
+	Owner          string
+	Limit          int // share of the service's limit
+	Usable         int // slots that this instance may use now; 0 unless it is the owner
+	InFlight       int // requests of this instance
+	Health         string
+	Drained        bool
+	AverageLatency time.Duration // average latency of recent answers; 0 before the first
 }
 
 // ServiceStatus is the status of one service at this instance.
@@ -36,7 +36,7 @@
 	Services  []ServiceStatus
 	Targets   []TargetStatus
 	Queued    int
-	Open      int
+	InFlight  int
 	Peers     int
 	Confirmed bool
 	Stopping  bool
@@ -45,7 +45,7 @@
 // Status returns the node's current status.
 func (n *Node) Status(now time.Time) Status {
 	st := Status{
-		Queued: n.queue.Len(), Open: len(n.requests), Peers: len(n.peers.all),
+		Queued: n.queue.Len(), InFlight: len(n.requests), Peers: len(n.peers.all),
 		Confirmed: n.Confirmed(now), Stopping: n.stopping,
 	}
 	if n.snapshot == nil {
@@ -77,9 +77,9 @@
 		list = append(list, TargetStatus{
 			Key: key, Address: n.addresses[key], Owner: n.owners.Owner(key),
 			Limit: s.limits[key], Usable: n.owners.Usable(now, key), InFlight: n.owners.InFlight(key),
-			Health:  string(s.health.State(now, key)),
-			Usual:   s.health.Latency(key),
-			Drained: n.snapshot.TargetDrained(id, key.Name) || n.snapshot.PlaceDrained(id, n.cfg.Place),
+			Health:         string(s.health.State(now, key)),
+			AverageLatency: s.health.Latency(key),
+			Drained:        n.snapshot.TargetDrained(id, key.Name) || n.snapshot.PlaceDrained(id, n.cfg.Place),
 		})
 	}
 	return list
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	n := testNode(t, nil)
 	n.Step(begin, PeersChanged{Peers: []Peer{near}})
-	n.Step(begin, RoomHeard{Peer: "i2", Rooms: []Room{{Service: orders}}})
+	n.Step(begin, FreeSlotsReceived{Peer: "i2", Services: []FreeSlots{{Service: orders}}})
 	n.Step(begin, request(1, "10.1.0.1"))
 	n.Step(begin, request(2, "10.1.0.1"))
 	return n
@@ -42,7 +42,7 @@
 			if got := decisionName(n.Step(begin, waiting)); got != "hold" {
 				t.Fatalf("got %q, want it to wait", got)
 			}
-			report := RoomHeard{Peer: "i2", Rooms: []Room{{Service: orders, Free: 1}}}
+			report := FreeSlotsReceived{Peer: "i2", Services: []FreeSlots{{Service: orders, Free: 1}}}
 			if got := decisionName(n.Step(begin, report)); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
@@ -126,7 +126,7 @@
 			n.Step(begin, request(2, "10.1.0.1"))
 			waiting := request(3, "10.1.0.1")
 			if tt.start > 0 {
-				waiting.Request.Start = begin.Add(tt.start)
+				waiting.Request.StartDeadline = begin.Add(tt.start)
 			}
 			n.Step(begin, waiting)
 			if got := decisionName(n.Step(begin.Add(tt.want-1), Tick{})); got == "refuse deadline" {
@@ -148,7 +148,7 @@
 	}
 	n.Step(begin, Finished{ID: 3, Result: Failed, Final: true})
 	n.Step(begin, Finished{ID: 1, Result: Answered})
-	if got := n.Open(); got != 2 {
+	if got := n.InFlight(); got != 2 {
 		t.Errorf("got %d requests inside, want the two that were not answered", got)
 	}
 }
--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -63,7 +63,7 @@
 			faults = append(faults, fmt.Sprintf(format, args...))
 		}
 	}
-	policies := []core.Policy{core.PolicyOwner, core.PolicyRandom, core.PolicyTwo}
+	policies := []core.Policy{core.PolicyOwner, core.PolicyRandom, core.PolicyTwoChoices}
 	check(len(c.Documents) > 0, "there are no documents")
 	check(c.For >= minDuration && c.For <= maxDuration, "for is %s, want %s to %s", c.For, minDuration, maxDuration)
 	check(c.Rate > 0 && c.Rate <= maxRate, "rate is %g, want more than 0, at most %g", c.Rate, maxRate)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -57,7 +57,7 @@
 	defer d.mu.Unlock()
 	delete(d.mailboxes, id)
 	d.step(core.Cancelled{ID: id})
-	d.step(core.Finished{ID: id, Result: core.Failed, Final: true, Gone: true})
+	d.step(core.Finished{ID: id, Result: core.Failed, Final: true, CallerGone: true})
 }
 
 // Step passes an event to the node and delivers the resulting decisions.
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -82,10 +82,10 @@
 			}
 			d.Close(id)
 			target := owner.TargetKey{Service: testService, Name: "e"}
-			d.Step(core.Probed{Target: target, Asked: d.Now(), Healthy: true, Slots: 1})
+			d.Step(core.Probed{Target: target, Sent: d.Now(), Healthy: true, Slots: 1})
 			d.Step(core.Tick{})
 			d.checkCounts(t, "before the target ends it", tt.others, tt.kept)
-			d.Step(core.Ended{ID: id, Target: target})
+			d.Step(core.ConnectionEnded{ID: id, Target: target})
 			d.checkCounts(t, "after the target ended it", tt.others, tt.others)
 		})
 	}
@@ -97,9 +97,9 @@
 	t.Helper()
 	d.Read(func(now time.Time, n *core.Node) {
 		st := n.Status(now)
-		if st.Open != open || st.Queued != 0 || st.Services[0].InFlight != inFlight {
+		if st.InFlight != open || st.Queued != 0 || st.Services[0].InFlight != inFlight {
 			t.Errorf("%s: got %d open, %d queued, %d in flight, want %d, 0, %d",
-				when, st.Open, st.Queued, st.Services[0].InFlight, open, inFlight)
+				when, st.InFlight, st.Queued, st.Services[0].InFlight, open, inFlight)
 		}
 	})
 }
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -127,7 +127,7 @@
 	if !g.inPlace(p.From) {
 		return
 	}
-	g.in.dispatcher.Step(core.RoomHeard{Peer: p.From, Rooms: peer.RoomsOf(p)})
+	g.in.dispatcher.Step(core.FreeSlotsReceived{Peer: p.From, Services: peer.RoomsOf(p)})
 }
 
 func (g *gossip) inPlace(id string) bool {
@@ -161,7 +161,7 @@
 // milliseconds, rounded up and at least 2, callers may still use look-ups of this instance
 // that name it. It is 0 if there are none.
 func lookupMillis(now time.Time, n *core.Node, id string) uint32 {
-	until, ok := n.Named(id)
+	until, ok := n.LookupValidUntil(id)
 	if !ok {
 		return 0
 	}
@@ -279,7 +279,7 @@
 			continue
 		}
 		peers = append(peers, core.Peer{
-			ID: m.ID, Incarnation: m.Incarnation, Address: m.Address, Callers: m.Callers,
+			ID: m.ID, Incarnation: m.Incarnation, Address: m.Address, CallersAddress: m.Callers,
 			Place: m.Place, Domain: m.Domain, Region: m.Region, Leaving: m.State == member.Leaving,
 		})
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -50,7 +50,7 @@
 	replaced         chan struct{} // closed when a newer incarnation of this instance is observed
 	replaceOnce      sync.Once
 	grantRequests    chan core.AskGrant
-	crashReports     chan core.TellCrashes
+	crashReports     chan core.SendCrashes
 	divergedPeers    chan docstore.Instance // peers whose documents differ
 	newerRosterPeers chan docstore.Instance // peers of the place with a newer roster version
 	restoration      *restoration
@@ -79,7 +79,7 @@
 		rosterSwaps:      make(chan core.SwapRoster, 1),
 		probes:           make(chan core.Probe, queueLength),
 		grantRequests:    make(chan core.AskGrant, queueLength),
-		crashReports:     make(chan core.TellCrashes, queueLength),
+		crashReports:     make(chan core.SendCrashes, queueLength),
 		divergedPeers:    make(chan docstore.Instance, 1),
 		newerRosterPeers: make(chan docstore.Instance, 1),
 		restoration:      newRestoration(),
@@ -183,9 +183,9 @@
 		case in.grantRequests <- d:
 		default: // the node repeats the request
 		}
-	case core.TargetNews:
+	case core.ReportNotice:
 		in.logNotice(d)
-	case core.TellCrashes:
+	case core.SendCrashes:
 		select {
 		case in.crashReports <- d:
 		default:
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -34,10 +34,10 @@
 }
 
 // logNotice logs a notice of a target about the requests that it accepts.
-func (in *Instance) logNotice(d core.TargetNews) {
+func (in *Instance) logNotice(d core.ReportNotice) {
 	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("target notice", "service", d.Target.Service, "target", d.Target.Name, "leaving", d.Notice.Leaving,
-			"limited", d.Notice.Limited, "limit", d.Notice.Limit, "rest", d.Notice.Rest, "unread", d.Unread)
+			"limited", d.Notice.Limited, "limit", d.Notice.Limit, "rest", d.Notice.Rest, "unread", d.Unreadable)
 	}
 }
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -162,11 +162,11 @@
 		for _, t := range st.Targets {
 			if drainApplies(drain, in.cfg.Place, t) {
 				drain.Left += t.InFlight
-				wait = max(wait, t.Usual*finishFactor)
+				wait = max(wait, t.AverageLatency*finishFactor)
 			}
 		}
 		if drain.Instance == in.cfg.ID {
-			drain.Left, wait = st.Open, in.predictedWait(st)
+			drain.Left, wait = st.InFlight, in.predictedWait(st)
 		}
 		if drain.Left > 0 && wait > 0 {
 			drain.Finish = in.now().Add(wait)
@@ -180,7 +180,7 @@
 	var wait time.Duration
 	for _, t := range st.Targets {
 		if t.InFlight > 0 {
-			wait = max(wait, t.Usual*finishFactor)
+			wait = max(wait, t.AverageLatency*finishFactor)
 		}
 	}
 	return wait
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -56,8 +56,8 @@
 func (in *Instance) probeOnce(ctx context.Context, p core.Probe) core.Probed {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	got := core.Probed{Target: p.Target, Asked: p.Asked}
-	if p.Look && errors.Is(in.client.Reach(ctx, p.Address), syscall.ECONNREFUSED) {
+	got := core.Probed{Target: p.Target, Sent: p.Sent}
+	if p.NewConnection && errors.Is(in.client.Reach(ctx, p.Address), syscall.ECONNREFUSED) {
 		got.Err, got.Refused = true, true
 		return got
 	}
@@ -67,7 +67,7 @@
 		return got
 	}
 	health.Body.Close()
-	in.dispatcher.Step(callers.Noticed(p.Target, p.Asked, health))
+	in.dispatcher.Step(callers.Noticed(p.Target, p.Sent, health))
 	got.Healthy = health.StatusCode == http.StatusOK
 	resp, err := in.get(ctx, p.Address, "/load")
 	if err != nil {
--- a/internal/instance/rooms.go
+++ b/internal/instance/rooms.go
@@ -30,13 +30,13 @@
 }
 
 type sentCapacity struct {
-	capacity core.Room
+	capacity core.FreeSlots
 	round    uint64 // round of the last packet with it; 0 for none
 }
 
 // pick returns the counts for one packet, those sent longest ago first, and records them as
 // sent.
-func (t *capacityRotation) pick(capacities []core.Room) []core.Room {
+func (t *capacityRotation) pick(capacities []core.FreeSlots) []core.FreeSlots {
 	t.round++
 	sent := make(map[settings.ServiceID]sentCapacity, len(capacities))
 	for _, r := range capacities {
@@ -44,14 +44,14 @@
 	}
 	t.sent = sent
 	oldest := slices.Clone(capacities)
-	slices.SortStableFunc(oldest, func(a, b core.Room) int {
+	slices.SortStableFunc(oldest, func(a, b core.FreeSlots) int {
 		return cmp.Compare(sent[a.Service].round, sent[b.Service].round)
 	})
 	changed, unchanged := maxChanged, 0
 	if t.round%unchangedEvery == 0 {
 		unchanged = 1
 	}
-	var picked []core.Room
+	var picked []core.FreeSlots
 	for _, r := range oldest {
 		budget := &changed
 		if sent[r.Service].capacity == r {
@@ -82,9 +82,9 @@
 }
 
 func (g *gossip) sendCapacity() {
-	var capacities []core.Room
+	var capacities []core.FreeSlots
 	var roster owner.Roster
-	g.in.dispatcher.Read(func(now time.Time, n *core.Node) { capacities, roster = n.Rooms(now), n.Roster() })
+	g.in.dispatcher.Read(func(now time.Time, n *core.Node) { capacities, roster = n.FreeSlots(now), n.Roster() })
 	g.setRoster(roster)
 	var peers []member.Member
 	g.udp.Do(func(_ time.Time, l *member.List) []member.Send {
--- a/internal/instance/rooms_test.go
+++ b/internal/instance/rooms_test.go
@@ -22,10 +22,10 @@
 		t.Run(name, func(t *testing.T) {
 			var rotation capacityRotation
 			last := map[settings.ServiceID]int{}
-			capacities := make([]core.Room, tt.services)
+			capacities := make([]core.FreeSlots, tt.services)
 			for round := range 200 {
 				for i := range capacities {
-					capacities[i] = core.Room{Service: settings.ServiceID{Team: "t", Name: fmt.Sprintf("s%02d", i)}}
+					capacities[i] = core.FreeSlots{Service: settings.ServiceID{Team: "t", Name: fmt.Sprintf("s%02d", i)}}
 					if tt.changing {
 						capacities[i].Free = round
 					}
--- a/internal/instance/roster.go
+++ b/internal/instance/roster.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return false
 	}
-	in.dispatcher.Step(core.RosterHeard{Roster: r})
+	in.dispatcher.Step(core.RosterReceived{Roster: r})
 	return true
 }
 
@@ -141,7 +141,7 @@
 		}
 	}
 	if in.restoration.restoring(sent) {
-		in.dispatcher.Step(core.RosterHeard{Roster: r}) // other instances may have a later one
+		in.dispatcher.Step(core.RosterReceived{Roster: r}) // other instances may have a later one
 		return nil
 	}
 	in.dispatcher.Step(core.RosterRead{Roster: r, Sent: sent})
--- a/internal/instance/watch.go
+++ b/internal/instance/watch.go
@@ -117,7 +117,7 @@
 		return
 	}
 	if r, err := owner.Decode(e.Value, e.Version); err == nil {
-		in.dispatcher.Step(core.RosterHeard{Roster: r})
+		in.dispatcher.Step(core.RosterReceived{Roster: r})
 	}
 }
 
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -10,7 +10,7 @@
 )
 
 // SetRooms writes the free slots of services into a packet.
-func SetRooms(p *wire.Packet, rooms []core.Room) {
+func SetRooms(p *wire.Packet, rooms []core.FreeSlots) {
 	p.Rooms = make([]*wire.Room, 0, len(rooms))
 	for _, r := range rooms {
 		p.Rooms = append(p.Rooms, &wire.Room{Service: r.Service.String(), Free: uint32(r.Free), Queued: uint32(r.Queued)})
@@ -18,11 +18,11 @@
 }
 
 // RoomsOf reads the free slots of services from a packet. Entries that can't be parsed are omitted.
-func RoomsOf(p *wire.Packet) []core.Room {
-	rooms := make([]core.Room, 0, len(p.Rooms))
+func RoomsOf(p *wire.Packet) []core.FreeSlots {
+	rooms := make([]core.FreeSlots, 0, len(p.Rooms))
 	for _, r := range p.Rooms {
 		if id, err := settings.ParseServiceID(r.Service); err == nil {
-			rooms = append(rooms, core.Room{Service: id, Free: int(r.Free), Queued: int(r.Queued)})
+			rooms = append(rooms, core.FreeSlots{Service: id, Free: int(r.Free), Queued: int(r.Queued)})
 		}
 	}
 	return rooms
