--- a/internal/auth/keyring.go
+++ b/internal/auth/keyring.go
@@ -30,8 +30,8 @@
 	return k
 }
 
-// Needed reports whether requests need a key, except those of routes that are open.
-func (k *Keyring) Needed() bool { return k.keyRequired }
+// KeyRequired reports whether requests need a key, except those of routes that are open.
+func (k *Keyring) KeyRequired() bool { return k.keyRequired }
 
 // Owner returns the workspace that holds a key; nil if none does. The time that it takes does not
 // depend on the number of keys.
--- a/internal/auth/keyring_test.go
+++ b/internal/auth/keyring_test.go
@@ -33,10 +33,10 @@
 			}
 		})
 	}
-	if !k.Needed() {
+	if !k.KeyRequired() {
 		t.Error("got no key needed with workspaces")
 	}
-	if NewKeyring(&routes.Config{}).Needed() {
+	if NewKeyring(&routes.Config{}).KeyRequired() {
 		t.Error("got a key needed without workspaces")
 	}
 }
--- a/internal/callers/busy_test.go
+++ b/internal/callers/busy_test.go
@@ -16,7 +16,7 @@
 	future := time.Now().Add(time.Hour) // measurements taken meanwhile are ignored, as their times are earlier
 	for range 10 {
 		future = future.Add(time.Second)
-		g.server.cfg.Load.Note(future, time.Minute)
+		g.server.cfg.Load.Record(future, time.Minute)
 	}
 }
 
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -69,7 +69,7 @@
 		return
 	}
 	for _, r := range d.Update.Reports {
-		s.cfg.Log.Warn("target ended", "target", r.Target, "prints", r.Prints, "peers", len(d.Peers), "err", err)
+		s.cfg.Log.Warn("target ended", "target", r.Target, "prints", r.Fingerprints, "peers", len(d.Peers), "err", err)
 	}
 	if len(d.Update.Answered) > 0 {
 		s.cfg.Log.Info("request answered", "prints", d.Update.Answered, "peers", len(d.Peers), "err", err)
--- a/internal/callers/crash_test.go
+++ b/internal/callers/crash_test.go
@@ -22,11 +22,11 @@
 	receiver := newTestInstance(t, "west", target.Listener.Addr().String())
 	front := httptest.NewServer(receiver.server.Callers())
 	defer front.Close()
-	poison := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Print()
+	poison := crash.Request{Method: "GET", Host: "shop/orders", URI: "/x?", Caller: "Bearer k1"}.Fingerprint()
 	update := core.CrashUpdate{Place: "west"}
 	for i := range 3 {
 		update.Reports = append(update.Reports, core.CrashReport{
-			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{poison}},
+			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Fingerprints: []crash.Fingerprint{poison}},
 		})
 	}
 	peer := core.Peer{ID: "west", Address: receiver.peers.Listener.Addr().String()}
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -234,8 +234,8 @@
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == OutcomeNotRun {
 		now := x.s.dispatcher.Now()
 		ev := core.Finished{Result: core.NotRun, Proof: once.ProofRefusal, RetryAt: retryAfter(resp.Header, now)}
-		if ev.RetryAt.IsZero() && received.Notice.Rest > 0 {
-			ev.RetryAt = now.Add(received.Notice.Rest)
+		if ev.RetryAt.IsZero() && received.Notice.BackOff > 0 {
+			ev.RetryAt = now.Add(received.Notice.BackOff)
 		}
 		x.fail(t, ev)
 		return false
--- a/internal/callers/header.go
+++ b/internal/callers/header.go
@@ -45,7 +45,7 @@
 )
 
 // noticeHeaders are the headers of a target's notice.
-var noticeHeaders = notice.Names{Leaving: HeaderLeaving, Limit: HeaderLimit, Rest: headerRetryAfter}
+var noticeHeaders = notice.HeaderNames{Leaving: HeaderLeaving, Limit: HeaderLimit, BackOff: headerRetryAfter}
 
 // Noticed reads the notice in a target's answer. A successful answer is complete if its
 // headers could be read: what it doesn't state no longer holds.
--- a/internal/callers/notice_test.go
+++ b/internal/callers/notice_test.go
@@ -21,8 +21,8 @@
 	}{
 		"success":     {200, http.Header{}, core.NoticeReceived{Complete: true}},
 		"leaving":     {200, http.Header{HeaderLeaving: {"1"}}, core.NoticeReceived{Complete: true, Notice: notice.Notice{Leaving: true}}},
-		"limit":       {200, http.Header{HeaderLimit: {"9.5"}}, core.NoticeReceived{Complete: true, Notice: notice.Notice{Limited: true, Limit: 9.5}}},
-		"rest":        {503, http.Header{headerRetryAfter: {"2"}}, core.NoticeReceived{Notice: notice.Notice{Rest: 2 * time.Second}}},
+		"limit":       {200, http.Header{HeaderLimit: {"9.5"}}, core.NoticeReceived{Complete: true, Notice: notice.Notice{HasLimit: true, Limit: 9.5}}},
+		"rest":        {503, http.Header{headerRetryAfter: {"2"}}, core.NoticeReceived{Notice: notice.Notice{BackOff: 2 * time.Second}}},
 		"failure":     {500, http.Header{}, core.NoticeReceived{}},
 		"not to read": {200, http.Header{HeaderLimit: {"many"}}, core.NoticeReceived{Unreadable: []string{"Firlever-Limit: many"}}},
 	}
--- a/internal/callers/request.go
+++ b/internal/callers/request.go
@@ -103,11 +103,11 @@
 
 // crashFingerprint returns the fingerprint by which a request is recognised when its caller sends
 // it again.
-func crashFingerprint(r *http.Request, to route, b *body) crash.Print {
+func crashFingerprint(r *http.Request, to route, b *body) crash.Fingerprint {
 	return crash.Request{
 		Method: r.Method, Host: to.service.String(), URI: to.rawPath + "?" + r.URL.RawQuery,
 		Caller: r.Header.Get("Authorization"), Object: r.Header.Get("Cookie"), Body: b.buffered,
-	}.Print()
+	}.Fingerprint()
 }
 
 // deadline converts the time left in a header into a deadline; zero if the header is missing.
--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -25,7 +25,7 @@
 
 // crashTracker is what the node has recorded about requests that crash targets.
 type crashTracker struct {
-	book       *crash.Book
+	book       *crash.Registry
 	recent     crash.Recent
 	aborts     map[owner.TargetKey]*abortedExchange
 	reports    []storedReport // reports held by book, by expiry time
@@ -36,7 +36,7 @@
 // whether the target has crashed.
 type abortedExchange struct {
 	at           time.Time // of the first abort
-	fingerprints []crash.Print
+	fingerprints []crash.Fingerprint
 }
 
 // storedReport is a report with its expiry time.
@@ -60,9 +60,9 @@
 
 // CrashUpdate is the update that one instance sends to another.
 type CrashUpdate struct {
-	Place    string        `json:"place"` // of the sender; empty if the update must not be relayed
-	Reports  []CrashReport `json:"reports"`
-	Answered []crash.Print `json:"answered"`
+	Place    string              `json:"place"` // of the sender; empty if the update must not be relayed
+	Reports  []CrashReport       `json:"reports"`
+	Answered []crash.Fingerprint `json:"answered"`
 }
 
 // CrashesReceived delivers an update from a peer.
@@ -72,13 +72,13 @@
 func (CrashesReceived) event() {}
 
 func newCrashTracker() crashTracker {
-	return crashTracker{book: crash.NewBook(), aborts: make(map[owner.TargetKey]*abortedExchange)}
+	return crashTracker{book: crash.NewRegistry(), aborts: make(map[owner.TargetKey]*abortedExchange)}
 }
 
 // refusePoison refuses a request that crashes the targets that run it, whatever its
 // origin. It reports whether it refused the request.
 func (n *Node) refusePoison(now time.Time, f *inFlight) bool {
-	if n.crashes.book.Guilty()[f.req.CrashFingerprint] == 0 {
+	if n.crashes.book.PoisonRequests()[f.req.CrashFingerprint] == 0 {
 		return false
 	}
 	f.lowerRetryAt(now.Add(crashRetention))
@@ -117,7 +117,7 @@
 	e := &n.crashes
 	e.lastReport++
 	name := fmt.Sprintf("%s/%d-%d", n.cfg.Instance, n.cfg.Incarnation, e.lastReport)
-	r := CrashReport{Key: name, Report: crash.Report{Target: ev.Target.Service.String() + "/" + ev.Target.Name + "@" + name, Prints: b.fingerprints}}
+	r := CrashReport{Key: name, Report: crash.Report{Target: ev.Target.Service.String() + "/" + ev.Target.Name + "@" + name, Fingerprints: b.fingerprints}}
 	n.storeReport(now, r)
 	n.notifyAll(CrashUpdate{Place: n.cfg.Place, Reports: []CrashReport{r}})
 }
@@ -130,7 +130,7 @@
 	}
 	e.book.Put(r.Key, crash.Unwritten, r.Report)
 	e.reports = append(e.reports, storedReport{until: now.Add(crashRetention), report: r})
-	if len(e.reports) > crash.MostReports {
+	if len(e.reports) > crash.MaxReports {
 		n.dropOldestReport()
 	}
 	return true
@@ -159,13 +159,13 @@
 	}
 	p := f.req.CrashFingerprint
 	n.crashes.recent.Add(now, p)
-	count := n.crashes.book.Count(p)
+	count := n.crashes.book.CrashCount(p)
 	if count == 0 {
 		return
 	}
-	n.crashes.book.Answered(p, crash.Unwritten)
+	n.crashes.book.RecordSuccess(p, crash.Unwritten)
 	if count >= minCrashesToReport {
-		n.notifyAll(CrashUpdate{Place: n.cfg.Place, Answered: []crash.Print{p}})
+		n.notifyAll(CrashUpdate{Place: n.cfg.Place, Answered: []crash.Fingerprint{p}})
 	}
 }
 
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, p := range update.Answered {
-		n.crashes.book.Answered(p, crash.Unwritten)
+		n.crashes.book.RecordSuccess(p, crash.Unwritten)
 	}
 	if update.Place != "" && update.Place != n.cfg.Place && len(relay.Reports)+len(relay.Answered) > 0 {
 		n.notify(n.peers.byPlace[n.cfg.Place], relay)
@@ -225,7 +225,7 @@
 		// Requests that were answered since are left out, as the new instance has no record
 		// of those answers.
 		r := CrashReport{Key: m.report.Key, Report: n.crashes.book.Report(m.report.Key)}
-		if len(r.Prints) > 0 {
+		if len(r.Fingerprints) > 0 {
 			update.Reports = append(update.Reports, r)
 		}
 	}
--- a/internal/core/crash_test.go
+++ b/internal/core/crash_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	poison   crash.Print = 7
-	harmless crash.Print = 8
+	poison   crash.Fingerprint = 7
+	harmless crash.Fingerprint = 8
 )
 
 // sendFingerprint lets a request with a fingerprint arrive, and returns the decision's
 // name.
-func (n *Node) sendFingerprint(now time.Time, id ID, p crash.Print) string {
+func (n *Node) sendFingerprint(now time.Time, id ID, p crash.Fingerprint) string {
 	ev := request(id, "10.1.0.1")
 	ev.Request.CrashFingerprint = p
 	return decisionName(n.Step(now, ev))
@@ -163,7 +163,7 @@
 	update := CrashUpdate{Place: place}
 	for i := range 3 {
 		update.Reports = append(update.Reports, CrashReport{
-			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Prints: []crash.Print{poison, harmless + crash.Print(i)}},
+			Key: fmt.Sprint("k", i), Report: crash.Report{Target: fmt.Sprint("t", i), Fingerprints: []crash.Fingerprint{poison, harmless + crash.Fingerprint(i)}},
 		})
 	}
 	return update
@@ -228,7 +228,7 @@
 		}, "i2 3 ends 0 answered;"},
 		"a newcomer after an answer": {func(_ *testing.T, n *Node) []Decision {
 			n.Step(begin, CrashesReceived{Update: threeCrashes("east")})
-			n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Print{poison, harmless}}})
+			n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Fingerprint{poison, harmless}}})
 			return n.Step(begin, restarted)
 		}, "i2 2 ends 0 answered;"},
 	}
@@ -251,7 +251,7 @@
 	if got := n.sendFingerprint(begin, 1, poison); got != "refuse ends-targets" {
 		t.Errorf("got %s, want it refused", got)
 	}
-	n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Print{poison}}})
+	n.Step(begin, CrashesReceived{Update: CrashUpdate{Answered: []crash.Fingerprint{poison}}})
 	if got := n.sendFingerprint(begin, 2, poison); got != "serve" {
 		t.Errorf("got %s after an answer elsewhere, want serve", got)
 	}
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -31,7 +31,7 @@
 	Name             string // request ID as the caller sees it
 	Key              string // idempotency key; empty if the caller sent none
 	Fingerprint      once.Fingerprint
-	CrashFingerprint crash.Print // fingerprint for crash reports: equal if the same caller sends the request again
+	CrashFingerprint crash.Fingerprint // fingerprint for crash reports: equal if the same caller sends the request again
 	Deadline         time.Time
 	StartDeadline    time.Time // deadline for the start of the answer; zero if it is Deadline
 	OverloadedUntil  time.Time // when to retry, as this process is overloaded; zero if it is not
--- a/internal/core/notice.go
+++ b/internal/core/notice.go
@@ -85,8 +85,8 @@
 // apply merges a notice into the constraint, and reports whether anything changed.
 func (c *constraint) apply(now time.Time, ev NoticeReceived) bool {
 	before := *c
-	if ev.Notice.Rest > 0 {
-		if ends := now.Add(ev.Notice.Rest); ends.After(c.backOffUntil) {
+	if ev.Notice.BackOff > 0 {
+		if ends := now.Add(ev.Notice.BackOff); ends.After(c.backOffUntil) {
 			c.backOffUntil = ends
 		}
 	}
@@ -94,8 +94,8 @@
 	if ev.Notice.Leaving || ev.Complete && later {
 		c.leaving = ev.Notice.Leaving
 	}
-	if ev.Notice.Limited || ev.Complete && later {
-		c.limited, c.rate = ev.Notice.Limited, ev.Notice.Limit
+	if ev.Notice.HasLimit || ev.Complete && later {
+		c.limited, c.rate = ev.Notice.HasLimit, ev.Notice.Limit
 	}
 	if ev.Notice.Any() {
 		c.updated = now
--- a/internal/core/notice_test.go
+++ b/internal/core/notice_test.go
@@ -13,14 +13,14 @@
 	t.Helper()
 	n := testNode(t, nil)
 	n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
-	n.Step(at, NoticeReceived{Target: testTarget, Sent: at, Notice: sent, Complete: sent.Rest == 0})
+	n.Step(at, NoticeReceived{Target: testTarget, Sent: at, Notice: sent, Complete: sent.BackOff == 0})
 	return n
 }
 
 var (
 	leavingNotice = notice.Notice{Leaving: true}
-	backOffNotice = notice.Notice{Rest: 3 * time.Second}
-	limitNotice   = notice.Notice{Limited: true, Limit: 10}
+	backOffNotice = notice.Notice{BackOff: 3 * time.Second}
+	limitNotice   = notice.Notice{HasLimit: true, Limit: 10}
 )
 
 // TestNoWayPastANotice checks that a request is refused at once, whichever way it comes,
@@ -68,7 +68,7 @@
 				n := testNode(t, nil)
 				n.Step(begin, Applied{Snapshot: testSnapshot(t, "")})
 				var got Refuse
-				for _, d := range send(n, NoticeReceived{Target: testTarget, Sent: at, Notice: tt.sent, Complete: tt.sent.Rest == 0}) {
+				for _, d := range send(n, NoticeReceived{Target: testTarget, Sent: at, Notice: tt.sent, Complete: tt.sent.BackOff == 0}) {
 					if r, ok := d.(Refuse); ok {
 						got = r
 					}
@@ -105,9 +105,9 @@
 		"leaving, asked before":     {leavingNotice, NoticeReceived{Sent: at.Add(-1), Complete: true}, time.Second, "refuse drained"},
 		"leaving, a failure":        {leavingNotice, NoticeReceived{Sent: at.Add(1)}, time.Second, "refuse drained"},
 		"leaving, a probe":          {leavingNotice, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "serve"},
-		"limit over":                {notice.Notice{Limited: true}, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "serve"},
-		"no requests, a trial":      {notice.Notice{Limited: true}, NoticeReceived{}, zeroLimitBackOff, "serve"},
-		"no requests":               {notice.Notice{Limited: true}, NoticeReceived{}, zeroLimitBackOff - 1, "refuse limited"},
+		"limit over":                {notice.Notice{HasLimit: true}, NoticeReceived{Sent: at.Add(1), Complete: true}, time.Second, "serve"},
+		"no requests, a trial":      {notice.Notice{HasLimit: true}, NoticeReceived{}, zeroLimitBackOff, "serve"},
+		"no requests":               {notice.Notice{HasLimit: true}, NoticeReceived{}, zeroLimitBackOff - 1, "refuse limited"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/crash/book.go
+++ b/internal/crash/book.go
@@ -8,8 +8,8 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// MostReports is the maximum number of reports; the oldest are evicted first.
-const MostReports = 512
+// MaxReports is the maximum number of reports; the oldest are evicted first.
+const MaxReports = 512
 
 const (
 	// minCrashes is the number of targets that have to crash with a request in flight before the
@@ -30,15 +30,15 @@
 
 // Report lists the requests that one instance had in flight at a target when it crashed.
 type Report struct {
-	Target string  `json:"target"` // run of the target
-	Prints []Print `json:"prints"`
+	Target       string        `json:"target"` // run of the target
+	Fingerprints []Fingerprint `json:"prints"`
 }
 
 // entry is a report in the table.
 type entry struct {
 	revision     platform.Revision // orders reports and answers of all instances; Unwritten sorts last
 	target       string
-	fingerprints map[Print]bool // without requests that were answered successfully later
+	fingerprints map[Fingerprint]bool // without requests that were answered successfully later
 }
 
 // before reports whether the entry was written before r. An entry without a revision is the
@@ -56,51 +56,51 @@
 	return e.revision.Compare(o.revision)
 }
 
-// Book holds the crash reports of all instances, and finds the poison requests among them. It is
+// Registry holds the crash reports of all instances, and finds the poison requests among them. It is
 // not safe for concurrent use.
-type Book struct {
-	reports  map[string]*entry           // by key; limited in number, the oldest are evicted first
-	answered map[Print]platform.Revision // revision of the last successful answer; maxAnswered at most
-	previous []Print                     // poison requests by reports since removed, oldest first; maxPrevious at most
-	removed  []Print                     // poison requests that were in reports removed since the last refresh
+type Registry struct {
+	reports  map[string]*entry                 // by key; limited in number, the oldest are evicted first
+	answered map[Fingerprint]platform.Revision // revision of the last successful answer; maxAnswered at most
+	previous []Fingerprint                     // poison requests by reports since removed, oldest first; maxPrevious at most
+	removed  []Fingerprint                     // poison requests that were in reports removed since the last refresh
 
-	crashes     map[string]map[Print]int // by crashed target: number of reports on it that list a request; 1 or more
-	crashCounts map[Print]int            // targets that crashed with a request in flight; 1 or more
-	stale       bool                     // whether poison has to be recomputed
-	poison      map[Print]int            // requests that crash targets, with the number of those targets
+	crashes     map[string]map[Fingerprint]int // by crashed target: number of reports on it that list a request; 1 or more
+	crashCounts map[Fingerprint]int            // targets that crashed with a request in flight; 1 or more
+	stale       bool                           // whether poison has to be recomputed
+	poison      map[Fingerprint]int            // requests that crash targets, with the number of those targets
 }
 
-// NewBook returns an empty table.
-func NewBook() *Book {
-	return &Book{
-		reports: make(map[string]*entry), answered: make(map[Print]platform.Revision),
-		crashes: make(map[string]map[Print]int), crashCounts: make(map[Print]int),
+// NewRegistry returns an empty table.
+func NewRegistry() *Registry {
+	return &Registry{
+		reports: make(map[string]*entry), answered: make(map[Fingerprint]platform.Revision),
+		crashes: make(map[string]map[Fingerprint]int), crashCounts: make(map[Fingerprint]int),
 	}
 }
 
 // Put adds a report under its key. If the key exists, only the revision of its report is updated.
-func (b *Book) Put(key string, revision platform.Revision, r Report) {
+func (b *Registry) Put(key string, revision platform.Revision, r Report) {
 	if old, ok := b.reports[key]; ok {
 		old.revision = platform.Later(old.revision, revision)
 		return
 	}
-	e := &entry{revision: revision, target: r.Target, fingerprints: make(map[Print]bool)}
-	for _, p := range r.Prints[:min(len(r.Prints), maxFingerprints)] {
+	e := &entry{revision: revision, target: r.Target, fingerprints: make(map[Fingerprint]bool)}
+	for _, p := range r.Fingerprints[:min(len(r.Fingerprints), maxFingerprints)] {
 		if e.after(b.answered[p]) && !e.fingerprints[p] {
 			e.fingerprints[p] = true
 			b.addCrash(e.target, p)
 		}
 	}
 	b.reports[key] = e
-	if len(b.reports) > MostReports {
+	if len(b.reports) > MaxReports {
 		b.Remove(b.oldestReport())
 	}
 }
 
 // addCrash records that one more report lists the request at a crashed target.
-func (b *Book) addCrash(target string, p Print) {
+func (b *Registry) addCrash(target string, p Fingerprint) {
 	if b.crashes[target] == nil {
-		b.crashes[target] = make(map[Print]int)
+		b.crashes[target] = make(map[Fingerprint]int)
 	}
 	b.crashes[target][p]++
 	if b.crashes[target][p] == 1 {
@@ -110,7 +110,7 @@
 }
 
 // clear removes a request from a report.
-func (b *Book) clear(e *entry, p Print) {
+func (b *Registry) clear(e *entry, p Fingerprint) {
 	if !e.fingerprints[p] {
 		return
 	}
@@ -131,16 +131,16 @@
 
 // Report returns the report with the given key, without the requests that were answered
 // successfully later. It is empty if the key is unknown.
-func (b *Book) Report(key string) Report {
+func (b *Registry) Report(key string) Report {
 	e, ok := b.reports[key]
 	if !ok {
 		return Report{}
 	}
-	return Report{Target: e.target, Prints: slices.Sorted(maps.Keys(e.fingerprints))}
+	return Report{Target: e.target, Fingerprints: slices.Sorted(maps.Keys(e.fingerprints))}
 }
 
 // oldestReport returns the key of the oldest report.
-func (b *Book) oldestReport() string {
+func (b *Registry) oldestReport() string {
 	first := ""
 	for key, e := range b.reports {
 		old := b.reports[first]
@@ -153,12 +153,12 @@
 
 // Remove removes a report. A request that was poison by a removed report counts as poison again
 // after one more crash.
-func (b *Book) Remove(key string) {
+func (b *Registry) Remove(key string) {
 	e, ok := b.reports[key]
 	if !ok {
 		return
 	}
-	guilty := b.Guilty()
+	guilty := b.PoisonRequests()
 	for p := range maps.Clone(e.fingerprints) {
 		if guilty[p] > 0 {
 			b.removed = append(b.removed, p)
@@ -168,9 +168,9 @@
 	delete(b.reports, key)
 }
 
-// Answered records that a target answered a request successfully at a revision, which shows that
+// RecordSuccess records that a target answered a request successfully at a revision, which shows that
 // earlier crashes had another cause. Without a revision, all existing reports count as earlier.
-func (b *Book) Answered(p Print, revision platform.Revision) {
+func (b *Registry) RecordSuccess(p Fingerprint, revision platform.Revision) {
 	if !revision.IsZero() {
 		b.answered[p] = platform.Later(b.answered[p], revision)
 	}
@@ -182,30 +182,30 @@
 			b.clear(e, p)
 		}
 	}
-	same := func(f Print) bool { return f == p }
+	same := func(f Fingerprint) bool { return f == p }
 	b.previous = slices.DeleteFunc(b.previous, same)
 	b.removed = slices.DeleteFunc(b.removed, same)
 }
 
 // evictOldestAnswer removes the oldest entry of answered.
-func (b *Book) evictOldestAnswer() {
+func (b *Registry) evictOldestAnswer() {
 	fingerprints := slices.Sorted(maps.Keys(b.answered))
-	delete(b.answered, slices.MinFunc(fingerprints, func(x, y Print) int { return b.answered[x].Compare(b.answered[y]) }))
+	delete(b.answered, slices.MinFunc(fingerprints, func(x, y Fingerprint) int { return b.answered[x].Compare(b.answered[y]) }))
 }
 
-// Count returns how many targets crashed with the request in flight.
-func (b *Book) Count(p Print) int { return b.crashCounts[p] }
+// CrashCount returns how many targets crashed with the request in flight.
+func (b *Registry) CrashCount(p Fingerprint) int { return b.crashCounts[p] }
 
-// Guilty returns the requests that crash targets, each with the number of targets that it
+// PoisonRequests returns the requests that crash targets, each with the number of targets that it
 // crashed. The returned map is not modified later.
-func (b *Book) Guilty() map[Print]int {
+func (b *Registry) PoisonRequests() map[Fingerprint]int {
 	b.refresh()
 	return b.poison
 }
 
 // refresh recomputes poison if it is stale, and moves requests that are no longer poison, because
 // their reports were removed, to previous.
-func (b *Book) refresh() {
+func (b *Registry) refresh() {
 	if !b.stale {
 		return
 	}
@@ -223,9 +223,9 @@
 // findPoison finds the requests that explain the crashes. It takes the request that was at most
 // of the crashed targets, leaves out these targets, and repeats. Requests that were there by
 // chance therefore don't count.
-func (b *Book) findPoison() {
-	b.poison = make(map[Print]int)
-	var unexplained map[string]map[Print]int // targets whose crash is not explained yet; nil for all
+func (b *Registry) findPoison() {
+	b.poison = make(map[Fingerprint]int)
+	var unexplained map[string]map[Fingerprint]int // targets whose crash is not explained yet; nil for all
 	for counts := b.crashCounts; ; counts = countTargets(unexplained) {
 		most, ok := b.mostCrashes(counts)
 		if !ok {
@@ -240,13 +240,13 @@
 				b.poison[p] = counts[p]
 			}
 		}
-		maps.DeleteFunc(unexplained, func(_ string, fingerprints map[Print]int) bool { return fingerprints[most] > 0 })
+		maps.DeleteFunc(unexplained, func(_ string, fingerprints map[Fingerprint]int) bool { return fingerprints[most] > 0 })
 	}
 }
 
 // mostCrashes returns the request with the most crashed targets, among those with enough crashes
 // to count as a cause.
-func (b *Book) mostCrashes(counts map[Print]int) (most Print, found bool) {
+func (b *Registry) mostCrashes(counts map[Fingerprint]int) (most Fingerprint, found bool) {
 	for p, n := range counts {
 		if n < minCrashes && !slices.Contains(b.previous, p) {
 			continue
@@ -259,8 +259,8 @@
 }
 
 // countTargets returns for each request the number of targets that it was at.
-func countTargets(crashes map[string]map[Print]int) map[Print]int {
-	counts := make(map[Print]int)
+func countTargets(crashes map[string]map[Fingerprint]int) map[Fingerprint]int {
+	counts := make(map[Fingerprint]int)
 	for _, fingerprints := range crashes {
 		for p := range fingerprints {
 			counts[p]++
@@ -272,8 +272,8 @@
 // findTied returns the requests that were at exactly the same targets as the given one, including
 // it. It also returns the number of other requests that were at as many targets and share at
 // least one with it.
-func findTied(crashes map[string]map[Print]int, counts map[Print]int, request Print) (tied []Print, rivals int) {
-	shared := make(map[Print]int)
+func findTied(crashes map[string]map[Fingerprint]int, counts map[Fingerprint]int, request Fingerprint) (tied []Fingerprint, rivals int) {
+	shared := make(map[Fingerprint]int)
 	for _, fingerprints := range crashes {
 		if fingerprints[request] == 0 {
 			continue
--- a/internal/crash/book_test.go
+++ b/internal/crash/book_test.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	poison Print = iota + 1
+	poison Fingerprint = iota + 1
 	frequent
 	other
 	otherPoison
@@ -19,29 +19,29 @@
 // Finds poison requests from the requests that were at each crashed target.
 func TestPoisonRequests(t *testing.T) {
 	tests := map[string]struct {
-		crashed [][]Print // requests at each crashed target
-		want    []Print
+		crashed [][]Fingerprint // requests at each crashed target
+		want    []Fingerprint
 	}{
 		"nothing":                                   {nil, nil},
-		"two crashes are not enough":                {[][]Print{{poison}, {poison}}, nil},
-		"three are":                                 {[][]Print{{poison}, {poison}, {poison}}, []Print{poison}},
-		"others were there by chance":               {[][]Print{{poison, frequent, 10}, {poison, frequent, 11}, {poison, 12}}, []Print{poison}},
-		"chance at three of four":                   {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}, {poison}}, []Print{poison}},
-		"two with the same targets":                 {[][]Print{{poison, frequent}, {poison, frequent}, {poison, frequent}}, nil},
-		"tied, but more crashes":                    {slices.Repeat([][]Print{{poison, frequent}}, minTiedCrashes), []Print{poison, frequent}},
-		"equal counts, some targets shared":         {[][]Print{{poison, frequent}, {poison, frequent}, {poison}, {frequent}}, nil},
-		"two with different targets":                {[][]Print{{poison}, {poison}, {poison}, {otherPoison}, {otherPoison}, {otherPoison}}, []Print{poison, otherPoison}},
-		"second one partly at targets of the first": {[][]Print{{poison, other}, {poison, other}, {poison}, {poison}, {poison}, {other}, {other}}, []Print{poison}},
-		"targets that crashed by themselves":        {[][]Print{{1, 2}, {3, 4}, {5, 6}, {7, 8}, {1, 9}, {3, 9}}, nil},
-		"targets without requests":                  {[][]Print{{}, {}, {}}, nil},
+		"two crashes are not enough":                {[][]Fingerprint{{poison}, {poison}}, nil},
+		"three are":                                 {[][]Fingerprint{{poison}, {poison}, {poison}}, []Fingerprint{poison}},
+		"others were there by chance":               {[][]Fingerprint{{poison, frequent, 10}, {poison, frequent, 11}, {poison, 12}}, []Fingerprint{poison}},
+		"chance at three of four":                   {[][]Fingerprint{{poison, frequent}, {poison, frequent}, {poison, frequent}, {poison}}, []Fingerprint{poison}},
+		"two with the same targets":                 {[][]Fingerprint{{poison, frequent}, {poison, frequent}, {poison, frequent}}, nil},
+		"tied, but more crashes":                    {slices.Repeat([][]Fingerprint{{poison, frequent}}, minTiedCrashes), []Fingerprint{poison, frequent}},
+		"equal counts, some targets shared":         {[][]Fingerprint{{poison, frequent}, {poison, frequent}, {poison}, {frequent}}, nil},
+		"two with different targets":                {[][]Fingerprint{{poison}, {poison}, {poison}, {otherPoison}, {otherPoison}, {otherPoison}}, []Fingerprint{poison, otherPoison}},
+		"second one partly at targets of the first": {[][]Fingerprint{{poison, other}, {poison, other}, {poison}, {poison}, {poison}, {other}, {other}}, []Fingerprint{poison}},
+		"targets that crashed by themselves":        {[][]Fingerprint{{1, 2}, {3, 4}, {5, 6}, {7, 8}, {1, 9}, {3, 9}}, nil},
+		"targets without requests":                  {[][]Fingerprint{{}, {}, {}}, nil},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewRegistry()
 			for i, fingerprints := range tt.crashed {
-				b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Prints: fingerprints})
+				b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Fingerprints: fingerprints})
 			}
-			if got := slices.Sorted(maps.Keys(b.Guilty())); !slices.Equal(got, tt.want) {
+			if got := slices.Sorted(maps.Keys(b.PoisonRequests())); !slices.Equal(got, tt.want) {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -50,11 +50,11 @@
 
 // Reports of several instances on the same target count as one crash.
 func TestReportsOfOneTarget(t *testing.T) {
-	b := NewBook()
+	b := NewRegistry()
 	for i := range 5 {
-		b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: "t", Prints: []Print{poison}})
+		b.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: "t", Fingerprints: []Fingerprint{poison}})
 	}
-	if got := b.Count(poison); got != 1 {
+	if got := b.CrashCount(poison); got != 1 {
 		t.Errorf("got %d targets, want 1", got)
 	}
 }
@@ -63,9 +63,9 @@
 func revisionAt(count uint64) platform.Revision { return platform.NewRevision(1, count) }
 
 // crashTargets adds reports of a request at crashed targets, one for each revision.
-func crashTargets(b *Book, p Print, from, until uint64) {
+func crashTargets(b *Registry, p Fingerprint, from, until uint64) {
 	for r := from; r <= until; r++ {
-		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: []Print{p}})
+		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Fingerprints: []Fingerprint{p}})
 	}
 }
 
@@ -73,35 +73,35 @@
 // ones.
 func TestAnswered(t *testing.T) {
 	tests := map[string]struct {
-		play func(b *Book)
+		play func(b *Registry)
 		want bool
 	}{
-		"answered after": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, revisionAt(4)) }, false},
-		"answered between": {func(b *Book) {
+		"answered after": {func(b *Registry) { crashTargets(b, poison, 1, 3); b.RecordSuccess(poison, revisionAt(4)) }, false},
+		"answered between": {func(b *Registry) {
 			crashTargets(b, poison, 1, 2)
-			b.Answered(poison, revisionAt(3))
+			b.RecordSuccess(poison, revisionAt(3))
 			crashTargets(b, poison, 4, 5)
 		}, false},
-		"crashes after the answer": {func(b *Book) {
+		"crashes after the answer": {func(b *Registry) {
 			crashTargets(b, poison, 1, 2)
-			b.Answered(poison, revisionAt(3))
+			b.RecordSuccess(poison, revisionAt(3))
 			crashTargets(b, poison, 4, 6)
 		}, true},
-		"received in another order": {func(b *Book) { b.Answered(poison, revisionAt(4)); crashTargets(b, poison, 1, 3) }, false},
-		"answer not yet written":    {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(poison, Unwritten) }, false},
-		"answer to another request": {func(b *Book) { crashTargets(b, poison, 1, 3); b.Answered(other, revisionAt(4)) }, true},
-		"received again with its revision": {func(b *Book) {
-			b.Put("a", Unwritten, Report{Target: "t", Prints: []Print{poison}})
+		"received in another order": {func(b *Registry) { b.RecordSuccess(poison, revisionAt(4)); crashTargets(b, poison, 1, 3) }, false},
+		"answer not yet written":    {func(b *Registry) { crashTargets(b, poison, 1, 3); b.RecordSuccess(poison, Unwritten) }, false},
+		"answer to another request": {func(b *Registry) { crashTargets(b, poison, 1, 3); b.RecordSuccess(other, revisionAt(4)) }, true},
+		"received again with its revision": {func(b *Registry) {
+			b.Put("a", Unwritten, Report{Target: "t", Fingerprints: []Fingerprint{poison}})
 			crashTargets(b, poison, 1, 2)
-			b.Answered(poison, Unwritten)
-			b.Put("a", revisionAt(9), Report{Target: "t", Prints: []Print{poison}})
+			b.RecordSuccess(poison, Unwritten)
+			b.Put("a", revisionAt(9), Report{Target: "t", Fingerprints: []Fingerprint{poison}})
 		}, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
+			b := NewRegistry()
 			tt.play(b)
-			if _, got := b.Guilty()[poison]; got != tt.want {
+			if _, got := b.PoisonRequests()[poison]; got != tt.want {
 				t.Errorf("got poison: %t, want %t", got, tt.want)
 			}
 		})
@@ -111,40 +111,40 @@
 // A request whose reports were removed is not poison any more, but one further crash makes it so
 // again, unless it was answered successfully in between.
 func TestRemovedReports(t *testing.T) {
-	b := NewBook()
+	b := NewRegistry()
 	crashTargets(b, poison, 1, 3)
 	for r := range 3 {
 		b.Remove(fmt.Sprint(r + 1))
 	}
-	if got := len(b.Guilty()); got != 0 {
+	if got := len(b.PoisonRequests()); got != 0 {
 		t.Errorf("got %d poison requests after all reports were removed, want none", got)
 	}
 	crashTargets(b, poison, 4, 4)
-	if _, got := b.Guilty()[poison]; !got {
+	if _, got := b.PoisonRequests()[poison]; !got {
 		t.Error("got no poison request after one more crash")
 	}
-	b.Answered(poison, revisionAt(5))
+	b.RecordSuccess(poison, revisionAt(5))
 	crashTargets(b, poison, 6, 6)
-	if _, got := b.Guilty()[poison]; got {
+	if _, got := b.PoisonRequests()[poison]; got {
 		t.Error("got a poison request after an answer and one crash")
 	}
 }
 
 // The table is bounded, and evicts the oldest entries first.
 func TestBounds(t *testing.T) {
-	b := NewBook()
+	b := NewRegistry()
 	crashTargets(b, poison, 1, 3)
-	fingerprints := make([]Print, 3*maxFingerprints)
+	fingerprints := make([]Fingerprint, 3*maxFingerprints)
 	for i := range fingerprints {
-		fingerprints[i] = Print(1000 + i)
+		fingerprints[i] = Fingerprint(1000 + i)
 	}
-	for r := uint64(10); r < 10+2*MostReports; r++ {
-		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Prints: fingerprints[:2]})
-		b.Answered(Print(r+5000), revisionAt(r))
+	for r := uint64(10); r < 10+2*MaxReports; r++ {
+		b.Put(fmt.Sprint(r), revisionAt(r), Report{Target: fmt.Sprint("t", r), Fingerprints: fingerprints[:2]})
+		b.RecordSuccess(Fingerprint(r+5000), revisionAt(r))
 	}
-	b.Put("wide", revisionAt(5000), Report{Target: "wide", Prints: fingerprints})
-	if got := len(b.reports); got != MostReports {
-		t.Errorf("got %d reports, want %d", got, MostReports)
+	b.Put("wide", revisionAt(5000), Report{Target: "wide", Fingerprints: fingerprints})
+	if got := len(b.reports); got != MaxReports {
+		t.Errorf("got %d reports, want %d", got, MaxReports)
 	}
 	if got := len(b.answered); got != maxAnswered {
 		t.Errorf("got %d answers, want %d", got, maxAnswered)
--- a/internal/crash/print.go
+++ b/internal/crash/print.go
@@ -7,9 +7,9 @@
 	"github.com/juju/errors"
 )
 
-// Print is the fingerprint of a request. It stays the same when a caller sends the request again
+// Fingerprint is the fingerprint of a request. It stays the same when a caller sends the request again
 // with another ID or to another instance.
-type Print uint64
+type Fingerprint uint64
 
 // Request holds the parts of a request that a target receives and that don't differ between
 // repeats.
@@ -22,8 +22,8 @@
 	Body   []byte
 }
 
-// Print returns the fingerprint of the request.
-func (r Request) Print() Print {
+// Fingerprint returns the fingerprint of the request.
+func (r Request) Fingerprint() Fingerprint {
 	d := xxhash.New()
 	for _, field := range []string{r.Method, r.Host, r.URI, r.Caller, r.Object} {
 		d.WriteString(strconv.Itoa(len(field))) // the length keeps different requests from having the same concatenation
@@ -31,18 +31,18 @@
 		d.WriteString(field)
 	}
 	d.Write(r.Body)
-	return Print(d.Sum64())
+	return Fingerprint(d.Sum64())
 }
 
 // String returns the fingerprint in hexadecimal, as in log lines.
-func (p Print) String() string { return strconv.FormatUint(uint64(p), 16) }
+func (p Fingerprint) String() string { return strconv.FormatUint(uint64(p), 16) }
 
 // MarshalText returns the fingerprint in the format of String.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText parses the format of MarshalText.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	n, err := strconv.ParseUint(string(text), 16, 64)
-	*p = Print(n)
+	*p = Fingerprint(n)
 	return errors.Annotate(err, "request fingerprint")
 }
--- a/internal/crash/print_test.go
+++ b/internal/crash/print_test.go
@@ -25,20 +25,20 @@
 		t.Run(name, func(t *testing.T) {
 			r := first
 			tt.change(&r)
-			if got := r.Print() == first.Print(); got != tt.same {
+			if got := r.Fingerprint() == first.Fingerprint(); got != tt.same {
 				t.Errorf("got the same fingerprint: %t, want %t", got, tt.same)
 			}
-			text, err := r.Print().MarshalText()
-			var read Print
+			text, err := r.Fingerprint().MarshalText()
+			var read Fingerprint
 			if err == nil {
 				err = read.UnmarshalText(text)
 			}
-			if err != nil || read != r.Print() {
-				t.Errorf("got %v, %v from %q, want %v", read, err, text, r.Print())
+			if err != nil || read != r.Fingerprint() {
+				t.Errorf("got %v, %v from %q, want %v", read, err, text, r.Fingerprint())
 			}
 		})
 	}
-	var p Print
+	var p Fingerprint
 	if err := p.UnmarshalText([]byte("no number")); err == nil {
 		t.Error("got no error for an invalid fingerprint")
 	}
--- a/internal/crash/recent.go
+++ b/internal/crash/recent.go
@@ -15,24 +15,24 @@
 // it would count as poison and be held back, and could not succeed again. Recent is not safe for
 // concurrent use.
 type Recent struct {
-	current, previous map[Print]bool // requests of the current and the previous span; maxRecent at most
-	currentEnd        time.Time      // end of the current span
+	current, previous map[Fingerprint]bool // requests of the current and the previous span; maxRecent at most
+	currentEnd        time.Time            // end of the current span
 }
 
 // Add records a success.
-func (r *Recent) Add(now time.Time, p Print) {
+func (r *Recent) Add(now time.Time, p Fingerprint) {
 	r.rotate(now)
 	if len(r.current) >= maxRecent {
 		r.previous, r.current = r.current, nil
 	}
 	if r.current == nil {
-		r.current = make(map[Print]bool)
+		r.current = make(map[Fingerprint]bool)
 	}
 	r.current[p] = true
 }
 
 // Has reports whether a request recently succeeded.
-func (r *Recent) Has(now time.Time, p Print) bool {
+func (r *Recent) Has(now time.Time, p Fingerprint) bool {
 	r.rotate(now)
 	return r.current[p] || r.previous[p]
 }
--- a/internal/crash/recent_test.go
+++ b/internal/crash/recent_test.go
@@ -30,7 +30,7 @@
 				r.Add(begin, poison)
 			}
 			for i := range tt.others {
-				r.Add(begin, Print(1000+i))
+				r.Add(begin, Fingerprint(1000+i))
 			}
 			if tt.later >= recentSpan {
 				r.Add(begin.Add(recentSpan), other)
--- a/internal/demo/notice.go
+++ b/internal/demo/notice.go
@@ -20,7 +20,7 @@
 		}
 		typical := f.cfg.Rate * float64(t.cfg.Slots) / t.cfg.Mean.Seconds()
 		t.setNotice([]notice.Notice{
-			{Limited: true, Limit: limitFraction * typical}, {Leaving: true}, {Rest: time.Until(until)},
+			{HasLimit: true, Limit: limitFraction * typical}, {Leaving: true}, {BackOff: time.Until(until)},
 		}[n%3], until)
 		n++
 	}
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -67,7 +67,7 @@
 	if a.route == nil {
 		return a, refusedNoRoute
 	}
-	if !a.rules.keys.Needed() {
+	if !a.rules.keys.KeyRequired() {
 		return a, nil
 	}
 	a.workspace = a.rules.keys.Owner(info.Key)
@@ -96,7 +96,7 @@
 	if a.workspace == nil {
 		return a.route.Regions
 	}
-	return a.route.Regions.And(a.workspace.Regions)
+	return a.route.Regions.Intersect(a.workspace.Regions)
 }
 
 // workspaceName returns the workspace's name; "" if there is none.
@@ -133,7 +133,7 @@
 		return true
 	}
 	owner := current.keys.Owner(p.info.Key)
-	if owner == nil && current.keys.Needed() && !p.route.Open {
+	if owner == nil && current.keys.KeyRequired() && !p.route.Open {
 		return false
 	}
 	p.rules, p.workspace = current, owner
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -124,7 +124,7 @@
 		return
 	}
 	n.mu.Lock()
-	n.fleet.Limit(now, cfg.Services)
+	n.fleet.SetServices(now, cfg.Services)
 	n.mu.Unlock()
 	n.quotas.Change(func(l *quota.Ledger) { l.Limit(quotaLimits(&cfg)) })
 	n.rules.Store(newRules(cfg))
@@ -222,7 +222,7 @@
 func (n *Node) applyPeers(now time.Time) {
 	names := append(n.instances.names(), n.cfg.Settings.Instance)
 	n.mu.Lock()
-	n.fleet.Peers(now, names)
+	n.fleet.SetPeers(now, names)
 	n.mu.Unlock()
 	members := n.quotaMembers()
 	n.quotas.Change(func(l *quota.Ledger) { l.Peers(now, members) })
--- a/internal/edge/breach.go
+++ b/internal/edge/breach.go
@@ -27,7 +27,7 @@
 // abortGroup holds the exchanges with one target that were aborted at about the same time.
 type abortGroup struct {
 	target       steer.Target
-	fingerprints []crash.Print
+	fingerprints []crash.Fingerprint
 	expires      time.Time // the group is removed then
 	dismissed    bool      // the probe has not shown that the target ended
 
@@ -37,7 +37,7 @@
 
 // exchangeAborted records an exchange that a target aborted. A probe then shows whether the
 // target has ended or only this answer was lost.
-func (c *crashTracker) exchangeAborted(now time.Time, target steer.Target, p crash.Print) {
+func (c *crashTracker) exchangeAborted(now time.Time, target steer.Target, p crash.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	maps.DeleteFunc(c.aborted, func(_ string, b *abortGroup) bool { return !now.Before(b.expires) })
@@ -51,7 +51,7 @@
 		go c.probe(b)
 	}
 	if b.crashed {
-		c.reportCrash(target, []crash.Print{p})
+		c.reportCrash(target, []crash.Fingerprint{p})
 		return
 	}
 	if !slices.Contains(b.fingerprints, p) {
@@ -109,7 +109,7 @@
 
 	tracker     *crashTracker
 	target      steer.Target
-	fingerprint crash.Print
+	fingerprint crash.Fingerprint
 }
 
 // Read reads from the body, and records how the answer ends.
--- a/internal/edge/busy_test.go
+++ b/internal/edge/busy_test.go
@@ -31,7 +31,7 @@
 		t.Run(name, func(t *testing.T) {
 			for range 10 {
 				ahead = ahead.Add(time.Second)
-				r.node.cfg.Overload.Note(ahead, tt.delay)
+				r.node.cfg.Overload.Record(ahead, tt.delay)
 			}
 			before := target.runs()
 			got := r.send("POST", "/do/x")
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -43,10 +43,10 @@
 type crashTracker struct {
 	node     *Node
 	notifier *notifier
-	poison   atomic.Pointer[map[crash.Print]int] // requests that end targets, with the number of targets that ended under each
+	poison   atomic.Pointer[map[crash.Fingerprint]int] // requests that end targets, with the number of targets that ended under each
 
 	mu         sync.Mutex
-	registry   *crash.Book                // guarded by mu
+	registry   *crash.Registry            // guarded by mu
 	recent     crash.Recent               // guarded by mu
 	aborted    map[string]*abortGroup     // by ID of the target; guarded by mu
 	retained   map[string]retention       // the reports in registry, by key; crash.MostReports at most; guarded by mu
@@ -69,13 +69,13 @@
 
 func newCrashTracker(n *Node) *crashTracker {
 	return &crashTracker{
-		node: n, notifier: newNotifier(n), registry: crash.NewBook(), aborted: make(map[string]*abortGroup),
+		node: n, notifier: newNotifier(n), registry: crash.NewRegistry(), aborted: make(map[string]*abortGroup),
 		retained: make(map[string]retention), published: make(map[string]publishedAnswer),
 	}
 }
 
 // crashCount returns how many targets ended under a poison request; 0 if it is none.
-func (c *crashTracker) crashCount(p crash.Print) int {
+func (c *crashTracker) crashCount(p crash.Fingerprint) int {
 	if poison := c.poison.Load(); poison != nil {
 		return (*poison)[p]
 	}
@@ -83,10 +83,10 @@
 }
 
 // reportCrash records that a target ended while it had requests, and publishes it. c.mu is held.
-func (c *crashTracker) reportCrash(target steer.Target, fingerprints []crash.Print) {
+func (c *crashTracker) reportCrash(target steer.Target, fingerprints []crash.Fingerprint) {
 	c.lastReport++
 	n := c.node
-	r := crash.Report{Target: target.ID, Prints: fingerprints}
+	r := crash.Report{Target: target.ID, Fingerprints: fingerprints}
 	if !target.Started.IsZero() {
 		r.Target += "@" + strconv.FormatInt(target.Started.UnixMilli(), 10)
 	}
@@ -110,15 +110,15 @@
 
 // answered records a target's successful answer to a request, which shows that the request does
 // not end targets.
-func (c *crashTracker) answered(now time.Time, p crash.Print) {
+func (c *crashTracker) answered(now time.Time, p crash.Fingerprint) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.recent.Add(now, p)
-	count := c.registry.Count(p)
+	count := c.registry.CrashCount(p)
 	if count == 0 {
 		return
 	}
-	c.registry.Answered(p, crash.Unwritten)
+	c.registry.RecordSuccess(p, crash.Unwritten)
 	c.updatePoison()
 	if count >= minCrashesToPublish {
 		c.publishAnswer(now, answeredPrefix+p.String())
@@ -128,7 +128,7 @@
 // publishAnswer queues an answer to be written to the store. c.mu is held.
 func (c *crashTracker) publishAnswer(now time.Time, key string) {
 	c.published[key] = publishedAnswer{expires: now.Add(answerRetention)}
-	if len(c.published) > crash.MostReports {
+	if len(c.published) > crash.MaxReports {
 		delete(c.published, earliest(c.published, func(a publishedAnswer) time.Time { return a.expires }))
 	}
 	c.notifier.enqueue(entry{key: key, value: []byte(c.node.cfg.Settings.Instance), lifetime: answerRetention})
@@ -154,8 +154,8 @@
 // updatePoison publishes the poison requests that follow from the reports, and logs new ones and
 // those that are allowed again. c.mu is held.
 func (c *crashTracker) updatePoison() {
-	poison := c.registry.Guilty()
-	var before map[crash.Print]int
+	poison := c.registry.PoisonRequests()
+	var before map[crash.Fingerprint]int
 	if old := c.poison.Load(); old != nil {
 		before = *old
 	}
@@ -188,7 +188,7 @@
 // applyChange applies one change. A change without a revision comes from a peer. c.mu is held.
 func (c *crashTracker) applyChange(change mirror.Change) error {
 	if text, ok := strings.CutPrefix(change.Key, answeredPrefix); ok {
-		var p crash.Print
+		var p crash.Fingerprint
 		if err := p.UnmarshalText([]byte(text)); err != nil {
 			return err
 		}
@@ -196,7 +196,7 @@
 			c.answerRemoved(change.Key)
 			return nil
 		}
-		c.registry.Answered(p, firstPublished(change))
+		c.registry.RecordSuccess(p, firstPublished(change))
 		return nil
 	}
 	if change.Removed {
@@ -227,7 +227,7 @@
 	if _, ok := c.retained[key]; !ok {
 		c.retained[key] = retention{expires: boottime.Now().Add(crashRetention), own: own}
 	}
-	if len(c.retained) > crash.MostReports {
+	if len(c.retained) > crash.MaxReports {
 		oldest := earliest(c.retained, func(k retention) time.Time { return k.expires })
 		delete(c.retained, oldest)
 		c.registry.Remove(oldest)
@@ -242,7 +242,7 @@
 	if !k.own || boottime.Until(k.expires) < crashRetention/2 {
 		return
 	}
-	if r := c.registry.Report(key); len(r.Prints) > 0 {
+	if r := c.registry.Report(key); len(r.Fingerprints) > 0 {
 		c.publishReport(key, r)
 	}
 }
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -27,8 +27,8 @@
 	in             *http1.Request
 	info           platform.Request
 	service        string
-	fingerprint    crash.Print // recognises the request when it is sent again
-	deadline       time.Time   // the caller gets an answer by then
+	fingerprint    crash.Fingerprint // recognises the request when it is sent again
+	deadline       time.Time         // the caller gets an answer by then
 	choice         steer.Choice
 	ending         steer.Ending // of the last attempt
 	cause          error        // error of the last attempt
@@ -62,8 +62,8 @@
 }
 
 // fingerprintOf returns the fingerprint of a request.
-func fingerprintOf(r *http1.Request, info platform.Request) crash.Print {
-	return crash.Request{Method: r.Method, Host: r.Host, URI: r.URI, Caller: info.Key, Object: info.Object, Body: r.Body}.Print()
+func fingerprintOf(r *http1.Request, info platform.Request) crash.Fingerprint {
+	return crash.Request{Method: r.Method, Host: r.Host, URI: r.URI, Caller: info.Key, Object: info.Object, Body: r.Body}.Fingerprint()
 }
 
 // deadlineOf returns the time by which the answer is due: the caller's deadline or the route's
@@ -85,7 +85,7 @@
 func (n *Node) pick(p *pendingRequest) steer.Choice {
 	if targets := n.crashes.crashCount(p.fingerprint); targets > 0 {
 		p.crashedTargets = targets
-		return steer.Choice{Reason: reasonEndsTargets, Again: poisonRetryAfter}
+		return steer.Choice{Reason: reasonEndsTargets, RetryAfter: poisonRetryAfter}
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,8 +97,8 @@
 // query returns the criteria for choosing a target. n.mu is held.
 func (n *Node) query(p *pendingRequest) steer.Query {
 	q := steer.Query{
-		Service: p.service, Spread: p.info.ID, Regions: p.regions(),
-		Objective: p.route.Objective, Deadline: p.deadline, Size: n.answerSizes[p.route.Name],
+		Service: p.service, SpreadKey: p.info.ID, Regions: p.regions(),
+		Objective: p.route.Objective, Deadline: p.deadline, AnswerSize: n.answerSizes[p.route.Name],
 		Retry: p.reached+p.inFlight > 0, Tried: p.tried,
 	}
 	if p.route.Affinity {
@@ -114,7 +114,7 @@
 	}
 	header := p.in.Header.Clone()
 	platform.AddressTo(header, target.ID, boottime.Until(p.deadline))
-	if p.rules.keys.Needed() {
+	if p.rules.keys.KeyRequired() {
 		platform.SetWorkspace(header, p.workspaceName())
 	}
 	sent := boottime.Now()
@@ -133,15 +133,15 @@
 	var unwanted *http1.UnwantedError
 	switch {
 	case errors.As(err, &unwanted):
-		return attemptOutcome{ending: steer.Withheld}
+		return attemptOutcome{ending: steer.NotSent}
 	case errors.As(err, &unsent) && ctx.Err() != nil:
-		return attemptOutcome{ending: steer.Left}
+		return attemptOutcome{ending: steer.CallerLeft}
 	case errors.As(err, &unsent):
 		return attemptOutcome{ending: steer.Failed}
 	case err != nil && ctx.Err() != nil:
-		return attemptOutcome{ending: steer.Left, sent: true}
+		return attemptOutcome{ending: steer.CallerLeft, sent: true}
 	case isTimeout(err):
-		return attemptOutcome{ending: steer.Late, sent: true}
+		return attemptOutcome{ending: steer.TimedOut, sent: true}
 	case err != nil:
 		return attemptOutcome{ending: steer.Failed, sent: true, aborted: true}
 	}
--- a/internal/edge/gauges.go
+++ b/internal/edge/gauges.go
@@ -46,7 +46,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(current.Config().Services)) {
-		all, usable := n.fleet.Targets(at, name)
+		all, usable := n.fleet.CountTargets(at, name)
 		e.Services = append(e.Services, metrics.EdgeService{Name: name, Targets: all, Usable: usable})
 	}
 	return e
--- a/internal/edge/loads.go
+++ b/internal/edge/loads.go
@@ -10,18 +10,18 @@
 
 // loadReports returns the loads and constraints that targets have reported to this instance itself
 // since a time.
-func (n *Node) loadReports(since time.Time) steer.Told {
+func (n *Node) loadReports(since time.Time) steer.TargetReports {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return steer.Told{Loads: n.fleet.Reports(boottime.Now(), since), Constraints: n.fleet.Constraints(since)}
+	return steer.TargetReports{Loads: n.fleet.Reports(boottime.Now(), since), Constraints: n.fleet.Constraints(since)}
 }
 
 // receiveLoadReports applies what targets have reported to other instances.
-func (n *Node) receiveLoadReports(reports steer.Told) {
+func (n *Node) receiveLoadReports(reports steer.TargetReports) {
 	now := boottime.Now()
 	n.mu.Lock()
-	n.fleet.Hear(now, reports.Loads)
-	notices := n.fleet.HearConstraints(now, reports.Constraints)
+	n.fleet.ApplyReports(now, reports.Loads)
+	notices := n.fleet.ApplyConstraints(now, reports.Constraints)
 	n.mu.Unlock()
 	for _, h := range notices {
 		n.logNotice(now, h, "peer", true)
@@ -43,9 +43,9 @@
 // loadFreshness classifies the age of the load report behind a choice, for metrics.
 func loadFreshness(c steer.Choice) string {
 	switch {
-	case c.Age < 0:
+	case c.LoadAge < 0:
 		return "never"
-	case c.Age < freshLoadAge:
+	case c.LoadAge < freshLoadAge:
 		return "fresh"
 	}
 	return "old"
--- a/internal/edge/log.go
+++ b/internal/edge/log.go
@@ -35,7 +35,7 @@
 		n.cfg.Log.Info("request", line...)
 		return
 	}
-	n.cfg.Log.Warn("request", append(line, "first", p.choice.First, "again", p.choice.Again, "err", p.cause)...)
+	n.cfg.Log.Warn("request", append(line, "first", p.choice.FirstCandidate, "again", p.choice.RetryAfter, "err", p.cause)...)
 }
 
 // answerFields returns the fields of the log line about a request's final answer: the request,
@@ -47,11 +47,11 @@
 		"config", p.rules.Config().Version,
 		"status", resp.Status, "took", now.Sub(p.in.At), "left", p.deadline.Sub(now), "attempts", p.reached,
 		"target", c.Target.ID, "domain", c.Target.Domain, "wait", c.Wait, "cost", c.Cost, "home", c.Home, "cold", c.Cold,
-		"busy", c.Busy, "usual", c.Usual, "load-age", c.Age, "store-age", n.mirror.Age(now),
+		"busy", c.TargetLoad, "usual", c.TypicalLoad, "load-age", c.LoadAge, "store-age", n.mirror.Age(now),
 		"ending", p.outcome(), "ended", p.crashedTargets, "conn", p.in.Conn,
 	}
-	if c.Part != nil {
-		line = append(line, "limit", c.Part.Limit, "part", c.Part.Rate)
+	if c.LimitShare != nil {
+		line = append(line, "limit", c.LimitShare.Limit, "part", c.LimitShare.Rate)
 	}
 	return line
 }
--- a/internal/edge/notice.go
+++ b/internal/edge/notice.go
@@ -28,10 +28,10 @@
 	now := boottime.Now()
 	success := status < http.StatusMultipleChoices && a.Signed && a.Unread == nil
 	n.mu.Lock()
-	changes := n.fleet.Notice(now, target, sent, a.Notice, success)
+	changes := n.fleet.ApplyNotice(now, target, sent, a.Notice, success)
 	n.mu.Unlock()
 	for _, change := range changes {
-		n.logNotice(now, steer.Heard{Target: target, News: change, Limit: a.Notice.Limit}, "rest", a.Notice.Rest, "id", p.info.ID, "status", status)
+		n.logNotice(now, steer.ConstraintUpdate{Target: target, Change: change, Limit: a.Notice.Limit}, "rest", a.Notice.BackOff, "id", p.info.ID, "status", status)
 	}
 	if a.Unread == nil {
 		return
@@ -46,26 +46,26 @@
 func (n *Node) wanted(target steer.Target) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fleet.Wanted(boottime.Now(), target)
+	return n.fleet.Accepts(boottime.Now(), target)
 }
 
 // backOff returns how long all possible targets of a request are backing off.
 func (n *Node) backOff(p *pendingRequest) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fleet.Rest(boottime.Now(), n.query(p))
+	return n.fleet.BackOff(boottime.Now(), n.query(p))
 }
 
 // logNotice counts and logs a change in what a target accepts, with further fields.
-func (n *Node) logNotice(now time.Time, h steer.Heard, fields ...any) {
+func (n *Node) logNotice(now time.Time, h steer.ConstraintUpdate, fields ...any) {
 	t := h.Target
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: t.Service, Reason: string(h.News)})
+	n.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: t.Service, Reason: string(h.Change)})
 	suppressed, ok := n.failureLimiter.Allow(now)
 	if !ok {
 		return
 	}
 	line := []any{
-		"target", t.ID, "service", t.Service, "domain", t.Domain, "started", t.Started, "news", h.News, "limit", h.Limit, "suppressed", suppressed,
+		"target", t.ID, "service", t.Service, "domain", t.Domain, "started", t.Started, "news", h.Change, "limit", h.Limit, "suppressed", suppressed,
 	}
 	n.cfg.Log.Info("target notice", append(line, fields...)...)
 }
--- a/internal/edge/notice_test.go
+++ b/internal/edge/notice_test.go
@@ -90,7 +90,7 @@
 			r.node.mu.Lock()
 			defer r.node.mu.Unlock()
 			list := r.node.fleet.Constraints(time.Time{})
-			if len(list) != 1 || list[0].Limited != tt.want {
+			if len(list) != 1 || list[0].HasLimit != tt.want {
 				t.Errorf("got %+v, want one with limited %t", list, tt.want)
 			}
 		})
--- a/internal/edge/pass.go
+++ b/internal/edge/pass.go
@@ -41,9 +41,9 @@
 	resp := ownAnswer(p.info, status)
 	if status == http.StatusServiceUnavailable {
 		if p.choice.Reason == "" {
-			p.choice.Again = n.backOff(p)
+			p.choice.RetryAfter = n.backOff(p)
 		}
-		platform.RetryAfter(resp.Header, max(p.choice.Again, minRetryAfter))
+		platform.RetryAfter(resp.Header, max(p.choice.RetryAfter, minRetryAfter))
 	}
 	return resp
 }
@@ -73,7 +73,7 @@
 	results := make(chan attempt, maxConcurrentAttempts)
 	start := func(c steer.Choice) { go func() { results <- n.send(ctx, p, c) }() }
 	start(p.choice)
-	hedge := time.NewTimer(boottime.Until(p.choice.SlowAt))
+	hedge := time.NewTimer(boottime.Until(p.choice.HedgeAt))
 	defer hedge.Stop()
 	var v attemptOutcome
 	for p.inFlight > 0 && !v.final {
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -35,7 +35,7 @@
 func (n *Node) setBounds(b platform.Bounds) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.fleet.Bound(boottime.Now(), steerBounds(b)); err != nil {
+	if err := n.fleet.SetBounds(boottime.Now(), steerBounds(b)); err != nil {
 		return err
 	}
 	var err error
--- a/internal/edge/restore_test.go
+++ b/internal/edge/restore_test.go
@@ -160,7 +160,7 @@
 		r.eventually("the targets are known at "+n.cfg.Settings.Instance, func() bool {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			_, got := n.fleet.Targets(time.Now(), "s")
+			_, got := n.fleet.CountTargets(time.Now(), "s")
 			return got == want
 		})
 	}
@@ -170,18 +170,18 @@
 // start later. An answer keeps its place in the order of the reports.
 func TestReportsLostByRestore(t *testing.T) {
 	r := newRestoreRig(t)
-	const poison, innocent = crash.Print(7), crash.Print(8)
-	report := func(target string, p crash.Print) {
+	const poison, innocent = crash.Fingerprint(7), crash.Fingerprint(8)
+	report := func(target string, p crash.Fingerprint) {
 		r.node.crashes.mu.Lock()
 		defer r.node.crashes.mu.Unlock()
-		r.node.crashes.reportCrash(steer.Target{ID: target}, []crash.Print{p})
+		r.node.crashes.reportCrash(steer.Target{ID: target}, []crash.Fingerprint{p})
 	}
-	crashCount := func(n *Node, p crash.Print) int {
+	crashCount := func(n *Node, p crash.Fingerprint) int {
 		n.crashes.mu.Lock()
 		defer n.crashes.mu.Unlock()
-		return n.crashes.registry.Count(p)
+		return n.crashes.registry.CrashCount(p)
 	}
-	everywhere := func(what string, p crash.Print, want int) {
+	everywhere := func(what string, p crash.Fingerprint, want int) {
 		t.Helper()
 		for _, n := range r.nodes {
 			r.eventually(what+" at "+n.cfg.Settings.Instance, func() bool { return crashCount(n, p) == want })
--- a/internal/edge/rig_test.go
+++ b/internal/edge/rig_test.go
@@ -171,7 +171,7 @@
 	r.eventually(fmt.Sprintf("%d usable targets", usable), func() bool {
 		r.node.mu.Lock()
 		defer r.node.mu.Unlock()
-		_, n := r.node.fleet.Targets(time.Now(), "s")
+		_, n := r.node.fleet.CountTargets(time.Now(), "s")
 		return n == usable
 	})
 }
--- a/internal/emulator/target/notice.go
+++ b/internal/emulator/target/notice.go
@@ -54,16 +54,16 @@
 	if s.current.Leaving {
 		h.Set(headerLeaving, "1")
 	}
-	if s.current.Limited {
+	if s.current.HasLimit {
 		h.Set(headerLimit, strconv.FormatFloat(s.current.Limit, 'f', -1, 64))
 	}
-	if s.current.Rest > 0 {
+	if s.current.BackOff > 0 {
 		h.Set(headerRetryAfter, strconv.FormatFloat(s.until.Sub(now).Seconds(), 'f', 3, 64))
 	}
 	if s.firstSent.IsZero() {
 		s.firstSent = now
 	}
-	return s.current.Rest > 0
+	return s.current.BackOff > 0
 }
 
 // checkArrival counts a request and checks that no more arrive than the notice allows.
@@ -75,12 +75,12 @@
 	}
 	grace, most := noticeGrace, noticeSlack
 	switch {
-	case s.current.Limited:
+	case s.current.HasLimit:
 		grace, most = backOffGrace, int(limitFactor*s.current.Limit*limitWindow.Seconds())+limitSlack
 		for len(s.arrivals) > 0 && now.Sub(s.arrivals[0]) >= limitWindow {
 			s.arrivals = s.arrivals[1:]
 		}
-	case s.current.Rest > 0:
+	case s.current.BackOff > 0:
 		grace = backOffGrace
 	}
 	if now.Sub(s.firstSent) < grace {
--- a/internal/emulator/target/notice_test.go
+++ b/internal/emulator/target/notice_test.go
@@ -12,7 +12,7 @@
 func TestNoticeEndsInSuspension(t *testing.T) {
 	const backOff = time.Hour
 	b := newTestTarget(t, Config{})
-	b.SetNotice(notice.Notice{Rest: backOff}, time.Now().Add(backOff))
+	b.SetNotice(notice.Notice{BackOff: backOff}, time.Now().Add(backOff))
 	retryAfter := func() string {
 		resp, err := b.client.Get("http://t/load")
 		if err != nil {
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -38,6 +38,6 @@
 	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("target notice", "service", d.Target.Service, "target", d.Target.Name, "leaving", d.Notice.Leaving,
-			"limited", d.Notice.Limited, "limit", d.Notice.Limit, "rest", d.Notice.Rest, "unread", d.Unreadable)
+			"limited", d.Notice.HasLimit, "limit", d.Notice.Limit, "rest", d.Notice.BackOff, "unread", d.Unreadable)
 	}
 }
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -36,9 +36,9 @@
 	// Collector returns the address of the instance that collects; "" if it is this one.
 	Collector func() string
 	// Told returns the reports that this instance has received from targets itself since a time.
-	Told func(since time.Time) steer.Told
+	Told func(since time.Time) steer.TargetReports
 	// Hear is called with reports that other instances received.
-	Hear func(reports steer.Told)
+	Hear func(reports steer.TargetReports)
 	// Failed is called if the collector could not be called or an answer could not be encoded.
 	Failed func(err error)
 }
@@ -49,7 +49,7 @@
 	peers       Peers
 	name        uint64 // hash of the instance's name
 	run         uint64 // identifies this process
-	loads       *reportTable[steer.Report]
+	loads       *reportTable[steer.LoadReport]
 	constraints *reportTable[steer.Constraint]
 	client      *peerhttp.Client
 
@@ -63,7 +63,7 @@
 // New returns an exchange.
 func New(peers Peers) *Exchange {
 	return &Exchange{
-		peers: peers, name: xxhash.Sum64String(peers.Name), run: uint64(time.Now().UnixNano()), loads: newReportTable[steer.Report](), constraints: newReportTable[steer.Constraint](),
+		peers: peers, name: xxhash.Sum64String(peers.Name), run: uint64(time.Now().UnixNano()), loads: newReportTable[steer.LoadReport](), constraints: newReportTable[steer.Constraint](),
 		client: peerhttp.New("", 1, maxMessageBytes),
 	}
 }
@@ -112,8 +112,8 @@
 }
 
 // merge adds the reports of an instance, and returns the new ones.
-func (x *Exchange) merge(from uint64, reports steer.Told) steer.Told {
-	return steer.Told{Loads: x.loads.merge(from, reports.Loads), Constraints: x.constraints.merge(from, reports.Constraints)}
+func (x *Exchange) merge(from uint64, reports steer.TargetReports) steer.TargetReports {
+	return steer.TargetReports{Loads: x.loads.merge(from, reports.Loads), Constraints: x.constraints.merge(from, reports.Constraints)}
 }
 
 // ask sends a message to the collector and reads its answer. It returns a
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -20,17 +20,17 @@
 var start = time.UnixMilli(1_800_000_000_000)
 
 func TestBoard(t *testing.T) {
-	b := newReportTable[steer.Report]()
-	first := steer.Report{Target: 1, Load: 3, At: start}
-	later := steer.Report{Target: 1, Load: 5, At: start.Add(time.Second)}
-	other := steer.Report{Target: 2, Load: 7, At: start}
-	if got := b.merge(10, []steer.Report{first, other}); len(got) != 2 {
+	b := newReportTable[steer.LoadReport]()
+	first := steer.LoadReport{Target: 1, Load: 3, At: start}
+	later := steer.LoadReport{Target: 1, Load: 5, At: start.Add(time.Second)}
+	other := steer.LoadReport{Target: 2, Load: 7, At: start}
+	if got := b.merge(10, []steer.LoadReport{first, other}); len(got) != 2 {
 		t.Errorf("got new reports %v, want both", got)
 	}
-	if got := b.merge(11, []steer.Report{later, other}); len(got) != 1 || got[0] != later {
+	if got := b.merge(11, []steer.LoadReport{later, other}); len(got) != 1 || got[0] != later {
 		t.Errorf("got new reports %v, want %v", got, later)
 	}
-	if got := b.merge(12, []steer.Report{first}); got != nil {
+	if got := b.merge(12, []steer.LoadReport{first}); got != nil {
 		t.Errorf("got new reports %v from an older one, want none", got)
 	}
 	tests := map[string]struct {
@@ -62,12 +62,12 @@
 }
 
 func TestMessage(t *testing.T) {
-	m := message{head: head{From: 1, Run: 2, Loads: 3, Constraints: 4}, reports: steer.Told{
-		Loads: []steer.Report{
+	m := message{head: head{From: 1, Run: 2, Loads: 3, Constraints: 4}, reports: steer.TargetReports{
+		Loads: []steer.LoadReport{
 			{Target: 7, Load: 4, At: start.Add(-time.Second)}, {Target: 8, Load: 1 << 20, At: start.Add(-time.Hour)},
 		},
 		Constraints: []steer.Constraint{
-			{Target: 7, Started: start.Add(-time.Minute), Limit: 9.1, Limited: true, At: start.Add(-time.Second)},
+			{Target: 7, Started: start.Add(-time.Minute), Limit: 9.1, HasLimit: true, At: start.Add(-time.Second)},
 			{Target: 8, Leaving: true, At: start.Add(-time.Hour)},
 		},
 	}}
@@ -79,14 +79,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []steer.Report{
+	want := []steer.LoadReport{
 		{Target: 7, Load: 4, At: start.Add(-1001 * time.Millisecond)}, {Target: 8, Load: 65535, At: start.Add(-65535 * time.Millisecond)},
 	}
 	if got.head != m.head || !slices.Equal(got.reports.Loads, want) {
 		t.Errorf("got %+v, want head %+v and %v", got, m.head, want)
 	}
 	wantConstraints := []steer.Constraint{
-		{Target: 7, Started: start.Add(-time.Minute), Limit: 9.1, Limited: true, At: start.Add(-1001 * time.Millisecond)},
+		{Target: 7, Started: start.Add(-time.Minute), Limit: 9.1, HasLimit: true, At: start.Add(-1001 * time.Millisecond)},
 		{Target: 8, Leaving: true, At: start.Add(-65535 * time.Millisecond)},
 	}
 	if !slices.EqualFunc(got.reports.Constraints, wantConstraints, sameConstraint) {
@@ -110,7 +110,7 @@
 
 // A message with an invalid count or limit is rejected as a whole.
 func TestUnreadableMessage(t *testing.T) {
-	m := message{reports: steer.Told{Constraints: []steer.Constraint{{Target: 7, Limit: math.NaN(), Limited: true, At: start}}}}
+	m := message{reports: steer.TargetReports{Constraints: []steer.Constraint{{Target: 7, Limit: math.NaN(), HasLimit: true, At: start}}}}
 	nan, err := m.encode(start)
 	if err != nil {
 		t.Fatal(err)
@@ -152,8 +152,8 @@
 }
 
 func TestBoardForgets(t *testing.T) {
-	b := newReportTable[steer.Report]()
-	b.merge(10, []steer.Report{{Target: 1, Load: 3, At: start}})
+	b := newReportTable[steer.LoadReport]()
+	b.merge(10, []steer.LoadReport{{Target: 1, Load: 3, At: start}})
 	if got, _ := b.since(start.Add(maxReportAge+1), 0, 0, maxLoads); len(got) != 0 || len(b.rows) != 0 {
 		t.Errorf("got %v and %d rows, want none that is older than %s", got, len(b.rows), maxReportAge)
 	}
@@ -163,8 +163,8 @@
 type peer struct {
 	*Exchange
 	mu       sync.Mutex
-	own      []steer.Report
-	received []steer.Report
+	own      []steer.LoadReport
+	received []steer.LoadReport
 	failures int
 
 	ownConstraints []steer.Constraint // received from targets
@@ -175,15 +175,15 @@
 	p := &peer{}
 	p.Exchange = New(Peers{
 		Name: name, Collector: func() string { return collector },
-		Told: func(since time.Time) steer.Told {
+		Told: func(since time.Time) steer.TargetReports {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			return steer.Told{
-				Loads:       slices.DeleteFunc(slices.Clone(p.own), func(r steer.Report) bool { return !r.At.After(since) }),
+			return steer.TargetReports{
+				Loads:       slices.DeleteFunc(slices.Clone(p.own), func(r steer.LoadReport) bool { return !r.At.After(since) }),
 				Constraints: slices.DeleteFunc(slices.Clone(p.ownConstraints), func(c steer.Constraint) bool { return !c.At.After(since) }),
 			}
 		},
-		Hear: func(reports steer.Told) {
+		Hear: func(reports steer.TargetReports) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.received = append(p.received, reports.Loads...)
@@ -216,10 +216,10 @@
 	address := strings.TrimPrefix(server.URL, "http://")
 	a, b := newPeer("a", address), newPeer("b", address)
 	now := time.Now()
-	a.own = []steer.Report{{Target: 1, Load: 3, At: now}}
-	b.own = []steer.Report{{Target: 2, Load: 4, At: now}}
-	collector.own = []steer.Report{{Target: 3, Load: 5, At: now}}
-	a.ownConstraints = []steer.Constraint{{Target: 1, Limit: 9, Limited: true, At: now}}
+	a.own = []steer.LoadReport{{Target: 1, Load: 3, At: now}}
+	b.own = []steer.LoadReport{{Target: 2, Load: 4, At: now}}
+	collector.own = []steer.LoadReport{{Target: 3, Load: 5, At: now}}
+	a.ownConstraints = []steer.Constraint{{Target: 1, Limit: 9, HasLimit: true, At: now}}
 	for i := range 3 {
 		for _, p := range []*peer{collector, a, b, a} {
 			p.exchangeOnce(context.Background(), now.Add(time.Duration(i+1)*time.Millisecond))
@@ -252,8 +252,8 @@
 	defer server.Close()
 	p := newPeer("a", strings.TrimPrefix(server.URL, "http://"))
 	now := time.Now()
-	p.own = []steer.Report{{Target: 1, Load: 3, At: now}}
-	collector.Exchange.loads.merge(9, []steer.Report{{Target: 2, Load: 4, At: now}})
+	p.own = []steer.LoadReport{{Target: 1, Load: 3, At: now}}
+	collector.Exchange.loads.merge(9, []steer.LoadReport{{Target: 2, Load: 4, At: now}})
 	p.exchangeOnce(context.Background(), now.Add(1))
 	broken = false
 	p.exchangeOnce(context.Background(), now.Add(collectorBackoff-1))
--- a/internal/loads/message.go
+++ b/internal/loads/message.go
@@ -54,7 +54,7 @@
 // constraintEntries, and loadEntries up to its end.
 type message struct {
 	head
-	reports steer.Told
+	reports steer.TargetReports
 }
 
 // MessageError is returned for a message that can't be decoded.
@@ -89,7 +89,7 @@
 	if r.Leaving {
 		e.Flags |= flagLeaving
 	}
-	if r.Limited {
+	if r.HasLimit {
 		e.Flags |= flagLimited
 	}
 	return e
@@ -135,7 +135,7 @@
 		m.reports.Constraints = append(m.reports.Constraints, c)
 	}
 	for _, e := range loads {
-		m.reports.Loads = append(m.reports.Loads, steer.Report{Target: e.Target, Load: int(e.Load), At: madeAt(now, e.Age)})
+		m.reports.Loads = append(m.reports.Loads, steer.LoadReport{Target: e.Target, Load: int(e.Load), At: madeAt(now, e.Age)})
 	}
 	return m, nil
 }
@@ -143,7 +143,7 @@
 // decodeConstraint decodes a constraint report; false if its limit is invalid.
 func decodeConstraint(now time.Time, e constraintEntry) (steer.Constraint, bool) {
 	r := steer.Constraint{
-		Target: e.Target, Limit: e.Limit, Leaving: e.Flags&flagLeaving != 0, Limited: e.Flags&flagLimited != 0, At: madeAt(now, e.Age),
+		Target: e.Target, Limit: e.Limit, Leaving: e.Flags&flagLeaving != 0, HasLimit: e.Flags&flagLimited != 0, At: madeAt(now, e.Age),
 	}
 	if e.Started != 0 {
 		r.Started = time.UnixMilli(e.Started)
--- a/internal/notice/notice.go
+++ b/internal/notice/notice.go
@@ -13,20 +13,20 @@
 
 // Notice is what a target announces in one answer.
 type Notice struct {
-	Leaving bool          // the target is leaving and accepts no new requests
-	Limit   float64       // requests per second that it accepts from all instances together; 0 or more
-	Limited bool          // whether Limit is set
-	Rest    time.Duration // time in which it accepts no requests from this instance; 0 if not set
+	Leaving  bool          // the target is leaving and accepts no new requests
+	Limit    float64       // requests per second that it accepts from all instances together; 0 or more
+	HasLimit bool          // whether Limit is set
+	BackOff  time.Duration // time in which it accepts no requests from this instance; 0 if not set
 }
 
 // Any reports whether the notice contains anything.
-func (n Notice) Any() bool { return n.Leaving || n.Limited || n.Rest > 0 }
+func (n Notice) Any() bool { return n.Leaving || n.HasLimit || n.BackOff > 0 }
 
-// Names are the names of the notice headers.
-type Names struct {
+// HeaderNames are the names of the notice headers.
+type HeaderNames struct {
 	Leaving string // "1"
 	Limit   string // decimal number
-	Rest    string // decimal number of seconds; read only with status 503
+	BackOff string // decimal number of seconds; read only with status 503
 }
 
 // maxBackOff is the longest back-off that is accepted, longer than any target runs.
@@ -34,13 +34,13 @@
 
 // Read parses the notice of an answer. Headers that can't be parsed are ignored, and returned as
 // "name: value".
-func (n Names) Read(status int, h http.Header) (Notice, []string) {
+func (n HeaderNames) Read(status int, h http.Header) (Notice, []string) {
 	r := reader{header: h}
 	notice := Notice{Leaving: r.flag(n.Leaving)}
-	notice.Limit, notice.Limited = r.number(n.Limit)
+	notice.Limit, notice.HasLimit = r.number(n.Limit)
 	if status == http.StatusServiceUnavailable {
-		seconds, _ := r.number(n.Rest)
-		notice.Rest = time.Duration(min(seconds, maxBackOff.Seconds()) * float64(time.Second))
+		seconds, _ := r.number(n.BackOff)
+		notice.BackOff = time.Duration(min(seconds, maxBackOff.Seconds()) * float64(time.Second))
 	}
 	return notice, r.invalid
 }
--- a/internal/notice/notice_test.go
+++ b/internal/notice/notice_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var names = Names{Leaving: "Server-Leaving", Limit: "Server-Limit", Rest: "Retry-After"}
+var names = HeaderNames{Leaving: "Server-Leaving", Limit: "Server-Limit", BackOff: "Retry-After"}
 
 // A notice only takes effect if the whole header can be parsed.
 func TestRead(t *testing.T) {
@@ -20,10 +20,10 @@
 		"nothing":                  {200, http.Header{}, Notice{}, nil},
 		"leaving":                  {200, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
 		"leaving, refused":         {503, http.Header{"Server-Leaving": {"1"}}, Notice{Leaving: true}, nil},
-		"limit":                    {500, http.Header{"Server-Limit": {"9.25"}}, Notice{Limit: 9.25, Limited: true}, nil},
-		"no requests":              {200, http.Header{"Server-Limit": {"0"}}, Notice{Limited: true}, nil},
-		"back-off":                 {503, http.Header{"Retry-After": {"2.5"}}, Notice{Rest: 2500 * time.Millisecond}, nil},
-		"very long back-off":       {503, http.Header{"Retry-After": {"1e300"}}, Notice{Rest: maxBackOff}, nil},
+		"limit":                    {500, http.Header{"Server-Limit": {"9.25"}}, Notice{Limit: 9.25, HasLimit: true}, nil},
+		"no requests":              {200, http.Header{"Server-Limit": {"0"}}, Notice{HasLimit: true}, nil},
+		"back-off":                 {503, http.Header{"Retry-After": {"2.5"}}, Notice{BackOff: 2500 * time.Millisecond}, nil},
+		"very long back-off":       {503, http.Header{"Retry-After": {"1e300"}}, Notice{BackOff: maxBackOff}, nil},
 		"back-off with status 200": {200, http.Header{"Retry-After": {"3"}}, Notice{}, nil},
 		"unreadable": {
 			503,
@@ -52,7 +52,7 @@
 	f.Fuzz(func(t *testing.T, status int, leaving, limit, retryAfter string) {
 		h := http.Header{"Server-Leaving": {leaving}, "Server-Limit": {limit}, "Retry-After": {retryAfter}}
 		got, _ := names.Read(status, h)
-		if !(got.Limit >= 0) || got.Rest < 0 || got.Rest > maxBackOff {
+		if !(got.Limit >= 0) || got.BackOff < 0 || got.BackOff > maxBackOff {
 			t.Errorf("got %+v", got)
 		}
 	})
--- a/internal/overload/gate.go
+++ b/internal/overload/gate.go
@@ -35,8 +35,8 @@
 	share      float64       // share of new requests to refuse, 0 to 1; guarded by mu
 }
 
-// Note records a measured delay, and reports whether it is long.
-func (g *Gate) Note(now time.Time, delay time.Duration) bool {
+// Record records a measured delay, and reports whether it is long.
+func (g *Gate) Record(now time.Time, delay time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	long := delay > minDelay
--- a/internal/overload/gate_test.go
+++ b/internal/overload/gate_test.go
@@ -29,7 +29,7 @@
 			now := start
 			for _, d := range tt.delays {
 				now = now.Add(10 * ms)
-				g.Note(now, d)
+				g.Record(now, d)
 			}
 			if got := g.Share(); got < tt.low || got > tt.high {
 				t.Errorf("got a share of %g, want %g to %g", got, tt.low, tt.high)
@@ -95,7 +95,7 @@
 	switch {
 	case i.probe:
 		if g != nil {
-			g.Note(p.now, p.now.Sub(i.arrivedAt))
+			g.Record(p.now, p.now.Sub(i.arrivedAt))
 		}
 		return
 	case i.stepsLeft == steps && g != nil && g.Refuse():
--- a/internal/overload/meter.go
+++ b/internal/overload/meter.go
@@ -60,7 +60,7 @@
 
 // measure repeats the measurement until the delay is short.
 func (m *Meter) measure(begin time.Time, used time.Duration) {
-	for m.Note(m.queueDelay(begin, used)) {
+	for m.Record(m.queueDelay(begin, used)) {
 		time.Sleep(busyInterval)
 		begin, used = time.Now(), processorTime()
 	}
--- a/internal/routes/config.go
+++ b/internal/routes/config.go
@@ -50,18 +50,18 @@
 	Host      string
 	Prefix    string // begins and ends with a slash
 	Kind      Kind
-	Timeout   time.Duration // maximum time that a caller waits; 0: until its deadline
-	Objective time.Duration // latency within which an answer is worth most
-	Attempts  int           // maximum number of targets that one request may be sent to
-	Priority  int           // 0 is served first
-	Split     []Part        // services by weight; at least one
-	Affinity  bool          // whether a target that recently served the same object is faster
-	Regions   Regions       // where requests may be served
-	Open      bool          // whether requests need no key
+	Timeout   time.Duration     // maximum time that a caller waits; 0: until its deadline
+	Objective time.Duration     // latency within which an answer is worth most
+	Attempts  int               // maximum number of targets that one request may be sent to
+	Priority  int               // 0 is served first
+	Split     []WeightedService // services by weight; at least one
+	Affinity  bool              // whether a target that recently served the same object is faster
+	Regions   Regions           // where requests may be served
+	Open      bool              // whether requests need no key
 }
 
-// Part is one service of a route.
-type Part struct {
+// WeightedService is one service of a route.
+type WeightedService struct {
 	Service string
 	Weight  float64 // share of the requests, relative to the sum of the weights
 }
@@ -158,7 +158,7 @@
 func unknownRegions(owner string, regions, deployed Regions) []string {
 	var faults []string
 	for _, region := range regions {
-		if !deployed.Allow(region) {
+		if !deployed.Allows(region) {
 			faults = append(faults, owner+": region "+region+" is not known")
 		}
 	}
--- a/internal/routes/regions.go
+++ b/internal/routes/regions.go
@@ -14,11 +14,11 @@
 	return names
 }
 
-// Allow reports whether requests may be served in a region.
-func (r Regions) Allow(region string) bool { return r == nil || slices.Contains(r, region) }
+// Allows reports whether requests may be served in a region.
+func (r Regions) Allows(region string) bool { return r == nil || slices.Contains(r, region) }
 
-// And returns the regions that both r and o allow.
-func (r Regions) And(o Regions) Regions {
+// Intersect returns the regions that both r and o allow.
+func (r Regions) Intersect(o Regions) Regions {
 	switch {
 	case r == nil:
 		return o
--- a/internal/routes/regions_test.go
+++ b/internal/routes/regions_test.go
@@ -20,11 +20,11 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := tt.a.And(tt.b)
-			if tt.allow != "" && !got.Allow(tt.allow) {
+			got := tt.a.Intersect(tt.b)
+			if tt.allow != "" && !got.Allows(tt.allow) {
 				t.Errorf("got %v, want %s allowed", got, tt.allow)
 			}
-			if tt.deny != "" && got.Allow(tt.deny) {
+			if tt.deny != "" && got.Allows(tt.deny) {
 				t.Errorf("got %v, want %s not allowed", got, tt.deny)
 			}
 		})
--- a/internal/routes/table_test.go
+++ b/internal/routes/table_test.go
@@ -7,9 +7,9 @@
 
 func TestMatch(t *testing.T) {
 	table := NewTable(Config{Routes: []Route{
-		{Name: "short", Host: "a.example", Prefix: "/x/", Split: []Part{{Service: "s"}}},
-		{Name: "long", Host: "A.example", Prefix: "/x/y/", Split: []Part{{Service: "s"}}},
-		{Name: "other", Host: "b.example", Prefix: "/", Split: []Part{{Service: "s"}}},
+		{Name: "short", Host: "a.example", Prefix: "/x/", Split: []WeightedService{{Service: "s"}}},
+		{Name: "long", Host: "A.example", Prefix: "/x/y/", Split: []WeightedService{{Service: "s"}}},
+		{Name: "other", Host: "b.example", Prefix: "/", Split: []WeightedService{{Service: "s"}}},
 	}})
 	tests := map[string]struct{ host, path, want string }{
 		"longest prefix":  {"a.example", "/x/y/z", "long"},
@@ -39,7 +39,7 @@
 // Each service of a split must get its share in every sequence of 100 requests, not only on
 // average.
 func TestServiceShares(t *testing.T) {
-	route := Route{Host: "a", Prefix: "/", Split: []Part{{"s1", 90}, {"s2", 10}, {"none", 0}}}
+	route := Route{Host: "a", Prefix: "/", Split: []WeightedService{{"s1", 90}, {"s2", 10}, {"none", 0}}}
 	e := NewTable(Config{Routes: []Route{route}}).Match("a", "/")
 	for run := range 20 {
 		counts := map[string]int{}
--- a/internal/soak/fault_test.go
+++ b/internal/soak/fault_test.go
@@ -68,15 +68,15 @@
 		}
 		return "faulty answers from all targets"
 	case 17:
-		n := notice.Notice{Limited: true, Limit: float64(c.rng.IntN(40)) / 2}
+		n := notice.Notice{HasLimit: true, Limit: float64(c.rng.IntN(40)) / 2}
 		c.setNotice([]*target{t}, n, 3*length)
 		return fmt.Sprintf("%s announces %+v", t.name, n)
 	case 18, 19:
-		n := notice.Notice{Rest: 2 * length}
+		n := notice.Notice{BackOff: 2 * length}
 		c.setNotice([]*target{t}, n, length)
 		return fmt.Sprintf("%s announces %+v", t.name, n)
 	case 20:
-		n := []notice.Notice{{Rest: length}, {Limited: true, Limit: 10}}[c.rng.IntN(2)]
+		n := []notice.Notice{{BackOff: length}, {HasLimit: true, Limit: 10}}[c.rng.IntN(2)]
 		c.setNotice(c.targets, n, length)
 		return fmt.Sprintf("all targets announce %+v", n)
 	case 21:
--- a/internal/soak/notice_test.go
+++ b/internal/soak/notice_test.go
@@ -106,7 +106,7 @@
 			c.addViolation("%s received %d requests from %s within the back-off that it requested", run, b.requests, instance)
 		}
 	}
-	if announced.Limited {
+	if announced.HasLimit {
 		c.checkLimit(run, arrival{at: now, instance: instance}, announced.Limit)
 	}
 }
@@ -205,14 +205,14 @@
 	if announced.Leaving {
 		h.Set(headerLeaving, "1")
 	}
-	if announced.Limited {
+	if announced.HasLimit {
 		h.Set(headerLimit, fmt.Sprint(announced.Limit))
 	}
-	if announced.Rest == 0 {
+	if announced.BackOff == 0 {
 		return false
 	}
-	h.Set("Retry-After", strconv.FormatFloat(announced.Rest.Seconds(), 'f', 3, 64))
-	t.cluster.notices.recordBackOff(run, instance, t.domain, now, now.Add(announced.Rest))
+	h.Set("Retry-After", strconv.FormatFloat(announced.BackOff.Seconds(), 'f', 3, 64))
+	t.cluster.notices.recordBackOff(run, instance, t.domain, now, now.Add(announced.BackOff))
 	return true
 }
 
--- a/internal/steer/capacity_test.go
+++ b/internal/steer/capacity_test.go
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newBenchFleet(b, n, 2*n)
 			for _, t := range f.targets {
-				f.Notice(start, t.Target, start, notice.Notice{Limit: 5, Limited: true}, true)
+				f.ApplyNotice(start, t.Target, start, notice.Notice{Limit: 5, HasLimit: true}, true)
 			}
 			benchmarkPick(b, f)
 		})
@@ -36,12 +36,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.Limit(start, map[string]routes.Service{"s": {Name: "s"}})
+	f.SetServices(start, map[string]routes.Service{"s": {Name: "s"}})
 	peers := []string{"a"}
 	for i := range others {
 		peers = append(peers, fmt.Sprintf("i%04d", i))
 	}
-	f.Peers(start, peers)
+	f.SetPeers(start, peers)
 	domains := []string{"n1", "n2", "s1", "s2"}
 	for i := range targets {
 		f.Put(start, Target{ID: fmt.Sprintf("t%04d", i), Service: "s", Domain: domains[i%4], Slots: 8})
--- a/internal/steer/fleet.go
+++ b/internal/steer/fleet.go
@@ -56,20 +56,20 @@
 	}, nil
 }
 
-// Change is the effect of Put.
-type Change string
+// PutResult is the effect of Put.
+type PutResult string
 
 // Effects of Put.
 const (
-	Added     Change = "added"
-	Updated   Change = "updated"
-	Restarted Change = "restarted" // the target runs anew; the state of its previous run was dropped
-	Outdated  Change = "outdated"  // a later registration is stored; nothing was changed
+	Added     PutResult = "added"
+	Updated   PutResult = "updated"
+	Restarted PutResult = "restarted" // the target runs anew; the state of its previous run was dropped
+	Outdated  PutResult = "outdated"  // a later registration is stored; nothing was changed
 )
 
 // Put adds a target, or updates the one with the same ID. Registrations may arrive late and out
 // of order.
-func (f *Fleet) Put(now time.Time, t Target) Change {
+func (f *Fleet) Put(now time.Time, t Target) PutResult {
 	change := Added
 	if old, ok := f.targets[t.ID]; ok {
 		switch {
@@ -117,8 +117,8 @@
 	return registered, true
 }
 
-// Limit sets the configuration of the given services.
-func (f *Fleet) Limit(now time.Time, services map[string]routes.Service) {
+// SetServices sets the configuration of the given services.
+func (f *Fleet) SetServices(now time.Time, services map[string]routes.Service) {
 	for name, limits := range services {
 		f.service(now, name).limits = limits
 	}
@@ -143,8 +143,8 @@
 // Evacuated reports whether the targets of a failure domain get no requests.
 func (f *Fleet) Evacuated(domain string) bool { return f.evacuated[domain] }
 
-// Bound sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
-func (f *Fleet) Bound(now time.Time, b Bounds) error {
+// SetBounds sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
+func (f *Fleet) SetBounds(now time.Time, b Bounds) error {
 	b.Defaults()
 	if faults := b.faults(); faults != nil {
 		return errors.Trace(&ConfigError{Faults: faults})
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// Targets returns the number of targets of a service, and how many of them may get requests now.
-func (f *Fleet) Targets(now time.Time, name string) (all, usable int) {
+// CountTargets returns the number of targets of a service, and how many of them may get requests now.
+func (f *Fleet) CountTargets(now time.Time, name string) (all, usable int) {
 	s, ok := f.services[name]
 	if !ok {
 		return 0, 0
--- a/internal/steer/fleet_test.go
+++ b/internal/steer/fleet_test.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Limit(start, map[string]routes.Service{"s": {Name: "s", Warmup: 3 * time.Second, ColdRate: 14}})
-	f.Peers(start, []string{"a", "b"})
+	f.SetServices(start, map[string]routes.Service{"s": {Name: "s", Warmup: 3 * time.Second, ColdRate: 14}})
+	f.SetPeers(start, []string{"a", "b"})
 	domains := []string{"n1", "n2", "s1", "s2"}
 	for i := range n {
 		f.Put(start, Target{ID: fmt.Sprintf("t%02d", i), Service: "s", Domain: domains[i%4], Slots: slots})
@@ -38,7 +38,7 @@
 }
 
 func query(object string) Query {
-	return Query{Service: "s", Object: object, Spread: object, Objective: 400 * time.Millisecond, Deadline: start.Add(time.Minute)}
+	return Query{Service: "s", Object: object, SpreadKey: object, Objective: 400 * time.Millisecond, Deadline: start.Add(time.Minute)}
 }
 
 func TestConfigFaults(t *testing.T) {
@@ -101,11 +101,11 @@
 		c := f.Pick(start, query("hot"))
 		if c.Reason != "" {
 			refused++
-			if c.First == "" || c.Busy == 0 {
+			if c.FirstCandidate == "" || c.TargetLoad == 0 {
 				t.Fatalf("got %+v, want the first candidate and its load", c)
 			}
-			if c.Again < minRetryAfter {
-				t.Fatalf("got a retry after %s", c.Again)
+			if c.RetryAfter < minRetryAfter {
+				t.Fatalf("got a retry after %s", c.RetryAfter)
 			}
 			continue
 		}
@@ -147,7 +147,7 @@
 	used := map[string]int{}
 	for i := range 320 {
 		q := query("")
-		q.Spread = fmt.Sprint(i)
+		q.SpreadKey = fmt.Sprint(i)
 		used[f.best(start, f.services["s"], q).Target.ID]++
 	}
 	if len(used) != 16 {
@@ -165,7 +165,7 @@
 	f := newFleet(t, 16, 4)
 	for i := range 50 {
 		q := query(fmt.Sprint(i))
-		q.Size = 90e3
+		q.AnswerSize = 90e3
 		c := f.best(start, f.services["s"], q)
 		if c.Target.Domain != "n1" {
 			t.Errorf("object %d: got domain %s, want n1", i, c.Target.Domain)
@@ -201,7 +201,7 @@
 		},
 		"no time": {
 			query: func(q *Query) { q.Deadline = start },
-			want:  func(c Choice) bool { return c.Reason == NoRoom },
+			want:  func(c Choice) bool { return c.Reason == NoCapacity },
 		},
 		"ejected": {
 			prepare: func(f *Fleet) {
@@ -254,7 +254,7 @@
 	if len(got) != 4 {
 		t.Errorf("got %d targets used, want all 4", len(got))
 	}
-	if all, usable := f.Targets(start, "s"); all != 4 || usable != 1 {
+	if all, usable := f.CountTargets(start, "s"); all != 4 || usable != 1 {
 		t.Errorf("got %d of %d usable, want 1 of 4", usable, all)
 	}
 }
@@ -268,7 +268,7 @@
 	}
 	home := f.best(start, f.services["s"], query("x")).Target.ID
 	for range 10 {
-		f.Done(start, Target{ID: home}, Outcome{Ending: Late, Took: 2 * time.Second})
+		f.Done(start, Target{ID: home}, Outcome{Ending: TimedOut, Took: 2 * time.Second})
 		f.targets[home].ejectedUntil = time.Time{}
 		f.services["s"].meanLatency = 100 * time.Millisecond
 	}
--- a/internal/steer/limit.go
+++ b/internal/steer/limit.go
@@ -155,16 +155,16 @@
 	return min(maxRetryGap, refillTime(1, rate))
 }
 
-// Part is the limit that a target announced, and this instance's share of it, both in requests
+// LimitShare is the limit that a target announced, and this instance's share of it, both in requests
 // per second.
-type Part struct{ Limit, Rate float64 }
+type LimitShare struct{ Limit, Rate float64 }
 
 // limitShare returns the target's limit and this instance's share of it; nil if there is no
 // limit.
-func (t *target) limitShare() *Part {
+func (t *target) limitShare() *LimitShare {
 	if t.constraints == nil || !t.constraints.limit.active {
 		return nil
 	}
 	l := &t.constraints.limit
-	return &Part{Limit: l.rate, Rate: l.share.rate}
+	return &LimitShare{Limit: l.rate, Rate: l.share.rate}
 }
--- a/internal/steer/limit_test.go
+++ b/internal/steer/limit_test.go
@@ -12,7 +12,7 @@
 func limitFrom(rate, from float64) func(target string, now time.Time) stubAnswer {
 	return func(target string, now time.Time) stubAnswer {
 		if target == "t00" && now.Sub(start) >= seconds(from) {
-			return stubAnswer{Notice: notice.Notice{Limit: rate, Limited: true}}
+			return stubAnswer{Notice: notice.Notice{Limit: rate, HasLimit: true}}
 		}
 		return stubAnswer{}
 	}
@@ -115,15 +115,15 @@
 func TestRetryAfterWithinLimits(t *testing.T) {
 	f := newFleet(t, 1, 9)
 	target := f.targets["t00"].Target
-	f.Notice(start, target, start, notice.Notice{Limit: 20, Limited: true}, true)
+	f.ApplyNotice(start, target, start, notice.Notice{Limit: 20, HasLimit: true}, true)
 	now := start.Add(10 * time.Millisecond)
 	var got []time.Duration
 	for i := range 5 {
 		c := f.Pick(now, query(fmt.Sprint(i)))
-		if c.Reason != Limited {
-			t.Fatalf("got reason %q, want %q", c.Reason, Limited)
+		if c.Reason != LimitReached {
+			t.Fatalf("got reason %q, want %q", c.Reason, LimitReached)
 		}
-		got = append(got, c.Again)
+		got = append(got, c.RetryAfter)
 	}
 	for i, retryAfter := range got {
 		// One of two instances may send 10 requests per second.
--- a/internal/steer/load_test.go
+++ b/internal/steer/load_test.go
@@ -21,12 +21,12 @@
 		q := query(fmt.Sprint(i % 40))
 		for range 2 {
 			c := f.Pick(now, q)
-			if c.Reason == NoBudget && c.Again <= minRetryAfter {
+			if c.Reason == NoBudget && c.RetryAfter <= minRetryAfter {
 				budget++
 				break
 			}
 			if c.Reason != "" {
-				t.Fatalf("request %d: got refused with %s, retry after %s", i, c.Reason, c.Again)
+				t.Fatalf("request %d: got refused with %s, retry after %s", i, c.Reason, c.RetryAfter)
 			}
 			if rng.IntN(2) == 0 {
 				f.Done(now, c.Target, Outcome{Ending: Answered, Took: 100 * time.Millisecond, Load: &Load{}})
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Limit(start, map[string]routes.Service{"s": {Name: "s"}})
+		f.SetServices(start, map[string]routes.Service{"s": {Name: "s"}})
 		for domain, n := range targets {
 			for i := range n {
 				f.Put(start, Target{ID: fmt.Sprint(domain, i), Service: "s", Domain: domain, Slots: 9})
--- a/internal/steer/notice.go
+++ b/internal/steer/notice.go
@@ -8,15 +8,15 @@
 	"github.com/firlever/firlever/internal/notice"
 )
 
-// News is a change to the constraints of a target.
-type News string
+// ConstraintChange is a change to the constraints of a target.
+type ConstraintChange string
 
 // Changes to a target's constraints.
 const (
-	Leaves    News = "leaves"
-	Limits    News = "limits"     // the target gave a limit, or a different one than before
-	LimitOver News = "limit-over" // the target has no limit any more
-	Rests     News = "rests"
+	TargetLeaving  ConstraintChange = "leaves"
+	LimitSet       ConstraintChange = "limits"     // the target gave a limit, or a different one than before
+	LimitRemoved   ConstraintChange = "limit-over" // the target has no limit any more
+	BackOffStarted ConstraintChange = "rests"
 )
 
 // noticeTTL is how long the notices of a target are kept after its entry was removed: if the
@@ -44,9 +44,9 @@
 	asOf       time.Time // time for which that holds
 }
 
-// Notice applies the notice of an answer to a request that was sent at the given time. A
+// ApplyNotice applies the notice of an answer to a request that was sent at the given time. A
 // successful answer without a limit means that the target has none.
-func (f *Fleet) Notice(now time.Time, target Target, sentAt time.Time, n notice.Notice, success bool) []News {
+func (f *Fleet) ApplyNotice(now time.Time, target Target, sentAt time.Time, n notice.Notice, success bool) []ConstraintChange {
 	if !n.Any() && f.constraints[runKeyOf(&target)] == nil {
 		return nil
 	}
@@ -78,41 +78,41 @@
 }
 
 // applyNotice applies a notice, and returns the changes.
-func (c *constraints) applyNotice(now, sentAt time.Time, n notice.Notice, success bool) []News {
-	var changes []News
+func (c *constraints) applyNotice(now, sentAt time.Time, n notice.Notice, success bool) []ConstraintChange {
+	var changes []ConstraintChange
 	if n.Leaving && !c.leaving {
 		c.leaving = true
-		changes = append(changes, Leaves)
+		changes = append(changes, TargetLeaving)
 	}
-	if n.Rest > 0 {
+	if n.BackOff > 0 {
 		if !now.Before(c.backOffUntil) {
-			changes = append(changes, Rests)
+			changes = append(changes, BackOffStarted)
 		}
-		c.backOffUntil, c.backedOff = later(c.backOffUntil, now.Add(n.Rest)), true
+		c.backOffUntil, c.backedOff = later(c.backOffUntil, now.Add(n.BackOff)), true
 		c.keepUntil = later(c.keepUntil, c.backOffUntil)
 	} else if sentAt.After(c.backOffUntil) {
 		c.backedOff = false
 	}
 	switch {
-	case n.Limited:
+	case n.HasLimit:
 		if !c.limit.active || c.limit.rate != n.Limit {
-			changes = append(changes, Limits)
+			changes = append(changes, LimitSet)
 		}
 		c.limit.observe(now, n.Limit)
 		c.observedAt, c.asOf = now, now
 	case success && c.limit.active && sentAt.After(c.limit.observedAt):
 		c.limit = limit{observedAt: sentAt}
 		c.observedAt, c.asOf = now, sentAt
-		changes = append(changes, LimitOver)
+		changes = append(changes, LimitRemoved)
 	case success && n.Leaving:
 		c.observedAt, c.asOf = now, sentAt
 	}
 	return changes
 }
 
-// Wanted reports whether a target still accepts the request that it was chosen for. The request
+// Accepts reports whether a target still accepts the request that it was chosen for. The request
 // may have waited for a connection since.
-func (f *Fleet) Wanted(now time.Time, target Target) bool {
+func (f *Fleet) Accepts(now time.Time, target Target) bool {
 	c := f.constraints[runKeyOf(&target)]
 	return c == nil || !c.leaving && !now.Before(c.backOffUntil)
 }
@@ -134,7 +134,7 @@
 	var first *target
 	slots := 0
 	for _, t := range s.targets {
-		if !f.available(t) || !q.Regions.Allow(t.region) || !t.backingOff(now) {
+		if !f.available(t) || !q.Regions.Allows(t.region) || !t.backingOff(now) {
 			continue
 		}
 		slots += t.Slots
@@ -147,19 +147,19 @@
 	}
 	// These slots serve the requests of all instances.
 	gap := s.latency(q.Objective) * time.Duration(max(1, len(f.peers))) / time.Duration(max(1, slots))
-	c := Choice{Reason: Resting, Again: s.scheduleRetry(now, first.constraints.backOffUntil, gap), First: first.ID}
+	c := Choice{Reason: BackingOff, RetryAfter: s.scheduleRetry(now, first.constraints.backOffUntil, gap), FirstCandidate: first.ID}
 	return c.withLoadOf(now, candidate{target: first}), true
 }
 
-// Rest returns the remaining time in which all targets of a service are backing off for this
+// BackOff returns the remaining time in which all targets of a service are backing off for this
 // instance; 0 if any may get a request now.
-func (f *Fleet) Rest(now time.Time, q Query) time.Duration {
+func (f *Fleet) BackOff(now time.Time, q Query) time.Duration {
 	s, ok := f.services[q.Service]
 	if !ok || slices.ContainsFunc(s.targets, func(t *target) bool { return f.eligible(now, t, Query{Regions: q.Regions}) }) {
 		return 0
 	}
 	c, _ := f.refuseBackingOff(now, s, q)
-	return c.Again
+	return c.RetryAfter
 }
 
 // isLeaving reports whether the target is leaving, by its registration or by its answers. The
@@ -173,12 +173,12 @@
 // all instances. The instances of a region exchange constraints: an instance that may not send
 // the target any requests gets no answer from it that shows the end of a limit.
 type Constraint struct {
-	Target  uint64    // hash of the target's ID
-	Started time.Time // start of the run; zero if unknown
-	Leaving bool
-	Limit   float64 // requests per second; 0 or more
-	Limited bool    // whether Limit is set
-	At      time.Time
+	Target   uint64    // hash of the target's ID
+	Started  time.Time // start of the run; zero if unknown
+	Leaving  bool
+	Limit    float64 // requests per second; 0 or more
+	HasLimit bool    // whether Limit is set
+	At       time.Time
 }
 
 // About returns the hash of the target's ID.
@@ -193,34 +193,34 @@
 	for _, c := range f.constraints {
 		if c.observedAt.After(since) {
 			list = append(list, Constraint{
-				Target: hash(c.run.targetID), Started: c.run.started, Leaving: c.leaving, Limit: c.limit.rate, Limited: c.limit.active, At: c.asOf,
+				Target: hash(c.run.targetID), Started: c.run.started, Leaving: c.leaving, Limit: c.limit.rate, HasLimit: c.limit.active, At: c.asOf,
 			})
 		}
 	}
 	return list
 }
 
-// Heard is a change to a target's constraints that a peer reported.
-type Heard struct {
+// ConstraintUpdate is a change to a target's constraints that a peer reported.
+type ConstraintUpdate struct {
 	Target Target
-	News   News
+	Change ConstraintChange
 	Limit  float64 // requests per second; valid if the change sets a limit
 }
 
-// HearConstraints applies constraints that other instances received from targets, and returns the
+// ApplyConstraints applies constraints that other instances received from targets, and returns the
 // changes.
-func (f *Fleet) HearConstraints(now time.Time, list []Constraint) []Heard {
-	var updates []Heard
+func (f *Fleet) ApplyConstraints(now time.Time, list []Constraint) []ConstraintUpdate {
+	var updates []ConstraintUpdate
 	for _, r := range list {
 		t := f.byHash[r.Target]
 		if t == nil || !t.Started.Equal(r.Started) || r.At.After(now) {
 			continue
 		}
-		if t.constraints == nil && !r.Leaving && !r.Limited {
+		if t.constraints == nil && !r.Leaving && !r.HasLimit {
 			continue
 		}
 		for _, change := range f.constraintsOf(now, &t.Target).applyConstraint(now, r) {
-			updates = append(updates, Heard{Target: t.Target, News: change, Limit: r.Limit})
+			updates = append(updates, ConstraintUpdate{Target: t.Target, Change: change, Limit: r.Limit})
 		}
 	}
 	return updates
@@ -228,23 +228,23 @@
 
 // applyConstraint applies a constraint that another instance received from the target. A limit
 // changes only if the constraint is later than the last observation of the limit.
-func (c *constraints) applyConstraint(now time.Time, r Constraint) []News {
-	var changes []News
+func (c *constraints) applyConstraint(now time.Time, r Constraint) []ConstraintChange {
+	var changes []ConstraintChange
 	if r.Leaving && !c.leaving {
 		c.leaving = true
-		changes = append(changes, Leaves)
+		changes = append(changes, TargetLeaving)
 	}
 	switch {
 	case !r.At.After(c.limit.observedAt):
-	case r.Limited:
+	case r.HasLimit:
 		if !c.limit.active || c.limit.rate != r.Limit {
-			changes = append(changes, Limits)
+			changes = append(changes, LimitSet)
 		}
 		c.limit.observe(now, r.Limit)
 		c.limit.observedAt = r.At
 	case c.limit.active:
 		c.limit = limit{observedAt: r.At}
-		changes = append(changes, LimitOver)
+		changes = append(changes, LimitRemoved)
 	}
 	return changes
 }
--- a/internal/steer/notice_test.go
+++ b/internal/steer/notice_test.go
@@ -20,22 +20,22 @@
 		change func(f *Fleet)
 		want   Reason
 	}{
-		"nothing":                      {func(*Fleet) {}, Limited},
-		"another registration":         {func(f *Fleet) { f.Put(start, newer) }, Limited},
-		"removed and back":             {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, Limited},
+		"nothing":                      {func(*Fleet) {}, LimitReached},
+		"another registration":         {func(f *Fleet) { f.Put(start, newer) }, LimitReached},
+		"removed and back":             {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, LimitReached},
 		"another run":                  {func(f *Fleet) { f.Put(start, restarted) }, ""},
 		"removed, another run":         {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
-		"peers join":                   {func(f *Fleet) { f.Peers(start, []string{"a", "b", "c"}) }, Limited},
-		"answer without a limit":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
-		"failure without a limit":      {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, Limited},
-		"answer to an earlier request": {func(f *Fleet) { f.Notice(start.Add(2), target, start, notice.Notice{}, true) }, Limited},
-		"answer of another run":        {func(f *Fleet) { f.Notice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, Limited},
+		"peers join":                   {func(f *Fleet) { f.SetPeers(start, []string{"a", "b", "c"}) }, LimitReached},
+		"answer without a limit":       {func(f *Fleet) { f.ApplyNotice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, ""},
+		"failure without a limit":      {func(f *Fleet) { f.ApplyNotice(start.Add(2), target, start.Add(1), notice.Notice{}, false) }, LimitReached},
+		"answer to an earlier request": {func(f *Fleet) { f.ApplyNotice(start.Add(2), target, start, notice.Notice{}, true) }, LimitReached},
+		"answer of another run":        {func(f *Fleet) { f.ApplyNotice(start.Add(2), restarted, start.Add(1), notice.Notice{}, true) }, LimitReached},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 0, 9)
 			f.Put(start, target)
-			f.Notice(start, target, start, notice.Notice{Limit: 0, Limited: true}, true)
+			f.ApplyNotice(start, target, start, notice.Notice{Limit: 0, HasLimit: true}, true)
 			tt.change(f)
 			if got := f.Pick(start.Add(3), query("7")).Reason; got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
@@ -59,7 +59,7 @@
 		"nothing":              {func(*Fleet) {}, NoTarget},
 		"another registration": {func(f *Fleet) { f.Put(start, newer) }, NoTarget},
 		"removed and back":     {func(f *Fleet) { f.Remove("t00"); f.Put(start, target) }, NoTarget},
-		"another answer":       {func(f *Fleet) { f.Notice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
+		"another answer":       {func(f *Fleet) { f.ApplyNotice(start.Add(2), target, start.Add(1), notice.Notice{}, true) }, NoTarget},
 		"another run":          {func(f *Fleet) { f.Put(start, restarted) }, ""},
 		"removed, another run": {func(f *Fleet) { f.Remove("t00"); f.Put(start, restarted) }, ""},
 	}
@@ -67,8 +67,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFleet(t, 0, 9)
 			f.Put(start, target)
-			f.Notice(start, target, start, notice.Notice{Leaving: true}, true)
-			if f.Wanted(start, target) {
+			f.ApplyNotice(start, target, start, notice.Notice{Leaving: true}, true)
+			if f.Accepts(start, target) {
 				t.Error("got the request accepted, want it refused")
 			}
 			tt.change(f)
@@ -114,24 +114,24 @@
 func TestNoticeIsKept(t *testing.T) {
 	f := newFleet(t, 2, 9)
 	leaving, backingOff := f.targets["t00"].Target, f.targets["t01"].Target
-	f.Notice(start, leaving, start, notice.Notice{Leaving: true}, true)
-	f.Notice(start, backingOff, start, notice.Notice{Rest: time.Hour}, false)
+	f.ApplyNotice(start, leaving, start, notice.Notice{Leaving: true}, true)
+	f.ApplyNotice(start, backingOff, start, notice.Notice{BackOff: time.Hour}, false)
 	now := start.Add(2 * noticeTTL)
 	f.Put(now, Target{ID: "t02", Service: "s", Domain: "n1", Slots: 9})
-	f.Notice(now, f.targets["t02"].Target, now, notice.Notice{Limit: 1, Limited: true}, true)
-	f.Notice(now, leaving, now, notice.Notice{}, false)
-	f.HearConstraints(now, []Constraint{{Target: f.targets["t01"].idHash, Limit: 5, Limited: true, At: now}})
+	f.ApplyNotice(now, f.targets["t02"].Target, now, notice.Notice{Limit: 1, HasLimit: true}, true)
+	f.ApplyNotice(now, leaving, now, notice.Notice{}, false)
+	f.ApplyConstraints(now, []Constraint{{Target: f.targets["t01"].idHash, Limit: 5, HasLimit: true, At: now}})
 	f.Remove("t01")
 	f.Put(now, backingOff)
 	for _, target := range []Target{leaving, backingOff} {
-		if f.Wanted(now, target) {
+		if f.Accepts(now, target) {
 			t.Errorf("%s: got the request accepted, want it refused", target.ID)
 		}
 	}
 	q := query("7")
 	q.Deadline = now.Add(time.Second)
-	if got := f.Pick(now, q).Reason; got != Limited {
-		t.Errorf("got %q, want %q, as the other targets accept nothing", got, Limited)
+	if got := f.Pick(now, q).Reason; got != LimitReached {
+		t.Errorf("got %q, want %q, as the other targets accept nothing", got, LimitReached)
 	}
 }
 
@@ -139,15 +139,15 @@
 func TestOldWordOfALimit(t *testing.T) {
 	f := newFleet(t, 1, 9)
 	target := f.targets["t00"]
-	f.Notice(start, target.Target, start, notice.Notice{Limited: true}, true)
-	f.Notice(start.Add(2*time.Second), target.Target, start.Add(time.Second), notice.Notice{}, true)
+	f.ApplyNotice(start, target.Target, start, notice.Notice{HasLimit: true}, true)
+	f.ApplyNotice(start.Add(2*time.Second), target.Target, start.Add(time.Second), notice.Notice{}, true)
 	now := start.Add(3 * time.Second)
-	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(time.Second / 2)}})
+	f.ApplyConstraints(now, []Constraint{{Target: target.idHash, HasLimit: true, At: start.Add(time.Second / 2)}})
 	if got := f.Pick(now, query("7")).Reason; got != "" {
 		t.Errorf("got %q, want a target that may get the request", got)
 	}
-	f.HearConstraints(now, []Constraint{{Target: target.idHash, Limited: true, At: start.Add(2 * time.Second)}})
-	if got := f.Pick(now, query("7")).Reason; got != Limited {
-		t.Errorf("got %q, want %q", got, Limited)
+	f.ApplyConstraints(now, []Constraint{{Target: target.idHash, HasLimit: true, At: start.Add(2 * time.Second)}})
+	if got := f.Pick(now, query("7")).Reason; got != LimitReached {
+		t.Errorf("got %q, want %q", got, LimitReached)
 	}
 }
--- a/internal/steer/notice_world_test.go
+++ b/internal/steer/notice_world_test.go
@@ -82,7 +82,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Peers(start, names)
+		f.SetPeers(start, names)
 		for j := range targets {
 			f.Put(start, Target{ID: fmt.Sprintf("t%02d", j), Service: "s", Domain: domains[j%len(domains)], Slots: 9})
 		}
@@ -115,7 +115,7 @@
 		list := from.Constraints(w.exchangedAt)
 		for j, to := range w.fleets {
 			if i != j && from.region == to.region {
-				to.HearConstraints(now, list)
+				to.ApplyConstraints(now, list)
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 
 func (w *noticeSim) finish(d pendingAnswer) {
 	f := w.fleets[d.instance]
-	f.Notice(d.at, d.target, d.sentAt, d.answer.Notice, !d.answer.refused)
+	f.ApplyNotice(d.at, d.target, d.sentAt, d.answer.Notice, !d.answer.refused)
 	if d.target.ID == w.watched && d.answer.Any() && w.notifiedAt[d.instance].IsZero() {
 		w.notifiedAt[d.instance] = d.at
 	}
--- a/internal/steer/order.go
+++ b/internal/steer/order.go
@@ -115,7 +115,7 @@
 
 // eligible reports whether a target may get the request, apart from ejection.
 func (f *Fleet) eligible(now time.Time, t *target, q Query) bool {
-	return f.available(t) && !t.backingOff(now) && q.Regions.Allow(t.region) && !slices.Contains(q.Tried, t.ID)
+	return f.available(t) && !t.backingOff(now) && q.Regions.Allows(t.region) && !slices.Contains(q.Tried, t.ID)
 }
 
 func (f *Fleet) isCandidate(now time.Time, t *target, q Query, o *order) bool {
@@ -127,7 +127,7 @@
 	if q.Object != "" {
 		return q.Object
 	}
-	return q.Spread
+	return q.SpreadKey
 }
 
 // rankedCandidates returns the ranked candidates, those ranked among all targets first.
--- a/internal/steer/outcome.go
+++ b/internal/steer/outcome.go
@@ -7,13 +7,13 @@
 
 // Values of Ending.
 const (
-	Answered Ending = iota // complete answer
-	Failed                 // error of the target, incomplete answer, or no connection
-	Shed                   // refused by the target for lack of capacity, without running it
-	Replaced               // the address belongs to another target now
-	Late                   // no answer before the deadline
-	Left                   // the caller left; not counted for or against the target
-	Withheld               // not sent, as the target no longer accepted it; not counted for or against the target
+	Answered   Ending = iota // complete answer
+	Failed                   // error of the target, incomplete answer, or no connection
+	Shed                     // refused by the target for lack of capacity, without running it
+	Replaced                 // the address belongs to another target now
+	TimedOut                 // no answer before the deadline
+	CallerLeft               // the caller left; not counted for or against the target
+	NotSent                  // not sent, as the target no longer accepted it; not counted for or against the target
 )
 
 // String returns the name of the ending for log lines.
@@ -57,12 +57,12 @@
 		}
 	case Replaced:
 		f.Remove(target.ID)
-	case Late:
+	case TimedOut:
 		f.measure(now, t, o.Took)
 		return t.recordFailure(now)
 	case Failed:
 		return t.recordFailure(now)
-	case Left, Withheld:
+	case CallerLeft, NotSent:
 	}
 	return false
 }
--- a/internal/steer/peers.go
+++ b/internal/steer/peers.go
@@ -11,9 +11,9 @@
 // cold target got 9 requests in a second where 8.9 are allowed.
 const expiredPeerTTL = 15 * time.Second
 
-// Peers sets the names of all instances whose records exist. Bounds over all instances are
+// SetPeers sets the names of all instances whose records exist. Bounds over all instances are
 // divided among them and the instances whose records were removed less than expiredPeerTTL ago.
-func (f *Fleet) Peers(now time.Time, names []string) {
+func (f *Fleet) SetPeers(now time.Time, names []string) {
 	for _, name := range f.peers {
 		if _, ok := f.expiredPeers[name]; !ok {
 			f.expiredPeers[name] = now.Add(expiredPeerTTL)
--- a/internal/steer/peers_test.go
+++ b/internal/steer/peers_test.go
@@ -28,10 +28,10 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				f.Limit(start, map[string]routes.Service{"s": {Name: "s", ColdRate: 2.6}})
-				f.Peers(start, names)
+				f.SetServices(start, map[string]routes.Service{"s": {Name: "s", ColdRate: 2.6}})
+				f.SetPeers(start, names)
 				if i >= expired {
-					f.Peers(start, names[expired:])
+					f.SetPeers(start, names[expired:])
 				}
 				f.Put(now, Target{ID: "t", Service: "s", Domain: "n1", Slots: 9, WarmAt: now.Add(3 * time.Second)})
 				q := query("x")
--- a/internal/steer/pick.go
+++ b/internal/steer/pick.go
@@ -8,15 +8,15 @@
 
 // Query describes a request that needs a target.
 type Query struct {
-	Service   string
-	Object    string         // object that the request is about; "" if none
-	Spread    string         // selects among equal targets if there is no Object; ID of the request
-	Regions   routes.Regions // where the target may be located
-	Objective time.Duration  // latency within which an answer is worth most
-	Deadline  time.Time      // an answer after it is useless
-	Size      float64        // estimated bytes of the answer; 0 if unknown
-	Retry     bool           // whether the request was sent to another target before
-	Tried     []string       // IDs of the targets that it was sent to before
+	Service    string
+	Object     string         // object that the request is about; "" if none
+	SpreadKey  string         // selects among equal targets if there is no Object; ID of the request
+	Regions    routes.Regions // where the target may be located
+	Objective  time.Duration  // latency within which an answer is worth most
+	Deadline   time.Time      // an answer after it is useless
+	AnswerSize float64        // estimated bytes of the answer; 0 if unknown
+	Retry      bool           // whether the request was sent to another target before
+	Tried      []string       // IDs of the targets that it was sent to before
 }
 
 // Reason is why a request is refused.
@@ -24,29 +24,29 @@
 
 // Values of Reason.
 const (
-	NoTarget Reason = "no-target" // the service has no target that may get requests
-	NoRoom   Reason = "no-room"   // every target would answer too late
-	NoBudget Reason = "no-budget" // the retry budget is used up
-	Cold     Reason = "cold"      // the targets with capacity are cold and have had their share of requests
-	Resting  Reason = "resting"   // every target is backing off
-	Limited  Reason = "limited"   // every target has a limit, and this instance's share of it is used up
+	NoTarget     Reason = "no-target" // the service has no target that may get requests
+	NoCapacity   Reason = "no-room"   // every target would answer too late
+	NoBudget     Reason = "no-budget" // the retry budget is used up
+	Cold         Reason = "cold"      // the targets with capacity are cold and have had their share of requests
+	BackingOff   Reason = "resting"   // every target is backing off
+	LimitReached Reason = "limited"   // every target has a limit, and this instance's share of it is used up
 )
 
 // Choice is the target that was selected for a request, or the reason for refusing it.
 type Choice struct {
-	Target Target        // ID is empty if the request is refused
-	Wait   time.Duration // expected wait for a slot
-	Cost   time.Duration // estimated cost by which the target was selected
-	Home   bool          // whether the target is the object's home among all targets
-	Cold   bool          // whether the target was cold
-	Busy   int           // estimated requests at the target, running and waiting
-	Usual  float64       // typical load of the service's targets per slot; replaces the target's own as Age grows
-	Age    time.Duration // time since the target last reported its load; -1 if it never did
-	Part   *Part         // limit of the target and this instance's share; nil if there is none
-	SlowAt time.Time     // time after which an answer is unlikely; another target may then be tried in parallel
-	Reason Reason        // set if the request is refused
-	Again  time.Duration // time after which a retry is worthwhile; set if the request is refused
-	First  string        // ID of the first candidate; set if the request is refused
+	Target         Target        // ID is empty if the request is refused
+	Wait           time.Duration // expected wait for a slot
+	Cost           time.Duration // estimated cost by which the target was selected
+	Home           bool          // whether the target is the object's home among all targets
+	Cold           bool          // whether the target was cold
+	TargetLoad     int           // estimated requests at the target, running and waiting
+	TypicalLoad    float64       // typical load of the service's targets per slot; replaces the target's own as Age grows
+	LoadAge        time.Duration // time since the target last reported its load; -1 if it never did
+	LimitShare     *LimitShare   // limit of the target and this instance's share; nil if there is none
+	HedgeAt        time.Time     // time after which an answer is unlikely; another target may then be tried in parallel
+	Reason         Reason        // set if the request is refused
+	RetryAfter     time.Duration // time after which a retry is worthwhile; set if the request is refused
+	FirstCandidate string        // ID of the first candidate; set if the request is refused
 }
 
 // Times after which refused callers are asked to retry.
@@ -68,7 +68,7 @@
 func (f *Fleet) Pick(now time.Time, q Query) Choice {
 	s, ok := f.services[q.Service]
 	if !ok {
-		return Choice{Reason: NoTarget, Again: noTargetRetryAfter}
+		return Choice{Reason: NoTarget, RetryAfter: noTargetRetryAfter}
 	}
 	f.expirePeers(now)
 	if q.Objective <= 0 {
@@ -86,7 +86,7 @@
 	}
 	f.spendToken(now, f.targets[c.Target.ID])
 	f.targets[c.Target.ID].startRequest(now)
-	c.SlowAt = now.Add(c.Wait + max(q.Objective, hedgeFactor*s.latency(q.Objective)))
+	c.HedgeAt = now.Add(c.Wait + max(q.Objective, hedgeFactor*s.latency(q.Objective)))
 	return c
 }
 
@@ -95,8 +95,8 @@
 // requests refused at all targets, this earned 0.899 of the credit of a day instead of 0.886.
 func (c Choice) refuseRetry() Choice {
 	return Choice{
-		Reason: NoBudget, Again: max(minRetryAfter, c.Wait), First: c.Target.ID,
-		Wait: c.Wait, Busy: c.Busy, Usual: c.Usual, Age: c.Age, Part: c.Part,
+		Reason: NoBudget, RetryAfter: max(minRetryAfter, c.Wait), FirstCandidate: c.Target.ID,
+		Wait: c.Wait, TargetLoad: c.TargetLoad, TypicalLoad: c.TypicalLoad, LoadAge: c.LoadAge, LimitShare: c.LimitShare,
 	}
 }
 
@@ -108,22 +108,22 @@
 		if c, ok := f.refuseBackingOff(now, s, q); ok {
 			return c
 		}
-		return Choice{Reason: NoTarget, Again: noTargetRetryAfter}
+		return Choice{Reason: NoTarget, RetryAfter: noTargetRetryAfter}
 	}
 	mean := s.latency(q.Objective)
 	found, refused := f.cheapest(now, o.rankedCandidates(), q, mean)
 	if found.Target.ID == "" || q.Object == "" {
 		var all Choice
 		found, all = f.cheapest(now, f.allCandidates(now, s, q, o), q, mean)
-		if refused.Reason == Limited {
+		if refused.Reason == LimitReached {
 			refused = all
 		}
 	}
 	if found.Target.ID != "" {
 		return found
 	}
-	if refused.Reason == Limited {
-		refused.Again = s.scheduleRetry(now, now.Add(refused.Again), f.limitRetryGap(now, s))
+	if refused.Reason == LimitReached {
+		refused.RetryAfter = s.scheduleRetry(now, now.Add(refused.RetryAfter), f.limitRetryGap(now, s))
 	}
 	return refused
 }
@@ -133,7 +133,7 @@
 func (f *Fleet) cheapest(now time.Time, list []candidate, q Query, mean time.Duration) (found, refused Choice) {
 	first := list[0]
 	limitedCount, limitRetry := 0, maxLimitWait
-	refused = Choice{Reason: NoRoom, Again: noTargetRetryAfter, First: first.ID, Wait: first.queueWait(now, first.workTime(mean))}.withLoadOf(now, first)
+	refused = Choice{Reason: NoCapacity, RetryAfter: noTargetRetryAfter, FirstCandidate: first.ID, Wait: first.queueWait(now, first.workTime(mean))}.withLoadOf(now, first)
 	for _, c := range list {
 		if wait := f.limitWait(now, c.target); wait > 0 {
 			limitedCount, limitRetry = limitedCount+1, min(limitRetry, wait)
@@ -141,15 +141,15 @@
 		}
 		wait := c.queueWait(now, c.workTime(mean))
 		if wait > q.Objective || !q.Deadline.After(now.Add(wait)) || now.Before(c.shedUntil) {
-			refused.Again = min(refused.Again, max(minRetryAfter, mean/2, wait-q.Objective))
+			refused.RetryAfter = min(refused.RetryAfter, max(minRetryAfter, mean/2, wait-q.Objective))
 			continue
 		}
 		if q.Object != "" && !f.isHome(c, q) && !c.idle(now) {
-			refused.Again = min(refused.Again, max(minRetryAfter, mean/2))
+			refused.RetryAfter = min(refused.RetryAfter, max(minRetryAfter, mean/2))
 			continue
 		}
 		if !f.coldAllowed(now, c.target) {
-			refused.Reason, refused.Again = Cold, min(refused.Again, coldRetryAfter)
+			refused.Reason, refused.RetryAfter = Cold, min(refused.RetryAfter, coldRetryAfter)
 			continue
 		}
 		cost := wait + f.penalty(c, q, mean) + c.excessLatency(now, mean)
@@ -163,17 +163,17 @@
 		}
 	}
 	if limitedCount == len(list) {
-		refused.Reason, refused.Again = Limited, limitRetry
+		refused.Reason, refused.RetryAfter = LimitReached, limitRetry
 	} else if limitedCount > 0 {
-		refused.Again = min(refused.Again, max(minRetryAfter, limitRetry))
+		refused.RetryAfter = min(refused.RetryAfter, max(minRetryAfter, limitRetry))
 	}
 	return found, refused
 }
 
 // withLoadOf adds the load data of the target that the choice is based on.
 func (c Choice) withLoadOf(now time.Time, t candidate) Choice {
-	c.Busy, c.Usual, c.Age = t.currentLoad(now), t.service.typicalLoad, t.loadAge(now)
-	c.Part = t.limitShare()
+	c.TargetLoad, c.TypicalLoad, c.LoadAge = t.currentLoad(now), t.service.typicalLoad, t.loadAge(now)
+	c.LimitShare = t.limitShare()
 	return c
 }
 
@@ -190,7 +190,9 @@
 func (f *Fleet) hasLocalHomes(q Query) bool { return f.transferCost(q) > domainHomeCost }
 
 // transferCost returns the cost of transferring the answer between failure domains.
-func (f *Fleet) transferCost(q Query) time.Duration { return time.Duration(f.cfg.ByteCost * q.Size) }
+func (f *Fleet) transferCost(q Query) time.Duration {
+	return time.Duration(f.cfg.ByteCost * q.AnswerSize)
+}
 
 // latency returns the mean latency of one request, or an estimate before the first measurement.
 func (s *service) latency(objective time.Duration) time.Duration {
--- a/internal/steer/report.go
+++ b/internal/steer/report.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Report is the load that a target reported in an answer to some instance. The instances of a
+// LoadReport is the load that a target reported in an answer to some instance. The instances of a
 // region exchange reports: with 195 instances, each gets an answer of a given target only every
 // few seconds, and without the exchange half of all requests went to targets that the instance
 // had no report of.
-type Report struct {
+type LoadReport struct {
 	Target uint64    // hash of the target's ID
 	Load   int       // requests at the target, running and waiting
 	At     time.Time // when the target reported it
 }
 
 // About returns the hash of the target's ID.
-func (r Report) About() uint64 { return r.Target }
+func (r LoadReport) About() uint64 { return r.Target }
 
 // Made returns when the target reported the load.
-func (r Report) Made() time.Time { return r.At }
+func (r LoadReport) Made() time.Time { return r.At }
 
-// Told is what targets reported to some instance.
-type Told struct {
-	Loads       []Report
+// TargetReports is what targets reported to some instance.
+type TargetReports struct {
+	Loads       []LoadReport
 	Constraints []Constraint
 }
 
 // Reports returns the loads that targets reported to this instance itself after since. It leaves
 // out those for which peers already estimate the same wait from the reports exchanged before.
-func (f *Fleet) Reports(now, since time.Time) []Report {
-	var list []Report
+func (f *Fleet) Reports(now, since time.Time) []LoadReport {
+	var list []LoadReport
 	for _, t := range f.targets {
 		if !t.ownLoadAt.After(since) || t.queueLength(t.ownLoad) == t.queueLength(t.peersEstimate(now)) {
 			continue
 		}
-		r := Report{Target: t.idHash, Load: t.ownLoad, At: t.ownLoadAt}
+		r := LoadReport{Target: t.idHash, Load: t.ownLoad, At: t.ownLoadAt}
 		t.recordShared(r)
 		list = append(list, r)
 	}
@@ -43,7 +43,7 @@
 }
 
 // recordShared stores the last report of the target that instances exchanged.
-func (t *target) recordShared(r Report) {
+func (t *target) recordShared(r LoadReport) {
 	t.sharedLoad, t.sharedLoadUntil = r.Load, r.At.Add(loadReportTTL)
 }
 
@@ -57,9 +57,9 @@
 // given load.
 func (t *target) queueLength(load int) int { return max(0, load+1-t.Slots) }
 
-// Hear applies reports that other instances received from targets. A report is ignored if it is
+// ApplyReports applies reports that other instances received from targets. A report is ignored if it is
 // older than the last one from the target or than the target's run.
-func (f *Fleet) Hear(now time.Time, reports []Report) {
+func (f *Fleet) ApplyReports(now time.Time, reports []LoadReport) {
 	for _, r := range reports {
 		t := f.byHash[r.Target]
 		if t == nil || r.At.After(now) || !r.At.After(t.reportedAt) || r.At.Before(t.addedAt) {
@@ -83,7 +83,7 @@
 
 // recordPeerReport records the load that the target reported to another instance. This instance's
 // requests that were sent after the report are not part of it.
-func (t *target) recordPeerReport(r Report) {
+func (t *target) recordPeerReport(r LoadReport) {
 	ownRequests := 0
 	for ownRequests < len(t.startTimes) && !t.startTimes[ownRequests].After(r.At) {
 		ownRequests++
--- a/internal/steer/report_test.go
+++ b/internal/steer/report_test.go
@@ -15,24 +15,24 @@
 	at := start.Add(time.Second)
 	tests := map[string]struct {
 		prepare func(f *Fleet, t *target) // called with times before at
-		report  Report
+		report  LoadReport
 		want    int // expected requests of other instances at the time at
 	}{
-		"first":               {nil, Report{Load: 3, At: at}, 3},
-		"of other target":     {nil, Report{Target: 1, Load: 3, At: at}, 0},
-		"from the future":     {nil, Report{Load: 3, At: at.Add(1)}, 0},
-		"of the previous run": {nil, Report{Load: 3, At: start.Add(-1)}, 0},
+		"first":               {nil, LoadReport{Load: 3, At: at}, 3},
+		"of other target":     {nil, LoadReport{Target: 1, Load: 3, At: at}, 0},
+		"from the future":     {nil, LoadReport{Load: 3, At: at.Add(1)}, 0},
+		"of the previous run": {nil, LoadReport{Load: 3, At: start.Add(-1)}, 0},
 		"own requests before": {
-			func(_ *Fleet, t *target) { t.startRequest(start) }, Report{Load: 3, At: at}, 2,
+			func(_ *Fleet, t *target) { t.startRequest(start) }, LoadReport{Load: 3, At: at}, 2,
 		},
 		"own requests since": {
-			func(_ *Fleet, t *target) { t.startRequest(at) }, Report{Load: 3, At: at.Add(-1)}, 3,
+			func(_ *Fleet, t *target) { t.startRequest(at) }, LoadReport{Load: 3, At: at.Add(-1)}, 3,
 		},
 		"older than own report": {
-			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, Report{Load: 3, At: start.Add(1)}, 1,
+			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, LoadReport{Load: 3, At: start.Add(1)}, 1,
 		},
 		"newer than own report": {
-			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, Report{Load: 3, At: start.Add(3)}, 3,
+			func(_ *Fleet, t *target) { t.recordOwnLoad(start.Add(2), Load{Running: 1}) }, LoadReport{Load: 3, At: start.Add(3)}, 3,
 		},
 	}
 	for name, tt := range tests {
@@ -45,7 +45,7 @@
 			if tt.report.Target == 0 {
 				tt.report.Target = target.idHash
 			}
-			f.Hear(at, []Report{tt.report})
+			f.ApplyReports(at, []LoadReport{tt.report})
 			if target.otherLoad != tt.want {
 				t.Errorf("got %d requests of others, want %d", target.otherLoad, tt.want)
 			}
@@ -90,7 +90,7 @@
 				}
 				return
 			}
-			want := Report{Target: target.idHash, Load: tt.load.Running + tt.load.Waiting, At: at}
+			want := LoadReport{Target: target.idHash, Load: tt.load.Running + tt.load.Waiting, At: at}
 			if len(got) != 1 || got[0] != want {
 				t.Fatalf("got %v, want %v", got, want)
 			}
@@ -104,14 +104,14 @@
 // sharedReport returns a function that records a report of the target's load as exchanged among
 // the instances.
 func sharedReport(load int, at time.Time) func(t *target) {
-	return func(t *target) { t.recordShared(Report{Load: load, At: at}) }
+	return func(t *target) { t.recordShared(LoadReport{Load: load, At: at}) }
 }
 
 // Reports received from peers are not sent on, and do not change the typical load.
 func TestPeerReportsAreNotSentOn(t *testing.T) {
 	f := newFleet(t, 1, 4)
 	target := f.targets["t00"]
-	f.Hear(start.Add(9), []Report{{Target: target.idHash, Load: 9, At: start.Add(5)}})
+	f.ApplyReports(start.Add(9), []LoadReport{{Target: target.idHash, Load: 9, At: start.Add(5)}})
 	if got := f.Reports(start.Add(9), start); len(got) != 0 || target.service.typicalLoad != 0 {
 		t.Errorf("got reports %v and a typical load of %g, want none", got, target.service.typicalLoad)
 	}
@@ -193,7 +193,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Limit(start, map[string]routes.Service{"s": {Name: "s"}})
+		f.SetServices(start, map[string]routes.Service{"s": {Name: "s"}})
 		for j := range fleetSimTargets {
 			id := fmt.Sprintf("t%02d", j)
 			f.Put(start, Target{ID: id, Service: "s", Domain: "n1", Slots: fleetSimSlots})
@@ -261,12 +261,12 @@
 
 // exchange sends the reports received since the last exchange to all instances.
 func (c *fleetSim) exchange() {
-	var all []Report
+	var all []LoadReport
 	for _, f := range c.fleets {
 		all = append(all, f.Reports(c.now, c.exchangedAt)...)
 	}
 	for _, f := range c.fleets {
-		f.Hear(c.now, all)
+		f.ApplyReports(c.now, all)
 	}
 	c.exchangedAt = c.now
 	c.reports += len(all)
--- a/internal/steer/rest_test.go
+++ b/internal/steer/rest_test.go
@@ -14,7 +14,7 @@
 	return func(target string, now time.Time) stubAnswer {
 		at := now.Sub(start)
 		if affected(target) && at >= seconds(from) && at < seconds(to) {
-			return stubAnswer{Notice: notice.Notice{Rest: backOff}, refused: true}
+			return stubAnswer{Notice: notice.Notice{BackOff: backOff}, refused: true}
 		}
 		return stubAnswer{}
 	}
@@ -76,19 +76,19 @@
 func TestRefusedInATimeOfRest(t *testing.T) {
 	f := newFleet(t, 3, 9)
 	for i, backOff := range []time.Duration{4 * time.Second, 3 * time.Second, 5 * time.Second} {
-		f.Notice(start, f.targets[fmt.Sprintf("t%02d", i)].Target, start, notice.Notice{Rest: backOff}, true)
+		f.ApplyNotice(start, f.targets[fmt.Sprintf("t%02d", i)].Target, start, notice.Notice{BackOff: backOff}, true)
 	}
 	now := start.Add(time.Second)
 	before := time.Duration(0)
 	for i := range 5 {
 		c := f.Pick(now, query(fmt.Sprint(i)))
-		if c.Reason != Resting || c.Target.ID != "" {
+		if c.Reason != BackingOff || c.Target.ID != "" {
 			t.Fatalf("got %+v, want a refusal as all targets are backing off", c)
 		}
-		if c.Again < 2*time.Second || c.Again > 2*time.Second+retrySpread || c.Again <= before {
-			t.Errorf("got %s, want another time than %s between 2 s and 3 s", c.Again, before)
+		if c.RetryAfter < 2*time.Second || c.RetryAfter > 2*time.Second+retrySpread || c.RetryAfter <= before {
+			t.Errorf("got %s, want another time than %s between 2 s and 3 s", c.RetryAfter, before)
 		}
-		before = c.Again
+		before = c.RetryAfter
 	}
 	if got := f.Pick(start.Add(3100*time.Millisecond), query("7")); got.Target.ID != "t01" {
 		t.Errorf("got %+v, want t01, whose back-off is over", got)
--- a/internal/steer/share_test.go
+++ b/internal/steer/share_test.go
@@ -27,8 +27,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Limit(start, map[string]routes.Service{"s": {Name: "s", ColdRate: rate}})
-			f.Peers(start, names)
+			f.SetServices(start, map[string]routes.Service{"s": {Name: "s", ColdRate: rate}})
+			f.SetPeers(start, names)
 			f.Put(start, Target{ID: "t", Service: "s", Domain: "s1", Slots: 100, WarmAt: start.Add(time.Minute)})
 			for i := range 100 {
 				if f.Pick(start.Add(time.Duration(i)*time.Millisecond), query("x")).Reason == "" {
@@ -51,9 +51,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Limit(start, map[string]routes.Service{"s": {Name: "s", ColdRate: 14}})
+	f.SetServices(start, map[string]routes.Service{"s": {Name: "s", ColdRate: 14}})
 	f.Put(start, Target{ID: "t", Service: "s", Domain: "n1", Slots: 9, WarmAt: start.Add(time.Second)})
-	if got := f.Pick(start, query("x")); got.Reason != Cold || got.Again <= 0 {
+	if got := f.Pick(start, query("x")); got.Reason != Cold || got.RetryAfter <= 0 {
 		t.Errorf("got %+v, want a refusal for a cold target", got)
 	}
 	if got := f.Pick(start.Add(time.Second), query("x")); got.Reason != "" {
@@ -76,7 +76,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Peers(start, names)
+			f.SetPeers(start, names)
 			f.Put(start, Target{ID: "t", Service: "s", Domain: "s1", Slots: 10000})
 			for range requests {
 				f.Pick(start, query("x"))
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Peers(start, []string{"a", "b", "c"})
+	f.SetPeers(start, []string{"a", "b", "c"})
 	f.Put(start, Target{ID: "t", Service: "s", Domain: "s1", Slots: 10000})
 	now := start
 	for range 500 {
