--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -37,7 +37,7 @@
 	waiting.Length = c.Queue
 	n.queue = queue.New(waiting)
 	n.blocks = block.New()
-	n.grants, err = grant.NewBook(grant.Config{Skew: c.Skew, Checks: c.Checks})
+	n.grants, err = grant.NewTable(grant.Config{Skew: c.Skew, Checks: c.Checks})
 	if err != nil {
 		return err
 	}
@@ -180,13 +180,13 @@
 // capBasis is everything that the services' shift caps depend on besides the settings.
 type capBasis struct {
 	revision uint64 // of the slots that this instance may use
-	lease    owner.State
+	lease    owner.LeaseState
 }
 
 // updateCaps recomputes the shift caps after a change of ownership or of the lease. Most
 // ticks bring neither and cost nothing per service.
 func (n *Node) updateCaps(now time.Time) {
-	r := capBasis{revision: n.owners.Revision(now), lease: n.owners.Tenure(now)}
+	r := capBasis{revision: n.owners.Revision(now), lease: n.owners.LeaseState(now)}
 	if r == n.capBasis {
 		return
 	}
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -165,11 +165,11 @@
 // enqueue puts a request in the queue. It returns false if the request was refused.
 func (n *Node) enqueue(now time.Time, f *inFlight) bool {
 	verdict := n.queue.Push(now, queue.Item{
-		ID:       uint64(f.id),
-		Service:  f.req.Service,
-		Bulk:     f.service.Bulk(),
-		Way:      queue.Way{Shifted: f.shifted(n.cfg.Place), Bound: f.origin == FromPeer},
-		Deadline: f.queueUntil,
+		ID:        uint64(f.id),
+		Service:   f.req.Service,
+		Bulk:      f.service.Bulk(),
+		Placement: queue.Placement{Shifted: f.shifted(n.cfg.Place), OwnTargetsOnly: f.origin == FromPeer},
+		Deadline:  f.queueUntil,
 	})
 	if verdict.Kind != queue.VerdictQueued {
 		f.lowerRetryAt(verdict.RetryAt)
--- a/internal/core/checker_test.go
+++ b/internal/core/checker_test.go
@@ -192,7 +192,7 @@
 func (c *checker) recovered(p *proc) {
 	r := p.node.Roster()
 	m, ok := r.Member(p.name)
-	if !p.node.Confirmed(p.local()) || !ok || m.Incarnation != p.incarnation || len(r.Former) > 0 {
+	if !p.node.Confirmed(p.local()) || !ok || m.Incarnation != p.incarnation || len(r.Previous) > 0 {
 		c.failf("%s has not recovered: confirmed %v, roster %+v", p, p.node.Confirmed(p.local()), r)
 	}
 	for _, service := range []string{serviceRead, serviceWrite} {
--- a/internal/core/grant.go
+++ b/internal/core/grant.go
@@ -45,7 +45,7 @@
 		return o
 	}
 	o.Grant = n.grants.Grant(now, grant.Ask{Peer: a.Peer, Place: peer.Place, Use: use, Want: a.Want}, n.grantCapacity(now, use))
-	o.Until = now.Add(n.grants.Life())
+	o.Until = now.Add(n.grants.Lifetime())
 	return o
 }
 
@@ -56,13 +56,13 @@
 
 // grantCapacity returns what could be granted if no grants were outstanding. Requests
 // queued here have priority.
-func (n *Node) grantCapacity(now time.Time, use grant.Use) grant.Room {
+func (n *Node) grantCapacity(now time.Time, use grant.Use) grant.Capacity {
 	waiting := n.queue.Waiting(use.Service)
-	return grant.Room{
-		Slots:   n.healthyFreeSlots(now, use.Service) + n.soonFreeSlots(now, use.Service) - waiting,
-		Shifted: n.state(now, use.Service).ramp.Ahead(now, now.Add(n.grants.Life())) - waiting,
-		Spare:   n.owners.Spare(now) + n.soonFreeSlots(now, use.Service) - n.queue.Len(),
-		Weight:  n.snapshot.Share,
+	return grant.Capacity{
+		Slots:      n.healthyFreeSlots(now, use.Service) + n.soonFreeSlots(now, use.Service) - waiting,
+		Shifted:    n.state(now, use.Service).ramp.AdmittableUntil(now, now.Add(n.grants.Lifetime())) - waiting,
+		PlaceSlots: n.owners.FreeQuota(now) + n.soonFreeSlots(now, use.Service) - n.queue.Len(),
+		Weight:     n.snapshot.Share,
 	}
 }
 
@@ -73,7 +73,7 @@
 	for _, key := range n.state(now, id).keys {
 		free += max(min(n.owners.Free(now, key), n.weight(now, key)-n.owners.InFlight(key)), 0)
 	}
-	return min(free, n.owners.Spare(now))
+	return min(free, n.owners.FreeQuota(now))
 }
 
 // grantLead is how long a granted request may have to wait for a slot when it arrives. A
@@ -90,7 +90,7 @@
 	soon := 0.0
 	for _, key := range s.keys {
 		if latency := s.health.Latency(key); latency > 0 {
-			soon += float64(n.owners.Usable(now, key)) * min(1, float64(grantLead)/float64(latency))
+			soon += float64(n.owners.UsableSlots(now, key)) * min(1, float64(grantLead)/float64(latency))
 		}
 	}
 	return int(math.Round(soon))
@@ -118,7 +118,7 @@
 		return
 	}
 	a := destination{place: peer.Place, use: grant.Use{Service: ev.Service, Shifted: ev.Home != peer.Place}}
-	n.holdings.Heard(ev.Peer, a.use, ev.Grant, ev.Until)
+	n.holdings.Add(ev.Peer, a.use, ev.Grant, ev.Until)
 	if ev.ID == 0 && ev.Grant == 0 {
 		n.slotsOf(ev.Peer, ev.Service).backOffUntil = now.Add(askBackOff + time.Duration(n.cfg.Rand.Int64N(int64(askBackOff))))
 	}
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -28,12 +28,12 @@
 	lastSeen    map[string]lastSeen
 	lookupUntil map[string]time.Time // until when callers may cache a look-up that names an instance
 
-	grants     *grant.Book             // granted to peers
+	grants     *grant.Table            // granted to peers
 	holdings   *grant.Holdings         // granted by peers
 	demands    map[destination]*demand // for hand-offs to other places
 	askedUntil time.Time               // when the requests for grants sent so far would be done at the maximum rate
 
-	owners *owner.Book
+	owners *owner.Table
 	roster rosterState
 
 	requests    map[ID]*inFlight
@@ -108,14 +108,14 @@
 	case RosterReceived:
 		n.setRoster(now, ev.Roster)
 	case PeerAcked:
-		n.owners.Ack(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
+		n.owners.RecordAck(ev.Peer, ev.Incarnation, ev.Sent, ev.Roster)
 	case Listed:
 		n.listed(now, ev)
 	case Released:
-		n.owners.Released(now, ev.Release)
+		n.owners.RecordRelease(now, ev.Release)
 		n.serveQueue(now)
 	case SwapFailed:
-		n.owners.Abandon(ev.Removed)
+		n.owners.AbandonRemoval(ev.Removed)
 	case Probed:
 		n.probed(now, ev)
 	case NoticeReceived:
--- a/internal/core/notice.go
+++ b/internal/core/notice.go
@@ -128,7 +128,7 @@
 	var first time.Time
 	var why Reason
 	for _, key := range n.state(now, id).keys {
-		if !n.baseline() && n.owners.Usable(now, key) == 0 {
+		if !n.baseline() && n.owners.UsableSlots(now, key) == 0 {
 			continue
 		}
 		until, reason := n.unavailableUntil(now, key)
@@ -156,7 +156,7 @@
 func (n *Node) requestInterval(now time.Time, key owner.TargetKey, c *constraint) time.Duration {
 	rate := c.rate
 	if limit := n.state(now, key.Service).limits[key]; limit > 0 && !n.baseline() {
-		rate *= float64(n.owners.Usable(now, key)) / float64(limit)
+		rate *= float64(n.owners.UsableSlots(now, key)) / float64(limit)
 	}
 	return time.Duration(math.Min(float64(time.Second)/rate, float64(zeroLimitBackOff)))
 }
--- a/internal/core/pump.go
+++ b/internal/core/pump.go
@@ -12,7 +12,7 @@
 func (n *Node) serveQueue(now time.Time) {
 	missed := 0
 	for range n.queue.Len() {
-		item, ok := n.queue.Pop(now, func(service settings.ServiceID, way queue.Way) bool {
+		item, ok := n.queue.Pop(now, func(service settings.ServiceID, way queue.Placement) bool {
 			return n.canServe(now, service, way)
 		})
 		if !ok {
@@ -34,15 +34,15 @@
 }
 
 // canServe reports whether a queued request of a service could be sent somewhere now.
-func (n *Node) canServe(now time.Time, service settings.ServiceID, way queue.Way) bool {
-	return n.canServeOwn(now, service, way) || !way.Bound && (n.localPeerFree(now, service) || n.canHandOff(now, service))
+func (n *Node) canServe(now time.Time, service settings.ServiceID, way queue.Placement) bool {
+	return n.canServeOwn(now, service, way) || !way.OwnTargetsOnly && (n.localPeerFree(now, service) || n.canHandOff(now, service))
 }
 
-func (n *Node) canServeOwn(now time.Time, service settings.ServiceID, way queue.Way) bool {
+func (n *Node) canServeOwn(now time.Time, service settings.ServiceID, way queue.Placement) bool {
 	if reserved := n.reserved(now, service, false); reserved > 0 && n.owners.FreeService(now, service) <= reserved {
 		return false
 	}
-	if way.Shifted && n.state(now, service).ramp.Room(now) < 1 {
+	if way.Shifted && n.state(now, service).ramp.Free(now) < 1 {
 		return false
 	}
 	_, ok := n.owners.Pick(now, service, func(key owner.TargetKey) int { return n.weight(now, key) })
--- a/internal/core/roster.go
+++ b/internal/core/roster.go
@@ -51,7 +51,7 @@
 func (n *Node) Release() owner.Release { return n.owners.Release() }
 
 // Confirmed reports whether this instance's ownership lease is confirmed.
-func (n *Node) Confirmed(now time.Time) bool { return n.owners.Tenure(now) == owner.Confirmed }
+func (n *Node) Confirmed(now time.Time) bool { return n.owners.LeaseState(now) == owner.LeaseConfirmed }
 
 // maintainRoster requests the next change that the roster needs.
 func (n *Node) maintainRoster(now time.Time) {
@@ -76,7 +76,7 @@
 // prunePrevious removes previous entries that are proved to hold nothing. They cost no
 // capacity and one write is enough, so the members take turns.
 func (n *Node) prunePrevious(now time.Time, r owner.Roster) {
-	entries := n.owners.Forgettable(now)
+	entries := n.owners.FinishedPrevious(now)
 	if len(entries) == 0 {
 		n.roster.pruneAt = time.Time{}
 		return
@@ -87,7 +87,7 @@
 	}
 	if !now.Before(n.roster.pruneAt) {
 		n.roster.pruneAt = time.Time{}
-		n.swap(now, SwapRoster{Next: r.Forget(entries), Reason: ReasonTidy})
+		n.swap(now, SwapRoster{Next: r.WithoutPrevious(entries), Reason: ReasonTidy})
 	}
 }
 
@@ -139,8 +139,8 @@
 // can be applied, which rules out the other.
 func (n *Node) supersedeRemoval(now time.Time, r owner.Roster) bool {
 	for _, m := range r.Members {
-		if p, ok := n.peer(m.Instance); ok && p.Incarnation == m.Incarnation && n.owners.Undecided(m.Instance) {
-			n.swap(now, SwapRoster{Next: r.Forget(nil), Reason: ReasonTidy})
+		if p, ok := n.peer(m.Instance); ok && p.Incarnation == m.Incarnation && n.owners.RemovalPending(m.Instance) {
+			n.swap(now, SwapRoster{Next: r.WithoutPrevious(nil), Reason: ReasonTidy})
 			return true
 		}
 	}
@@ -240,5 +240,5 @@
 	for _, in := range ev.Instances {
 		list = append(list, owner.Listing{Instance: in.ID, Incarnation: in.Incarnation})
 	}
-	n.owners.Listed(now, ev.Sent, ev.Epoch, list)
+	n.owners.RecordList(now, ev.Sent, ev.Epoch, list)
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -70,7 +70,7 @@
 	if _, why := n.allUnavailableUntil(now, id); why != "" {
 		return false
 	}
-	return n.queue.Wait(now, id) < n.cfg.ShiftWait
+	return n.queue.PredictWait(now, id) < n.cfg.ShiftWait
 }
 
 // tryPlace tries one place, and returns the reason if the place was not taken.
@@ -121,7 +121,7 @@
 	}
 	if f.shifted(n.cfg.Place) {
 		ramp := n.state(now, f.req.Service).ramp
-		if ramp.Room(now) < 1 {
+		if ramp.Free(now) < 1 {
 			f.lowerRetryAt(ramp.RetryAt(now))
 			return ReasonShiftCap
 		}
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -70,10 +70,10 @@
 // A previous owner whose lease has expired keeps the lower part of a share, and the new
 // owner gets the upper part.
 func (n *Node) updateCap(now time.Time, s *serviceState) {
-	expired := n.owners.Tenure(now) == owner.Lapsed
+	expired := n.owners.LeaseState(now) == owner.LeaseExpired
 	shares := make([]shift.Share, 0, len(s.keys))
 	for _, key := range s.keys {
-		usable, limit := n.owners.Usable(now, key), s.limits[key]
+		usable, limit := n.owners.UsableSlots(now, key), s.limits[key]
 		s.health.Own(key, usable > 0 || n.baseline())
 		if usable == 0 || limit == 0 {
 			continue
@@ -92,7 +92,7 @@
 func (n *Node) ownSlots(now time.Time, id settings.ServiceID) int {
 	total := 0
 	for _, key := range n.state(now, id).keys {
-		total += n.owners.Usable(now, key)
+		total += n.owners.UsableSlots(now, key)
 	}
 	return total
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -76,7 +76,7 @@
 	for _, key := range s.keys {
 		list = append(list, TargetStatus{
 			Key: key, Address: n.addresses[key], Owner: n.owners.Owner(key),
-			Limit: s.limits[key], Usable: n.owners.Usable(now, key), InFlight: n.owners.InFlight(key),
+			Limit: s.limits[key], Usable: n.owners.UsableSlots(now, key), InFlight: n.owners.InFlight(key),
 			Health:         string(s.health.State(now, key)),
 			AverageLatency: s.health.Latency(key),
 			Drained:        n.snapshot.TargetDrained(id, key.Name) || n.snapshot.PlaceDrained(id, n.cfg.Place),
--- a/internal/grant/book.go
+++ b/internal/grant/book.go
@@ -46,16 +46,16 @@
 	Want  int // requests beyond those that it already holds grants for
 }
 
-// Room is what an owner could accept now if nothing were granted.
-type Room struct {
-	Slots   int // free slots of the service
-	Shifted int // shifted requests of the service that the cap admits during a grant's lifetime
-	Spare   int // free under the place's limit, for all services together
-	Weight  func(team string) int
+// Capacity is what an owner could accept now if nothing were granted.
+type Capacity struct {
+	Slots      int // free slots of the service
+	Shifted    int // shifted requests of the service that the cap admits during a grant's lifetime
+	PlaceSlots int // free under the place's limit, for all services together
+	Weight     func(team string) int
 }
 
-// Book holds the grants that this instance has issued.
-type Book struct {
+// Table holds the grants that this instance has issued.
+type Table struct {
 	cfg     Config
 	entries map[entryKey]*entry
 	granted map[settings.ServiceID]int // sum of the entries' grants
@@ -86,25 +86,25 @@
 	return n
 }
 
-// NewBook starts without any grants. An invalid cfg gives *ConfigError.
-func NewBook(cfg Config) (*Book, error) {
+// NewTable starts without any grants. An invalid cfg gives *ConfigError.
+func NewTable(cfg Config) (*Table, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "grant.NewBook")
 	}
-	return &Book{cfg: cfg, entries: make(map[entryKey]*entry), granted: make(map[settings.ServiceID]int)}, nil
+	return &Table{cfg: cfg, entries: make(map[entryKey]*entry), granted: make(map[settings.ServiceID]int)}, nil
 }
 
-// Life returns how long a grant may be used.
-func (t *Book) Life() time.Duration { return t.cfg.Life }
+// Lifetime returns how long a grant may be used.
+func (t *Table) Lifetime() time.Duration { return t.cfg.Life }
 
 // Grant returns how many more requests a sender may hand off. It may do so for
 // the lifetime of a grant, counted by its own clock from before it asked.
-func (t *Book) Grant(now time.Time, a Ask, r Room) int {
+func (t *Table) Grant(now time.Time, a Ask, r Capacity) int {
 	t.Sweep(now)
 	e := t.entry(a)
 	e.want, e.wantUntil = min(max(a.Want, 0), t.cfg.Most), now.Add(t.cfg.Remember)
-	free := min(r.Slots-t.granted[a.Use.Service], r.Spare-t.total)
+	free := min(r.Slots-t.granted[a.Use.Service], r.PlaceSlots-t.total)
 	if a.Use.Shifted {
 		free = min(free, r.Shifted-t.grantedShifted(a.Use.Service))
 	}
@@ -121,10 +121,10 @@
 }
 
 // check asserts that the outstanding grants fit the owner's capacity.
-func (t *Book) check(a Ask, r Room) {
+func (t *Table) check(a Ask, r Capacity) {
 	granted := t.granted[a.Use.Service]
-	t.cfg.Checks.Check(invariant.RegionLimit, granted <= r.Slots && t.total <= r.Spare, func() string {
-		return fmt.Sprintf("%v: %d granted of %d free, %d of the place's %d", a.Use.Service, granted, r.Slots, t.total, r.Spare)
+	t.cfg.Checks.Check(invariant.RegionLimit, granted <= r.Slots && t.total <= r.PlaceSlots, func() string {
+		return fmt.Sprintf("%v: %d granted of %d free, %d of the place's %d", a.Use.Service, granted, r.Slots, t.total, r.PlaceSlots)
 	})
 	if !a.Use.Shifted {
 		return
@@ -137,13 +137,13 @@
 
 // Used records that a sender has handed off a request. It returns false if the
 // sender held no grant.
-func (t *Book) Used(now time.Time, peer string, use Use) bool {
+func (t *Table) Used(now time.Time, peer string, use Use) bool {
 	return t.Release(now, peer, use, 1) == 1
 }
 
 // Release takes back up to n granted requests from a sender, and returns how many
 // it took back.
-func (t *Book) Release(now time.Time, peer string, use Use, n int) int {
+func (t *Table) Release(now time.Time, peer string, use Use, n int) int {
 	t.Sweep(now)
 	e, ok := t.entries[entryKey{peer: peer, use: use}]
 	if !ok {
@@ -155,13 +155,13 @@
 }
 
 // Outstanding returns how many requests of a service are granted.
-func (t *Book) Outstanding(now time.Time, id settings.ServiceID) int {
+func (t *Table) Outstanding(now time.Time, id settings.ServiceID) int {
 	t.Sweep(now)
 	return t.granted[id]
 }
 
 // Sweep drops expired grants and asks.
-func (t *Book) Sweep(now time.Time) {
+func (t *Table) Sweep(now time.Time) {
 	for key, e := range t.entries {
 		if expired := e.grants.drop(now); expired > 0 {
 			t.addGranted(key.use.Service, -expired)
@@ -172,7 +172,7 @@
 	}
 }
 
-func (t *Book) addGranted(id settings.ServiceID, n int) {
+func (t *Table) addGranted(id settings.ServiceID, n int) {
 	t.total += n
 	t.granted[id] += n
 	if t.granted[id] == 0 {
@@ -180,7 +180,7 @@
 	}
 }
 
-func (t *Book) entry(a Ask) *entry {
+func (t *Table) entry(a Ask) *entry {
 	key := entryKey{peer: a.Peer, use: a.Use}
 	e, ok := t.entries[key]
 	if !ok {
@@ -191,7 +191,7 @@
 	return e
 }
 
-func (t *Book) grantedShifted(id settings.ServiceID) int {
+func (t *Table) grantedShifted(id settings.ServiceID) int {
 	n := 0
 	for key, e := range t.entries {
 		if key.use.Service == id && key.use.Shifted {
@@ -204,8 +204,8 @@
 // share returns how much more of the capacity the entry may be granted: the team,
 // the service, the use, the sender's place and the sender itself are each limited
 // to their share.
-func (t *Book) share(now time.Time, e *entry, r Room) int {
-	d := division{now: now, entry: e, entries: t.sorted(), total: r.Spare, available: r.Spare}
+func (t *Table) share(now time.Time, e *entry, r Capacity) int {
+	d := division{now: now, entry: e, entries: t.sorted(), total: r.PlaceSlots, available: r.PlaceSlots}
 	d.narrow(func(o *entry) string { return o.key.use.Service.Team }, r.Weight)
 	d.narrow(func(o *entry) string { return o.key.use.Service.Name }, nil)
 	d.entries = filter(d.entries, func(o *entry) bool { return o.key.use == e.key.use })
@@ -220,7 +220,7 @@
 
 // sorted returns the entries, least recently granted first, so that single units
 // are granted in turn.
-func (t *Book) sorted() []*entry {
+func (t *Table) sorted() []*entry {
 	list := make([]*entry, 0, len(t.entries))
 	for _, e := range t.entries {
 		list = append(list, e)
--- a/internal/grant/book_test.go
+++ b/internal/grant/book_test.go
@@ -25,17 +25,17 @@
 	Errorf(format string, args ...any)
 }
 
-func newBook(t testingT) *Book {
+func newBook(t testingT) *Table {
 	t.Helper()
 	checks := invariant.New(func(n invariant.Name, d string) { t.Errorf("invariant %s: %s", n, d) })
-	b, err := NewBook(Config{Skew: 0.05, Checks: checks})
+	b, err := NewTable(Config{Skew: 0.05, Checks: checks})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return b
 }
 
-func capacityOf(n int) Room { return Room{Slots: n, Shifted: n, Spare: n} }
+func capacityOf(n int) Capacity { return Capacity{Slots: n, Shifted: n, PlaceSlots: n} }
 
 func TestGrantIsSplit(t *testing.T) {
 	type ask struct {
@@ -45,13 +45,13 @@
 		spare       int // free under the place's limit from this ask on; 0 leaves it as it was
 	}
 	tests := map[string]struct {
-		room Room
+		room Capacity
 		asks []ask
 	}{
 		"alone":                {capacityOf(10), []ask{{"a1", "a", orders, 4, 4, 0}}},
 		"no more than fits":    {capacityOf(3), []ask{{"a1", "a", orders, 9, 3, 0}, {"b1", "b", orders, 9, 0, 0}}},
-		"the cap holds back":   {Room{Slots: 10, Shifted: 2, Spare: 10}, []ask{{"a1", "a", orders, 9, 2, 0}}},
-		"the place holds back": {Room{Slots: 10, Shifted: 9, Spare: 1}, []ask{{"a1", "a", orders, 9, 1, 0}}},
+		"the cap holds back":   {Capacity{Slots: 10, Shifted: 2, PlaceSlots: 10}, []ask{{"a1", "a", orders, 9, 2, 0}}},
+		"the place holds back": {Capacity{Slots: 10, Shifted: 9, PlaceSlots: 1}, []ask{{"a1", "a", orders, 9, 1, 0}}},
 		"two places share": {capacityOf(10), []ask{
 			{"a1", "a", orders, 0, 0, 0}, {"b1", "b", orders, 4, 4, 0}, {"a1", "a", orders, 9, 6, 0}, {"b1", "b", orders, 9, 0, 0},
 		}},
@@ -63,7 +63,7 @@
 			{"b1", "b", orders, 9, 5, 0},
 		}},
 		"teams share the place by weight": {
-			Room{Slots: 20, Shifted: 20, Weight: func(team string) int { return map[string]int{"shop": 3, "court": 1}[team] }},
+			Capacity{Slots: 20, Shifted: 20, Weight: func(team string) int { return map[string]int{"shop": 3, "court": 1}[team] }},
 			[]ask{{"a1", "a", fees, 9, 2, 2}, {"a1", "a", orders, 9, 6, 8}, {"a1", "a", fees, 9, 0, 8}},
 		},
 		"instances of a place share": {capacityOf(9), []ask{
@@ -79,7 +79,7 @@
 			b := newBook(t)
 			for i, a := range tt.asks {
 				if a.spare > 0 {
-					tt.room.Spare = a.spare
+					tt.room.PlaceSlots = a.spare
 				}
 				got := b.Grant(start, Ask{Peer: a.peer, Place: a.place, Use: a.use, Want: a.want}, tt.room)
 				if got != a.got {
@@ -125,7 +125,7 @@
 			b, p := newBook(t), NewHoldings()
 			clock := func(d time.Duration) time.Time { return start.Add(time.Duration(float64(d) * tt.rate)) }
 			n := b.Grant(start.Add(tt.requestDelay), Ask{Peer: "a1", Place: "a", Use: orders, Want: 3}, capacityOf(9))
-			p.Heard("g", orders, n, clock(0).Add(b.Life()))
+			p.Add("g", orders, n, clock(0).Add(b.Lifetime()))
 			for d := tt.requestDelay + tt.answerDelay; d < time.Second; d += time.Millisecond {
 				held, out := p.Held(clock(d), "g", orders), b.Outstanding(start.Add(d), orders.Service)
 				if held > out {
@@ -141,7 +141,7 @@
 
 func TestExpiredGrantIsNotTaken(t *testing.T) {
 	p := NewHoldings()
-	p.Heard("g", orders, 3, start)
+	p.Add("g", orders, 3, start)
 	if got := p.Take(start, "g", orders, 1); got != 0 {
 		t.Errorf("got %d taken, want 0 from an expired grant", got)
 	}
@@ -191,10 +191,10 @@
 				}
 				continue
 			}
-			r := Room{Slots: rapid.IntRange(0, 20).Draw(t, "slots"), Shifted: rapid.IntRange(0, 20).Draw(t, "shifted"), Spare: rapid.IntRange(0, 20).Draw(t, "spare")}
+			r := Capacity{Slots: rapid.IntRange(0, 20).Draw(t, "slots"), Shifted: rapid.IntRange(0, 20).Draw(t, "shifted"), PlaceSlots: rapid.IntRange(0, 20).Draw(t, "spare")}
 			n := b.Grant(now, Ask{Peer: peer, Place: peer[:1], Use: use, Want: rapid.IntRange(0, 9).Draw(t, "want")}, r)
-			open[key] = append(open[key], promised{use: use, n: n, until: now.Add(b.Life())})
-			if n > 0 && (sum(use) > min(r.Slots, r.Shifted) || sum(orders, fees) > r.Spare) {
+			open[key] = append(open[key], promised{use: use, n: n, until: now.Add(b.Lifetime())})
+			if n > 0 && (sum(use) > min(r.Slots, r.Shifted) || sum(orders, fees) > r.PlaceSlots) {
 				t.Fatalf("got %d granted for the use, %d in all, want them to fit %+v", sum(use), sum(orders, fees), r)
 			}
 		}
--- a/internal/grant/holdings.go
+++ b/internal/grant/holdings.go
@@ -10,10 +10,10 @@
 // NewHoldings returns empty Holdings.
 func NewHoldings() *Holdings { return &Holdings{held: make(map[string]map[Use]*grants)} }
 
-// Heard adds a received grant. until must be counted by the sender's clock from
+// Add adds a received grant. until must be counted by the sender's clock from
 // before it sent the message that the grant answers, so that the grant expires
 // here before it expires at the granter.
-func (h *Holdings) Heard(peer string, use Use, n int, until time.Time) {
+func (h *Holdings) Add(peer string, use Use, n int, until time.Time) {
 	if n <= 0 {
 		return
 	}
--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -180,7 +180,7 @@
 		var ok bool
 		in.dispatcher.Read(func(now time.Time, n *core.Node) {
 			r := n.Roster()
-			ok = n.Confirmed(now) && len(r.Members) == c.ofPlace(in.cfg.Place) && len(r.Former) == 0
+			ok = n.Confirmed(now) && len(r.Members) == c.ofPlace(in.cfg.Place) && len(r.Previous) == 0
 		})
 		return ok
 	})
--- a/internal/instance/learn.go
+++ b/internal/instance/learn.go
@@ -126,7 +126,7 @@
 	var roster owner.Roster
 	in.dispatcher.Read(func(_ time.Time, n *core.Node) { roster = n.Roster() })
 	var list []listReason
-	for _, f := range roster.Former {
+	for _, f := range roster.Previous {
 		list = append(list, in.previousMember(f.Instance))
 	}
 	for _, m := range roster.Members {
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -226,7 +226,7 @@
 				w.t.Fatal(err)
 			}
 			m, ok := r.Member(s.id)
-			if in := w.running[s.id]; !ok || in == nil || m.Incarnation != in.incarnation || len(r.Former) > 0 {
+			if in := w.running[s.id]; !ok || in == nil || m.Incarnation != in.incarnation || len(r.Previous) > 0 {
 				return false
 			}
 		}
--- a/internal/owner/book.go
+++ b/internal/owner/book.go
@@ -17,9 +17,9 @@
 	Drained   bool          // takes no new request
 }
 
-// Book holds one instance's view of its place's roster, and counts the slots of
+// Table holds one instance's view of its place's roster, and counts the slots of
 // the targets that the instance owns.
-type Book struct {
+type Table struct {
 	cfg    Config
 	roster Roster // newest known; its version never decreases
 	own    Member // own entry in roster; zero without one
@@ -57,12 +57,12 @@
 
 // New starts without a roster: the instance owns no targets before SetRoster.
 // An invalid cfg gives *ConfigError.
-func New(cfg Config) (*Book, error) {
+func New(cfg Config) (*Table, error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "New")
 	}
-	return &Book{
+	return &Table{
 		cfg:           cfg,
 		targets:       make(map[TargetKey]*target),
 		peers:         make(map[string]*peer),
@@ -74,12 +74,12 @@
 }
 
 // Roster returns the newest roster known. The caller must not change it.
-func (t *Book) Roster() Roster { return t.roster }
+func (t *Table) Roster() Roster { return t.roster }
 
 // SetSpecs sets the place's targets from the settings. Lowered limits apply at
 // once; raised limits wait until every instance has had time to lower the others
 // and to finish the requests that it had in flight. The first specs apply at once.
-func (t *Book) SetSpecs(now time.Time, specs []Spec) {
+func (t *Table) SetSpecs(now time.Time, specs []Spec) {
 	t.longestTimeout = 0
 	for _, s := range specs {
 		t.longestTimeout = max(t.longestTimeout, s.Timeout)
@@ -104,7 +104,7 @@
 }
 
 // target returns the state of a target, creating it if there is none.
-func (t *Book) target(key TargetKey) *target {
+func (t *Table) target(key TargetKey) *target {
 	tgt, ok := t.targets[key]
 	if !ok {
 		tgt = &target{key: key}
@@ -115,7 +115,7 @@
 
 // SetRoster takes a roster read from the platform or received from a peer. It
 // ignores a roster that is not newer, and returns false.
-func (t *Book) SetRoster(now time.Time, r Roster) bool {
+func (t *Table) SetRoster(now time.Time, r Roster) bool {
 	if r.Version <= t.roster.Version {
 		return false
 	}
@@ -138,10 +138,10 @@
 }
 
 // recordPrevious records when each previous entry was first observed.
-func (t *Book) recordPrevious(now time.Time) {
+func (t *Table) recordPrevious(now time.Time) {
 	old := t.firstSeen
-	t.firstSeen = make(map[Member]time.Time, len(t.roster.Former))
-	for _, f := range t.roster.Former {
+	t.firstSeen = make(map[Member]time.Time, len(t.roster.Previous))
+	for _, f := range t.roster.Previous {
 		at, ok := old[f.Member]
 		if !ok {
 			at = now
@@ -152,7 +152,7 @@
 }
 
 // assign recomputes the owner of every target.
-func (t *Book) assign(now time.Time) {
+func (t *Table) assign(now time.Time) {
 	h := newHistory(t.roster)
 	t.sorted, t.owned = t.sorted[:0], t.owned[:0]
 	for key, tgt := range t.targets {
@@ -176,12 +176,12 @@
 }
 
 // isOwn reports whether a previous owner is this process, whose own count applies.
-func (t *Book) isOwn(prev previousOwner) bool {
+func (t *Table) isOwn(prev previousOwner) bool {
 	return prev.Instance == t.cfg.Self && prev.Incarnation == t.cfg.Incarnation
 }
 
 // Owner returns the instance that owns a target, "" if none does.
-func (t *Book) Owner(key TargetKey) string {
+func (t *Table) Owner(key TargetKey) string {
 	if tgt, ok := t.targets[key]; ok {
 		return tgt.owner
 	}
@@ -190,7 +190,7 @@
 }
 
 // Owned returns the keys of the targets that this instance owns, sorted.
-func (t *Book) Owned() []TargetKey {
+func (t *Table) Owned() []TargetKey {
 	keys := make([]TargetKey, 0, len(t.owned))
 	for _, tgt := range t.owned {
 		if tgt.configured {
@@ -202,12 +202,12 @@
 
 // Revision returns a number that increases when the usable slots of a target may
 // have changed for a reason other than the ownership lease.
-func (t *Book) Revision(now time.Time) uint64 {
+func (t *Table) Revision(now time.Time) uint64 {
 	t.advance(now)
 	return t.revision
 }
 
 // withSkew returns a duration that lasts at least d by every other clock.
-func (t *Book) withSkew(d time.Duration) time.Duration {
+func (t *Table) withSkew(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*t.cfg.Skew) + 1
 }
--- a/internal/owner/capacity_test.go
+++ b/internal/owner/capacity_test.go
@@ -10,7 +10,7 @@
 
 // capacityBook returns the state of one instance that owns its part of the given
 // number of targets, in a place with the given number of instances.
-func capacityBook(b *testing.B, targets, instances int) (*Book, Roster) {
+func capacityBook(b *testing.B, targets, instances int) (*Table, Roster) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	book, err := New(Config{Self: "entry-000", Incarnation: 1, Place: "here"})
 	if err != nil {
--- a/internal/owner/codec.go
+++ b/internal/owner/codec.go
@@ -67,11 +67,11 @@
 			return m.Instance + " is duplicated or out of order"
 		}
 	}
-	for _, f := range r.Former {
+	for _, f := range r.Previous {
 		if fault := f.fault(r.Version); fault != "" {
 			return fault
 		}
-		if f.Until <= max(f.Since, f.Left) || f.Until > r.Version {
+		if f.Until <= max(f.Since, f.LeavingSince) || f.Until > r.Version {
 			return f.Instance + " has an invalid version of its removal"
 		}
 	}
@@ -86,7 +86,7 @@
 		return m.Instance + " has no incarnation"
 	case m.Since == 0 || m.Since > version:
 		return m.Instance + " has an invalid version of its joining"
-	case m.Left != 0 && (m.Left <= m.Since || m.Left > version):
+	case m.LeavingSince != 0 && (m.LeavingSince <= m.Since || m.LeavingSince > version):
 		return m.Instance + " has an invalid version of its leaving"
 	}
 	return ""
--- a/internal/owner/ending.go
+++ b/internal/owner/ending.go
@@ -8,9 +8,9 @@
 	Incarnation uint64
 }
 
-// Gone records proof that the process of an incarnation, and all before it, had
+// MarkEnded records proof that the process of an incarnation, and all before it, had
 // ended by now. The requests that it had in flight end within the timeout.
-func (t *Book) Gone(now time.Time, instance string, incarnation uint64) {
+func (t *Table) MarkEnded(now time.Time, instance string, incarnation uint64) {
 	if instance == t.cfg.Self && incarnation >= t.cfg.Incarnation {
 		return
 	}
@@ -18,7 +18,7 @@
 }
 
 // recordEnding stores an ending, unless one that proves as much is already stored.
-func (t *Book) recordEnding(now time.Time, instance string, e ending) {
+func (t *Table) recordEnding(now time.Time, instance string, e ending) {
 	if old, ok := t.ended[instance]; ok && old.incarnation >= e.incarnation && (e.listed || !old.listed) {
 		return
 	}
@@ -28,7 +28,7 @@
 
 // markAlive records a sign of life. The list may have omitted the process because
 // it could not reach the platform.
-func (t *Book) markAlive(now time.Time, instance string, incarnation uint64) {
+func (t *Table) markAlive(now time.Time, instance string, incarnation uint64) {
 	for m := range t.unlistedSince {
 		if m.Instance == instance && m.Incarnation <= incarnation {
 			delete(t.unlistedSince, m)
@@ -41,14 +41,14 @@
 }
 
 // observeIncarnation records that an incarnation exists: those before it have ended.
-func (t *Book) observeIncarnation(now time.Time, instance string, incarnation uint64) {
+func (t *Table) observeIncarnation(now time.Time, instance string, incarnation uint64) {
 	if incarnation > 1 && t.hasOlder(instance, incarnation) {
-		t.Gone(now, instance, incarnation-1)
+		t.MarkEnded(now, instance, incarnation-1)
 	}
 }
 
 // hasOlder reports whether the roster has an entry of an older incarnation.
-func (t *Book) hasOlder(instance string, incarnation uint64) bool {
+func (t *Table) hasOlder(instance string, incarnation uint64) bool {
 	for _, s := range t.roster.spans() {
 		if s.Instance == instance && s.Incarnation < incarnation {
 			return true
@@ -57,12 +57,12 @@
 	return false
 }
 
-// Listed records the platform's list, requested at sent, in an epoch of the platform's store.
+// RecordList records the platform's list, requested at sent, in an epoch of the platform's store.
 // With Config.ListProves, an entry of the roster that has been missing from the list for all of
 // Lag has ended, unless the process shows a sign of life. Without it, a missing entry proves
 // nothing: the process may be partitioned and still use half of its targets. A new epoch begins
 // without the entries that the store has lost, which return within Lag.
-func (t *Book) Listed(now, sent time.Time, epoch uint64, list []Listing) {
+func (t *Table) RecordList(now, sent time.Time, epoch uint64, list []Listing) {
 	if t.epoch != 0 && epoch > t.epoch {
 		t.listValidFrom = now.Add(t.withSkew(t.cfg.Lag))
 	}
@@ -97,16 +97,16 @@
 
 // finished reports whether an entry's process has ended, and all requests that it
 // had in flight too.
-func (t *Book) finished(now time.Time, m Member) bool {
+func (t *Table) finished(now time.Time, m Member) bool {
 	e, ok := t.ended[m.Instance]
 	return ok && e.incarnation >= m.Incarnation && !now.Before(e.at.Add(t.withSkew(t.longestTimeout)))
 }
 
-// Forgettable returns the previous entries whose processes are proved to have
+// FinishedPrevious returns the previous entries whose processes are proved to have
 // nothing in flight; any member may write a roster without them.
-func (t *Book) Forgettable(now time.Time) []Former {
-	var entries []Former
-	for _, f := range t.roster.Former {
+func (t *Table) FinishedPrevious(now time.Time) []PreviousMember {
+	var entries []PreviousMember
+	for _, f := range t.roster.Previous {
 		if t.finished(now, f.Member) || t.releasedAll(f) {
 			entries = append(entries, f)
 		}
@@ -115,7 +115,7 @@
 }
 
 // releasedAll reports whether a previous member itself reported that it holds nothing.
-func (t *Book) releasedAll(f Former) bool {
+func (t *Table) releasedAll(f PreviousMember) bool {
 	p, ok := t.peers[f.Instance]
 	return ok && p.hasRelease && p.incarnation == f.Incarnation &&
 		p.release.Version >= f.Until && len(p.release.Held) == 0
--- a/internal/owner/ending_test.go
+++ b/internal/owner/ending_test.go
@@ -6,7 +6,7 @@
 )
 
 // listBook returns the state of instance a, whose roster also has b.
-func listBook(t *testing.T) *Book {
+func listBook(t *testing.T) *Table {
 	t.Helper()
 	b, err := New(Config{Self: "a", Incarnation: 1, Place: "p", ListProves: true})
 	if err != nil {
@@ -24,22 +24,22 @@
 	later := modelStart.Add(2 * DefaultLag)
 	tests := map[string]struct {
 		sent  time.Time
-		then  func(*Book)
+		then  func(*Table)
 		ended bool
 	}{
-		"for long":         {later, func(*Book) {}, true},
-		"an old list":      {modelStart, func(*Book) {}, false},
-		"then a heartbeat": {later, func(b *Book) { b.MayAck(later, "b", 1, 2) }, false},
-		"then an ack":      {later, func(b *Book) { b.Ack("b", 1, later, 2) }, false},
-		"then a release":   {later, func(b *Book) { b.Released(later, Release{From: "b", Incarnation: 1, Version: 2}) }, false},
-		"then listed":      {later, func(b *Book) { b.Listed(later, later, 1, []Listing{{"b", 1}}) }, false},
-		"a restart":        {later, func(b *Book) { b.MayAck(later, "b", 2, 2) }, true},
+		"for long":         {later, func(*Table) {}, true},
+		"an old list":      {modelStart, func(*Table) {}, false},
+		"then a heartbeat": {later, func(b *Table) { b.MayAck(later, "b", 1, 2) }, false},
+		"then an ack":      {later, func(b *Table) { b.RecordAck("b", 1, later, 2) }, false},
+		"then a release":   {later, func(b *Table) { b.RecordRelease(later, Release{From: "b", Incarnation: 1, Version: 2}) }, false},
+		"then listed":      {later, func(b *Table) { b.RecordList(later, later, 1, []Listing{{"b", 1}}) }, false},
+		"a restart":        {later, func(b *Table) { b.MayAck(later, "b", 2, 2) }, true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := listBook(t)
-			b.Listed(modelStart, modelStart, 1, nil)
-			b.Listed(later, tt.sent, 1, nil)
+			b.RecordList(modelStart, modelStart, 1, nil)
+			b.RecordList(later, tt.sent, 1, nil)
 			tt.then(b)
 			m, _ := b.roster.Member("b")
 			if got := b.finished(later.Add(time.Hour), m); got != tt.ended {
@@ -64,10 +64,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			b := listBook(t)
-			b.Listed(modelStart, modelStart, 1, []Listing{{"b", 1}})
-			b.Listed(modelStart.Add(time.Second), modelStart.Add(time.Second), tt.number, nil)
+			b.RecordList(modelStart, modelStart, 1, []Listing{{"b", 1}})
+			b.RecordList(modelStart.Add(time.Second), modelStart.Add(time.Second), tt.number, nil)
 			last := modelStart.Add(time.Second + tt.after)
-			b.Listed(last, last, tt.number, nil)
+			b.RecordList(last, last, tt.number, nil)
 			m, _ := b.roster.Member("b")
 			if got := b.finished(last.Add(time.Hour), m); got != tt.ended {
 				t.Errorf("got ended %v, want %v", got, tt.ended)
@@ -82,8 +82,8 @@
 	b := listBook(t)
 	later := modelStart.Add(2 * DefaultLag)
 	b.MayAck(later.Add(-time.Second), "b", 1, 2)
-	b.Listed(modelStart, modelStart, 1, nil)
-	b.Listed(later, later, 1, nil)
+	b.RecordList(modelStart, modelStart, 1, nil)
+	b.RecordList(later, later, 1, nil)
 	if b.Removable(later, "b") {
 		t.Error("got removable while the ack is valid, want not removable")
 	}
@@ -117,8 +117,8 @@
 			b.SetRoster(modelStart, both)
 			b.SetRoster(modelStart, cut)
 			late := modelStart.Add(time.Hour)
-			b.Listed(modelStart, modelStart, 1, nil)
-			b.Listed(late, late, 1, nil)
+			b.RecordList(modelStart, modelStart, 1, nil)
+			b.RecordList(late, late, 1, nil)
 			late = late.Add(time.Minute)
 			b.Confirm(late, cut.Version)
 			if got := b.Free(late, key); got != tt.want {
--- a/internal/owner/history.go
+++ b/internal/owner/history.go
@@ -47,11 +47,11 @@
 
 // spans returns the spans of all entries of a roster, members first.
 func (r Roster) spans() []span {
-	all := make([]span, 0, len(r.Members)+len(r.Former))
+	all := make([]span, 0, len(r.Members)+len(r.Previous))
 	for _, m := range r.Members {
 		all = append(all, span{Member: m, end: endVersion(m, math.MaxUint64)})
 	}
-	for _, f := range r.Former {
+	for _, f := range r.Previous {
 		all = append(all, span{Member: f.Member, end: endVersion(f.Member, f.Until), removed: true})
 	}
 	return all
@@ -59,7 +59,7 @@
 
 func endVersion(m Member, end uint64) uint64 {
 	if m.Leaving() {
-		return m.Left
+		return m.LeavingSince
 	}
 	return end
 }
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -50,7 +50,7 @@
 type node struct {
 	id             int
 	inc            uint64
-	book           *Book
+	book           *Table
 	rate           float64
 	offset         time.Duration
 	specs          int // index of the settings in force
@@ -252,14 +252,14 @@
 	if m.gossip && m.rng.IntN(3) == 0 {
 		n.book.SetRoster(now, roster)
 	}
-	n.book.Released(now, release)
+	n.book.RecordRelease(now, release)
 	if !n.book.MayAck(now, from.name(), from.inc, release.Version) {
 		return
 	}
 	back := n.book.Release()
 	m.post(n.id, from.id, from, func() {
-		from.book.Ack(n.name(), n.inc, sent, back.Version)
-		from.book.Released(m.local(from), back)
+		from.book.RecordAck(n.name(), n.inc, sent, back.Version)
+		from.book.RecordRelease(m.local(from), back)
 	})
 }
 
@@ -283,7 +283,7 @@
 			}
 			n.book.SetRoster(m.local(n), roster)
 			n.book.Confirm(sent, roster.Version)
-			n.book.Listed(m.local(n), sent, 1, list)
+			n.book.RecordList(m.local(n), sent, 1, list)
 		})
 	})
 }
@@ -320,8 +320,8 @@
 		m.write(n, next, err)
 		return
 	}
-	if entries := n.book.Forgettable(now); in && len(entries) > 0 {
-		m.write(n, r.Forget(entries), nil)
+	if entries := n.book.FinishedPrevious(now); in && len(entries) > 0 {
+		m.write(n, r.WithoutPrevious(entries), nil)
 		return
 	}
 	for _, o := range r.Members {
--- a/internal/owner/pick.go
+++ b/internal/owner/pick.go
@@ -9,7 +9,7 @@
 // Pick returns the owned target of a service that has the lowest fraction of its
 // slots in use and a free slot. weight caps the slots that may be filled of a
 // target; nil caps none. Equal targets are picked in turn. Pick takes no slot.
-func (t *Book) Pick(now time.Time, id settings.ServiceID, weight func(TargetKey) int) (TargetKey, bool) {
+func (t *Table) Pick(now time.Time, id settings.ServiceID, weight func(TargetKey) int) (TargetKey, bool) {
 	s := t.advance(now)
 	if t.freeQuota(s) == 0 {
 		return TargetKey{}, false
--- a/internal/owner/release.go
+++ b/internal/owner/release.go
@@ -22,7 +22,7 @@
 
 // Release returns this instance's release, to be sent to every other instance
 // of the place.
-func (t *Book) Release() Release {
+func (t *Table) Release() Release {
 	t.seq++
 	r := Release{
 		From:        t.cfg.Self,
@@ -38,8 +38,8 @@
 	return r
 }
 
-// Released takes in a peer's release. Old and duplicate ones are ignored.
-func (t *Book) Released(now time.Time, r Release) {
+// RecordRelease takes in a peer's release. Old and duplicate ones are ignored.
+func (t *Table) RecordRelease(now time.Time, r Release) {
 	t.observeIncarnation(now, r.From, r.Incarnation)
 	p := t.peer(r.From, r.Incarnation)
 	if p == nil || (p.hasRelease && r.Seq <= p.release.Seq) {
@@ -55,7 +55,7 @@
 }
 
 // refresh recomputes what is reserved for previous owners, and the budget.
-func (t *Book) refresh(now time.Time) {
+func (t *Table) refresh(now time.Time) {
 	t.refreshAt = time.Time{}
 	t.budget, t.halfBudget, t.charged = 0, 0, 0
 	for _, tgt := range t.sorted {
@@ -74,8 +74,8 @@
 		if tgt.reservedSlots != before {
 			t.revision++
 		}
-		t.budget += tgt.usableQuota(Confirmed)
-		t.halfBudget += tgt.usableQuota(Lapsed)
+		t.budget += tgt.usableQuota(LeaseConfirmed)
+		t.halfBudget += tgt.usableQuota(LeaseExpired)
 		t.charged += tgt.charged
 	}
 }
@@ -83,7 +83,7 @@
 // quotaWait returns how long a previous owner may continue to use tgt's quota. If
 // every target's quota covers its allowance, no request is charged to another
 // target, so tgt's own timeout suffices.
-func (t *Book) quotaWait(tgt *target) time.Duration {
+func (t *Table) quotaWait(tgt *target) time.Duration {
 	for _, o := range t.sorted {
 		if o.configured && (o.quota < o.allowance || o.spec.Quota < o.spec.Allowance) {
 			return t.longestTimeout
@@ -98,7 +98,7 @@
 // reserve returns the most that a previous owner may still use of a limit, which
 // is the least of several bounds. wait is the longest that a request may take by
 // any clock.
-func (t *Book) reserve(now time.Time, key TargetKey, prev previousOwner, limit int, wait time.Duration, of func(Held) int) int {
+func (t *Table) reserve(now time.Time, key TargetKey, prev previousOwner, limit int, wait time.Duration, of func(Held) int) int {
 	most := limit
 	if at, ok := t.firstSeen[prev.Member]; ok && prev.removed && t.reached(now, at.Add(t.withSkew(t.cfg.Term)+wait)) {
 		most = limit / 2
@@ -117,7 +117,7 @@
 
 // reached reports whether now is at or after at, and otherwise schedules a
 // refresh for then.
-func (t *Book) reached(now, at time.Time) bool {
+func (t *Table) reached(now, at time.Time) bool {
 	if !now.Before(at) {
 		return true
 	}
@@ -133,7 +133,7 @@
 // sender may own the target again. Until that roster arrives here, the report
 // before it still bounds the sender, which takes no slot of the target until this
 // instance has released it under the newer roster, or its lease has expired.
-func (t *Book) reportedUse(prev previousOwner, key TargetKey, of func(Held) int) (int, time.Time, bool) {
+func (t *Table) reportedUse(prev previousOwner, key TargetKey, of func(Held) int) (int, time.Time, bool) {
 	p := t.findPeer(prev.Instance, prev.Incarnation)
 	if p == nil || !p.hasRelease {
 		return 0, time.Time{}, false
--- a/internal/owner/roster.go
+++ b/internal/owner/roster.go
@@ -7,18 +7,18 @@
 
 // Member is an instance's entry in a roster.
 type Member struct {
-	Instance    string `json:"instance"`
-	Incarnation uint64 `json:"incarnation"`
-	Since       uint64 `json:"since"`          // version that added the entry
-	Left        uint64 `json:"left,omitempty"` // version that marked it leaving; 0 if it is not
+	Instance     string `json:"instance"`
+	Incarnation  uint64 `json:"incarnation"`
+	Since        uint64 `json:"since"`          // version that added the entry
+	LeavingSince uint64 `json:"left,omitempty"` // version that marked it leaving; 0 if it is not
 }
 
 // Leaving reports whether the member is marked as leaving and so owns no targets.
-func (m Member) Leaving() bool { return m.Left != 0 }
+func (m Member) Leaving() bool { return m.LeavingSince != 0 }
 
-// Former is the entry of a removed member that may still have requests in
+// PreviousMember is the entry of a removed member that may still have requests in
 // flight. It is kept until the member is proved to have none.
-type Former struct {
+type PreviousMember struct {
 	Member
 	Until uint64 `json:"until"` // version that removed the entry
 }
@@ -27,9 +27,9 @@
 // own targets of the place. Its methods return the next roster and leave the
 // receiver unchanged.
 type Roster struct {
-	Version uint64   `json:"version"` // version of the document's path in the platform
-	Members []Member `json:"members"` // sorted by instance, one entry per instance
-	Former  []Former `json:"former,omitempty"`
+	Version  uint64           `json:"version"` // version of the document's path in the platform
+	Members  []Member         `json:"members"` // sorted by instance, one entry per instance
+	Previous []PreviousMember `json:"former,omitempty"`
 }
 
 // Member returns the entry of an instance.
@@ -44,9 +44,9 @@
 // next returns a copy of r with the next version.
 func (r Roster) next() Roster {
 	return Roster{
-		Version: r.Version + 1,
-		Members: slices.Clone(r.Members),
-		Former:  slices.Clone(r.Former),
+		Version:  r.Version + 1,
+		Members:  slices.Clone(r.Members),
+		Previous: slices.Clone(r.Previous),
 	}
 }
 
@@ -60,7 +60,7 @@
 		case m.Incarnation == incarnation:
 			return r, &PresentError{Instance: instance}
 		case m.Incarnation > incarnation:
-			return r, &StaleError{Instance: instance, Incarnation: incarnation, Now: m.Incarnation}
+			return r, &StaleError{Instance: instance, Incarnation: incarnation, Current: m.Incarnation}
 		}
 		n = n.without(m, false)
 	}
@@ -76,7 +76,7 @@
 	n := r.next()
 	for i, m := range n.Members {
 		if m.Instance == instance && m.Incarnation == incarnation && !m.Leaving() {
-			n.Members[i].Left = n.Version
+			n.Members[i].LeavingSince = n.Version
 			return n, nil
 		}
 	}
@@ -94,10 +94,10 @@
 	return r.next().without(m, clean), nil
 }
 
-// Forget returns the roster without these previous entries.
-func (r Roster) Forget(entries []Former) Roster {
+// WithoutPrevious returns the roster without these previous entries.
+func (r Roster) WithoutPrevious(entries []PreviousMember) Roster {
 	n := r.next()
-	n.Former = slices.DeleteFunc(n.Former, func(f Former) bool { return slices.Contains(entries, f) })
+	n.Previous = slices.DeleteFunc(n.Previous, func(f PreviousMember) bool { return slices.Contains(entries, f) })
 	return n
 }
 
@@ -105,7 +105,7 @@
 func (r Roster) without(m Member, clean bool) Roster {
 	r.Members = slices.DeleteFunc(r.Members, func(o Member) bool { return o == m })
 	if !clean {
-		r.Former = append(r.Former, Former{Member: m, Until: r.Version})
+		r.Previous = append(r.Previous, PreviousMember{Member: m, Until: r.Version})
 	}
 	return r
 }
@@ -117,12 +117,12 @@
 
 // StaleError reports that the entry belongs to a newer incarnation.
 type StaleError struct {
-	Instance         string
-	Incarnation, Now uint64
+	Instance             string
+	Incarnation, Current uint64
 }
 
 func (e *StaleError) Error() string {
-	return fmt.Sprintf("owner: %s is at incarnation %d, not %d", e.Instance, e.Now, e.Incarnation)
+	return fmt.Sprintf("owner: %s is at incarnation %d, not %d", e.Instance, e.Current, e.Incarnation)
 }
 
 // AbsentError reports that an incarnation has no entry that can be changed.
--- a/internal/owner/roster_test.go
+++ b/internal/owner/roster_test.go
@@ -27,15 +27,15 @@
 		"forget": {
 			func() (Roster, error) {
 				r, err := one.Remove("a", 2, false)
-				return r.Forget(r.Former), err
+				return r.WithoutPrevious(r.Previous), err
 			},
-			Roster{Version: 3, Members: []Member{}, Former: []Former{}},
+			Roster{Version: 3, Members: []Member{}, Previous: []PreviousMember{}},
 			nil,
 		},
 		"return": {func() (Roster, error) { return one.Join("a", 3) }, Roster{
-			Version: 2,
-			Members: []Member{{Instance: "a", Incarnation: 3, Since: 2}},
-			Former:  []Former{{Member: Member{Instance: "a", Incarnation: 2, Since: 1}, Until: 2}},
+			Version:  2,
+			Members:  []Member{{Instance: "a", Incarnation: 3, Since: 2}},
+			Previous: []PreviousMember{{Member: Member{Instance: "a", Incarnation: 2, Since: 1}, Until: 2}},
 		}, nil},
 	}
 	for name, tt := range tests {
--- a/internal/owner/said_test.go
+++ b/internal/owner/said_test.go
@@ -12,24 +12,26 @@
 	two := join(t, join(t, Roster{}, "a"), "b")
 	held := Release{From: "a", Incarnation: 1, Version: two.Version, Seq: 1, Held: []Held{{key, 3, 3}}}
 	tests := map[string]struct {
-		step func(b *Book)
+		step func(b *Table)
 		want int
 	}{
-		"said": {func(*Book) {}, 7},
-		"by a newer roster that is not here yet": {func(b *Book) {
-			b.Released(at(1), Release{From: "a", Incarnation: 1, Version: two.Version + 1, Seq: 2})
+		"said": {func(*Table) {}, 7},
+		"by a newer roster that is not here yet": {func(b *Table) {
+			b.RecordRelease(at(1), Release{From: "a", Incarnation: 1, Version: two.Version + 1, Seq: 2})
 		}, 7},
-		"by the newer roster, here": {func(b *Book) {
-			b.Released(at(1), Release{From: "a", Incarnation: 1, Version: two.Version + 1, Seq: 2})
+		"by the newer roster, here": {func(b *Table) {
+			b.RecordRelease(at(1), Release{From: "a", Incarnation: 1, Version: two.Version + 1, Seq: 2})
 			b.SetRoster(at(1), join(t, two, "z"))
 		}, 10},
-		"a is back": {func(b *Book) { b.Released(at(1), Release{From: "a", Incarnation: 2, Version: two.Version, Seq: 1}) }, 7},
-		"a is back in the roster": {func(b *Book) {
+		"a is back": {func(b *Table) {
+			b.RecordRelease(at(1), Release{From: "a", Incarnation: 2, Version: two.Version, Seq: 1})
+		}, 7},
+		"a is back in the roster": {func(b *Table) {
 			next, err := two.Join("a", 2)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Released(at(1), Release{From: "a", Incarnation: 2, Version: two.Version, Seq: 1})
+			b.RecordRelease(at(1), Release{From: "a", Incarnation: 2, Version: two.Version, Seq: 1})
 			b.SetRoster(at(1), next)
 		}, 7},
 	}
@@ -37,7 +39,7 @@
 		t.Run(name, func(t *testing.T) {
 			b := bookOf(t, "b", key)
 			b.SetRoster(at(0), two)
-			b.Released(at(0), held)
+			b.RecordRelease(at(0), held)
 			b.Confirm(at(1), two.Version)
 			tt.step(b)
 			if got := b.Free(at(1.1), key); got != tt.want {
--- a/internal/owner/scene_test.go
+++ b/internal/owner/scene_test.go
@@ -37,7 +37,7 @@
 	return TargetKey{}
 }
 
-func bookOf(t *testing.T, self string, key TargetKey) *Book {
+func bookOf(t *testing.T, self string, key TargetKey) *Table {
 	t.Helper()
 	fail := func(n invariant.Name, s string) { t.Errorf("%s: %s", n, s) }
 	b, err := New(Config{Self: self, Incarnation: 1, Place: "p", ListProves: true, Checks: invariant.New(fail)})
@@ -79,14 +79,14 @@
 		}
 	}
 	free("before any release", 0)
-	c.Released(at(1), a.Release())
+	c.RecordRelease(at(1), a.Release())
 	free("after a's release alone", 0)
-	c.Released(at(1), Release{From: "b", Incarnation: 1, Version: two.Version, Seq: 1})
+	c.RecordRelease(at(1), Release{From: "b", Incarnation: 1, Version: two.Version, Seq: 1})
 	free("after a release of b that is too old", 0)
-	c.Released(at(1), Release{From: "b", Incarnation: 1, Version: three.Version, Seq: 2, Held: []Held{{key, 1, 1}}})
+	c.RecordRelease(at(1), Release{From: "b", Incarnation: 1, Version: three.Version, Seq: 2, Held: []Held{{key, 1, 1}}})
 	free("after both", 5)
 	a.Done(key)
-	c.Released(at(1), a.Release())
+	c.RecordRelease(at(1), a.Release())
 	free("after a finished one", 6)
 	if a.Take(at(1), key) {
 		t.Error("got a slot for a, want none")
@@ -104,42 +104,42 @@
 	}
 	wait := (3+2)*(1+DefaultSkew) + 0.01
 	tests := map[string]struct {
-		step func(b *Book)
+		step func(b *Table)
 		at   float64
 		want int
 	}{
-		"too early":       {func(*Book) {}, wait - 0.1, 0},
-		"after the wait":  {func(*Book) {}, wait, 5},
-		"proved gone":     {func(b *Book) { b.Gone(at(1), "a", 1) }, 1 + 2.2, 10},
-		"gone just now":   {func(b *Book) { b.Gone(at(1), "a", 1) }, 1 + 2, 0},
-		"new incarnation": {func(b *Book) { b.MayAck(at(1), "a", 2, 0) }, 1 + 2.2, 10},
-		"own release": {func(b *Book) {
-			b.Released(at(1), Release{From: "a", Incarnation: 1, Version: cut.Version, Seq: 1, Held: []Held{{key, 3, 3}}})
+		"too early":       {func(*Table) {}, wait - 0.1, 0},
+		"after the wait":  {func(*Table) {}, wait, 5},
+		"proved gone":     {func(b *Table) { b.MarkEnded(at(1), "a", 1) }, 1 + 2.2, 10},
+		"gone just now":   {func(b *Table) { b.MarkEnded(at(1), "a", 1) }, 1 + 2, 0},
+		"new incarnation": {func(b *Table) { b.MayAck(at(1), "a", 2, 0) }, 1 + 2.2, 10},
+		"own release": {func(b *Table) {
+			b.RecordRelease(at(1), Release{From: "a", Incarnation: 1, Version: cut.Version, Seq: 1, Held: []Held{{key, 3, 3}}})
 		}, 1, 7},
-		"unlisted": {func(b *Book) {
-			b.Listed(at(0), at(0), 1, nil)
-			b.Listed(at(32), at(32), 1, nil)
+		"unlisted": {func(b *Table) {
+			b.RecordList(at(0), at(0), 1, nil)
+			b.RecordList(at(32), at(32), 1, nil)
 		}, 35, 10},
-		"unlisted before": {func(b *Book) {
+		"unlisted before": {func(b *Table) {
 			b.MayAck(at(0), "a", 2, 0)
-			b.Listed(at(0), at(0), 1, nil)
+			b.RecordList(at(0), at(0), 1, nil)
 			next, err := b.Roster().Join("a", 2)
 			if err != nil {
 				panic(err)
 			}
 			b.SetRoster(at(40), next)
-			b.Listed(at(40), at(40), 1, nil)
+			b.RecordList(at(40), at(40), 1, nil)
 			next, err = next.Remove("a", 2, false)
 			if err != nil {
 				panic(err)
 			}
 			b.SetRoster(at(40), next)
-			b.Listed(at(40), at(40), 1, nil)
+			b.RecordList(at(40), at(40), 1, nil)
 		}, 43, 0},
-		"listed again": {func(b *Book) {
-			b.Listed(at(0), at(0), 1, nil)
-			b.Listed(at(20), at(20), 1, []Listing{{"a", 1}})
-			b.Listed(at(32), at(32), 1, nil)
+		"listed again": {func(b *Table) {
+			b.RecordList(at(0), at(0), 1, nil)
+			b.RecordList(at(20), at(20), 1, []Listing{{"a", 1}})
+			b.RecordList(at(32), at(32), 1, nil)
 		}, 35, 5},
 	}
 	for name, tt := range tests {
@@ -164,27 +164,27 @@
 		t.Fatal(err)
 	}
 	tests := map[string]struct {
-		step func(a *Book)
-		want State
+		step func(a *Table)
+		want LeaseState
 		free int
 	}{
-		"nothing":          {func(*Book) {}, Lapsed, 5},
-		"platform":         {func(a *Book) { a.Confirm(at(8), 2) }, Confirmed, 10},
-		"platform old":     {func(a *Book) { a.Confirm(at(7), 2) }, Lapsed, 5},
-		"platform newer":   {func(a *Book) { a.Confirm(at(8), 3) }, Lapsed, 5},
-		"all acks":         {func(a *Book) { a.Ack("b", 1, at(8), 2) }, Confirmed, 10},
-		"other process":    {func(a *Book) { a.Ack("b", 2, at(8), 2) }, Lapsed, 5},
-		"no line":          {func(a *Book) { a.SetRoster(at(8), without) }, None, 0},
-		"older roster":     {func(a *Book) { a.SetRoster(at(8), join(t, Roster{}, "b")) }, Lapsed, 5},
-		"new settings low": {func(a *Book) { a.SetSpecs(at(9), []Spec{{Key: key, Allowance: 4, Quota: 4}}) }, Lapsed, 2},
-		"drained":          {func(a *Book) { a.SetSpecs(at(9), []Spec{{Key: key, Allowance: 10, Quota: 10, Drained: true}}) }, Lapsed, 0},
+		"nothing":          {func(*Table) {}, LeaseExpired, 5},
+		"platform":         {func(a *Table) { a.Confirm(at(8), 2) }, LeaseConfirmed, 10},
+		"platform old":     {func(a *Table) { a.Confirm(at(7), 2) }, LeaseExpired, 5},
+		"platform newer":   {func(a *Table) { a.Confirm(at(8), 3) }, LeaseExpired, 5},
+		"all acks":         {func(a *Table) { a.RecordAck("b", 1, at(8), 2) }, LeaseConfirmed, 10},
+		"other process":    {func(a *Table) { a.RecordAck("b", 2, at(8), 2) }, LeaseExpired, 5},
+		"no line":          {func(a *Table) { a.SetRoster(at(8), without) }, LeaseNone, 0},
+		"older roster":     {func(a *Table) { a.SetRoster(at(8), join(t, Roster{}, "b")) }, LeaseExpired, 5},
+		"new settings low": {func(a *Table) { a.SetSpecs(at(9), []Spec{{Key: key, Allowance: 4, Quota: 4}}) }, LeaseExpired, 2},
+		"drained":          {func(a *Table) { a.SetSpecs(at(9), []Spec{{Key: key, Allowance: 10, Quota: 10, Drained: true}}) }, LeaseExpired, 0},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			a := bookOf(t, "a", key)
 			a.SetRoster(at(0), two)
 			tt.step(a)
-			if got := a.Tenure(at(10)); got != tt.want {
+			if got := a.LeaseState(at(10)); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 			if got := a.FreeService(at(10), service); got != tt.free {
@@ -267,7 +267,7 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if got := b.Spare(at(60)); got != 0 {
+	if got := b.FreeQuota(at(60)); got != 0 {
 		t.Errorf("got %d spare, want 0", got)
 	}
 }
--- a/internal/owner/slots.go
+++ b/internal/owner/slots.go
@@ -11,19 +11,19 @@
 
 // advance applies the changes that are due at now, and returns the state of the
 // ownership lease.
-func (t *Book) advance(now time.Time) State {
+func (t *Table) advance(now time.Time) LeaseState {
 	if !t.refreshAt.IsZero() && !now.Before(t.refreshAt) {
 		t.refresh(now)
 	}
-	return t.Tenure(now)
+	return t.LeaseState(now)
 }
 
 // freeQuota returns how much of the place's limit this instance has left.
-func (t *Book) freeQuota(s State) int {
+func (t *Table) freeQuota(s LeaseState) int {
 	switch s {
-	case Confirmed:
+	case LeaseConfirmed:
 		return max(t.budget-t.charged, 0)
-	case Lapsed:
+	case LeaseExpired:
 		return max(t.halfBudget-t.charged, 0)
 	default:
 		return 0
@@ -32,7 +32,7 @@
 
 // freeSlots returns how many slots of the target are free, regardless of the
 // place's limit.
-func (tgt *target) freeSlots(s State) int {
+func (tgt *target) freeSlots(s LeaseState) int {
 	if !tgt.owned || !tgt.configured || tgt.spec.Drained {
 		return 0
 	}
@@ -41,7 +41,7 @@
 
 // Free returns how many more requests may be sent to the target now. It is 0
 // for a target that this instance does not own.
-func (t *Book) Free(now time.Time, key TargetKey) int {
+func (t *Table) Free(now time.Time, key TargetKey) int {
 	s := t.advance(now)
 	tgt, ok := t.targets[key]
 	if !ok {
@@ -52,7 +52,7 @@
 
 // FreeService returns how many more requests of a service this instance may
 // send to its targets now.
-func (t *Book) FreeService(now time.Time, id settings.ServiceID) int {
+func (t *Table) FreeService(now time.Time, id settings.ServiceID) int {
 	s := t.advance(now)
 	free := 0
 	for _, tgt := range t.owned {
@@ -63,13 +63,13 @@
 	return min(free, t.freeQuota(s))
 }
 
-// Spare returns how many more requests, of all services together, the place's
+// FreeQuota returns how many more requests, of all services together, the place's
 // limit allows this instance now.
-func (t *Book) Spare(now time.Time) int { return t.freeQuota(t.advance(now)) }
+func (t *Table) FreeQuota(now time.Time) int { return t.freeQuota(t.advance(now)) }
 
-// Usable returns how many slots of a target this instance may fill now,
+// UsableSlots returns how many slots of a target this instance may fill now,
 // including those in use.
-func (t *Book) Usable(now time.Time, key TargetKey) int {
+func (t *Table) UsableSlots(now time.Time, key TargetKey) int {
 	s := t.advance(now)
 	tgt, ok := t.targets[key]
 	if !ok || !tgt.owned {
@@ -80,11 +80,11 @@
 
 // Take fills a slot of a target, or returns false if none is free. The request
 // must end, or be abandoned unsent, within the service's timeout from now.
-func (t *Book) Take(now time.Time, key TargetKey) bool {
+func (t *Table) Take(now time.Time, key TargetKey) bool {
 	if t.Free(now, key) == 0 {
 		return false
 	}
-	s := t.Tenure(now)
+	s := t.LeaseState(now)
 	tgt := t.targets[key]
 	c := t.charge(tgt, s)
 	tgt.inFlight++
@@ -97,7 +97,7 @@
 
 // charge returns the target whose quota a request at tgt uses: tgt itself if it has
 // quota left, otherwise the owned target that has the most.
-func (t *Book) charge(tgt *target, s State) *target {
+func (t *Table) charge(tgt *target, s LeaseState) *target {
 	if tgt.usableQuota(s) > tgt.charged {
 		return tgt
 	}
@@ -111,7 +111,7 @@
 }
 
 // check asserts that the slot just taken exceeds no limit.
-func (t *Book) check(tgt, c *target, s State) {
+func (t *Table) check(tgt, c *target, s LeaseState) {
 	t.cfg.Checks.Check(invariant.RegionLimit, tgt.inFlight+tgt.reservedSlots <= tgt.allowance, func() string {
 		return fmt.Sprintf("%v: %d in flight and %d reserved, allowance %d", tgt.key, tgt.inFlight, tgt.reservedSlots, tgt.allowance)
 	})
@@ -124,7 +124,7 @@
 }
 
 // Done frees a slot that Take filled.
-func (t *Book) Done(key TargetKey) {
+func (t *Table) Done(key TargetKey) {
 	tgt, ok := t.targets[key]
 	t.cfg.Checks.Check(invariant.RegionLimit, ok && tgt.inFlight > 0, func() string {
 		return fmt.Sprintf("%v: slot freed without a request in flight", key)
@@ -142,7 +142,7 @@
 }
 
 // InFlight returns how many requests this instance has in flight at a target.
-func (t *Book) InFlight(key TargetKey) int {
+func (t *Table) InFlight(key TargetKey) int {
 	if tgt, ok := t.targets[key]; ok {
 		return tgt.inFlight
 	}
@@ -151,7 +151,7 @@
 
 // Idle reports whether this instance has no requests in flight at any target.
 // If the roster marks it as leaving, it may then remove its own entry as clean.
-func (t *Book) Idle() bool {
+func (t *Table) Idle() bool {
 	for _, tgt := range t.sorted {
 		if tgt.inFlight > 0 {
 			return false
--- a/internal/owner/target.go
+++ b/internal/owner/target.go
@@ -54,18 +54,18 @@
 }
 
 // usableSlots returns how many slots this instance may fill, including those in use.
-func (tgt *target) usableSlots(s State) int { return usable(tgt.allowance, tgt.reservedSlots, s) }
+func (tgt *target) usableSlots(s LeaseState) int { return usable(tgt.allowance, tgt.reservedSlots, s) }
 
 // usableQuota returns how much of the place's limit the target gives its owner.
-func (tgt *target) usableQuota(s State) int { return usable(tgt.quota, tgt.reservedQuota, s) }
+func (tgt *target) usableQuota(s LeaseState) int { return usable(tgt.quota, tgt.reservedQuota, s) }
 
 // usable returns how much of a limit may be used beside what is reserved. While
 // the lease is expired, another instance may use all but half of the limit.
-func usable(limit, reserved int, s State) int {
+func usable(limit, reserved int, s LeaseState) int {
 	switch s {
-	case Confirmed:
+	case LeaseConfirmed:
 		return max(limit-reserved, 0)
-	case Lapsed:
+	case LeaseExpired:
 		return max(min(limit/2, limit-reserved), 0)
 	default:
 		return 0
--- a/internal/owner/tenure.go
+++ b/internal/owner/tenure.go
@@ -7,22 +7,22 @@
 	"github.com/juju/errors"
 )
 
-// State is the state of an instance's ownership lease. It determines how much
+// LeaseState is the state of an instance's ownership lease. It determines how much
 // the instance may use of the targets that it owns.
-type State int
+type LeaseState int
 
 // States of the ownership lease.
 const (
-	None      State = iota // the newest roster has no entry of this instance: it may only finish requests in flight
-	Lapsed                 // nothing confirms that the entry is still in the roster: half of each allowance
-	Confirmed              // the entry is confirmed: all of each allowance
+	LeaseNone      LeaseState = iota // the newest roster has no entry of this instance: it may only finish requests in flight
+	LeaseExpired                     // nothing confirms that the entry is still in the roster: half of each allowance
+	LeaseConfirmed                   // the entry is confirmed: all of each allowance
 )
 
-func (s State) String() string {
+func (s LeaseState) String() string {
 	switch s {
-	case Confirmed:
+	case LeaseConfirmed:
 		return "confirmed"
-	case Lapsed:
+	case LeaseExpired:
 		return "lapsed"
 	default:
 		return "none"
@@ -52,7 +52,7 @@
 
 // findPeer returns the state kept of an incarnation that may have ended, or nil.
 // What it reported about its requests in flight stays valid after its end.
-func (t *Book) findPeer(instance string, incarnation uint64) *peer {
+func (t *Table) findPeer(instance string, incarnation uint64) *peer {
 	if p, ok := t.peers[instance]; ok && p.incarnation == incarnation {
 		return p
 	}
@@ -60,7 +60,7 @@
 }
 
 // prunePrevious drops the state of ended incarnations without an entry in the roster.
-func (t *Book) prunePrevious() {
+func (t *Table) prunePrevious() {
 	inRoster := make(map[process]bool)
 	for _, s := range t.roster.spans() {
 		inRoster[process{s.Instance, s.Incarnation}] = true
@@ -70,7 +70,7 @@
 
 // peer returns the state kept for an incarnation, creating it if there is none,
 // or nil if a newer incarnation is known.
-func (t *Book) peer(instance string, incarnation uint64) *peer {
+func (t *Table) peer(instance string, incarnation uint64) *peer {
 	p, ok := t.peers[instance]
 	if ok && p.incarnation > incarnation {
 		return nil
@@ -87,17 +87,17 @@
 
 // Confirm records that the platform answered a read, sent at the given time,
 // with this roster version. If the roster is newer, pass it to SetRoster first.
-func (t *Book) Confirm(sent time.Time, version uint64) {
+func (t *Table) Confirm(sent time.Time, version uint64) {
 	if t.own.Instance == "" || version < t.own.Since || version > t.roster.Version {
 		return
 	}
 	t.platformUntil = later(t.platformUntil, sent.Add(t.cfg.Term))
 }
 
-// Ack records a peer's ack of a heartbeat that was sent at the given time;
+// RecordAck records a peer's ack of a heartbeat that was sent at the given time;
 // version is the peer's roster version. The ack commits the peer not to remove
 // this instance before Term after that time.
-func (t *Book) Ack(peer string, incarnation uint64, sent time.Time, version uint64) {
+func (t *Table) RecordAck(peer string, incarnation uint64, sent time.Time, version uint64) {
 	p := t.peer(peer, incarnation)
 	if p == nil {
 		return
@@ -110,7 +110,7 @@
 // MayAck decides whether to ack a heartbeat of a peer that has the given roster
 // version, and records the commitment that the ack makes. If it returns false,
 // no ack may be sent.
-func (t *Book) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
+func (t *Table) MayAck(now time.Time, peer string, incarnation, version uint64) bool {
 	t.observeIncarnation(now, peer, incarnation)
 	p := t.peer(peer, incarnation)
 	if p == nil {
@@ -126,20 +126,20 @@
 	return true
 }
 
-// Tenure returns the state of the ownership lease at now.
-func (t *Book) Tenure(now time.Time) State {
+// LeaseState returns the state of the ownership lease at now.
+func (t *Table) LeaseState(now time.Time) LeaseState {
 	switch {
 	case t.own.Instance == "":
-		return None
+		return LeaseNone
 	case now.Before(t.platformUntil), t.acked(now):
-		return Confirmed
+		return LeaseConfirmed
 	default:
-		return Lapsed
+		return LeaseExpired
 	}
 }
 
 // acked reports whether the last ack of every other member is still valid.
-func (t *Book) acked(now time.Time) bool {
+func (t *Table) acked(now time.Time) bool {
 	for _, m := range t.roster.Members {
 		if m.Instance == t.own.Instance {
 			continue
@@ -156,7 +156,7 @@
 // This instance's last ack to the peer must have expired, and the peer must have
 // a roster in which it needs this instance's ack or is no longer listed; or a
 // newer incarnation proves that the peer has ended.
-func (t *Book) Removable(now time.Time, peer string) bool {
+func (t *Table) Removable(now time.Time, peer string) bool {
 	m, ok := t.roster.Member(peer)
 	if !ok || t.own.Instance == "" || peer == t.own.Instance {
 		return false
@@ -176,7 +176,7 @@
 // Remove returns the roster without the peer, to be written at once. From now
 // on the peer gets no ack until a newer roster still lists it or the removal is
 // abandoned.
-func (t *Book) Remove(now time.Time, peer string) (Roster, error) {
+func (t *Table) Remove(now time.Time, peer string) (Roster, error) {
 	if !t.Removable(now, peer) {
 		return Roster{}, &NotRemovableError{Instance: peer}
 	}
@@ -191,17 +191,17 @@
 	return next, nil
 }
 
-// Undecided reports whether a write that removes the peer may still take effect.
+// RemovalPending reports whether a write that removes the peer may still take effect.
 // Until a newer roster is known, the peer gets no ack.
-func (t *Book) Undecided(peer string) bool {
+func (t *Table) RemovalPending(peer string) bool {
 	p, ok := t.peers[peer]
 	return ok && p.removing
 }
 
-// Abandon records that the write begun by Remove is proved not to have been
+// AbandonRemoval records that the write begun by Remove is proved not to have been
 // sent. A write with an uncertain outcome may still take effect and must not be
 // abandoned.
-func (t *Book) Abandon(peer string) {
+func (t *Table) AbandonRemoval(peer string) {
 	if p, ok := t.peers[peer]; ok {
 		p.removing = false
 	}
--- a/internal/queue/class.go
+++ b/internal/queue/class.go
@@ -2,26 +2,26 @@
 
 import "github.com/firlever/firlever/pkg/settings"
 
-// Way describes where an item may be served. Together with the service it
+// Placement describes where an item may be served. Together with the service it
 // determines whether the item could start now.
-type Way struct {
-	Shifted bool // its caller's home is another place, so the shift cap applies
-	Bound   bool // only targets that this instance owns may serve it
+type Placement struct {
+	Shifted        bool // its caller's home is another place, so the shift cap applies
+	OwnTargetsOnly bool // only targets that this instance owns may serve it
 }
 
-// Can reports whether a request of a service could start now.
-type Can func(service settings.ServiceID, way Way) bool
+// CanStart reports whether a request of a service could start now.
+type CanStart func(service settings.ServiceID, way Placement) bool
 
 // laneCount is the number of lanes of a service, one for each laneIndex.
 const laneCount = 4
 
 // laneIndex returns the index of the lane for w.
-func (w Way) laneIndex() int {
+func (w Placement) laneIndex() int {
 	n := 0
 	if w.Shifted {
 		n++
 	}
-	if w.Bound {
+	if w.OwnTargetsOnly {
 		n += 2
 	}
 	return n
@@ -44,17 +44,17 @@
 	return s
 }
 
-func (s *serviceQueue) lane(w Way) *lane { return &s.lanes[w.laneIndex()] }
+func (s *serviceQueue) lane(w Placement) *lane { return &s.lanes[w.laneIndex()] }
 
 // first returns the oldest item that could start now, or nil.
-func (s *serviceQueue) first(can Can) *entry {
+func (s *serviceQueue) first(can CanStart) *entry {
 	var oldest *entry
 	for i := range s.lanes {
 		e := s.lanes[i].head
 		if e == nil || oldest != nil && oldest.seq < e.seq {
 			continue
 		}
-		if can(s.service, e.item.Way) {
+		if can(s.service, e.item.Placement) {
 			oldest = e
 		}
 	}
@@ -70,7 +70,7 @@
 }
 
 // first returns the next item of the team that could start now, or nil.
-func (t *teamQueue) first(can Can) *entry {
+func (t *teamQueue) first(can CanStart) *entry {
 	for range t.queues.len() {
 		if e := t.queues.current().first(can); e != nil {
 			return e
@@ -109,7 +109,7 @@
 		c.services[id] = s
 		c.team(id.Team).queues.add(s)
 	}
-	s.lane(e.item.Way).push(e)
+	s.lane(e.item.Placement).push(e)
 	s.n++
 }
 
@@ -141,7 +141,7 @@
 
 // pop removes the next item that could start now, or returns nil. A team whose
 // service queues are all blocked loses its turn.
-func (c *class) pop(can Can, weight func(team string) int) *entry {
+func (c *class) pop(can CanStart, weight func(team string) int) *entry {
 	for range c.turns.len() {
 		t := c.turns.current()
 		if !t.quantumAdded {
--- a/internal/queue/item.go
+++ b/internal/queue/item.go
@@ -8,11 +8,11 @@
 
 // Item is all that the queue stores of a waiting request.
 type Item struct {
-	ID       uint64 // unique among the waiting items
-	Service  settings.ServiceID
-	Bulk     bool
-	Way      Way
-	Deadline time.Time // by which its answer must be complete
+	ID        uint64 // unique among the waiting items
+	Service   settings.ServiceID
+	Bulk      bool
+	Placement Placement
+	Deadline  time.Time // by which its answer must be complete
 }
 
 // VerdictKind is the outcome of Push.
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -130,7 +130,7 @@
 
 // Pop removes the next item that could start now. It calls can at most once for
 // each service, class and lane with waiting items.
-func (q *Queue) Pop(now time.Time, can Can) (Item, bool) {
+func (q *Queue) Pop(now time.Time, can CanStart) (Item, bool) {
 	q.expire(now)
 	classes := [...]*class{q.interactive, q.bulk}
 	if q.bulkSkips >= q.cfg.BulkEvery-1 {
@@ -220,7 +220,7 @@
 // Len returns how many items wait.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Wait predicts how long a new interactive request of a service would wait.
-func (q *Queue) Wait(now time.Time, service settings.ServiceID) time.Duration {
+// PredictWait predicts how long a new interactive request of a service would wait.
+func (q *Queue) PredictWait(now time.Time, service settings.ServiceID) time.Duration {
 	return q.estimator(now, service).wait(q.ahead(service, false))
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -16,16 +16,16 @@
 	b1    = settings.ServiceID{Team: "b", Name: "1"}
 )
 
-func always(settings.ServiceID, Way) bool { return true }
+func always(settings.ServiceID, Placement) bool { return true }
 
 func TestPopOrder(t *testing.T) {
-	all := func(settings.ServiceID, Way) bool { return true }
+	all := func(settings.ServiceID, Placement) bool { return true }
 	tests := map[string]struct {
 		items []Item
-		can   Can
+		can   CanStart
 		want  []uint64
 	}{
-		"first in first out": {[]Item{{Service: a1}, {Service: a1, Way: Way{Shifted: true}}, {Service: a1}}, all, []uint64{1, 2, 3}},
+		"first in first out": {[]Item{{Service: a1}, {Service: a1, Placement: Placement{Shifted: true}}, {Service: a1}}, all, []uint64{1, 2, 3}},
 		"interactive first":  {[]Item{{Service: a1, Bulk: true}, {Service: a1}, {Service: b1}}, all, []uint64{2, 3, 1}},
 		"bulk is one in 3": {
 			[]Item{{Service: a1, Bulk: true}, {Service: a1}, {Service: a1}, {Service: a1}, {Service: a1}},
@@ -39,12 +39,12 @@
 		},
 		"blocked service": {
 			[]Item{{Service: a1}, {Service: a1}, {Service: a2}, {Service: b1}},
-			func(s settings.ServiceID, _ Way) bool { return s != a1 },
+			func(s settings.ServiceID, _ Placement) bool { return s != a1 },
 			[]uint64{3, 4},
 		},
 		"blocked shift": {
-			[]Item{{Service: a1, Way: Way{Shifted: true}}, {Service: a1}},
-			func(_ settings.ServiceID, way Way) bool { return !way.Shifted },
+			[]Item{{Service: a1, Placement: Placement{Shifted: true}}, {Service: a1}},
+			func(_ settings.ServiceID, way Placement) bool { return !way.Shifted },
 			[]uint64{2},
 		},
 		"expired": {[]Item{{Service: a1, Deadline: start.Add(time.Second)}, {Service: a1}}, all, []uint64{2}},
@@ -216,7 +216,7 @@
 			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0, 1, 2:
 				it := Item{
-					ID: id, Service: service, Bulk: rapid.Bool().Draw(t, "bulk"), Way: Way{Shifted: rapid.Bool().Draw(t, "shifted"), Bound: rapid.Bool().Draw(t, "bound")},
+					ID: id, Service: service, Bulk: rapid.Bool().Draw(t, "bulk"), Placement: Placement{Shifted: rapid.Bool().Draw(t, "shifted"), OwnTargetsOnly: rapid.Bool().Draw(t, "bound")},
 					Deadline: now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond),
 				}
 				if v := q.Push(now, it); v.Kind == VerdictQueued {
@@ -226,7 +226,9 @@
 				}
 			case 3:
 				blocked := rapid.SampledFrom(services).Draw(t, "blocked")
-				can := func(s settings.ServiceID, way Way) bool { return s != blocked || !way.Shifted && !way.Bound }
+				can := func(s settings.ServiceID, way Placement) bool {
+					return s != blocked || !way.Shifted && !way.OwnTargetsOnly
+				}
 				got, ok := q.Pop(now, can)
 				for _, it := range q.Expire(now) {
 					leave(it)
@@ -235,12 +237,12 @@
 					leave(got)
 				}
 				for _, it := range waiting {
-					same := it.Service == got.Service && it.Bulk == got.Bulk && it.Way == got.Way
-					if !ok && can(it.Service, it.Way) || ok && same && it.ID < got.ID {
+					same := it.Service == got.Service && it.Bulk == got.Bulk && it.Placement == got.Placement
+					if !ok && can(it.Service, it.Placement) || ok && same && it.ID < got.ID {
 						t.Fatalf("got %v %+v while %+v could start", ok, got, it)
 					}
 				}
-				if ok && (!can(got.Service, got.Way) || !now.Before(got.Deadline)) {
+				if ok && (!can(got.Service, got.Placement) || !now.Before(got.Deadline)) {
 					t.Fatalf("got %+v at %v, want one that may start", got, now)
 				}
 			case 4:
--- a/internal/queue/station_test.go
+++ b/internal/queue/station_test.go
@@ -59,7 +59,7 @@
 func TestRateCountsOnlyWhileItemsWait(t *testing.T) {
 	q, now := busyQueue(0) // ten per second: the arrival rate, not the capacity
 	q.Push(now, Item{ID: 1, Service: a1, Deadline: now.Add(time.Hour)})
-	if got := q.Wait(now, a1); got != 0 {
+	if got := q.PredictWait(now, a1); got != 0 {
 		t.Errorf("got a wait of %v, want none before a rate was measured", got)
 	}
 }
@@ -68,7 +68,7 @@
 	q, now := busyQueue(1)
 	now = now.Add(time.Minute) // no completion
 	q.Cancel(now, 1)
-	if got := q.Wait(now, a1); got != 0 {
+	if got := q.PredictWait(now, a1); got != 0 {
 		t.Errorf("got a wait of %v, want none", got)
 	}
 }
--- a/internal/shift/ahead.go
+++ b/internal/shift/ahead.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Ahead returns how many shifted requests the cap certainly admits from now
+// AdmittableUntil returns how many shifted requests the cap certainly admits from now
 // until end, which is at most a window away, whether they all arrive in the
 // current window, all in the next, or some in each.
-func (r *Ramp) Ahead(now, end time.Time) int {
+func (r *Ramp) AdmittableUntil(now, end time.Time) int {
 	now = r.advance(now)
 	w := r.window
 	if !end.After(w.end()) {
--- a/internal/shift/ahead_test.go
+++ b/internal/shift/ahead_test.go
@@ -23,7 +23,7 @@
 			r.Admit(now)
 		}
 		end := now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * time.Millisecond)
-		n := r.Ahead(now, end)
+		n := r.AdmittableUntil(now, end)
 		if got := admitAll(*r, now, end); got < n {
 			t.Fatalf("got %d admitted at once, want at least %d", got, n)
 		}
@@ -61,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			r, _ := New(Config{})
 			r.SetCap(start.Add(-2*time.Second), Cap{Version: 1, Shares: Divide(60, []int{1})})
-			if got := r.Ahead(start.Add(tt.now), start.Add(tt.end)); got != tt.want {
+			if got := r.AdmittableUntil(start.Add(tt.now), start.Add(tt.end)); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
 		})
--- a/internal/shift/ramp.go
+++ b/internal/shift/ramp.go
@@ -43,7 +43,7 @@
 	Budget   int    // the most that may be admitted in this window
 	Admitted int    // admitted in this window
 	Total    uint64 // admitted since the start
-	Held     uint64 // refusals of Admit since the start
+	Refused  uint64 // refusals of Admit since the start
 }
 
 // Ramp limits the shifted requests of one service at one owner.
@@ -87,8 +87,8 @@
 	r.window.budget = min(r.window.budget, r.window.previous+r.growth(r.window.number))
 }
 
-// Room returns how many shifted requests may be admitted at now.
-func (r *Ramp) Room(now time.Time) int {
+// Free returns how many shifted requests may be admitted at now.
+func (r *Ramp) Free(now time.Time) int {
 	now = r.advance(now)
 	return r.window.fit(now, now.Add(1), r.cfg.Burst)
 }
@@ -117,7 +117,7 @@
 	r.advance(now)
 	return Counts{
 		Version: r.cap.Version, Window: r.window.number, Before: r.window.previous,
-		Budget: r.window.budget, Admitted: r.window.admitted, Total: r.total, Held: r.refused,
+		Budget: r.window.budget, Admitted: r.window.admitted, Total: r.total, Refused: r.refused,
 	}
 }
 
--- a/internal/shift/ramp_test.go
+++ b/internal/shift/ramp_test.go
@@ -139,7 +139,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := newRamp(t, Cap{Version: 1, Shares: tt.shares})
-			got := r.Wait(begin, begin.Add(tt.by), tt.ahead)
+			got := r.Decide(begin, begin.Add(tt.by), tt.ahead)
 			if got.Action != tt.want {
 				t.Errorf("got %v at %v, want %v", got.Action, got.At, tt.want)
 			}
@@ -192,7 +192,7 @@
 	n := 0
 	for _, r := range owners {
 		for range rapid.IntRange(0, 40).Draw(t, "asked") {
-			free, at := r.Room(now), r.RetryAt(now)
+			free, at := r.Free(now), r.RetryAt(now)
 			ok := r.Admit(now)
 			if ok != (free > 0) || ok != at.Equal(now) {
 				t.Fatalf("admitted %v with %d free and the next at %v", ok, free, at)
--- a/internal/shift/wait.go
+++ b/internal/shift/wait.go
@@ -31,18 +31,18 @@
 	At     time.Time // when the cap admits it; zero if it never does
 }
 
-// Wait decides about a shifted request that must start before deadline, with
+// Decide decides about a shifted request that must start before deadline, with
 // the given number of shifted requests queued ahead of it. A request that the
 // cap can't admit in time is refused at once, while the caller can still go
 // elsewhere.
-func (r *Ramp) Wait(now, deadline time.Time, ahead int) Verdict {
+func (r *Ramp) Decide(now, deadline time.Time, ahead int) Verdict {
 	at := r.admitAt(now, ahead+1)
 	switch {
 	case at.IsZero():
 		return Verdict{Action: Refuse}
 	case !at.Before(deadline):
 		return Verdict{Action: Refuse, At: at}
-	case ahead == 0 && r.Room(now) > 0:
+	case ahead == 0 && r.Free(now) > 0:
 		return Verdict{Action: Serve, At: at}
 	default:
 		return Verdict{Action: Queue, At: at}
