--- a/cmd/firlever/serve.go
+++ b/cmd/firlever/serve.go
@@ -82,7 +82,7 @@
 	}
 	cfg.Log = logger.With("instance", cfg.ID)
 	cfg.Metrics = metrics.New()
-	cfg.Load = overload.NewMeter(0)
+	cfg.Overload = overload.NewMeter(0)
 	cfg.Checks = invariant.New(func(name invariant.Name, detail string) {
 		cfg.Log.Error("invariant violated", "name", name, "detail", detail)
 	})
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -70,7 +70,7 @@
 	x.s.recordDecision(x.req, d)
 	switch d := d.(type) {
 	case core.Serve:
-		t := attempt{deadline: d.Deadline, detached: d.Detached, home: d.Home, linkRate: d.AnswerRate, target: d.Target, connEnd: make(chan targets.End, 1)}
+		t := attempt{deadline: d.Deadline, detached: d.Detached, home: d.Home, linkRate: d.AnswerRate, target: d.Target, connEnd: make(chan targets.ConnEnd, 1)}
 		return x.send(t, x.outgoing(t, d.Address, ""), x.handleTargetAnswer)
 	case core.HandOff:
 		t := attempt{deadline: d.Deadline, detached: d.Detached, home: d.Home, toPeer: true, linkRate: d.AnswerRate, uploadRate: d.UploadRate}
@@ -102,8 +102,8 @@
 	ctx        context.Context // done when the attempt ends
 	reqBody    *attemptBody
 
-	target  owner.TargetKey  // zero for a peer
-	connEnd chan targets.End // how the target closed the connection of an aborted attempt; nil for a peer
+	target  owner.TargetKey      // zero for a peer
+	connEnd chan targets.ConnEnd // how the target closed the connection of an aborted attempt; nil for a peer
 }
 
 // outgoing builds the request for a target, or for a peer if prefix isn't empty.
@@ -208,18 +208,18 @@
 }
 
 // onConnEnd returns the callback that receives how the attempt's connection ended; nil for a peer.
-func (t attempt) onConnEnd() func(end targets.End) {
+func (t attempt) onConnEnd() func(end targets.ConnEnd) {
 	if t.connEnd == nil {
 		return nil
 	}
-	return func(end targets.End) { t.connEnd <- end }
+	return func(end targets.ConnEnd) { t.connEnd <- end }
 }
 
 // awaitConnEnd reports to the node that the target has closed the connection of an aborted attempt.
 func (s *Server) awaitConnEnd(id core.ID, t attempt) {
 	select {
 	case end := <-t.connEnd:
-		if end != targets.Unnoticed {
+		if end != targets.CloseTimedOut {
 			s.dispatcher.Step(core.ConnectionEnded{ID: id, Target: t.target, Reset: end == targets.Reset})
 		}
 	case <-time.After(connEndTimeout): // the node has already released the slot
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -252,7 +252,7 @@
 	}
 	n.targetResponded(now, ev.Target, ev.Sent)
 	n.reports[ev.Target] = ev.Busy
-	s.health.Claim(now, ev.Target, ev.Healthy, ev.Slots, ev.Busy)
+	s.health.RecordReport(now, ev.Target, ev.Healthy, ev.Slots, ev.Busy)
 	s.health.Probed(now, ev.Target, ev.Healthy)
 	n.serveQueue(now)
 }
--- a/internal/core/outcome.go
+++ b/internal/core/outcome.go
@@ -158,14 +158,14 @@
 // mayRetry consults the retry policy. Only the instance that the caller asked retries.
 func (n *Node) mayRetry(now time.Time, f *inFlight, proof bool) bool {
 	d := n.retry.Decide(now, retry.Attempt{
-		Idempotent: f.idempotent,
-		NotRun:     proof,
-		Handed:     f.origin == FromPeer,
-		Streamed:   !f.req.Replayable,
-		Tried:      f.attempts,
-		Targets:    n.otherCandidates(now, f),
-		Expected:   now,
-		Deadline:   f.req.Deadline,
+		Idempotent:     f.idempotent,
+		NotRun:         proof,
+		HandedOff:      f.origin == FromPeer,
+		Streamed:       !f.req.Replayable,
+		AttemptsMade:   f.attempts,
+		UntriedTargets: n.otherCandidates(now, f),
+		Expected:       now,
+		Deadline:       f.req.Deadline,
 	}, n.state(now, f.req.Service).budget)
 	return d.Retry()
 }
--- a/internal/core/service.go
+++ b/internal/core/service.go
@@ -13,7 +13,7 @@
 // serviceState is the state of one service, kept across snapshots.
 type serviceState struct {
 	ramp    *shift.Ramp
-	health  *health.Book[owner.TargetKey] // of the service's targets in this place
+	health  *health.Tracker[owner.TargetKey] // of the service's targets in this place
 	budget  *retry.Budget
 	shares  map[owner.TargetKey]shift.Share // each target's share of the shift cap
 	limits  map[owner.TargetKey]int         // each target's allowance
@@ -74,7 +74,7 @@
 	shares := make([]shift.Share, 0, len(s.keys))
 	for _, key := range s.keys {
 		usable, limit := n.owners.UsableSlots(now, key), s.limits[key]
-		s.health.Own(key, usable > 0 || n.baseline())
+		s.health.SetOwned(key, usable > 0 || n.baseline())
 		if usable == 0 || limit == 0 {
 			continue
 		}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -95,7 +95,7 @@
 	}
 	for _, s := range result.Services {
 		for _, e := range s.Errors {
-			lost := e.Word == caller.ReasonLost || e.Word == reasonIncomplete
+			lost := e.Text == caller.ReasonLost || e.Text == reasonIncomplete
 			r.f.observerChecks.Check(invariant.GracefulStop, !lost, func() string { return s.Name + " lost answers" })
 		}
 	}
--- a/internal/health/book.go
+++ b/internal/health/book.go
@@ -41,8 +41,8 @@
 	Aged    State = "aged"    // raised because nothing was observed for a long time
 )
 
-// Book tracks the health of targets.
-type Book[K comparable] struct {
+// Tracker tracks the health of targets.
+type Tracker[K comparable] struct {
 	cfg     Config
 	compare func(a, b K) int
 	rng     *rand.Rand
@@ -52,17 +52,17 @@
 
 // New returns a Book without targets. compare orders the keys. It returns a *ConfigError if
 // cfg is invalid.
-func New[K comparable](cfg Config, compare func(a, b K) int, rng *rand.Rand) (*Book[K], error) {
+func New[K comparable](cfg Config, compare func(a, b K) int, rng *rand.Rand) (*Tracker[K], error) {
 	cfg.Defaults()
 	if err := cfg.Validate(); err != nil {
 		return nil, errors.Annotate(err, "health.New")
 	}
-	return &Book[K]{cfg: cfg, compare: compare, rng: rng}, nil
+	return &Tracker[K]{cfg: cfg, compare: compare, rng: rng}, nil
 }
 
 // Add adds a target, if it isn't there yet. A warm target is known to have served requests
 // lately; others start cold, with one slot.
-func (b *Book[K]) Add(now time.Time, key K, warm bool) {
+func (b *Tracker[K]) Add(now time.Time, key K, warm bool) {
 	b.followClock(now)
 	i, ok := b.find(key)
 	if ok {
@@ -77,7 +77,7 @@
 }
 
 // Remove removes a target.
-func (b *Book[K]) Remove(key K) {
+func (b *Tracker[K]) Remove(key K) {
 	if i, ok := b.find(key); ok {
 		b.targets = slices.Delete(b.targets, i, i+1)
 	}
@@ -85,7 +85,7 @@
 
 // Observe records the outcome of one of the owner's own requests or probes. latency is used
 // only for OK.
-func (b *Book[K]) Observe(now time.Time, key K, o Outcome, latency time.Duration) {
+func (b *Tracker[K]) Observe(now time.Time, key K, o Outcome, latency time.Duration) {
 	t := b.get(now, key)
 	if t == nil {
 		return
@@ -105,7 +105,7 @@
 
 // Probed records the result of GET /health. For an ejected target whose ejection time has
 // passed, it ends or renews the ejection; it has no effect on other targets.
-func (b *Book[K]) Probed(now time.Time, key K, healthy bool) {
+func (b *Tracker[K]) Probed(now time.Time, key K, healthy bool) {
 	t := b.get(now, key)
 	if t == nil || !t.ejected || now.Before(t.ejectedUntil) {
 		return
@@ -117,17 +117,17 @@
 	b.Observe(now, key, outcome, t.latency)
 }
 
-// Own sets whether this instance uses a target. Targets that are added count as used. Only
+// SetOwned sets whether this instance uses a target. Targets that are added count as used. Only
 // used targets count for the bound on ejections.
-func (b *Book[K]) Own(key K, own bool) {
+func (b *Tracker[K]) SetOwned(key K, own bool) {
 	if i, ok := b.find(key); ok {
 		b.targets[i].notOwned = !own
 	}
 }
 
-// Claim records a target's report about itself. It only lowers the weight, while no own
+// RecordReport records a target's report about itself. It only lowers the weight, while no own
 // observation is recent; it neither ejects a target nor ends an ejection.
-func (b *Book[K]) Claim(now time.Time, key K, healthy bool, slots, busy int) {
+func (b *Tracker[K]) RecordReport(now time.Time, key K, healthy bool, slots, busy int) {
 	t := b.get(now, key)
 	if t == nil {
 		return
@@ -138,7 +138,7 @@
 
 // Weight returns how many slots of a target may be used now, 0 to allowance. It stores the
 // allowance as the limit to which a cold target grows.
-func (b *Book[K]) Weight(now time.Time, key K, allowance int) int {
+func (b *Tracker[K]) Weight(now time.Time, key K, allowance int) int {
 	t := b.get(now, key)
 	if t == nil || allowance <= 0 {
 		return 0
@@ -149,7 +149,7 @@
 }
 
 // State returns the basis of a target's weight, for log lines.
-func (b *Book[K]) State(now time.Time, key K) State {
+func (b *Tracker[K]) State(now time.Time, key K) State {
 	t := b.get(now, key)
 	if t == nil {
 		return Unknown
@@ -159,7 +159,7 @@
 }
 
 // Latency returns the recent average latency of a target's answers, 0 before the first.
-func (b *Book[K]) Latency(key K) time.Duration {
+func (b *Tracker[K]) Latency(key K) time.Duration {
 	if i, ok := b.find(key); ok {
 		return b.targets[i].latency
 	}
@@ -169,7 +169,7 @@
 // ProbesDue returns the ejected targets to probe now, each by one real idempotent request
 // or by GET /health, in the order of the keys. The result must be passed to Observe or
 // Probed. A target is returned again if none was in time.
-func (b *Book[K]) ProbesDue(now time.Time) []K {
+func (b *Tracker[K]) ProbesDue(now time.Time) []K {
 	b.followClock(now)
 	var keys []K
 	for _, t := range b.targets {
@@ -182,14 +182,14 @@
 	return keys
 }
 
-func (b *Book[K]) find(key K) (int, bool) {
+func (b *Tracker[K]) find(key K) (int, bool) {
 	return slices.BinarySearchFunc(b.targets, key, func(t *target[K], key K) int {
 		return b.compare(t.key, key)
 	})
 }
 
 // get returns the target of key at now, or nil if it was not added.
-func (b *Book[K]) get(now time.Time, key K) *target[K] {
+func (b *Tracker[K]) get(now time.Time, key K) *target[K] {
 	b.followClock(now)
 	i, ok := b.find(key)
 	if !ok {
@@ -199,7 +199,7 @@
 }
 
 // followClock moves all deadlines back if the clock was set back by more than maxClockStep.
-func (b *Book[K]) followClock(now time.Time) {
+func (b *Tracker[K]) followClock(now time.Time) {
 	back := now.Sub(b.latest)
 	if !b.latest.IsZero() && back < -maxClockStep {
 		for _, t := range b.targets {
--- a/internal/health/figures_test.go
+++ b/internal/health/figures_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-func leastSlots(book *Book[int]) int {
+func leastSlots(book *Tracker[int]) int {
 	least := 10 * allowance
 	for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
 		now, sum := begin.Add(at), 0
@@ -55,7 +55,7 @@
 	}
 }
 
-func coldLatencies(book *Book[int]) []time.Duration {
+func coldLatencies(book *Tracker[int]) []time.Duration {
 	type request struct{ from, done time.Time }
 	var inFlight []request
 	var took []time.Duration
--- a/internal/health/weight.go
+++ b/internal/health/weight.go
@@ -6,7 +6,7 @@
 )
 
 // usable returns how many slots of t may be used now, and why.
-func (b *Book[K]) usable(now time.Time, t *target[K]) (int, State) {
+func (b *Tracker[K]) usable(now time.Time, t *target[K]) (int, State) {
 	n, state := b.measured(now, t)
 	steps := t.agingSteps(now, b.cfg.Age)
 	if steps > 0 && n < t.limit() {
@@ -16,7 +16,7 @@
 }
 
 // measured returns what the observations allow, whatever their age.
-func (b *Book[K]) measured(now time.Time, t *target[K]) (int, State) {
+func (b *Tracker[K]) measured(now time.Time, t *target[K]) (int, State) {
 	if t.ejected {
 		return b.ejectedSlots(t)
 	}
@@ -35,7 +35,7 @@
 
 // ejectedSlots returns the usable slots of an ejected target: none, unless too many targets
 // are ejected and this is one of those that failed least.
-func (b *Book[K]) ejectedSlots(t *target[K]) (int, State) {
+func (b *Tracker[K]) ejectedSlots(t *target[K]) (int, State) {
 	ejectedCount, failedLess, own := 0, 0, 0
 	for _, other := range b.targets {
 		if other.notOwned {
@@ -58,7 +58,7 @@
 
 // maxEjected returns how many of this instance's own targets may be ejected at one time. It
 // is rounded up if other instances use some of the service's targets too.
-func (b *Book[K]) maxEjected(own int) int {
+func (b *Tracker[K]) maxEjected(own int) int {
 	if own < len(b.targets) {
 		return (own*b.cfg.Floor + 99) / 100
 	}
@@ -66,7 +66,7 @@
 }
 
 // worse reports whether t failed more than other, both being ejected.
-func (b *Book[K]) worse(t, other *target[K]) bool {
+func (b *Tracker[K]) worse(t, other *target[K]) bool {
 	return cmp.Or(
 		cmp.Compare(t.failureRate, other.failureRate),
 		cmp.Compare(t.ejections, other.ejections),
@@ -76,7 +76,7 @@
 
 // recordSignal records that an observation or report of t has arrived. A weight that has
 // aged is kept, so that it doesn't fall back; a target that was idle starts cold.
-func (b *Book[K]) recordSignal(now time.Time, t *target[K]) {
+func (b *Tracker[K]) recordSignal(now time.Time, t *target[K]) {
 	idle := !now.Before(t.coldAt)
 	switch {
 	case t.agingSteps(now, b.cfg.Age) > 0:
@@ -92,7 +92,7 @@
 
 // recordSuccess records an answer. It ends the ejection of a target once the ejection time
 // has passed; before that it changes only the latency and the failure rate.
-func (b *Book[K]) recordSuccess(now time.Time, t *target[K], latency time.Duration) {
+func (b *Tracker[K]) recordSuccess(now time.Time, t *target[K], latency time.Duration) {
 	t.recordOutcome(false)
 	if t.latency == 0 {
 		t.latency = latency
@@ -112,7 +112,7 @@
 
 // recordFailure records a failure. Late failures of requests sent before an ejection don't
 // prolong it.
-func (b *Book[K]) recordFailure(now time.Time, t *target[K]) {
+func (b *Tracker[K]) recordFailure(now time.Time, t *target[K]) {
 	t.recordOutcome(true)
 	switch {
 	case t.ejected && now.Before(t.ejectedUntil):
@@ -123,7 +123,7 @@
 
 // mustEject reports whether a target must be ejected. One whose ejection ended and that is
 // not warm again is ejected by its first failure.
-func (b *Book[K]) mustEject(t *target[K]) bool {
+func (b *Tracker[K]) mustEject(t *target[K]) bool {
 	if t.ejections > 0 && !t.warm() {
 		return true
 	}
@@ -134,7 +134,7 @@
 }
 
 // eject ejects t for twice as long as the last time, up to Config.Most.
-func (b *Book[K]) eject(now time.Time, t *target[K]) {
+func (b *Tracker[K]) eject(now time.Time, t *target[K]) {
 	d := b.cfg.Eject
 	for range t.ejections {
 		d = min(2*d, b.cfg.Most)
--- a/internal/instance/config.go
+++ b/internal/instance/config.go
@@ -42,14 +42,14 @@
 	Policy     core.Policy
 	Seed       uint64 // seed of random choices; 0 draws a random one
 
-	Store   docstore.Store                                      // required
-	Dial    targets.Dial                                        // dials targets and peers; nil for the standard dialer
-	Packet  func(address string) (net.PacketConn, error)        // opens the peers' UDP socket; nil for net.ListenPacket
-	Listen  func(network, address string) (net.Listener, error) // opens the TCP sockets; nil for net.Listen
-	Checks  *invariant.Counter                                  // nil creates one
-	Metrics *metrics.Set                                        // nil disables metrics
-	Log     *log.Logger                                         // nil disables logging
-	Load    *overload.Meter                                     // load of this process; nil disables load shedding
+	Store    docstore.Store                                      // required
+	Dial     targets.Dial                                        // dials targets and peers; nil for the standard dialer
+	Packet   func(address string) (net.PacketConn, error)        // opens the peers' UDP socket; nil for net.ListenPacket
+	Listen   func(network, address string) (net.Listener, error) // opens the TCP sockets; nil for net.Listen
+	Checks   *invariant.Counter                                  // nil creates one
+	Metrics  *metrics.Set                                        // nil disables metrics
+	Log      *log.Logger                                         // nil disables logging
+	Overload *overload.Meter                                     // load of this process; nil disables load shedding
 }
 
 // Defaults sets the zero fields that have a default.
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -146,7 +146,7 @@
 	in.docs = newDocuments(in.cfg.Checks, in.cfg.Log, in.applySnapshot)
 	in.server = callers.New(callers.Config{
 		Instance: in.cfg.ID, Callers: in.cfg.AdvertiseCallers, Checks: in.cfg.Checks, Log: in.cfg.Log,
-		Metrics: in.cfg.Metrics, Load: in.cfg.Load,
+		Metrics: in.cfg.Metrics, Load: in.cfg.Overload,
 	}, in.dispatcher, in.client)
 	if in.members, err = newGossip(in); err != nil {
 		return err
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	got := core.Probed{Target: p.Target, Sent: p.Sent}
-	if p.NewConnection && errors.Is(in.client.Reach(ctx, p.Address), syscall.ECONNREFUSED) {
+	if p.NewConnection && errors.Is(in.client.CheckConnection(ctx, p.Address), syscall.ECONNREFUSED) {
 		got.Err, got.Refused = true, true
 		return got
 	}
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -44,7 +44,7 @@
 // Reason counts the requests that ended without an answer for one reason.
 type Reason struct {
 	Outcome Outcome `json:"outcome"`
-	Word    string  `json:"reason"`
+	Text    string  `json:"reason"`
 	Count   uint64  `json:"count"`
 }
 
@@ -114,7 +114,7 @@
 func (r *Report) writeNotes(w io.Writer) error {
 	for _, s := range r.Services {
 		for _, e := range s.Errors {
-			fmt.Fprintf(w, "%s: %s, %s: %d\n", s.Name, e.Outcome, e.Word, e.Count)
+			fmt.Fprintf(w, "%s: %s, %s: %d\n", s.Name, e.Outcome, e.Text, e.Count)
 		}
 		for _, wrong := range s.Wrongs {
 			fmt.Fprintf(w, "%s: wrong answer: %s\n", s.Name, wrong)
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -103,7 +103,7 @@
 	if a.Name != "t/a" || a.P50 != 10.007 && a.P50 != 10 || a.Wrong != 1 || a.Places[0].Answered != a.Answered-1 {
 		t.Errorf("got %+v", a)
 	}
-	want := []Reason{{Outcome: Refused, Word: "busy", Count: b.Requests}}
+	want := []Reason{{Outcome: Refused, Text: "busy", Count: b.Requests}}
 	if b.Answered != 0 || !slices.Equal(b.Errors, want) {
 		t.Errorf("got %+v, want errors %+v", b, want)
 	}
--- a/internal/load/tables.go
+++ b/internal/load/tables.go
@@ -54,7 +54,7 @@
 		s.wrongAnswers = append(s.wrongAnswers, r.Wrong.Error())
 	}
 	if r.Outcome != Answered {
-		s.reasons[Reason{Outcome: r.Outcome, Word: r.Reason}]++
+		s.reasons[Reason{Outcome: r.Outcome, Text: r.Reason}]++
 		return
 	}
 	us := min(max(took, time.Microsecond), maxLatency).Microseconds()
@@ -92,7 +92,7 @@
 		r.Errors = append(r.Errors, reason)
 	}
 	slices.SortFunc(r.Errors, func(a, b Reason) int {
-		return cmp.Or(cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Word, b.Word))
+		return cmp.Or(cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(a.Text, b.Text))
 	})
 	for place, n := range s.places {
 		r.Places = append(r.Places, Place{Name: place, Answered: n})
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -23,14 +23,14 @@
 
 // Attempt describes a request whose last attempt failed or is still in flight.
 type Attempt struct {
-	Idempotent bool
-	NotRun     bool      // proof that it did not run: connection refused, no byte sent, or a refusal by the target
-	Handed     bool      // it came from another instance, which alone retries it
-	Streamed   bool      // its body can't be sent again, or its answer has begun to be sent on
-	Tried      int       // attempts so far
-	Targets    int       // targets with free slots that it wasn't sent to
-	Expected   time.Time // expected time of the answer to another attempt that starts now
-	Deadline   time.Time // deadline of the caller
+	Idempotent     bool
+	NotRun         bool      // proof that it did not run: connection refused, no byte sent, or a refusal by the target
+	HandedOff      bool      // it came from another instance, which alone retries it
+	Streamed       bool      // its body can't be sent again, or its answer has begun to be sent on
+	AttemptsMade   int       // attempts so far
+	UntriedTargets int       // targets with free slots that it wasn't sent to
+	Expected       time.Time // expected time of the answer to another attempt that starts now
+	Deadline       time.Time // deadline of the caller
 }
 
 // Decision is the decision about another attempt, with its reason.
@@ -81,15 +81,15 @@
 // Reason.
 func (p Policy) denyReason(now time.Time, a Attempt) Reason {
 	switch {
-	case a.Handed:
+	case a.HandedOff:
 		return HandedOff
 	case a.Streamed:
 		return Streamed
 	case !a.Idempotent && !a.NotRun:
 		return NotIdempotent
-	case a.Tried >= p.cfg.Attempts:
+	case a.AttemptsMade >= p.cfg.Attempts:
 		return Attempts
-	case a.Targets <= 0:
+	case a.UntriedTargets <= 0:
 		return NoTarget
 	case !now.Before(a.Deadline) || a.Expected.After(a.Deadline):
 		return Deadline
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -13,7 +13,7 @@
 
 func TestDecide(t *testing.T) {
 	good := Attempt{
-		Idempotent: true, Tried: 1, Targets: 1,
+		Idempotent: true, AttemptsMade: 1, UntriedTargets: 1,
 		Expected: begin.Add(time.Second), Deadline: begin.Add(time.Second),
 	}
 	tests := map[string]struct {
@@ -22,12 +22,12 @@
 		want   Reason
 	}{
 		"again":          {func(*Attempt) {}, tokensPerRetry, Again},
-		"handed":         {func(a *Attempt) { a.Handed = true }, tokensPerRetry, HandedOff},
+		"handed":         {func(a *Attempt) { a.HandedOff = true }, tokensPerRetry, HandedOff},
 		"streamed":       {func(a *Attempt) { a.Streamed = true }, tokensPerRetry, Streamed},
 		"not idempotent": {func(a *Attempt) { a.Idempotent = false }, tokensPerRetry, NotIdempotent},
 		"proof":          {func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, tokensPerRetry, Again},
-		"attempts":       {func(a *Attempt) { a.Tried = DefaultAttempts }, tokensPerRetry, Attempts},
-		"no target":      {func(a *Attempt) { a.Targets = 0 }, tokensPerRetry, NoTarget},
+		"attempts":       {func(a *Attempt) { a.AttemptsMade = DefaultAttempts }, tokensPerRetry, Attempts},
+		"no target":      {func(a *Attempt) { a.UntriedTargets = 0 }, tokensPerRetry, NoTarget},
 		"too late":       {func(a *Attempt) { a.Expected = a.Deadline.Add(1) }, tokensPerRetry, Deadline},
 		"past":           {func(a *Attempt) { a.Deadline, a.Expected = begin, begin }, tokensPerRetry, Deadline},
 		"no budget":      {func(*Attempt) {}, tokensPerRetry - 1, NoBudget},
@@ -71,7 +71,7 @@
 			if tt.spent {
 				b.Spend(begin)
 			}
-			a := Attempt{Idempotent: tt.idempotent, NotRun: true, Targets: 1, Deadline: tt.deadline}
+			a := Attempt{Idempotent: tt.idempotent, NotRun: true, UntriedTargets: 1, Deadline: tt.deadline}
 			if at, got := p.HedgeAt(begin, a, slow, tt.samples, b); got != tt.want || got && !at.Equal(slow) {
 				t.Errorf("got %v at %v, want %v", got, at, tt.want)
 			}
@@ -150,15 +150,15 @@
 	b, _ := NewBudget(begin, Config{})
 	for i := range 60_000 {
 		now := begin.Add(time.Duration(i) * time.Millisecond)
-		a := Attempt{Idempotent: true, Targets: 3, Expected: now, Deadline: now.Add(time.Second)}
+		a := Attempt{Idempotent: true, UntriedTargets: 3, Expected: now, Deadline: now.Add(time.Second)}
 		for b.Request(now); ; {
 			attempts++
-			a.Tried++
+			a.AttemptsMade++
 			if rng.Float64() >= fail {
 				answered++
 				break
 			}
-			if budget && !p.Decide(now, a, b).Retry() || a.Tried == DefaultAttempts {
+			if budget && !p.Decide(now, a, b).Retry() || a.AttemptsMade == DefaultAttempts {
 				break
 			}
 		}
--- a/internal/targets/client.go
+++ b/internal/targets/client.go
@@ -45,9 +45,9 @@
 	transport *http.Transport
 }
 
-// Reach opens a connection to an address and closes it. Its error shows whether the address
+// CheckConnection opens a connection to an address and closes it. Its error shows whether the address
 // accepts connections.
-func (c *Client) Reach(ctx context.Context, address string) error {
+func (c *Client) CheckConnection(ctx context.Context, address string) error {
 	conn, err := c.transport.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return err
@@ -90,19 +90,19 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError reports that an attempt failed after it was sent, so that it may have run.
-type LostError struct{ Err error }
+// NoAnswerError reports that an attempt failed after it was sent, so that it may have run.
+type NoAnswerError struct{ Err error }
 
-func (e *LostError) Error() string { return "targets: no answer: " + e.Err.Error() }
+func (e *NoAnswerError) Error() string { return "targets: no answer: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *NoAnswerError) Unwrap() error { return e.Err }
 
 // Send makes one attempt. Its errors are *NotSentError or *LostError. An attempt that
 // failed sends nothing afterwards. If the attempt is aborted after it was sent, or its
 // answer is not read to the end, onEnd is called once, when the target has closed its
 // connection too or no longer can be expected to. onEnd may be nil.
-func (c *Client) Send(ctx context.Context, r *http.Request, onEnd func(end End)) (*http.Response, error) {
+func (c *Client) Send(ctx context.Context, r *http.Request, onEnd func(end ConnEnd)) (*http.Response, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, &NotSentError{Err: err}
 	}
@@ -115,7 +115,7 @@
 	case a.unsent():
 		return nil, &NotSentError{Err: err}
 	default:
-		return nil, &LostError{Err: err}
+		return nil, &NoAnswerError{Err: err}
 	}
 }
 
@@ -123,7 +123,7 @@
 type attempt struct {
 	conn  *conn // latest connection of the request; nil before the first
 	sent  bool  // data was written to an earlier connection
-	onEnd func(end End)
+	onEnd func(end ConnEnd)
 }
 
 // useConn records the connection that the transport chose. The transport retries requests
--- a/internal/targets/client_test.go
+++ b/internal/targets/client_test.go
@@ -87,7 +87,7 @@
 			}
 			resp.Body.Close()
 			_, err = c.Send(context.Background(), newRequest(t, tt.method, address, tt.body), nil)
-			var lost *LostError
+			var lost *NoAnswerError
 			if !errors.As(err, &lost) {
 				t.Errorf("got %v, want a *LostError", err)
 			}
@@ -162,13 +162,13 @@
 func TestEndOfBrokenAttempt(t *testing.T) {
 	tests := map[string]struct {
 		end  func(c *net.TCPConn) // what the target does when the caller has closed its side
-		want End
+		want ConnEnd
 	}{
-		"ends too": {func(c *net.TCPConn) { c.Close() }, Noticed},
+		"ends too": {func(c *net.TCPConn) { c.Close() }, ClosedByTarget},
 		"answers first": {func(c *net.TCPConn) {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 			c.Close()
-		}, Noticed},
+		}, ClosedByTarget},
 		"resets": {func(c *net.TCPConn) {
 			c.SetLinger(0)
 			c.Close()
@@ -194,11 +194,11 @@
 			}()
 			client := New(nil)
 			defer client.Close()
-			ended := make(chan End, 2)
+			ended := make(chan ConnEnd, 2)
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 			defer cancel()
-			_, err = client.Send(ctx, newRequest(t, http.MethodGet, ln.Addr().String(), ""), func(end End) { ended <- end })
-			var lost *LostError
+			_, err = client.Send(ctx, newRequest(t, http.MethodGet, ln.Addr().String(), ""), func(end ConnEnd) { ended <- end })
+			var lost *NoAnswerError
 			if !errors.As(err, &lost) {
 				t.Fatalf("got %v, want a *LostError", err)
 			}
--- a/internal/targets/conn.go
+++ b/internal/targets/conn.go
@@ -18,10 +18,10 @@
 	readMu sync.Mutex // held while reading
 
 	mu      sync.Mutex
-	written bool          // since assign; guarded by mu
-	sealed  bool          // writes fail; guarded by mu
-	closed  bool          // guarded by mu
-	onEnd   func(end End) // callback of the attempt that uses the connection; guarded by mu
+	written bool              // since assign; guarded by mu
+	sealed  bool              // writes fail; guarded by mu
+	closed  bool              // guarded by mu
+	onEnd   func(end ConnEnd) // callback of the attempt that uses the connection; guarded by mu
 }
 
 // SealedError reports a write to a sealed connection.
@@ -42,7 +42,7 @@
 
 // assign assigns the connection to an attempt. onEnd is called with the way in which the
 // target ends the connection, if the attempt is aborted.
-func (c *conn) assign(onEnd func(end End)) {
+func (c *conn) assign(onEnd func(end ConnEnd)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.written, c.onEnd = false, onEnd
@@ -85,14 +85,14 @@
 	return c.closed
 }
 
-// End is the way in which the connection of an aborted attempt ended.
-type End int
+// ConnEnd is the way in which the connection of an aborted attempt ended.
+type ConnEnd int
 
 // Ends of a connection.
 const (
-	Noticed   End = iota // the target closed it after this side had: it has detected the abort
-	Reset                // it was reset, here or on the way: the target will detect the abort, or has
-	Unnoticed            // the target did not close it within lingerTimeout
+	ClosedByTarget ConnEnd = iota // the target closed it after this side had: it has detected the abort
+	Reset                         // it was reset, here or on the way: the target will detect the abort, or has
+	CloseTimedOut                 // the target did not close it within lingerTimeout
 )
 
 const (
@@ -126,7 +126,7 @@
 }
 
 // awaitTargetClose waits until the target closes the connection and reports how it ended.
-func (c *conn) awaitTargetClose(closeWrite func() error, onEnd func(end End)) {
+func (c *conn) awaitTargetClose(closeWrite func() error, onEnd func(end ConnEnd)) {
 	defer c.Conn.Close()
 	c.Conn.SetReadDeadline(time.Unix(1, 0)) // ends a read in progress
 	c.readMu.Lock()
@@ -140,9 +140,9 @@
 	var network net.Error
 	switch {
 	case errors.Is(err, io.EOF):
-		onEnd(Noticed)
+		onEnd(ClosedByTarget)
 	case errors.As(err, &network) && network.Timeout():
-		onEnd(Unnoticed)
+		onEnd(CloseTimedOut)
 	default:
 		onEnd(Reset)
 	}
