--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -131,10 +131,10 @@
 // Since returns the time elapsed since t.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Runtime converts t to the clock of the runtime, for timers, contexts and connections, assuming
+// ToRuntime converts t to the clock of the runtime, for timers, contexts and connections, assuming
 // that the machine is not suspended before. The result is never too early, so whatever it wakes
 // finds that t has passed.
-func Runtime(t time.Time) time.Time {
+func ToRuntime(t time.Time) time.Time {
 	left := Until(t)
 	return time.Now().Add(left)
 }
--- a/internal/boottime/clock_test.go
+++ b/internal/boottime/clock_test.go
@@ -86,7 +86,7 @@
 // The clock of this machine runs, and its times can be converted to the clock of the runtime.
 func TestSystem(t *testing.T) {
 	at := Now().Add(20 * time.Millisecond)
-	first, last := Runtime(at), Runtime(at)
+	first, last := ToRuntime(at), ToRuntime(at)
 	if got := time.Until(last); got <= 0 || got > 20*time.Millisecond {
 		t.Errorf("got %s by the clock of the runtime, want 20ms at most", got)
 	}
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -146,7 +146,7 @@
 	if t.detached {
 		ctx = context.WithoutCancel(ctx)
 	}
-	ctx, cancel := context.WithDeadline(ctx, boottime.Runtime(t.deadline))
+	ctx, cancel := context.WithDeadline(ctx, boottime.ToRuntime(t.deadline))
 	defer cancel()
 	t.ctx = ctx
 	t.reqBody = x.body.forAttempt(func(n int) error { return x.s.pacer.wait(ctx, t.uploadRate, n) })
--- a/internal/callers/refuse.go
+++ b/internal/callers/refuse.go
@@ -75,7 +75,7 @@
 // setWriteDeadline limits how long a caller may take to receive its answer. Every writer of an
 // answer must call it, because a reused connection still has the deadline of the previous answer.
 func (s *Server) setWriteDeadline(w http.ResponseWriter, at time.Time) {
-	http.NewResponseController(w).SetWriteDeadline(boottime.Runtime(at))
+	http.NewResponseController(w).SetWriteDeadline(boottime.ToRuntime(at))
 }
 
 func (x *exchange) setWriteDeadline(at time.Time) { x.s.setWriteDeadline(x.w, at) }
@@ -83,6 +83,6 @@
 // setReadDeadline limits how long a caller may take to send a body that hasn't arrived completely.
 func (x *exchange) setReadDeadline(at time.Time) {
 	if x.body.remaining != nil {
-		http.NewResponseController(x.w).SetReadDeadline(boottime.Runtime(at))
+		http.NewResponseController(x.w).SetReadDeadline(boottime.ToRuntime(at))
 	}
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -110,7 +110,7 @@
 	x := &exchange{s: s, w: w, r: r, arrived: s.dispatcher.Now()}
 	c := http.NewResponseController(w)
 	if r.ContentLength != 0 {
-		c.SetReadDeadline(boottime.Runtime(x.arrived.Add(bodyTimeout)))
+		c.SetReadDeadline(boottime.ToRuntime(x.arrived.Add(bodyTimeout)))
 		// Otherwise the server reads the rest of the body before it sends any answer: a refusal
 		// would be delayed, and the target would miss the rest.
 		c.EnableFullDuplex()
--- a/internal/deadline/heap.go
+++ b/internal/deadline/heap.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Absent is the index of an item that is in no heap.
-const Absent = -1
+// NotInHeap is the index of an item that is in no heap.
+const NotInHeap = -1
 
 // Item is an element of a Heap. Its deadline must not change while it is in the heap.
 type Item interface {
@@ -85,6 +85,6 @@
 	item := (*s)[last]
 	(*s)[last] = none
 	*s = (*s)[:last]
-	*item.Place() = Absent
+	*item.Place() = NotInHeap
 	return item
 }
--- a/internal/deadline/heap_test.go
+++ b/internal/deadline/heap_test.go
@@ -38,7 +38,7 @@
 				x := h.items[rapid.IntRange(0, h.Len()-1).Draw(t, "which")]
 				h.Remove(x)
 				delete(held, x)
-				if x.index != Absent {
+				if x.index != NotInHeap {
 					t.Fatalf("got index %d after removal", x.index)
 				}
 			default:
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -49,13 +49,13 @@
 func (n *Node) Listed() {
 	now := boottime.Now()
 	n.applyPeers(now)
-	n.quotas.Change(func(l *quota.Ledger) { l.Begin(now, !n.hadRecord) })
+	n.quotas.WithLedger(func(l *quota.Ledger) { l.StartFilling(now, !n.hadRecord) })
 	n.storeListed.Store(true)
 	n.cfg.Log.Info("store listed", "resumed", n.hadRecord)
 }
 
-// Read records the result of a complete read of the store.
-func (n *Node) Read(r mirror.Reading) {
+// ListRead records the result of a complete read of the store.
+func (n *Node) ListRead(r mirror.ListResult) {
 	if r.Behind > 0 {
 		n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-items", Reason: "behind"})
 	}
@@ -63,12 +63,12 @@
 	if !ok {
 		return
 	}
-	n.cfg.Log.Info("store read", "revision", r.Revision, "known", r.Known, "items", r.Items, "changes", r.Changes,
+	n.cfg.Log.Info("store read", "revision", r.Revision, "known", r.PreviousRevision, "items", r.Items, "changes", r.Changes,
 		"behind", r.Behind, "suppressed", suppressed)
 }
 
-// Forgotten is called when the store no longer has the changes since a revision.
-func (n *Node) Forgotten(since platform.Revision) {
+// HistoryGone is called when the store no longer has the changes since a revision.
+func (n *Node) HistoryGone(since platform.Revision) {
 	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-history", Reason: "gone"})
 	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("store history gone", "since", since, "epoch", n.store.Epoch(), "suppressed", suppressed)
@@ -82,13 +82,13 @@
 	n.registrar.checkSoon()
 }
 
-// Through is called when a peer is followed because the store is unreachable.
-func (n *Node) Through(address string) {
+// FollowingPeer is called when a peer is followed because the store is unreachable.
+func (n *Node) FollowingPeer(address string) {
 	n.cfg.Log.Info("store followed through a peer", "peer", address)
 }
 
-// Alone is called when the region's relay has failed and is not followed for a while.
-func (n *Node) Alone(err error) {
+// RelayFailed is called when the region's relay has failed and is not followed for a while.
+func (n *Node) RelayFailed(err error) {
 	n.cfg.Metrics.PlatformFailed("relay")
 	n.cfg.Log.Warn("relay lost", "err", err)
 }
@@ -96,14 +96,14 @@
 // AnswerFailed is called when an answer to a peer could not be made.
 func (n *Node) AnswerFailed(err error) { n.cfg.Log.Error("answer to peer failed", "err", err) }
 
-// Lost is called when the store has become unreachable. The cached state stays in use.
-func (n *Node) Lost(err error) {
+// Unreachable is called when the store has become unreachable. The cached state stays in use.
+func (n *Node) Unreachable(err error) {
 	n.cfg.Metrics.PlatformFailed("watch")
 	n.cfg.Log.Warn("store lost", "err", err)
 }
 
-// Found is called when the store is reachable again.
-func (n *Node) Found() { n.cfg.Log.Info("store regained") }
+// Reachable is called when the store is reachable again.
+func (n *Node) Reachable() { n.cfg.Log.Info("store regained") }
 
 // applyConfig puts a configuration in force, unless its version is lower than that in force.
 func (n *Node) applyConfig(now time.Time, c mirror.Change) {
@@ -126,7 +126,7 @@
 	n.mu.Lock()
 	n.fleet.SetServices(now, cfg.Services)
 	n.mu.Unlock()
-	n.quotas.Change(func(l *quota.Ledger) { l.Limit(quotaLimits(&cfg)) })
+	n.quotas.WithLedger(func(l *quota.Ledger) { l.SetLimits(quotaLimits(&cfg)) })
 	n.rules.Store(newRules(cfg))
 	n.cfg.Log.Info("configuration in force", "version", cfg.Version, "revision", c.Changed,
 		"routes", len(cfg.Routes), "services", len(cfg.Services), "workspaces", len(cfg.Workspaces))
@@ -225,5 +225,5 @@
 	n.fleet.SetPeers(now, names)
 	n.mu.Unlock()
 	members := n.quotaMembers()
-	n.quotas.Change(func(l *quota.Ledger) { l.Peers(now, members) })
+	n.quotas.WithLedger(func(l *quota.Ledger) { l.SetMembers(now, members) })
 }
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -84,8 +84,8 @@
 	}
 	n.bounds.Store(&s.Bounds)
 	n.peerAddress = choosePeerAddress(s)
-	n.mirror = mirror.New(n.store, n, mirror.Peers{Relays: n.relays, Others: n.others, Seeds: n.seeds(), First: s.FirstStart}, compareItems)
-	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Told: n.loadReports, Hear: n.receiveLoadReports, Failed: n.loadExchangeFailed})
+	n.mirror = mirror.New(n.store, n, mirror.Peers{Relays: n.relays, Fallbacks: n.others, Seeds: n.seeds(), FirstStart: s.FirstStart}, compareItems)
+	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Reports: n.loadReports, Receive: n.receiveLoadReports, Failed: n.loadExchangeFailed})
 	n.registrar = newRegistrar(n)
 	n.crashes = newCrashTracker(n)
 	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.refuseEarly, Busy: cfg.Overload.Refuse, TooBusy: n.refuseOverloaded, Limits: n.limits, Unreadable: n.refuseUnreadable})
@@ -133,7 +133,7 @@
 // relays returns the addresses of the peers to follow in place of the store, the preferred first.
 func (n *Node) relays() []string {
 	s := &n.cfg.Settings
-	return n.instances.relays(s.Region, relayCandidate{name: s.Instance, cores: s.Cores}, mirror.Relays)
+	return n.instances.relays(s.Region, relayCandidate{name: s.Instance, cores: s.Cores}, mirror.MaxRelays)
 }
 
 // collector returns the address of the peer that collects load reports; "" if it is this instance.
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -23,7 +23,7 @@
 }
 
 func quotaBounds(b platform.Bounds) quota.Bounds {
-	return quota.Bounds{Window: b.QuotaWindow, Over: b.QuotaOver, Slack: b.QuotaSlack}
+	return quota.Bounds{Window: b.QuotaWindow, OverRatio: b.QuotaOver, Slack: b.QuotaSlack}
 }
 
 // quotaLimits returns the quotas of a configuration's workspaces; those without one are left out.
@@ -49,7 +49,7 @@
 		return nil
 	}
 	resp := ownAnswer(info, http.StatusTooManyRequests)
-	platform.RetryAfter(resp.Header, d.Again)
+	platform.RetryAfter(resp.Header, d.RetryAfter)
 	n.logOverQuota(r, info, a, d)
 	return resp
 }
@@ -62,13 +62,13 @@
 	if !ok {
 		return
 	}
-	askedMembers := make([]string, 0, len(d.Ask))
-	for _, m := range d.Ask {
+	askedMembers := make([]string, 0, len(d.Holders))
+	for _, m := range d.Holders {
 		askedMembers = append(askedMembers, m.Name)
 	}
 	n.cfg.Log.Warn("request", "id", info.ID, "route", a.route.Name, "workspace", a.workspaceName(), "status", http.StatusTooManyRequests,
-		"reason", "over-quota", "tokens", d.Left, "rate", d.Rate, "demand", d.Demand, "asked", askedMembers, "wanted", d.Want.Tokens,
-		"again", d.Again, "took", now.Sub(r.At), "config", a.rules.Config().Version, "store-age", n.mirror.Age(now), "suppressed", suppressed)
+		"reason", "over-quota", "tokens", d.TokensLeft, "rate", d.Rate, "demand", d.Demand, "asked", askedMembers, "wanted", d.Want.Tokens,
+		"again", d.RetryAfter, "took", now.Sub(r.At), "config", a.rules.Config().Version, "store-age", n.mirror.Age(now), "suppressed", suppressed)
 }
 
 // quotaMembers returns the instances among which quotas are divided, including this one.
--- a/internal/edge/reload.go
+++ b/internal/edge/reload.go
@@ -39,7 +39,7 @@
 		return err
 	}
 	var err error
-	n.quotas.Change(func(l *quota.Ledger) { err = l.Bound(quotaBounds(b)) })
+	n.quotas.WithLedger(func(l *quota.Ledger) { err = l.SetBounds(quotaBounds(b)) })
 	if err != nil {
 		return err
 	}
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -17,7 +17,7 @@
 	n.acceptUntil.Store(&acceptUntil)
 	n.stopping.Store(true)
 	n.cfg.Log.Info("stopping", "deadline", deadline, "connections", n.server.Open())
-	ctx, cancel := context.WithDeadline(context.Background(), boottime.Runtime(deadline))
+	ctx, cancel := context.WithDeadline(context.Background(), boottime.ToRuntime(deadline))
 	defer cancel()
 	n.registrar.leaving <- struct{}{}
 	boottime.Sleep(ctx, begin.Add(leaveMargin))
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -77,7 +77,7 @@
 // not sent, a *NotSentError, from one that may have run. If Rest of the answer is set,
 // it must be closed. Do returns early when ctx ends.
 func (p *Pool) Do(ctx context.Context, e *Exchange) (*Response, error) {
-	ctx, cancel := context.WithDeadline(ctx, boottime.Runtime(e.Until))
+	ctx, cancel := context.WithDeadline(ctx, boottime.ToRuntime(e.Until))
 	defer cancel()
 	c, err := p.get(ctx, e)
 	if err != nil {
@@ -87,7 +87,7 @@
 		c.conn.Close()
 		return nil, &NotSentError{Err: &UnwantedError{}}
 	}
-	c.conn.SetDeadline(boottime.Runtime(e.Until))
+	c.conn.SetDeadline(boottime.ToRuntime(e.Until))
 	p.trackPending(c, e.Until)
 	defer p.untrackPending(c)
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
--- a/internal/http1/serverconn.go
+++ b/internal/http1/serverconn.go
@@ -222,7 +222,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = true
-	c.conn.SetReadDeadline(boottime.Runtime(due))
+	c.conn.SetReadDeadline(boottime.ToRuntime(due))
 }
 
 func (c *serverConn) write(resp *Response, head, closing bool) error {
--- a/internal/http1/serverread.go
+++ b/internal/http1/serverread.go
@@ -56,7 +56,7 @@
 		c.sendContinue()
 	}
 	due = boottime.Now().Add(limits.IdleTimeout)
-	c.conn.SetReadDeadline(boottime.Runtime(due))
+	c.conn.SetReadDeadline(boottime.ToRuntime(due))
 	body, err := io.ReadAll(io.LimitReader(r.Body, limits.BodyBytes+1))
 	if err != nil {
 		return c.classifyReadError(err, due)
--- a/internal/loads/exchange.go
+++ b/internal/loads/exchange.go
@@ -35,10 +35,10 @@
 	Name string // of this instance
 	// Collector returns the address of the instance that collects; "" if it is this one.
 	Collector func() string
-	// Told returns the reports that this instance has received from targets itself since a time.
-	Told func(since time.Time) steer.TargetReports
-	// Hear is called with reports that other instances received.
-	Hear func(reports steer.TargetReports)
+	// Reports returns the reports that this instance has received from targets itself since a time.
+	Reports func(since time.Time) steer.TargetReports
+	// Receive is called with reports that other instances received.
+	Receive func(reports steer.TargetReports)
 	// Failed is called if the collector could not be called or an answer could not be encoded.
 	Failed func(err error)
 }
@@ -84,7 +84,7 @@
 
 // exchangeOnce exchanges reports once.
 func (x *Exchange) exchangeOnce(ctx context.Context, now time.Time) {
-	reports := x.peers.Told(x.sentUntil)
+	reports := x.peers.Reports(x.sentUntil)
 	address := x.peers.Collector()
 	if address == "" {
 		x.sentUntil = now
@@ -108,7 +108,7 @@
 		return
 	}
 	x.sentUntil, x.lastAnswer = now, answer.head
-	x.peers.Hear(answer.reports)
+	x.peers.Receive(answer.reports)
 }
 
 // merge adds the reports of an instance, and returns the new ones.
@@ -151,7 +151,7 @@
 		return
 	}
 	if newer := x.merge(m.From, m.reports); len(newer.Loads)+len(newer.Constraints) > 0 {
-		x.peers.Hear(newer)
+		x.peers.Receive(newer)
 	}
 	known := m.head
 	if m.Run != x.run {
--- a/internal/loads/loads_test.go
+++ b/internal/loads/loads_test.go
@@ -175,7 +175,7 @@
 	p := &peer{}
 	p.Exchange = New(Peers{
 		Name: name, Collector: func() string { return collector },
-		Told: func(since time.Time) steer.TargetReports {
+		Reports: func(since time.Time) steer.TargetReports {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			return steer.TargetReports{
@@ -183,7 +183,7 @@
 				Constraints: slices.DeleteFunc(slices.Clone(p.ownConstraints), func(c steer.Constraint) bool { return !c.At.After(since) }),
 			}
 		},
-		Hear: func(reports steer.TargetReports) {
+		Receive: func(reports steer.TargetReports) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
 			p.received = append(p.received, reports.Loads...)
--- a/internal/mirror/begin_test.go
+++ b/internal/mirror/begin_test.go
@@ -70,7 +70,7 @@
 	within(t, changeBound, "the first has a", func() bool { return first.get("a") == "1" })
 	fake.SetFaults(store.Faults{Refuse: true})
 	within(t, 2*changeBound, "the data of the first is old", func() bool { return m.Age(time.Now()) > relayMaxAge })
-	late, second := startMirror(t, address, Peers{Relays: noPeers.Relays, Others: withRelay(listen(t, m)).Others})
+	late, second := startMirror(t, address, Peers{Relays: noPeers.Relays, Fallbacks: withRelay(listen(t, m)).Fallbacks})
 	within(t, changeBound, "the second has a", func() bool { return second.get("a") == "1" })
 	if age := late.Age(time.Now()); age < relayMaxAge {
 		t.Errorf("got data %s old, want it as old as the first's", age)
--- a/internal/mirror/check.go
+++ b/internal/mirror/check.go
@@ -50,7 +50,7 @@
 // before the watch that it cancels has reported the outage. If only the watch counted, each
 // instance of a region checked a silent store once more, 1 s after the first check.
 func (m *Mirror) checkDelay(failed bool) time.Duration {
-	if (failed || m.isUnreachable()) && len(m.peers.Relays()) >= Relays {
+	if (failed || m.isUnreachable()) && len(m.peers.Relays()) >= MaxRelays {
 		return outageCheckInterval
 	}
 	return checkInterval
--- a/internal/mirror/follower.go
+++ b/internal/mirror/follower.go
@@ -49,7 +49,7 @@
 		m.setFollowing(false)
 		return m.stepWithoutPeer(answered)
 	}
-	m.sink.Alone(err)
+	m.sink.RelayFailed(err)
 	if m.peerToFollow(boottime.Now(), false) != "" {
 		return stepPeer // the next relay is polled at once
 	}
@@ -83,7 +83,7 @@
 	relays := m.peers.Relays()
 	if m.relayWaitEnd.IsZero() {
 		m.relayWaitEnd = boottime.Now()
-		if len(relays) >= Relays {
+		if len(relays) >= MaxRelays {
 			m.relayWaitEnd = m.relayWaitEnd.Add(checkInterval + 2*checkGrace)
 		}
 	}
@@ -134,7 +134,7 @@
 	if m.fallbackPeer != "" {
 		return m.fallbackPeer
 	}
-	others := m.peers.Others()
+	others := m.peers.Fallbacks()
 	if len(others) == 0 {
 		return ""
 	}
@@ -150,7 +150,7 @@
 	if before == 0 {
 		return relayMaxAge, relayTimeout
 	}
-	sooner := time.Duration(Relays-before) * relayStagger
+	sooner := time.Duration(MaxRelays-before) * relayStagger
 	return relayMaxAge - sooner, relayTimeout - sooner
 }
 
@@ -189,11 +189,11 @@
 	if slices.Contains(m.peers.Relays(), address) {
 		m.fallbackPeer = ""
 		m.setUnreachable(false)
-		m.sink.Found()
+		m.sink.Reachable()
 		return
 	}
 	if m.fallbackPeer != address {
-		m.sink.Through(address)
+		m.sink.FollowingPeer(address)
 	}
 	m.fallbackPeer = address
 }
@@ -211,7 +211,7 @@
 // seed with data lists the store.
 func (m *Mirror) bootstrap(ctx context.Context) {
 	timeout := restartTimeout
-	if m.peers.First {
+	if m.peers.FirstStart {
 		timeout = firstStartTimeout
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -224,7 +224,7 @@
 			return
 		}
 		if !m.view.history.latest().IsZero() {
-			m.sink.Alone(err) // its data was old: a relay or the store provides the rest
+			m.sink.RelayFailed(err) // its data was old: a relay or the store provides the rest
 			return
 		}
 		sleep(ctx, seedRetryDelay)
--- a/internal/mirror/knowledge.go
+++ b/internal/mirror/knowledge.go
@@ -6,13 +6,13 @@
 	"github.com/firlever/firlever/platform"
 )
 
-// Reading is the result of a list of the whole store.
-type Reading struct {
-	Revision platform.Revision // revision of the list
-	Known    platform.Revision // revision up to which all changes were known before
-	Items    int               // items in the store
-	Changes  int               // changes that result from the list
-	Behind   int               // listed items that are older than the known states
+// ListResult is the result of a list of the whole store.
+type ListResult struct {
+	Revision         platform.Revision // revision of the list
+	PreviousRevision platform.Revision // revision up to which all changes were known before
+	Items            int               // items in the store
+	Changes          int               // changes that result from the list
+	Behind           int               // listed items that are older than the known states
 }
 
 // view is a mirror's state of the store, and the history that it passes on to peers. It does no
@@ -38,11 +38,11 @@
 // applyList applies all that the store held at a revision, as it confirmed at a time. After a
 // restore, states that the store has lost are written again, so removals are delayed as after an
 // outage.
-func (v *view) applyList(now time.Time, items []platform.Item, at platform.Revision, confirmed time.Time) (Reading, []Change) {
+func (v *view) applyList(now time.Time, items []platform.Item, at platform.Revision, confirmed time.Time) (ListResult, []Change) {
 	if v.isRestored(at) {
 		v.copy.MarkOutage(now)
 	}
-	r := Reading{Revision: at, Known: v.history.latest(), Items: len(items), Behind: v.copy.CountBehind(items)}
+	r := ListResult{Revision: at, PreviousRevision: v.history.latest(), Items: len(items), Behind: v.copy.CountBehind(items)}
 	events := v.copy.Difference(items, at)
 	r.Changes = len(events)
 	v.readStore = true
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -56,30 +56,30 @@
 	Changed(changes []Change)
 	// Listed reports that the whole store has been read for the first time.
 	Listed()
-	// Read reports the result of each list of the whole store.
-	Read(r Reading)
-	// Forgotten reports that the store no longer has the changes since a revision.
-	Forgotten(since platform.Revision)
+	// ListRead reports the result of each list of the whole store.
+	ListRead(r ListResult)
+	// HistoryGone reports that the store no longer has the changes since a revision.
+	HistoryGone(since platform.Revision)
 	// Restored reports that the store was restored from a snapshot, and is in a later epoch than
 	// the revision up to which changes were known.
 	Restored(known platform.Revision, epoch uint64)
-	// Lost reports that the store is unreachable.
-	Lost(err error)
-	// Found reports that the store is reachable again.
-	Found()
-	// Through reports that a peer is followed while the store is unreachable.
-	Through(address string)
-	// Alone reports that a relay failed and isn't polled for a while.
-	Alone(err error)
+	// Unreachable reports that the store is unreachable.
+	Unreachable(err error)
+	// Reachable reports that the store is reachable again.
+	Reachable()
+	// FollowingPeer reports that a peer is followed while the store is unreachable.
+	FollowingPeer(address string)
+	// RelayFailed reports that a relay failed and isn't polled for a while.
+	RelayFailed(err error)
 	// AnswerFailed reports that an answer to a peer could not be encoded. It is called by any
 	// goroutine.
 	AnswerFailed(err error)
 }
 
-// Relays is how many instances of a region its other instances follow, each as a fallback for the
+// MaxRelays is how many instances of a region its other instances follow, each as a fallback for the
 // one before. With three, if the store refuses a third of the instances, it refuses all relays in
 // one of 27 outages.
-const Relays = 3
+const MaxRelays = 3
 
 // Peers lists the instances that can be followed. Its functions must be safe for concurrent use.
 type Peers struct {
@@ -88,13 +88,13 @@
 	// which all instances of the region agree. If there are none, this instance follows the store
 	// itself.
 	Relays func() []string
-	// Others returns the addresses to poll when the store is unreachable.
-	Others func() []string
+	// Fallbacks returns the addresses to poll when the store is unreachable.
+	Fallbacks func() []string
 	// Seeds are the addresses to poll at the start, before any instance is known. It is empty if
 	// this instance is a seed or if there are none.
 	Seeds []string
-	// First is set if the whole system starts for the first time.
-	First bool
+	// FirstStart is set if the whole system starts for the first time.
+	FirstStart bool
 }
 
 // Mirror follows the store, or an instance that does. As an http.Handler it serves the peers that
@@ -186,7 +186,7 @@
 	err := m.watch(ctx)
 	var historyErr *platform.HistoryError
 	if errors.As(err, &historyErr) {
-		m.sink.Forgotten(m.view.history.latest())
+		m.sink.HistoryGone(m.view.history.latest())
 		return m.list(ctx)
 	}
 	return err
@@ -202,7 +202,7 @@
 	default:
 		m.view.copy.MarkOutage(boottime.Now())
 		if !m.setUnreachable(true) {
-			m.sink.Lost(err)
+			m.sink.Unreachable(err)
 		}
 	}
 	return err
@@ -215,7 +215,7 @@
 	}
 	m.fallbackPeer = ""
 	m.view.copy.MarkOutage(boottime.Now())
-	m.sink.Found()
+	m.sink.Reachable()
 }
 
 // list reads the whole store. Its pages are no consistent snapshot, so a watch follows for the
@@ -231,7 +231,7 @@
 	}
 	m.noteEpoch(at)
 	reading, changes := m.view.applyList(boottime.Now(), items, at, begin)
-	m.sink.Read(reading)
+	m.sink.ListRead(reading)
 	m.notify(changes)
 	m.markListed()
 	return nil
--- a/internal/mirror/mirror_test.go
+++ b/internal/mirror/mirror_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (s *sink) Lost(error) {
+func (s *sink) Unreachable(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.outages++
@@ -43,23 +43,23 @@
 
 func (s *sink) Listed() {}
 
-func (s *sink) Read(Reading) {}
+func (s *sink) ListRead(ListResult) {}
 
-func (s *sink) Forgotten(platform.Revision) {}
+func (s *sink) HistoryGone(platform.Revision) {}
 
 func (s *sink) Restored(platform.Revision, uint64) {}
 
-func (s *sink) Through(string) {}
+func (s *sink) FollowingPeer(string) {}
 
 func (s *sink) AnswerFailed(error) {}
 
-func (s *sink) Alone(error) {
+func (s *sink) RelayFailed(error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.relayFailures++
 }
 
-func (s *sink) Found() {
+func (s *sink) Reachable() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recoveries++
@@ -114,11 +114,11 @@
 }
 
 // noPeers has no peers to follow.
-var noPeers = Peers{Relays: func() []string { return nil }, Others: func() []string { return nil }}
+var noPeers = Peers{Relays: func() []string { return nil }, Fallbacks: func() []string { return nil }}
 
 // withRelay has a single peer, as relay and as fallback.
 func withRelay(relay string) Peers {
-	return Peers{Relays: func() []string { return []string{relay} }, Others: func() []string { return []string{relay} }}
+	return Peers{Relays: func() []string { return []string{relay} }, Fallbacks: func() []string { return []string{relay} }}
 }
 
 func startSingle(t *testing.T) (*store.Store, *sink) {
--- a/internal/mirror/region_test.go
+++ b/internal/mirror/region_test.go
@@ -33,8 +33,8 @@
 	for range instances {
 		g := &gate{store: fake}
 		g.open.Store(true)
-		earlier := slices.Clone(addresses[:min(len(addresses), Relays)])
-		peers := Peers{Relays: func() []string { return earlier }, Others: func() []string { return *all.Load() }}
+		earlier := slices.Clone(addresses[:min(len(addresses), MaxRelays)])
+		peers := Peers{Relays: func() []string { return earlier }, Fallbacks: func() []string { return *all.Load() }}
 		m, out := startMirror(t, listen(t, g), peers)
 		addresses = append(addresses, listen(t, m))
 		mirrors = append(mirrors, m)
@@ -71,7 +71,7 @@
 // calls counts the calls to the store of the instances that aren't relays.
 func (r *region) calls() int64 {
 	n := int64(0)
-	for _, g := range r.gates[Relays:] {
+	for _, g := range r.gates[MaxRelays:] {
 		n += g.calls.Load()
 	}
 	return n
@@ -80,15 +80,15 @@
 // The store refuses the relays one after the other, and accepts them again. The other instances of
 // the region follow the next relay, receive changes on time, and never call the store.
 func TestNextRelay(t *testing.T) {
-	r := newRegion(t, Relays+3)
+	r := newRegion(t, MaxRelays+3)
 	calls := r.calls()
-	for i := range Relays - 1 {
+	for i := range MaxRelays - 1 {
 		r.gates[i].open.Store(false)
 		time.Sleep(relayMaxAge)
 		r.store.Put("a", fmt.Append(nil, i+2))
 		r.awaitValue(t, fmt.Sprint(i+2))
 	}
-	for i := range Relays - 1 {
+	for i := range MaxRelays - 1 {
 		r.gates[i].open.Store(true)
 	}
 	time.Sleep(staleBackoff)
@@ -106,7 +106,7 @@
 	for name, faults := range map[string]store.Faults{"refuses": {Refuse: true}, "silent": {Silent: true}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRegion(t, Relays+5)
+			r := newRegion(t, MaxRelays+5)
 			calls := r.calls()
 			r.store.SetFaults(faults)
 			time.Sleep(outage)
@@ -127,7 +127,7 @@
 // A key that expired during an outage of the store may come back within removalDelay of its return.
 // Instances that are informed of the return by a relay give it that time too.
 func TestRelayedRemovalSettles(t *testing.T) {
-	r := newRegion(t, Relays+2)
+	r := newRegion(t, MaxRelays+2)
 	r.store.SetFaults(store.Faults{Refuse: true})
 	time.Sleep(removalDelay + time.Second) // the delay that the others began in the outage is over
 	r.store.Remove("a")
@@ -186,8 +186,8 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	m = New(platform.NewStore(address), &sink{keys: make(map[string]string)}, Peers{
-		Relays: func() []string { return []string{relay, relay, relay} },
-		Others: func() []string { return []string{other} },
+		Relays:    func() []string { return []string{relay, relay, relay} },
+		Fallbacks: func() []string { return []string{other} },
 	}, byNumber)
 	m.listed = true
 	m.setUnreachable(true)
--- a/internal/mirror/relay_test.go
+++ b/internal/mirror/relay_test.go
@@ -130,7 +130,7 @@
 			within(t, changeBound, "the first has all keys", func() bool { return first.get("a59") == "1" })
 			closed := &gate{store: fake, silent: silent}
 			relay, front := listen(t, m), listen(t, closed)
-			_, second := startMirror(t, front, Peers{Relays: noPeers.Relays, Others: withRelay(relay).Others})
+			_, second := startMirror(t, front, Peers{Relays: noPeers.Relays, Fallbacks: withRelay(relay).Fallbacks})
 			within(t, 2*changeBound, "the second has all keys", func() bool { return second.get("a00") == "1" && second.get("a59") == "1" })
 			fake.Put("a00", []byte("2"))
 			within(t, changeBound, "the second has the change", func() bool { return second.get("a00") == "2" })
@@ -154,7 +154,7 @@
 	m, _ := startMirror(t, address, noPeers)
 	g := &gate{store: fake, silent: true}
 	g.open.Store(true)
-	_, second := startMirror(t, listen(t, g), Peers{Relays: noPeers.Relays, Others: withRelay(listen(t, m)).Others})
+	_, second := startMirror(t, listen(t, g), Peers{Relays: noPeers.Relays, Fallbacks: withRelay(listen(t, m)).Fallbacks})
 	within(t, changeBound, "the second has a", func() bool { return second.get("a") == "1" })
 	time.Sleep(2 * batchDelay) // its watch is pending
 	g.open.Store(false)
--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -206,7 +206,7 @@
 	b.bytes += outcome.size()
 	b.running--
 	r.outcome = outcome
-	if r.heapIndex == deadline.Absent {
+	if r.heapIndex == deadline.NotInHeap {
 		b.expiry.Push(r)
 	}
 }
--- a/internal/quota/capacity_test.go
+++ b/internal/quota/capacity_test.go
@@ -12,7 +12,7 @@
 // largeLedger returns a ledger with many workspaces among a number of instances.
 func largeLedger(b *testing.B, instances int) (*Ledger, []Member) {
 	b.Helper()
-	l, err := New(Config{Self: "i0000", Domain: "d00", Region: "r0", Bounds: Bounds{Over: 0.1, Slack: 20}})
+	l, err := New(Config{Self: "i0000", Domain: "d00", Region: "r0", Bounds: Bounds{OverRatio: 0.1, Slack: 20}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -27,9 +27,9 @@
 		limits[fmt.Sprintf("w%04d", i)] = Limit{Rate: 20, Burst: 10}
 	}
 	now := time.Unix(0, 0)
-	l.Peers(now, members)
-	l.Limit(limits)
-	l.Begin(now, false)
+	l.SetMembers(now, members)
+	l.SetLimits(limits)
+	l.StartFilling(now, false)
 	return l, members
 }
 
@@ -62,7 +62,7 @@
 			for i := 0; b.Loop(); i++ {
 				members[n-1].Name = fmt.Sprint("j", i%2)
 				now = now.Add(holderExpiry)
-				l.Peers(now, members)
+				l.SetMembers(now, members)
 				l.Take(now, fmt.Sprintf("w%04d", i%workspaces))
 			}
 		})
--- a/internal/quota/config.go
+++ b/internal/quota/config.go
@@ -26,9 +26,9 @@
 
 // Bounds limit how far the requests of a workspace, over all instances, may exceed its limit.
 type Bounds struct {
-	Window time.Duration // in any span of this length; 0 for the default
-	Over   float64       // fraction of the limit
-	Slack  float64       // requests in addition
+	Window    time.Duration // in any span of this length; 0 for the default
+	OverRatio float64       // fraction of the limit
+	Slack     float64       // requests in addition
 }
 
 // Config configures a Ledger.
@@ -94,7 +94,7 @@
 	if c.Self == "" {
 		faults = append(faults, "self is missing")
 	}
-	if min(c.Over, c.Slack, float64(c.Window)) < 0 {
+	if min(c.OverRatio, c.Slack, float64(c.Window)) < 0 {
 		faults = append(faults, "a bound is negative")
 	}
 	if faults == nil {
@@ -106,7 +106,7 @@
 // budget divides what a window may hold into the rate at which all buckets fill, in tokens per
 // second, and their capacity, in tokens.
 func (b Bounds) budget(l Limit) (rate, stock float64) {
-	most := boundShare * ((l.Rate*b.Window.Seconds()+l.Burst)*(1+b.Over) + b.Slack)
+	most := boundShare * ((l.Rate*b.Window.Seconds()+l.Burst)*(1+b.OverRatio) + b.Slack)
 	span := (b.Window + tokenLifetime).Seconds()
 	stock = max((most-l.Rate*span)/2, minStockShare*most)
 	return (most - stock) / span, stock
--- a/internal/quota/exchange.go
+++ b/internal/quota/exchange.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Change runs change on the ledger, under the lock.
-func (x *Exchange) Change(change func(l *Ledger)) {
+// WithLedger runs change on the ledger, under the lock.
+func (x *Exchange) WithLedger(change func(l *Ledger)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	change(x.ledger)
@@ -61,7 +61,7 @@
 
 // Return returns the token of a request that was refused and never ran.
 func (x *Exchange) Return(workspace string) {
-	x.Change(func(l *Ledger) { l.Return(boottime.Now(), workspace) })
+	x.WithLedger(func(l *Ledger) { l.Return(boottime.Now(), workspace) })
 }
 
 // Take takes a token for a request of a workspace, from another instance if necessary. Requests
@@ -74,14 +74,14 @@
 	if d.Allowed {
 		return d
 	}
-	if len(d.Ask) > 0 {
+	if len(d.Holders) > 0 {
 		x.askOnce(ctx, workspace, d)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	asked := d
 	d = x.ledger.Retry(boottime.Now(), workspace)
-	d.Ask, d.Want = asked.Ask, asked.Want
+	d.Holders, d.Want = asked.Holders, asked.Want
 	return d
 }
 
@@ -112,7 +112,7 @@
 // askHolders asks one holder after the other until one gives tokens. It continues when the caller
 // disconnects, because other requests may wait for the answers.
 func (x *Exchange) askHolders(workspace string, d Decision) {
-	for _, m := range d.Ask {
+	for _, m := range d.Holders {
 		asked := boottime.Now()
 		if x.isSilent(asked, m.Address) {
 			continue
@@ -123,7 +123,7 @@
 			x.onFailure(err)
 			continue
 		}
-		x.Change(func(l *Ledger) { l.Receive(boottime.Now(), asked, workspace, m, d.Want, a.grant()) })
+		x.WithLedger(func(l *Ledger) { l.Receive(boottime.Now(), asked, workspace, m, d.Want, a.grant()) })
 		if a.Tokens > 0 {
 			return
 		}
--- a/internal/quota/exchange_test.go
+++ b/internal/quota/exchange_test.go
@@ -24,7 +24,7 @@
 	f := &fleet{}
 	members := threeMembers()
 	for i := range members {
-		l, err := New(Config{Self: members[i].Name, Domain: members[i].Domain, Region: "r", Bounds: Bounds{Over: 0.1, Slack: 20}})
+		l, err := New(Config{Self: members[i].Name, Domain: members[i].Domain, Region: "r", Bounds: Bounds{OverRatio: 0.1, Slack: 20}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -39,10 +39,10 @@
 		f.exchanges, f.servers = append(f.exchanges, x), append(f.servers, server)
 	}
 	for _, x := range f.exchanges {
-		x.Change(func(l *Ledger) {
-			l.Peers(time.Now(), members)
-			l.Limit(map[string]Limit{"w": limit})
-			l.Begin(time.Now().Add(-time.Minute), false)
+		x.WithLedger(func(l *Ledger) {
+			l.SetMembers(time.Now(), members)
+			l.SetLimits(map[string]Limit{"w": limit})
+			l.StartFilling(time.Now().Add(-time.Minute), false)
 		})
 	}
 	return f
@@ -144,9 +144,9 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	l.Limit(map[string]Limit{"w": {Rate: 5, Burst: 5}})
-	l.Peers(time.Now(), []Member{{Name: "a", Size: 1}})
-	l.Begin(time.Now(), false)
+	l.SetLimits(map[string]Limit{"w": {Rate: 5, Burst: 5}})
+	l.SetMembers(time.Now(), []Member{{Name: "a", Size: 1}})
+	l.StartFilling(time.Now(), false)
 	x := NewExchange(l, "", func(error) {})
 	f.Fuzz(func(t *testing.T, query string) {
 		r := httptest.NewRequest(http.MethodPost, Path, nil)
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -51,9 +51,9 @@
 	return &Ledger{cfg: cfg, expiry: make(map[string]time.Time), quotas: make(map[string]*quota)}, nil
 }
 
-// Begin starts filling the buckets. Those of a newcomer fill later, when all others know of it; an
+// StartFilling starts filling the buckets. Those of a newcomer fill later, when all others know of it; an
 // instance that ran before under its name was known all the while.
-func (l *Ledger) Begin(now time.Time, newcomer bool) {
+func (l *Ledger) StartFilling(now time.Time, newcomer bool) {
 	if !l.fillFrom.IsZero() {
 		return
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// Bound sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
-func (l *Ledger) Bound(b Bounds) error {
+// SetBounds sets new bounds. If they are invalid, it returns a *ConfigError and changes nothing.
+func (l *Ledger) SetBounds(b Bounds) error {
 	b.Defaults()
 	cfg := l.cfg
 	cfg.Bounds = b
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// Peers sets the instances whose records exist, including this one. Others that were known still
+// SetMembers sets the instances whose records exist, including this one. Others that were known still
 // count for holderExpiry.
-func (l *Ledger) Peers(now time.Time, running []Member) {
+func (l *Ledger) SetMembers(now time.Time, running []Member) {
 	next := make(map[string]Member, len(running))
 	for _, m := range running {
 		next[m.Name] = m
@@ -129,8 +129,8 @@
 	}
 }
 
-// Limit sets the limits of all workspaces that have one.
-func (l *Ledger) Limit(limits map[string]Limit) {
+// SetLimits sets the limits of all workspaces that have one.
+func (l *Ledger) SetLimits(limits map[string]Limit) {
 	for name := range l.quotas {
 		if _, limited := limits[name]; !limited {
 			delete(l.quotas, name)
@@ -150,14 +150,14 @@
 
 // Decision is the result of a request for a token.
 type Decision struct {
-	Allowed bool
-	Limited bool          // the workspace has a limit
-	Left    float64       // tokens left at this instance
-	Rate    float64       // tokens per second at this instance
-	Demand  float64       // requests per second of the workspace at this instance
-	Ask     []Member      // holders that may have tokens, in the order in which to ask them; empty if none is worth asking now
-	Want    Want          // what to request from them
-	Again   time.Duration // time after which to retry; set if not allowed
+	Allowed    bool
+	Limited    bool          // the workspace has a limit
+	TokensLeft float64       // tokens left at this instance
+	Rate       float64       // tokens per second at this instance
+	Demand     float64       // requests per second of the workspace at this instance
+	Holders    []Member      // holders that may have tokens, in the order in which to ask them; empty if none is worth asking now
+	Want       Want          // what to request from them
+	RetryAfter time.Duration // time after which to retry; set if not allowed
 }
 
 // Take takes a token for a request of a workspace, if there is one at this instance.
@@ -169,7 +169,7 @@
 	q.countRequest(now)
 	d := l.take(now, workspace, q)
 	if !d.Allowed {
-		d.Ask, d.Want = q.holdersToAsk(now), q.want(now)
+		d.Holders, d.Want = q.holdersToAsk(now), q.want(now)
 	}
 	return d
 }
@@ -183,7 +183,7 @@
 	}
 	d := l.take(now, workspace, q)
 	if !d.Allowed {
-		d.Again = q.retryAfter(now)
+		d.RetryAfter = q.retryAfter(now)
 	}
 	return d
 }
@@ -191,7 +191,7 @@
 func (l *Ledger) take(now time.Time, workspace string, q *quota) Decision {
 	l.fill(now, workspace, q)
 	allowed := q.take(now)
-	return Decision{Allowed: allowed, Limited: true, Left: q.tokensLeft(now), Rate: q.available(now).rate, Demand: q.demand}
+	return Decision{Allowed: allowed, Limited: true, TokensLeft: q.tokensLeft(now), Rate: q.available(now).rate, Demand: q.demand}
 }
 
 // Give gives tokens to another instance, and lends it a part of this one's share that its own
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -12,13 +12,13 @@
 // minute.
 func newLedger(t *testing.T, now time.Time, self string, limit Limit) *Ledger {
 	t.Helper()
-	l, err := New(Config{Self: self, Domain: self, Region: "r", Bounds: Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20}})
+	l, err := New(Config{Self: self, Domain: self, Region: "r", Bounds: Bounds{Window: 5 * time.Second, OverRatio: 0.1, Slack: 20}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Limit(map[string]Limit{"w": limit})
-	l.Peers(now, threeMembers())
-	l.Begin(now.Add(-time.Minute), false)
+	l.SetLimits(map[string]Limit{"w": limit})
+	l.SetMembers(now, threeMembers())
+	l.StartFilling(now.Add(-time.Minute), false)
 	return l
 }
 
@@ -56,12 +56,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.Limit(map[string]Limit{"w": {Rate: 10, Burst: 10}})
-			l.Peers(simulationStart, []Member{{Name: "a", Size: 1}})
+			l.SetLimits(map[string]Limit{"w": {Rate: 10, Burst: 10}})
+			l.SetMembers(simulationStart, []Member{{Name: "a", Size: 1}})
 			if got := drain(l, simulationStart.Add(time.Hour)); got != 0 {
 				t.Errorf("got %d tokens before the start, want none", got)
 			}
-			l.Begin(simulationStart, newcomer)
+			l.StartFilling(simulationStart, newcomer)
 			got := drain(l, simulationStart.Add(newcomerDelay))
 			if (got == 0) != newcomer {
 				t.Errorf("got %d tokens after %s, want none: %t", got, newcomerDelay, newcomer)
@@ -80,14 +80,14 @@
 		a.Take(now, "w")
 	}
 	d := a.Take(now, "w")
-	if d.Allowed || len(d.Ask) != 2 || d.Want.Tokens < 2 || d.Want.Rate <= 0 {
+	if d.Allowed || len(d.Holders) != 2 || d.Want.Tokens < 2 || d.Want.Rate <= 0 {
 		t.Fatalf("got %+v of an empty bucket with demand, want to ask two for tokens and a rate", d)
 	}
 	g := b.Give(now, "w", d.Want)
 	if g.Tokens < 1 || g.Tokens > d.Want.Tokens || g.Rate <= 0 || g.Rate > d.Want.Rate {
 		t.Fatalf("got %+v, want some of %+v", g, d.Want)
 	}
-	a.Receive(now, now, "w", d.Ask[0], d.Want, g)
+	a.Receive(now, now, "w", d.Holders[0], d.Want, g)
 	if got := drain(a, now) + drain(b, now); got > whole {
 		t.Errorf("got %d tokens of the giving and the receiving bucket, want %d at most", got, whole)
 	}
@@ -97,7 +97,7 @@
 	}
 	late := newLedger(t, now, "a", Limit{Rate: 90, Burst: 90})
 	drain(late, now)
-	late.Receive(now, now.Add(-tokenLifetime), "w", d.Ask[0], d.Want, Grant{Tokens: 5})
+	late.Receive(now, now.Add(-tokenLifetime), "w", d.Holders[0], d.Want, Grant{Tokens: 5})
 	if got := late.Retry(now, "w"); got.Allowed {
 		t.Errorf("got %+v with tokens that arrived too late", got)
 	}
@@ -107,13 +107,13 @@
 func TestAsksOthers(t *testing.T) {
 	l := newLedger(t, simulationStart, "a", Limit{Rate: 90, Burst: 90})
 	drain(l, simulationStart)
-	first := l.Take(simulationStart, "w").Ask
+	first := l.Take(simulationStart, "w").Holders
 	l.Receive(simulationStart, simulationStart, "w", first[0], Want{Tokens: 1}, Grant{RetryAfter: time.Second})
-	if next := l.Take(simulationStart, "w").Ask; len(next) != 1 || next[0] != first[1] {
+	if next := l.Take(simulationStart, "w").Holders; len(next) != 1 || next[0] != first[1] {
 		t.Errorf("got %v asked after %v gave nothing", next, first[0])
 	}
-	if again := l.Take(simulationStart.Add(emptyBackoff), "w"); !again.Allowed && len(again.Ask) != 2 {
-		t.Errorf("got %v asked after the back-off, want both", again.Ask)
+	if again := l.Take(simulationStart.Add(emptyBackoff), "w"); !again.Allowed && len(again.Holders) != 2 {
+		t.Errorf("got %v asked after the back-off, want both", again.Holders)
 	}
 }
 
@@ -124,10 +124,10 @@
 	seen := make(map[time.Duration]int)
 	for range 10 {
 		d := l.Retry(simulationStart, "w")
-		if d.Allowed || d.Again < minRetryAfter || d.Again > maxRetryAfter {
+		if d.Allowed || d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter {
 			t.Fatalf("got %+v", d)
 		}
-		seen[d.Again]++
+		seen[d.RetryAfter]++
 	}
 	if len(seen) < 9 {
 		t.Errorf("got %d times for 10 callers, want one for each", len(seen))
@@ -195,8 +195,8 @@
 		t.Errorf("got %v, want two faults", err)
 	}
 	l := newLedger(t, simulationStart, "a", Limit{Rate: 1})
-	if err := l.Bound(Bounds{Over: -1}); !errors.As(err, &got) || l.cfg.Over != 0.1 {
-		t.Errorf("got %v and %g, want an error and no change", err, l.cfg.Over)
+	if err := l.SetBounds(Bounds{OverRatio: -1}); !errors.As(err, &got) || l.cfg.OverRatio != 0.1 {
+		t.Errorf("got %v and %g, want an error and no change", err, l.cfg.OverRatio)
 	}
 }
 
@@ -207,11 +207,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Limit(map[string]Limit{"w": {Rate: 100, Burst: 100}})
+	l.SetLimits(map[string]Limit{"w": {Rate: 100, Burst: 100}})
 	for i := range 50 {
 		other := Member{Name: fmt.Sprint("b", i), Domain: "d", Region: "r", Size: 1}
 		now = now.Add(holderExpiry + time.Second)
-		l.Peers(now, []Member{{Name: "a", Domain: "d", Region: "r", Size: 1}, other})
+		l.SetMembers(now, []Member{{Name: "a", Domain: "d", Region: "r", Size: 1}, other})
 		l.Take(now, "w")
 		l.Receive(now, now, "w", other, Want{Tokens: 1}, Grant{})
 	}
@@ -237,11 +237,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.Limit(map[string]Limit{"w": {Rate: 100, Burst: 100}})
-			l.Peers(now, []Member{self})
+			l.SetLimits(map[string]Limit{"w": {Rate: 100, Burst: 100}})
+			l.SetMembers(now, []Member{self})
 			whole := l.Take(now, "w").Rate
-			l.Peers(now, []Member{self, other})
-			l.Peers(now, []Member{self})
+			l.SetMembers(now, []Member{self, other})
+			l.SetMembers(now, []Member{self})
 			if got, want := l.Take(now.Add(tt.after), "w").Rate, tt.part*whole; got != want {
 				t.Errorf("got %g tokens a second, want %g", got, want)
 			}
--- a/internal/quota/world_run_test.go
+++ b/internal/quota/world_run_test.go
@@ -94,7 +94,7 @@
 		const change = 10 * time.Second
 		w.after(change, func() { w.limit = Limit{Rate: 10, Burst: 10} })
 		for _, n := range w.nodes {
-			w.after(change+w.randomDuration(viewLag), func() { n.ledger.Limit(map[string]Limit{workspaceName: w.limit}) })
+			w.after(change+w.randomDuration(viewLag), func() { n.ledger.SetLimits(map[string]Limit{workspaceName: w.limit}) })
 		}
 		w.load(3*time.Second, 27*time.Second, 300, bySize)
 		w.run(30 * time.Second)
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -71,7 +71,7 @@
 func newSimulation(seed uint64, size int, limit Limit) *simulation {
 	w := &simulation{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: simulationStart, limit: limit, lend: true,
-		bounds: Bounds{Window: 5 * time.Second, Over: 0.1, Slack: 20},
+		bounds: Bounds{Window: 5 * time.Second, OverRatio: 0.1, Slack: 20},
 	}
 	for i := range size {
 		n := &node{w: w, member: Member{
@@ -116,7 +116,7 @@
 		panic(err)
 	}
 	n.ledger = ledger
-	n.ledger.Limit(map[string]Limit{workspaceName: n.w.limit})
+	n.ledger.SetLimits(map[string]Limit{workspaceName: n.w.limit})
 	run := n.run
 	n.listStore(run)
 }
@@ -133,7 +133,7 @@
 	known := n.w.now.Before(n.expires)
 	n.renew(run)
 	n.updateView(n.w.members())
-	n.ledger.Begin(n.w.now, !known)
+	n.ledger.StartFilling(n.w.now, !known)
 	n.observe(run)
 }
 
@@ -172,7 +172,7 @@
 	if !self {
 		members = append(members, n.w.withSize(n.member))
 	}
-	n.ledger.Peers(n.w.now, members)
+	n.ledger.SetMembers(n.w.now, members)
 }
 
 // members returns the instances whose records exist.
@@ -207,11 +207,11 @@
 		w.spend()
 		return
 	}
-	if !w.lend || len(d.Ask) == 0 {
+	if !w.lend || len(d.Holders) == 0 {
 		n.refuse()
 		return
 	}
-	n.askNext(d.Ask, d.Want, n.run)
+	n.askNext(d.Holders, d.Want, n.run)
 }
 
 // askNext asks one holder after the other.
@@ -299,7 +299,7 @@
 
 // bound returns how many requests a window may hold under the current limit.
 func (w *simulation) bound() float64 {
-	return (w.limit.Rate*w.bounds.Window.Seconds()+w.limit.Burst)*(1+w.bounds.Over) + w.bounds.Slack
+	return (w.limit.Rate*w.bounds.Window.Seconds()+w.limit.Burst)*(1+w.bounds.OverRatio) + w.bounds.Slack
 }
 
 func (w *simulation) nodeNamed(name string) *node {
