--- a/internal/callers/busy.go
+++ b/internal/callers/busy.go
@@ -24,10 +24,10 @@
 // zero time if it isn't. A request with a key may have run before, so only the instance that keeps
 // the key's record can state whether it ran.
 func (s *Server) overloadedUntil() time.Time {
-	if !s.cfg.Load.Refuse() {
+	if !s.cfg.Overload.Refuse() {
 		return time.Time{}
 	}
-	return s.dispatcher.Now().Add(minRetryDelay + rand.N(time.Duration(s.cfg.Load.Share()*float64(overloadRetrySpread))+1))
+	return s.dispatcher.Now().Add(minRetryDelay + rand.N(time.Duration(s.cfg.Overload.Share()*float64(overloadRetrySpread))+1))
 }
 
 // refuseOverloaded refuses a request without a key, by its headers alone.
@@ -39,7 +39,7 @@
 	s.cfg.Metrics.Decided(metrics.Decision{Kind: kindRefuse, Reason: string(core.ReasonOverloaded)})
 	if suppressed, ok := s.refusalLog.Allow(s.dispatcher.Now()); ok && s.cfg.Log != nil {
 		s.cfg.Log.Info(kindRefuse, "request", requestID, "path", r.URL.Path, "reason", core.ReasonOverloaded,
-			"share", s.cfg.Load.Share(), "retry", retryAt, "suppressed", suppressed)
+			"share", s.cfg.Overload.Share(), "retry", retryAt, "suppressed", suppressed)
 	}
 	w.Header().Set(HeaderRequest, requestID)
 	setRetry(w.Header(), s.dispatcher.Now(), retryAt)
--- a/internal/callers/busy_test.go
+++ b/internal/callers/busy_test.go
@@ -12,11 +12,11 @@
 
 // overload makes the server treat its process as overloaded.
 func (g *rig) overload() {
-	g.server.cfg.Load = overload.NewMeter(0)
+	g.server.cfg.Overload = overload.NewMeter(0)
 	future := time.Now().Add(time.Hour) // measurements taken meanwhile are ignored, as their times are earlier
 	for range 10 {
 		future = future.Add(time.Second)
-		g.server.cfg.Load.Record(future, time.Minute)
+		g.server.cfg.Overload.Record(future, time.Minute)
 	}
 }
 
--- a/internal/callers/capacity_test.go
+++ b/internal/callers/capacity_test.go
@@ -42,7 +42,7 @@
 		list = append(list, core.Peer{ID: fmt.Sprintf("p%03d", i), Incarnation: 1, Place: "here", CallersAddress: "127.0.0.1:2"})
 	}
 	dispatcher.Step(core.PeersChanged{Peers: list})
-	return New(Config{Instance: "i", Callers: "127.0.0.1:1"}, dispatcher, targets.New(nil))
+	return New(Config{Instance: "i", CallersAddress: "127.0.0.1:1"}, dispatcher, targets.New(nil))
 }
 
 // BenchmarkCapacityHTTPLookup measures one look-up over a reused loopback connection, including the
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -21,9 +21,9 @@
 	maxCrashUpdate = 1 << 20
 )
 
-// TellCrashes carries out a decision to report crashed targets: it sends the update to all of its
+// SendCrashes carries out a decision to report crashed targets: it sends the update to all of its
 // peers in parallel.
-func (s *Server) TellCrashes(ctx context.Context, d core.SendCrashes) {
+func (s *Server) SendCrashes(ctx context.Context, d core.SendCrashes) {
 	body, err := json.Marshal(d.Update)
 	if err != nil {
 		s.recordCrashUpdate(d, err)
--- a/internal/callers/crash_test.go
+++ b/internal/callers/crash_test.go
@@ -30,7 +30,7 @@
 		})
 	}
 	peer := core.Peer{ID: "west", Address: receiver.peers.Listener.Addr().String()}
-	sender.server.TellCrashes(t.Context(), core.SendCrashes{Peers: []core.Peer{peer}, Update: update})
+	sender.server.SendCrashes(t.Context(), core.SendCrashes{Peers: []core.Peer{peer}, Update: update})
 	tests := map[string]struct {
 		path, key, reason string
 		status            int
--- a/internal/callers/exchange.go
+++ b/internal/callers/exchange.go
@@ -229,7 +229,7 @@
 // handleTargetAnswer handles a target's answer. Of its Firlever headers, only the refusal that
 // proves that nothing ran and the target's notice are used.
 func (x *exchange) handleTargetAnswer(t attempt, resp *http.Response) bool {
-	received := Noticed(t.target, t.began, resp)
+	received := ReadNotice(t.target, t.began, resp)
 	x.s.dispatcher.Step(received)
 	if resp.StatusCode == http.StatusServiceUnavailable && resp.Header.Get(HeaderOutcome) == OutcomeNotRun {
 		now := x.s.dispatcher.Now()
--- a/internal/callers/header.go
+++ b/internal/callers/header.go
@@ -47,9 +47,9 @@
 // noticeHeaders are the headers of a target's notice.
 var noticeHeaders = notice.HeaderNames{Leaving: HeaderLeaving, Limit: HeaderLimit, BackOff: headerRetryAfter}
 
-// Noticed reads the notice in a target's answer. A successful answer is complete if its
+// ReadNotice reads the notice in a target's answer. A successful answer is complete if its
 // headers could be read: what it doesn't state no longer holds.
-func Noticed(target owner.TargetKey, asked time.Time, resp *http.Response) core.NoticeReceived {
+func ReadNotice(target owner.TargetKey, asked time.Time, resp *http.Response) core.NoticeReceived {
 	n, unread := noticeHeaders.Read(resp.StatusCode, resp.Header)
 	return core.NoticeReceived{
 		Target: target, Sent: asked, Notice: n, Unreadable: unread, Complete: resp.StatusCode < http.StatusMultipleChoices && unread == nil,
--- a/internal/callers/notice_test.go
+++ b/internal/callers/notice_test.go
@@ -30,7 +30,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			tt.want.Target, tt.want.Sent = target, asked
-			got := Noticed(target, asked, &http.Response{StatusCode: tt.status, Header: tt.header})
+			got := ReadNotice(target, asked, &http.Response{StatusCode: tt.status, Header: tt.header})
 			if !reflect.DeepEqual(got, tt.want) {
 				t.Errorf("got %+v, want %+v", got, tt.want)
 			}
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -25,12 +25,12 @@
 
 // Config configures a Server.
 type Config struct {
-	Instance string
-	Callers  string // this instance's own address for callers
-	Checks   *invariant.Counter
-	Log      *log.Logger     // nil logs nothing
-	Metrics  *metrics.Set    // nil counts nothing
-	Load     *overload.Meter // of this process; with nil, nothing is refused on overload
+	Instance       string
+	CallersAddress string // this instance's own address for callers
+	Checks         *invariant.Counter
+	Log            *log.Logger     // nil logs nothing
+	Metrics        *metrics.Set    // nil counts nothing
+	Overload       *overload.Meter // of this process; with nil, nothing is refused on overload
 }
 
 // Server serves callers and peers. It is safe for concurrent use.
@@ -190,7 +190,7 @@
 
 func (s *Server) callersAddress(p core.Peer) string {
 	if p.ID == s.cfg.Instance {
-		return s.cfg.Callers
+		return s.cfg.CallersAddress
 	}
 	return p.CallersAddress
 }
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -51,7 +51,7 @@
 	}
 	g := &gossip{in: in, placePeers: make(map[string]bool), lookupExpiry: make(map[string]time.Time)}
 	g.udp = peer.NewUDP(conn, list, peer.Hooks{
-		Heard: g.receive, Rooms: g.receiveCapacity, Prepare: g.prepare, Changed: g.membersChanged,
+		Received: g.receive, FreeSlots: g.receiveCapacity, Prepare: g.prepare, Changed: g.membersChanged,
 	})
 	return g, nil
 }
@@ -127,7 +127,7 @@
 	if !g.inPlace(p.From) {
 		return
 	}
-	g.in.dispatcher.Step(core.FreeSlotsReceived{Peer: p.From, Services: peer.RoomsOf(p)})
+	g.in.dispatcher.Step(core.FreeSlotsReceived{Peer: p.From, Services: peer.FreeSlotsOf(p)})
 }
 
 func (g *gossip) inPlace(id string) bool {
@@ -240,7 +240,7 @@
 // AddListed adds the platform's list of instances to the membership.
 func (g *gossip) AddListed(list []docstore.Instance) {
 	g.udp.Do(func(now time.Time, l *member.List) []member.Send {
-		l.Learn(now, list)
+		l.MergeListing(now, list)
 		return nil
 	})
 }
--- a/internal/instance/grant.go
+++ b/internal/instance/grant.go
@@ -24,7 +24,7 @@
 		case <-ctx.Done():
 			return
 		case d := <-in.crashReports:
-			in.server.TellCrashes(ctx, d)
+			in.server.SendCrashes(ctx, d)
 		}
 	}
 }
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -145,8 +145,8 @@
 	in.dispatcher = dispatch.New(node, boottime.Now, in.control)
 	in.docs = newDocuments(in.cfg.Checks, in.cfg.Log, in.applySnapshot)
 	in.server = callers.New(callers.Config{
-		Instance: in.cfg.ID, Callers: in.cfg.AdvertiseCallers, Checks: in.cfg.Checks, Log: in.cfg.Log,
-		Metrics: in.cfg.Metrics, Load: in.cfg.Overload,
+		Instance: in.cfg.ID, CallersAddress: in.cfg.AdvertiseCallers, Checks: in.cfg.Checks, Log: in.cfg.Log,
+		Metrics: in.cfg.Metrics, Overload: in.cfg.Overload,
 	}, in.dispatcher, in.client)
 	if in.members, err = newGossip(in); err != nil {
 		return err
--- a/internal/instance/learn.go
+++ b/internal/instance/learn.go
@@ -93,7 +93,7 @@
 
 // listInterval returns this instance's interval between reads while there is no listReason.
 func (in *Instance) listInterval() time.Duration {
-	if replica.Watchers(in.domainPeers(), in.cfg.ID, listReaders) {
+	if replica.IsWatcher(in.domainPeers(), in.cfg.ID, listReaders) {
 		return listAsReader
 	}
 	return listMax
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -67,7 +67,7 @@
 		return got
 	}
 	health.Body.Close()
-	in.dispatcher.Step(callers.Noticed(p.Target, p.Sent, health))
+	in.dispatcher.Step(callers.ReadNotice(p.Target, p.Sent, health))
 	got.Healthy = health.StatusCode == http.StatusOK
 	resp, err := in.get(ctx, p.Address, "/load")
 	if err != nil {
--- a/internal/instance/rooms.go
+++ b/internal/instance/rooms.go
@@ -96,7 +96,7 @@
 		return
 	}
 	p := &wire.Packet{From: g.in.cfg.ID, Incarnation: g.in.incarnation}
-	peer.SetRooms(p, picked)
+	peer.SetFreeSlots(p, picked)
 	for _, m := range peers {
 		g.udp.Send(m.Address, p)
 	}
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -234,7 +234,7 @@
 
 // isWatcher reports whether this instance watches the platform's store for its domain.
 func (in *Instance) isWatcher() bool {
-	return replica.Watchers(in.domainPeers(), in.cfg.ID, watchers)
+	return replica.IsWatcher(in.domainPeers(), in.cfg.ID, watchers)
 }
 
 // domainPeers returns the IDs of the other live instances of the domain.
--- a/internal/member/capacity_test.go
+++ b/internal/member/capacity_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	l.Learn(start, cluster(n, 9, 11))
+	l.MergeListing(start, cluster(n, 9, 11))
 	return l
 }
 
--- a/internal/member/learn.go
+++ b/internal/member/learn.go
@@ -8,9 +8,9 @@
 	"github.com/firlever/firlever/internal/wire"
 )
 
-// Learn merges the platform's list. The list lags, so it only adds members and newer incarnations,
+// MergeListing merges the platform's list. The list lags, so it only adds members and newer incarnations,
 // and starts the expiry of dead members that it no longer names. It never marks a member dead.
-func (l *List) Learn(now time.Time, list []docstore.Instance) {
+func (l *List) MergeListing(now time.Time, list []docstore.Instance) {
 	named := make(map[string]bool, len(list))
 	for _, in := range list {
 		named[in.ID] = true
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -249,7 +249,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Learn(start, cluster(2100, 9, 11))
+	l.MergeListing(start, cluster(2100, 9, 11))
 	if got, want := len(l.Domain(cfg.Self.Domain)), 98; got != want {
 		t.Errorf("got %d of the domain, want %d", got, want)
 	}
@@ -269,7 +269,7 @@
 	w.run(3 * time.Second)
 	l := w.lists[address(0)]
 	departed := instance(2, 3, 1)
-	l.Learn(w.now, []docstore.Instance{instance(0, 3, 1), instance(1, 3, 1)})
+	l.MergeListing(w.now, []docstore.Instance{instance(0, 3, 1), instance(1, 3, 1)})
 	w.run(20 * time.Second)
 	if m, _ := l.Get(departed.ID); m.State != Alive {
 		t.Errorf("got %s for an instance missing in the list, want alive", m.State)
@@ -300,7 +300,7 @@
 	old := in
 	old.Incarnation--
 	for _, list := range [][]docstore.Instance{{in}, {old}} {
-		l.Learn(start, list)
+		l.MergeListing(start, list)
 	}
 	m := member{in: old}
 	l.apply(start, m.update(true))
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -106,7 +106,7 @@
 func (w *network) start(n, perPlace, placesPerDomain int) {
 	all := cluster(n, perPlace, placesPerDomain)
 	for _, in := range all {
-		w.add(in).Learn(w.now, all)
+		w.add(in).MergeListing(w.now, all)
 	}
 }
 
--- a/internal/peer/report.go
+++ b/internal/peer/report.go
@@ -9,16 +9,16 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// SetRooms writes the free slots of services into a packet.
-func SetRooms(p *wire.Packet, rooms []core.FreeSlots) {
+// SetFreeSlots writes the free slots of services into a packet.
+func SetFreeSlots(p *wire.Packet, rooms []core.FreeSlots) {
 	p.Rooms = make([]*wire.Room, 0, len(rooms))
 	for _, r := range rooms {
 		p.Rooms = append(p.Rooms, &wire.Room{Service: r.Service.String(), Free: uint32(r.Free), Queued: uint32(r.Queued)})
 	}
 }
 
-// RoomsOf reads the free slots of services from a packet. Entries that can't be parsed are omitted.
-func RoomsOf(p *wire.Packet) []core.FreeSlots {
+// FreeSlotsOf reads the free slots of services from a packet. Entries that can't be parsed are omitted.
+func FreeSlotsOf(p *wire.Packet) []core.FreeSlots {
 	rooms := make([]core.FreeSlots, 0, len(p.Rooms))
 	for _, r := range p.Rooms {
 		if id, err := settings.ParseServiceID(r.Service); err == nil {
--- a/internal/peer/udp.go
+++ b/internal/peer/udp.go
@@ -53,10 +53,10 @@
 
 // Hooks are callbacks of a UDP, never called under its lock. Each may be nil.
 type Hooks struct {
-	// Heard is called with each packet that the list accepted, and the time of its receipt.
-	Heard func(time.Time, *wire.Packet)
-	// Rooms is called with each packet that contains only free slots.
-	Rooms func(*wire.Packet)
+	// Received is called with each packet that the list accepted, and the time of its receipt.
+	Received func(time.Time, *wire.Packet)
+	// FreeSlots is called with each packet that contains only free slots.
+	FreeSlots func(*wire.Packet)
 	// Prepare completes a packet just before it is sent. cause is the packet that it answers, nil
 	// if it answers none.
 	Prepare func(p, cause *wire.Packet)
@@ -224,14 +224,14 @@
 		u.counters.rejected.Add(1)
 		return
 	}
-	if u.hooks.Heard != nil {
-		u.hooks.Heard(at, p)
+	if u.hooks.Received != nil {
+		u.hooks.Received(at, p)
 	}
 }
 
 func (u *UDP) receiveFreeSlots(p *wire.Packet) {
-	if u.hooks.Rooms != nil {
-		u.hooks.Rooms(p)
+	if u.hooks.FreeSlots != nil {
+		u.hooks.FreeSlots(p)
 	}
 }
 
--- a/internal/peer/udp_test.go
+++ b/internal/peer/udp_test.go
@@ -83,7 +83,7 @@
 		var mu sync.Mutex
 		var kinds []member.ChangeKind
 		var accepted int
-		a := NewUDP(h.listen(addrA), newList(t, "a", addrA), Hooks{Heard: func(time.Time, *wire.Packet) {
+		a := NewUDP(h.listen(addrA), newList(t, "a", addrA), Hooks{Received: func(time.Time, *wire.Packet) {
 			mu.Lock()
 			defer mu.Unlock()
 			accepted++
--- a/internal/replica/set_test.go
+++ b/internal/replica/set_test.go
@@ -157,7 +157,7 @@
 	chosen := func(members []string, n int) map[string]bool {
 		c := map[string]bool{}
 		for _, m := range members {
-			if Watchers(members, m, n) {
+			if IsWatcher(members, m, n) {
 				c[m] = true
 			}
 		}
@@ -189,7 +189,7 @@
 			}
 		}
 	}
-	if !Watchers(nil, "unlisted", 1) {
+	if !IsWatcher(nil, "unlisted", 1) {
 		t.Error("got an instance without other members not watching, want it to watch")
 	}
 }
