--- a/cmd/firlever/demo.go
+++ b/cmd/firlever/demo.go
@@ -71,7 +71,7 @@
 	}
 	if f.verbose {
 		logWriter := logs.NewWriter(os.Stderr)
-		defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+		defer func() { logWriter.Close(time.Now().Add(logs.CloseTimeout)) }()
 		logger, err := logs.New(logWriter, "info")
 		if err != nil {
 			return err
--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -81,7 +81,7 @@
 		return checkEdge(cmd, cfg)
 	}
 	logWriter := logs.NewWriter(cmd.OutOrStdout())
-	defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+	defer func() { logWriter.Close(time.Now().Add(logs.CloseTimeout)) }()
 	logger, err := logs.New(logWriter, flags.logLevel)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
--- a/cmd/firlever/serve.go
+++ b/cmd/firlever/serve.go
@@ -75,7 +75,7 @@
 
 func serve(cmd *cobra.Command, cfg instance.Config, flags serveFlags) error {
 	logWriter := logs.NewWriter(cmd.ErrOrStderr())
-	defer func() { logWriter.Close(time.Now().Add(logs.CloseTime)) }()
+	defer func() { logWriter.Close(time.Now().Add(logs.CloseTimeout)) }()
 	logger, err := logs.New(logWriter, flags.logLevel)
 	if err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
--- a/internal/callers/busy.go
+++ b/internal/callers/busy.go
@@ -36,7 +36,7 @@
 	if len(requestID) > maxRequestID || !printable(requestID) {
 		requestID = ""
 	}
-	s.cfg.Metrics.Decided(metrics.Decision{Kind: kindRefuse, Reason: string(core.ReasonOverloaded)})
+	s.cfg.Metrics.CountDecision(metrics.Decision{Kind: kindRefuse, Reason: string(core.ReasonOverloaded)})
 	if suppressed, ok := s.refusalLog.Allow(s.dispatcher.Now()); ok && s.cfg.Log != nil {
 		s.cfg.Log.Info(kindRefuse, "request", requestID, "path", r.URL.Path, "reason", core.ReasonOverloaded,
 			"share", s.cfg.Overload.Share(), "retry", retryAt, "suppressed", suppressed)
--- a/internal/callers/crash.go
+++ b/internal/callers/crash.go
@@ -64,7 +64,7 @@
 
 // recordCrashUpdate counts a sent update and logs its reports.
 func (s *Server) recordCrashUpdate(d core.SendCrashes, err error) {
-	s.cfg.Metrics.Decided(metrics.Decision{Kind: "tell-crashes"})
+	s.cfg.Metrics.CountDecision(metrics.Decision{Kind: "tell-crashes"})
 	if s.cfg.Log == nil {
 		return
 	}
--- a/internal/callers/grant_test.go
+++ b/internal/callers/grant_test.go
@@ -131,7 +131,7 @@
 	}
 
 	granted := func() (n int) {
-		west.dispatcher.Read(func(now time.Time, node *core.Node) { n = node.Granted(now, orders) })
+		west.dispatcher.WithNode(func(now time.Time, node *core.Node) { n = node.Granted(now, orders) })
 		return n
 	}
 	if got := granted(); got != 1 {
--- a/internal/callers/link.go
+++ b/internal/callers/link.go
@@ -25,7 +25,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pace.SetRate(l.now(), rate)
-	return l.pace.Chunk(chunkSize)
+	return l.pace.ChunkSize(chunkSize)
 }
 
 // wait blocks until n bytes may be sent. rate is this instance's share in bytes/s; with 0 it
@@ -37,7 +37,7 @@
 	l.mu.Lock()
 	now := l.now()
 	l.pace.SetRate(now, rate)
-	at := l.pace.Take(now, n)
+	at := l.pace.Reserve(now, n)
 	l.mu.Unlock()
 	if !at.After(now) {
 		return nil
--- a/internal/callers/log.go
+++ b/internal/callers/log.go
@@ -20,7 +20,7 @@
 // recordDecision counts a decision and logs it.
 func (s *Server) recordDecision(req core.Request, d core.Decision) {
 	kind, reason := kindAndReason(d)
-	s.cfg.Metrics.Decided(metrics.Decision{Kind: kind, Service: req.Service.String(), Reason: string(reason)})
+	s.cfg.Metrics.CountDecision(metrics.Decision{Kind: kind, Service: req.Service.String(), Reason: string(reason)})
 	if s.cfg.Log == nil {
 		return
 	}
@@ -34,7 +34,7 @@
 	if d.Release > 0 {
 		reason = core.ReasonReleased
 	}
-	s.cfg.Metrics.Decided(metrics.Decision{Kind: kindAsk, Service: d.Service.String(), Reason: string(reason)})
+	s.cfg.Metrics.CountDecision(metrics.Decision{Kind: kindAsk, Service: d.Service.String(), Reason: string(reason)})
 	if s.cfg.Log == nil {
 		return
 	}
--- a/internal/callers/relay.go
+++ b/internal/callers/relay.go
@@ -38,7 +38,7 @@
 	}
 	x.checkLength(resp, len(start))
 	x.finish(t, x.finishedEvent(resp, start))
-	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
+	x.s.cfg.Metrics.RecordLatency(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
 	if x.s.pacer.wait(t.ctx, t.linkRate, len(start)) != nil {
 		x.refuse(core.Refuse{ID: x.id, Unknown: true, Reason: core.ReasonDeadline})
 		return true
@@ -137,7 +137,7 @@
 	if x.callerGone {
 		x.abort()
 	}
-	x.s.cfg.Metrics.Answered(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
+	x.s.cfg.Metrics.RecordLatency(x.req.Service.String(), x.s.dispatcher.Now().Sub(x.arrived))
 	return true
 }
 
--- a/internal/callers/rig_test.go
+++ b/internal/callers/rig_test.go
@@ -203,7 +203,7 @@
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		var st core.Status
 		g.dispatcher.Step(core.Tick{})
-		g.dispatcher.Read(func(now time.Time, n *core.Node) { st = n.Status(now) })
+		g.dispatcher.WithNode(func(now time.Time, n *core.Node) { st = n.Status(now) })
 		if ok(st) {
 			return st
 		}
--- a/internal/core/arrival.go
+++ b/internal/core/arrival.go
@@ -120,7 +120,7 @@
 	case once.VerdictFull:
 		f.lowerRetryAt(now.Add(retryFull))
 		n.refuse(now, f, ReasonKeysFull)
-	case once.VerdictGone:
+	case once.VerdictHomeRestarted:
 		n.refuseUnknown(f, ReasonHomeGone)
 	default:
 		n.refuse(now, f, ReasonBadKey)
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -38,7 +38,7 @@
 
 	requests    map[ID]*inFlight
 	queue       *queue.Queue
-	once        *once.Book
+	once        *once.Table
 	retry       retry.Policy
 	services    map[settings.ServiceID]*serviceState // of the snapshot
 	addresses   map[owner.TargetKey]string           // of the place's targets
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// Waiting returns a channel that holds a token after a step that leaves something
+// TickNeeded returns a channel that holds a token after a step that leaves something
 // waiting for time to pass: the next core.Tick is then due soon.
-func (d *Dispatcher) Waiting() <-chan struct{} { return d.tickNeeded }
+func (d *Dispatcher) TickNeeded() <-chan struct{} { return d.tickNeeded }
 
 // deliver puts a decision into the mailbox of its request, or passes it to control.
 // It doesn't block. A decision for a closed request is dropped. The caller holds
@@ -112,8 +112,8 @@
 	return d.node.Offer(d.now(), a)
 }
 
-// Read calls f with the node locked. f must not retain the node.
-func (d *Dispatcher) Read(f func(now time.Time, n *core.Node)) {
+// WithNode calls f with the node locked. f must not retain the node.
+func (d *Dispatcher) WithNode(f func(now time.Time, n *core.Node)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f(d.now(), d.node)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -95,7 +95,7 @@
 // that none is queued.
 func (d *Dispatcher) checkCounts(t *testing.T, when string, open, inFlight int) {
 	t.Helper()
-	d.Read(func(now time.Time, n *core.Node) {
+	d.WithNode(func(now time.Time, n *core.Node) {
 		st := n.Status(now)
 		if st.InFlight != open || st.Queued != 0 || st.Services[0].InFlight != inFlight {
 			t.Errorf("%s: got %d open, %d queued, %d in flight, want %d, 0, %d",
--- a/internal/edge/apply.go
+++ b/internal/edge/apply.go
@@ -57,7 +57,7 @@
 // ListRead records the result of a complete read of the store.
 func (n *Node) ListRead(r mirror.ListResult) {
 	if r.Behind > 0 {
-		n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-items", Reason: "behind"})
+		n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "store-items", Reason: "behind"})
 	}
 	suppressed, ok := n.failureLimiter.Allow(boottime.Now())
 	if !ok {
@@ -69,7 +69,7 @@
 
 // HistoryGone is called when the store no longer has the changes since a revision.
 func (n *Node) HistoryGone(since platform.Revision) {
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-history", Reason: "gone"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "store-history", Reason: "gone"})
 	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("store history gone", "since", since, "epoch", n.store.Epoch(), "suppressed", suppressed)
 	}
@@ -77,7 +77,7 @@
 
 // Restored is called when the store has been restored from a snapshot.
 func (n *Node) Restored(known platform.Revision, epoch uint64) {
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-restored"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "store-restored"})
 	n.cfg.Log.Warn("store restored", "known", known, "epoch", epoch)
 	n.registrar.checkSoon()
 }
@@ -89,7 +89,7 @@
 
 // RelayFailed is called when the region's relay has failed and is not followed for a while.
 func (n *Node) RelayFailed(err error) {
-	n.cfg.Metrics.PlatformFailed("relay")
+	n.cfg.Metrics.CountPlatformFailure("relay")
 	n.cfg.Log.Warn("relay lost", "err", err)
 }
 
@@ -98,7 +98,7 @@
 
 // Unreachable is called when the store has become unreachable. The cached state stays in use.
 func (n *Node) Unreachable(err error) {
-	n.cfg.Metrics.PlatformFailed("watch")
+	n.cfg.Metrics.CountPlatformFailure("watch")
 	n.cfg.Log.Warn("store lost", "err", err)
 }
 
@@ -162,7 +162,7 @@
 	change := n.fleet.Put(now, t)
 	n.mu.Unlock()
 	if change == steer.Restarted {
-		n.pool.Forget(id)
+		n.pool.CloseTarget(id)
 		n.crashes.targetRestarted(now, t)
 	}
 	n.cfg.Log.Info("target", "target", id, "change", change, "service", r.Service, "domain", r.Domain, "address", r.Address,
@@ -173,7 +173,7 @@
 // whether the last valid registration still holds. Other targets are not affected.
 func (n *Node) dropUnusable(now time.Time, id string, c mirror.Change, err error) {
 	n.removeTarget(id)
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "registration", Reason: "unusable"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "registration", Reason: "unusable"})
 	if suppressed, ok := n.failureLimiter.Allow(now); ok {
 		n.cfg.Log.Error("registration unusable", "key", c.Key, "revision", c.Changed, "suppressed", suppressed, "err", err)
 	}
@@ -184,7 +184,7 @@
 	n.mu.Lock()
 	n.fleet.Remove(id)
 	n.mu.Unlock()
-	n.pool.Forget(id)
+	n.pool.CloseTarget(id)
 }
 
 func (n *Node) applyEvacuation(now time.Time, domain string, c mirror.Change) {
--- a/internal/edge/breach.go
+++ b/internal/edge/breach.go
@@ -63,7 +63,7 @@
 // has ended.
 func (c *crashTracker) probe(b *abortGroup) {
 	time.Sleep(probeDelay)
-	err := c.node.pool.Reach(context.Background(), b.target.ID, b.target.Address)
+	err := c.node.pool.CheckConnection(context.Background(), b.target.ID, b.target.Address)
 	found := "unknown"
 	switch {
 	case err == nil:
@@ -71,7 +71,7 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		found = "ended"
 	}
-	c.node.cfg.Metrics.Decided(metrics.Decision{Kind: "broken-off", Service: b.target.Service, Reason: found})
+	c.node.cfg.Metrics.CountDecision(metrics.Decision{Kind: "broken-off", Service: b.target.Service, Reason: found})
 	serving := c.node.isServing(b.target)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -92,7 +92,7 @@
 	}
 	key := fmt.Sprintf("%s%s/%d-%d", crashPrefix, n.cfg.Settings.Instance, n.processStart, c.lastReport)
 	n.cfg.Log.Warn("target ended", "target", target.ID, "service", target.Service, "domain", target.Domain, "prints", fingerprints)
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "target-ended", Service: target.Service})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "target-ended", Service: target.Service})
 	c.addReport(key, crash.Unwritten, r, true)
 	c.updatePoison()
 	c.publishReport(key, r)
@@ -163,7 +163,7 @@
 	for p, targets := range poison {
 		if _, ok := before[p]; !ok {
 			c.node.cfg.Log.Warn("request ends targets", "print", p, "targets", targets)
-			c.node.cfg.Metrics.Decided(metrics.Decision{Kind: "request-ends-targets"})
+			c.node.cfg.Metrics.CountDecision(metrics.Decision{Kind: "request-ends-targets"})
 		}
 	}
 	for p := range before {
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -39,7 +39,7 @@
 // handle answers a request.
 func (n *Node) handle(ctx context.Context, r *http1.Request) *http1.Response {
 	info := platform.ReadRequest(r.Header)
-	if n.tooLate(r.At) {
+	if n.tooLate(r.ReceivedAt) {
 		return n.refuse(r, info, refusedStopping)
 	}
 	a, refused := n.admit(r, info)
@@ -51,7 +51,7 @@
 	}
 	p := &pendingRequest{
 		attempts:  &attempts{repeatable: a.route.Kind.Repeatable(), maxAttempts: a.route.Attempts},
-		admission: a, in: r, info: info, service: a.route.Service(), fingerprint: fingerprintOf(r, info), deadline: deadlineOf(r.At, a.route, info),
+		admission: a, in: r, info: info, service: a.route.Service(), fingerprint: fingerprintOf(r, info), deadline: deadlineOf(r.ReceivedAt, a.route, info),
 	}
 	resp := n.forward(ctx, p)
 	if a.workspace != nil && !p.mayHaveRun {
@@ -90,7 +90,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.fleet.Pick(boottime.Now(), n.query(p))
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "load", Service: p.service, Reason: loadFreshness(c)})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "load", Service: p.service, Reason: loadFreshness(c)})
 	return c
 }
 
@@ -120,10 +120,10 @@
 	sent := boottime.Now()
 	return n.pool.Do(ctx, &http1.Exchange{
 		Request: p.in, Header: header, Target: target.ID, Group: target.Service, Address: target.Address,
-		Once: !p.repeatable, Until: p.deadline,
-		Mine:   func(status int, h http.Header) bool { return n.handleAnswerHeader(p, target, sent, status, h) },
-		Wanted: func() bool { return n.wanted(target) },
-		Keep:   func(resp *http1.Response) bool { return resp.Status != http.StatusMisdirectedRequest },
+		NonIdempotent: !p.repeatable, Deadline: p.deadline,
+		IsAnswer:   func(status int, h http.Header) bool { return n.handleAnswerHeader(p, target, sent, status, h) },
+		ShouldSend: func() bool { return n.wanted(target) },
+		KeepConn:   func(resp *http1.Response) bool { return resp.Status != http.StatusMisdirectedRequest },
 	})
 }
 
@@ -186,7 +186,7 @@
 		n.cfg.Log.Warn("target ejected", "target", target.ID, "service", p.service, "domain", target.Domain, "ending", v.ending)
 	}
 	if v.ending == steer.Replaced {
-		n.pool.Forget(target.ID)
+		n.pool.CloseTarget(target.ID)
 	}
 }
 
@@ -197,7 +197,7 @@
 func (n *Node) recordSize(route string, resp *http1.Response) {
 	size := float64(len(resp.Body))
 	if resp.Rest != nil {
-		size = max(size, float64(resp.Length))
+		size = max(size, float64(resp.BodyLength))
 	}
 	old, ok := n.answerSizes[route]
 	if !ok {
--- a/internal/edge/gauges.go
+++ b/internal/edge/gauges.go
@@ -24,25 +24,25 @@
 			return
 		case <-ticker.C:
 			n.crashes.expire(boottime.Now())
-			n.cfg.Metrics.ShowEdge(n.gauges(boottime.Now()))
+			n.cfg.Metrics.SetEdgeGauges(n.gauges(boottime.Now()))
 		case <-resumed:
-			n.cfg.Metrics.Decided(metrics.Decision{Kind: "resumed"})
+			n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "resumed"})
 			n.cfg.Log.Warn("machine was suspended", "total", boottime.Suspended(), "store-age", n.mirror.Age(boottime.Now()))
 		}
 	}
 }
 
 // gauges returns the values of the gauges.
-func (n *Node) gauges(at time.Time) metrics.Edge {
-	e := metrics.Edge{
-		Ready: n.Ready(), Connections: n.server.Open(), Instances: len(n.instances.names()),
-		Revision: n.mirror.Revision().Count(), Epoch: n.store.Epoch(), StoreAge: n.mirror.Age(at), Refusing: n.cfg.Overload.Share(),
+func (n *Node) gauges(at time.Time) metrics.EdgeGauges {
+	e := metrics.EdgeGauges{
+		Ready: n.Ready(), Connections: n.server.ConnCount(), Instances: len(n.instances.names()),
+		Revision: n.mirror.Revision().Count(), Epoch: n.store.Epoch(), StoreAge: n.mirror.Age(at), OverloadShare: n.cfg.Overload.Share(),
 	}
 	current := n.rules.Load()
 	if current == nil {
 		return e
 	}
-	e.Version = current.Config().Version
+	e.ConfigVersion = current.Config().Version
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(current.Config().Services)) {
--- a/internal/edge/loads.go
+++ b/internal/edge/loads.go
@@ -30,7 +30,7 @@
 
 // loadExchangeFailed counts and logs a failed exchange of load reports.
 func (n *Node) loadExchangeFailed(err error) {
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "loads", Reason: "failed"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "loads", Reason: "failed"})
 	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("loads not exchanged", "suppressed", suppressed, "err", err)
 	}
--- a/internal/edge/log.go
+++ b/internal/edge/log.go
@@ -13,12 +13,12 @@
 // up to a rate limit each.
 func (n *Node) recordAnswer(p *pendingRequest, resp *http1.Response) {
 	now := boottime.Now()
-	took := now.Sub(p.in.At)
+	took := now.Sub(p.in.ReceivedAt)
 	good := resp.Status < 300
 	if good {
-		n.cfg.Metrics.Answered(p.service, took)
+		n.cfg.Metrics.RecordLatency(p.service, took)
 	}
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: statusKind(resp.Status), Service: p.service, Reason: p.outcome()})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: statusKind(resp.Status), Service: p.service, Reason: p.outcome()})
 	limiter := n.failureLimiter
 	if good {
 		limiter = n.successLimiter
@@ -45,10 +45,10 @@
 	line := []any{
 		"id", p.info.ID, "print", p.fingerprint, "object", p.info.Object, "route", p.route.Name, "workspace", p.workspaceName(), "service", p.service,
 		"config", p.rules.Config().Version,
-		"status", resp.Status, "took", now.Sub(p.in.At), "left", p.deadline.Sub(now), "attempts", p.reached,
+		"status", resp.Status, "took", now.Sub(p.in.ReceivedAt), "left", p.deadline.Sub(now), "attempts", p.reached,
 		"target", c.Target.ID, "domain", c.Target.Domain, "wait", c.Wait, "cost", c.Cost, "home", c.Home, "cold", c.Cold,
 		"busy", c.TargetLoad, "usual", c.TypicalLoad, "load-age", c.LoadAge, "store-age", n.mirror.Age(now),
-		"ending", p.outcome(), "ended", p.crashedTargets, "conn", p.in.Conn,
+		"ending", p.outcome(), "ended", p.crashedTargets, "conn", p.in.ConnID,
 	}
 	if c.LimitShare != nil {
 		line = append(line, "limit", c.LimitShare.Limit, "part", c.LimitShare.Rate)
@@ -100,7 +100,7 @@
 
 // logRefusal counts and logs a request that was refused before a target was chosen.
 func (n *Node) logRefusal(r *http1.Request, info platform.Request, why *refusal, fields []any) {
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: statusKind(why.status), Reason: why.reason})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: statusKind(why.status), Reason: why.reason})
 	suppressed, ok := n.failureLimiter.Allow(boottime.Now())
 	if !ok {
 		return
--- a/internal/edge/lookup.go
+++ b/internal/edge/lookup.go
@@ -22,11 +22,11 @@
 	q := platform.ReadLookup(r.URL.Query())
 	addresses := n.instances.near(q.Region, q.Domain, host(r.RemoteAddr), platform.MaxAddresses)
 	if len(addresses) == 0 {
-		n.cfg.Metrics.Decided(metrics.Decision{Kind: "look-up", Reason: "no-instance"})
+		n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "look-up", Reason: "no-instance"})
 		http.Error(w, "no instance is known yet", http.StatusServiceUnavailable)
 		return
 	}
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "look-up", Reason: "answered"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "look-up", Reason: "answered"})
 	if err := platform.WriteLookup(w, addresses, n.lookupTTL()); err != nil {
 		n.cfg.Log.Debug("look-up answer not written", "err", err)
 	}
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -88,7 +88,7 @@
 	n.loads = loads.New(loads.Peers{Name: s.Instance, Collector: n.collector, Reports: n.loadReports, Receive: n.receiveLoadReports, Failed: n.loadExchangeFailed})
 	n.registrar = newRegistrar(n)
 	n.crashes = newCrashTracker(n)
-	n.server = http1.NewServer(http1.Callers{Handle: n.handle, Early: n.refuseEarly, Busy: cfg.Overload.Refuse, TooBusy: n.refuseOverloaded, Limits: n.limits, Unreadable: n.refuseUnreadable})
+	n.server = http1.NewServer(http1.Handlers{Handle: n.handle, RefuseEarly: n.refuseEarly, Busy: cfg.Overload.Refuse, BusyAnswer: n.refuseOverloaded, Limits: n.limits, ErrorAnswer: n.refuseUnreadable})
 	return n, nil
 }
 
--- a/internal/edge/notice.go
+++ b/internal/edge/notice.go
@@ -36,7 +36,7 @@
 	if a.Unread == nil {
 		return
 	}
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: target.Service, Reason: "unreadable"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "notice", Service: target.Service, Reason: "unreadable"})
 	if suppressed, ok := n.failureLimiter.Allow(now); ok {
 		n.cfg.Log.Warn("target notice unreadable", "target", target.ID, "headers", a.Unread, "id", p.info.ID, "suppressed", suppressed)
 	}
@@ -59,7 +59,7 @@
 // logNotice counts and logs a change in what a target accepts, with further fields.
 func (n *Node) logNotice(now time.Time, h steer.ConstraintUpdate, fields ...any) {
 	t := h.Target
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: t.Service, Reason: string(h.Change)})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "notice", Service: t.Service, Reason: string(h.Change)})
 	suppressed, ok := n.failureLimiter.Allow(now)
 	if !ok {
 		return
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	d := n.quotas.Take(ctx, a.workspace.Name)
-	n.cfg.Metrics.Asked(a.workspace.Name, d.Allowed)
+	n.cfg.Metrics.CountQuotaRequest(a.workspace.Name, d.Allowed)
 	if d.Allowed {
 		return nil
 	}
@@ -57,7 +57,7 @@
 // logOverQuota counts and logs a request that was refused for lack of a token.
 func (n *Node) logOverQuota(r *http1.Request, info platform.Request, a admission, d quota.Decision) {
 	now := boottime.Now()
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: statusKind(http.StatusTooManyRequests), Reason: "over-quota"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: statusKind(http.StatusTooManyRequests), Reason: "over-quota"})
 	suppressed, ok := n.failureLimiter.Allow(now)
 	if !ok {
 		return
@@ -68,7 +68,7 @@
 	}
 	n.cfg.Log.Warn("request", "id", info.ID, "route", a.route.Name, "workspace", a.workspaceName(), "status", http.StatusTooManyRequests,
 		"reason", "over-quota", "tokens", d.TokensLeft, "rate", d.Rate, "demand", d.Demand, "asked", askedMembers, "wanted", d.Want.Tokens,
-		"again", d.RetryAfter, "took", now.Sub(r.At), "config", a.rules.Config().Version, "store-age", n.mirror.Age(now), "suppressed", suppressed)
+		"again", d.RetryAfter, "took", now.Sub(r.ReceivedAt), "config", a.rules.Config().Version, "store-age", n.mirror.Age(now), "suppressed", suppressed)
 }
 
 // quotaMembers returns the instances among which quotas are divided, including this one.
@@ -80,7 +80,7 @@
 
 // tokenRequestFailed counts and logs a failed request for another instance's tokens.
 func (n *Node) tokenRequestFailed(err error) {
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "tokens", Reason: "failed"})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "tokens", Reason: "failed"})
 	if suppressed, ok := n.failureLimiter.Allow(boottime.Now()); ok {
 		n.cfg.Log.Warn("tokens not asked for", "suppressed", suppressed, "err", err)
 	}
--- a/internal/edge/register.go
+++ b/internal/edge/register.go
@@ -154,14 +154,14 @@
 	if err != nil {
 		end = "failed"
 	}
-	n.cfg.Metrics.Decided(metrics.Decision{Kind: "store-" + string(kind), Reason: end})
+	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "store-" + string(kind), Reason: end})
 }
 
 // recordOutcome counts failed renewals, and logs when they begin and when they end.
 func (r *registrar) recordOutcome(err error) {
 	switch {
 	case err != nil:
-		r.node.cfg.Metrics.PlatformFailed("lease")
+		r.node.cfg.Metrics.CountPlatformFailure("lease")
 		if !r.failing {
 			r.node.cfg.Log.Warn("lease not renewed", "err", err)
 		}
--- a/internal/edge/stop.go
+++ b/internal/edge/stop.go
@@ -16,7 +16,7 @@
 	acceptUntil := begin.Add(cacheOverrun * n.lookupTTL())
 	n.acceptUntil.Store(&acceptUntil)
 	n.stopping.Store(true)
-	n.cfg.Log.Info("stopping", "deadline", deadline, "connections", n.server.Open())
+	n.cfg.Log.Info("stopping", "deadline", deadline, "connections", n.server.ConnCount())
 	ctx, cancel := context.WithDeadline(context.Background(), boottime.ToRuntime(deadline))
 	defer cancel()
 	n.registrar.leaving <- struct{}{}
@@ -33,7 +33,7 @@
 		server.Close()
 	}
 	n.pool.Close()
-	n.cfg.Log.Info("stopped", "took", boottime.Since(begin), "connections", n.server.Open(), "err", err)
+	n.cfg.Log.Info("stopped", "took", boottime.Since(begin), "connections", n.server.ConnCount(), "err", err)
 }
 
 // tooLate reports whether a request arrived after a stopping instance ceased to accept requests:
--- a/internal/edge/teller.go
+++ b/internal/edge/teller.go
@@ -105,7 +105,7 @@
 		for batch := t.nextBatch(); len(batch) > 0 && ctx.Err() == nil; batch = t.nextBatch() {
 			pause := writeInterval
 			if err := t.write(ctx, batch); err != nil && ctx.Err() == nil {
-				t.node.cfg.Metrics.PlatformFailed("crashes")
+				t.node.cfg.Metrics.CountPlatformFailure("crashes")
 				t.notifyPeers(ctx, batch)
 				pause = renewRetry
 			}
@@ -203,7 +203,7 @@
 		all.Go(func() {
 			defer func() { <-slots }()
 			if _, err := t.client.Post(ctx, address, crashesPath, nil, body); err != nil {
-				t.node.cfg.Metrics.Decided(metrics.Decision{Kind: "crashes", Reason: "peer-not-told"})
+				t.node.cfg.Metrics.CountDecision(metrics.Decision{Kind: "crashes", Reason: "peer-not-told"})
 			}
 		})
 	}
--- a/internal/http1/exchange.go
+++ b/internal/http1/exchange.go
@@ -28,16 +28,16 @@
 
 // Exchange is one attempt to send a request to a target.
 type Exchange struct {
-	Request *Request
-	Header  http.Header // header sent with this attempt
-	Target  string      // ID, the key of pooled connections
-	Group   string      // targets that presumably keep idle connections equally long
-	Address string
-	Once    bool                                 // the request must not run twice
-	Mine    func(status int, h http.Header) bool // reports whether an answer belongs to this request
-	Keep    func(resp *Response) bool            // reports whether the connection may be reused after an answer
-	Until   time.Time                            // deadline of the attempt
-	Wanted  func() bool                          // reports whether to send the request; called once connected; nil: always
+	Request       *Request
+	Header        http.Header // header sent with this attempt
+	Target        string      // ID, the key of pooled connections
+	Group         string      // targets that presumably keep idle connections equally long
+	Address       string
+	NonIdempotent bool                                 // the request must not run twice
+	IsAnswer      func(status int, h http.Header) bool // reports whether an answer belongs to this request
+	KeepConn      func(resp *Response) bool            // reports whether the connection may be reused after an answer
+	Deadline      time.Time                            // deadline of the attempt
+	ShouldSend    func() bool                          // reports whether to send the request; called once connected; nil: always
 }
 
 // UnwantedError reports that a request was not sent because it was no longer wanted
@@ -54,17 +54,17 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// LostError reports that a request was sent, at least in part, and that no complete
+// NoAnswerError reports that a request was sent, at least in part, and that no complete
 // answer was received: it may have run.
-type LostError struct {
+type NoAnswerError struct {
 	Err    error
 	Reused bool // an earlier request was answered on the connection
 }
 
-func (e *LostError) Error() string { return "http1: no complete answer: " + e.Err.Error() }
+func (e *NoAnswerError) Error() string { return "http1: no complete answer: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Err }
+func (e *NoAnswerError) Unwrap() error { return e.Err }
 
 // StrayError reports that only answers to other requests were received.
 type StrayError struct{ Count int }
@@ -77,18 +77,18 @@
 // not sent, a *NotSentError, from one that may have run. If Rest of the answer is set,
 // it must be closed. Do returns early when ctx ends.
 func (p *Pool) Do(ctx context.Context, e *Exchange) (*Response, error) {
-	ctx, cancel := context.WithDeadline(ctx, boottime.ToRuntime(e.Until))
+	ctx, cancel := context.WithDeadline(ctx, boottime.ToRuntime(e.Deadline))
 	defer cancel()
 	c, err := p.get(ctx, e)
 	if err != nil {
 		return nil, &NotSentError{Err: err}
 	}
-	if e.Wanted != nil && !e.Wanted() {
+	if e.ShouldSend != nil && !e.ShouldSend() {
 		c.conn.Close()
 		return nil, &NotSentError{Err: &UnwantedError{}}
 	}
-	c.conn.SetDeadline(boottime.ToRuntime(e.Until))
-	p.trackPending(c, e.Until)
+	c.conn.SetDeadline(boottime.ToRuntime(e.Deadline))
+	p.trackPending(c, e.Deadline)
 	defer p.untrackPending(c)
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -103,7 +103,7 @@
 		case c.reused && ctx.Err() == nil && staleFailure(err, boottime.Since(begin), begin.Sub(c.idleSince)):
 			p.idleLimits.recordStale(boottime.Now(), e.Group, begin.Sub(c.idleSince))
 		}
-		return nil, &LostError{Err: err, Reused: c.reused}
+		return nil, &NoAnswerError{Err: err, Reused: c.reused}
 	}
 	if a.response.Rest != nil {
 		a.response.Rest = &restReader{Reader: a.response.Rest, conn: c}
@@ -147,7 +147,7 @@
 		whole = err == nil
 	default: // answered before the request was sent completely
 	}
-	if !whole || !a.reusable || c.reader.Buffered() > 0 || !e.Keep(a.response) {
+	if !whole || !a.reusable || c.reader.Buffered() > 0 || !e.KeepConn(a.response) {
 		c.conn.Close()
 		return
 	}
@@ -184,7 +184,7 @@
 		if err != nil {
 			return answer{}, err
 		}
-		if !e.Mine(in.StatusCode, in.Header) {
+		if !e.IsAnswer(in.StatusCode, in.Header) {
 			if _, err := io.Copy(io.Discard, in.Body); err != nil {
 				return answer{}, err
 			}
@@ -220,7 +220,7 @@
 	}
 	resp := &Response{Status: in.StatusCode, Header: in.Header, Body: body.Bytes()}
 	if n == maxBuffered && n != in.ContentLength {
-		resp.Rest, resp.Length = in.Body, in.ContentLength
+		resp.Rest, resp.BodyLength = in.Body, in.ContentLength
 	}
 	removeConnectionHeaders(resp.Header)
 	return resp, nil
--- a/internal/http1/forgetful_test.go
+++ b/internal/http1/forgetful_test.go
@@ -60,7 +60,7 @@
 	defer p.Close()
 	send := func(target int, group string) error {
 		e := newExchange(addresses[target])
-		e.Target, e.Group, e.Once = fmt.Sprint(target), group, true
+		e.Target, e.Group, e.NonIdempotent = fmt.Sprint(target), group, true
 		_, err := p.Do(context.Background(), e)
 		return err
 	}
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -12,23 +12,23 @@
 
 // Request is a caller's request with its complete body.
 type Request struct {
-	Method string
-	URI    string // as in the request line
-	Path   string // of URI, decoded
-	Host   string
-	Header http.Header // without hop-by-hop headers
-	Body   []byte
-	At     time.Time // when it was read, or its head if the body was not
-	Conn   uint64    // number of the connection, for log lines
+	Method     string
+	URI        string // as in the request line
+	Path       string // of URI, decoded
+	Host       string
+	Header     http.Header // without hop-by-hop headers
+	Body       []byte
+	ReceivedAt time.Time // when it was read, or its head if the body was not
+	ConnID     uint64    // number of the connection, for log lines
 }
 
 // Response is an answer to a caller or from a target.
 type Response struct {
-	Status int
-	Header http.Header   // without hop-by-hop headers
-	Body   []byte        // complete, or the beginning if Rest is set
-	Rest   io.ReadCloser // rest of a long body; nil if Body is complete
-	Length int64         // of the whole body if Rest is set; -1 if unknown
+	Status     int
+	Header     http.Header   // without hop-by-hop headers
+	Body       []byte        // complete, or the beginning if Rest is set
+	Rest       io.ReadCloser // rest of a long body; nil if Body is complete
+	BodyLength int64         // of the whole body if Rest is set; -1 if unknown
 }
 
 // connectionHeaders are hop-by-hop headers, which are not forwarded, and the length,
--- a/internal/http1/pool.go
+++ b/internal/http1/pool.go
@@ -62,8 +62,8 @@
 	p.idle = nil
 }
 
-// Forget closes the idle connections to a target that was removed.
-func (p *Pool) Forget(target string) {
+// CloseTarget closes the idle connections to a target that was removed.
+func (p *Pool) CloseTarget(target string) {
 	p.mu.Lock()
 	list := p.idle[target]
 	delete(p.idle, target)
@@ -115,9 +115,9 @@
 	return newPoolConn(conn, e.Target), nil
 }
 
-// Reach opens a connection to a target and adds it to the pool. It returns an error if the
+// CheckConnection opens a connection to a target and adds it to the pool. It returns an error if the
 // target doesn't accept connections.
-func (p *Pool) Reach(ctx context.Context, target, address string) error {
+func (p *Pool) CheckConnection(ctx context.Context, target, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
@@ -139,10 +139,10 @@
 	}
 	c := list[len(list)-1]
 	now := boottime.Now()
-	if !now.Before(c.usableUntil) || e.Once && !now.Before(c.nonIdempotentUntil) {
+	if !now.Before(c.usableUntil) || e.NonIdempotent && !now.Before(c.nonIdempotentUntil) {
 		return nil
 	}
-	if e.Once && !p.idleLimits.allows(now, e.Group, c.idleSince) {
+	if e.NonIdempotent && !p.idleLimits.allows(now, e.Group, c.idleSince) {
 		return nil
 	}
 	p.idle[e.Target] = list[:len(list)-1]
--- a/internal/http1/pool_test.go
+++ b/internal/http1/pool_test.go
@@ -70,9 +70,9 @@
 func newExchange(address string) *Exchange {
 	return &Exchange{
 		Request: &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}}, Header: http.Header{"Id": {"mine"}},
-		Target: "t", Address: address, Until: time.Now().Add(5 * time.Second),
-		Mine: func(_ int, h http.Header) bool { return h.Get("Id") == "mine" },
-		Keep: func(*Response) bool { return true },
+		Target: "t", Address: address, Deadline: time.Now().Add(5 * time.Second),
+		IsAnswer: func(_ int, h http.Header) bool { return h.Get("Id") == "mine" },
+		KeepConn: func(*Response) bool { return true },
 	}
 }
 
@@ -107,7 +107,7 @@
 			p := NewPool("")
 			defer p.Close()
 			resp, err := p.Do(context.Background(), newExchange(address))
-			var lost *LostError
+			var lost *NoAnswerError
 			switch {
 			case tt.want == "" && !errors.As(err, &lost):
 				t.Errorf("got %v, want the error for no complete answer", err)
@@ -152,7 +152,7 @@
 	defer p.Close()
 	e := newExchange(address)
 	asked := 0
-	e.Wanted = func() bool {
+	e.ShouldSend = func() bool {
 		asked++
 		return false
 	}
@@ -167,7 +167,7 @@
 func TestExchangeAborted(t *testing.T) {
 	tests := map[string]func(e *Exchange) context.Context{
 		"deadline": func(e *Exchange) context.Context {
-			e.Until = time.Now().Add(50 * time.Millisecond)
+			e.Deadline = time.Now().Add(50 * time.Millisecond)
 			return context.Background()
 		},
 		"caller left": func(*Exchange) context.Context {
@@ -184,7 +184,7 @@
 			e := newExchange(address)
 			begin := time.Now()
 			_, err := p.Do(prepare(e), e)
-			var lost *LostError
+			var lost *NoAnswerError
 			if !errors.As(err, &lost) {
 				t.Errorf("got %v, want the error for no complete answer", err)
 			}
@@ -239,7 +239,7 @@
 	p.idle["t"][0].nonIdempotentUntil = time.Now()
 	p.mu.Unlock()
 	e := newExchange(address)
-	e.Once = true
+	e.NonIdempotent = true
 	if _, err := p.Do(context.Background(), e); err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +270,7 @@
 			if tt.leave {
 				time.AfterFunc(100*time.Millisecond, cancel)
 			} else {
-				e.Until = time.Now().Add(100 * time.Millisecond)
+				e.Deadline = time.Now().Add(100 * time.Millisecond)
 			}
 			if _, err := p.Do(ctx, e); err == nil {
 				t.Fatal("got an answer from a connection without one, want an error")
@@ -327,8 +327,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.Rest == nil || resp.Length != int64(size) {
-		t.Fatalf("got a rest: %t, length %d, want a rest of %d", resp.Rest != nil, resp.Length, size)
+	if resp.Rest == nil || resp.BodyLength != int64(size) {
+		t.Fatalf("got a rest: %t, length %d, want a rest of %d", resp.Rest != nil, resp.BodyLength, size)
 	}
 	n, err := io.Copy(io.Discard, resp.Rest)
 	resp.Rest.Close()
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -16,24 +16,24 @@
 	IdleTimeout   time.Duration // of a connection without requests
 }
 
-// Callers holds the functions by which a Server handles requests.
-type Callers struct {
+// Handlers holds the functions by which a Server handles requests.
+type Handlers struct {
 	// Handle answers a request. It is called in a goroutine of its own for each request.
 	// ctx is cancelled when the caller disconnects.
 	Handle func(ctx context.Context, r *Request) *Response
-	// Early may refuse a request before its body is received. It returns nil to accept
+	// RefuseEarly may refuse a request before its body is received. It returns nil to accept
 	// the body.
-	Early func(r *Request) *Response
+	RefuseEarly func(r *Request) *Response
 	// Busy reports whether this process is too busy for a request whose head was read.
 	Busy func() bool
-	// TooBusy returns the answer to such a request. It is called by the goroutine that
+	// BusyAnswer returns the answer to such a request. It is called by the goroutine that
 	// reads the connection.
-	TooBusy func(r *Request) *Response
+	BusyAnswer func(r *Request) *Response
 	// Limits returns the limits in force. It is called for each request.
 	Limits func() Limits
-	// Unreadable returns the answer, with the given status, to a request that can't be
+	// ErrorAnswer returns the answer, with the given status, to a request that can't be
 	// read.
-	Unreadable func(status int) *Response
+	ErrorAnswer func(status int) *Response
 }
 
 // maxPipelined is the number of requests of one connection that are handled
@@ -42,7 +42,7 @@
 
 // Server serves HTTP/1.1 to callers. It is safe for concurrent use.
 type Server struct {
-	callers Callers
+	callers Handlers
 
 	lastConnID atomic.Uint64 // number of the last connection
 	draining   atomic.Bool   // each connection closes after its next answer
@@ -53,7 +53,7 @@
 }
 
 // NewServer returns a server that handles requests with callers.
-func NewServer(callers Callers) *Server {
+func NewServer(callers Handlers) *Server {
 	return &Server{callers: callers, conns: make(map[*serverConn]struct{})}
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int { return len(s.openConns()) }
+// ConnCount returns the number of open connections.
+func (s *Server) ConnCount() int { return len(s.openConns()) }
 
 func (s *Server) openConns() []*serverConn {
 	s.mu.Lock()
--- a/internal/http1/server_test.go
+++ b/internal/http1/server_test.go
@@ -17,10 +17,10 @@
 }
 
 // newTestCallers returns the functions of a server whose requests are answered by handle.
-func newTestCallers(handle func(context.Context, *Request) *Response) Callers {
-	return Callers{
-		Handle: handle, Early: func(*Request) *Response { return nil }, Busy: func() bool { return false }, Limits: func() Limits { return testLimits },
-		Unreadable: func(status int) *Response { return &Response{Status: status, Header: http.Header{}} },
+func newTestCallers(handle func(context.Context, *Request) *Response) Handlers {
+	return Handlers{
+		Handle: handle, RefuseEarly: func(*Request) *Response { return nil }, Busy: func() bool { return false }, Limits: func() Limits { return testLimits },
+		ErrorAnswer: func(status int) *Response { return &Response{Status: status, Header: http.Header{}} },
 	}
 }
 
@@ -30,7 +30,7 @@
 	return serveCallers(t, newTestCallers(handle))
 }
 
-func serveCallers(t *testing.T, callers Callers) (*Server, func() net.Conn) {
+func serveCallers(t *testing.T, callers Handlers) (*Server, func() net.Conn) {
 	t.Helper()
 	s := NewServer(callers)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -217,7 +217,7 @@
 	s, dial := serve(t, echo)
 	c := dial()
 	fmt.Fprint(c, "GET /a HT")
-	for s.Open() == 0 {
+	for s.ConnCount() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(20 * time.Millisecond) // until the server reads it
@@ -242,7 +242,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, dial := serve(t, func(context.Context, *Request) *Response {
 				rest := io.NopCloser(io.MultiReader(strings.NewReader("rest"), &failingReader{}))
-				return &Response{Status: 200, Header: http.Header{}, Body: []byte("begin"), Rest: rest, Length: length}
+				return &Response{Status: 200, Header: http.Header{}, Body: []byte("begin"), Rest: rest, BodyLength: length}
 			})
 			c := dial()
 			io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -276,7 +276,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			callers := newTestCallers(echo)
-			callers.Early = func(r *Request) *Response {
+			callers.RefuseEarly = func(r *Request) *Response {
 				if r.Path == "/no" {
 					return &Response{Status: http.StatusUnauthorized, Header: http.Header{}}
 				}
@@ -329,7 +329,7 @@
 				next++
 				return tt.busy[next-1]
 			}
-			callers.TooBusy = func(r *Request) *Response {
+			callers.BusyAnswer = func(r *Request) *Response {
 				return &Response{Status: http.StatusServiceUnavailable, Header: http.Header{}, Body: []byte(r.Path)}
 			}
 			_, dial := serveCallers(t, callers)
--- a/internal/http1/serverconn.go
+++ b/internal/http1/serverconn.go
@@ -154,7 +154,7 @@
 	case in.refusal != nil:
 		return in.refusal
 	case in.request == nil:
-		return c.server.callers.Unreadable(in.status)
+		return c.server.callers.ErrorAnswer(in.status)
 	}
 	return c.server.callers.Handle(c.ctx, in.request)
 }
@@ -228,7 +228,7 @@
 func (c *serverConn) write(resp *Response, head, closing bool) error {
 	length := int64(len(resp.Body))
 	if resp.Rest != nil {
-		length = resp.Length
+		length = resp.BodyLength
 	}
 	b := bytes.NewBuffer(make([]byte, 0, 512+len(resp.Body)))
 	appendStatus(b, resp, length, closing)
--- a/internal/http1/serverread.go
+++ b/internal/http1/serverread.go
@@ -45,10 +45,10 @@
 		if !incomplete {
 			io.Copy(io.Discard, r.Body) // the whole body is in the buffer
 		}
-		return incoming{refusal: c.server.callers.TooBusy(c.newRequest(r, nil)), last: r.Close || incomplete}
+		return incoming{refusal: c.server.callers.BusyAnswer(c.newRequest(r, nil)), last: r.Close || incomplete}
 	}
 	if incomplete {
-		if resp := c.server.callers.Early(c.newRequest(r, nil)); resp != nil {
+		if resp := c.server.callers.RefuseEarly(c.newRequest(r, nil)); resp != nil {
 			return incoming{refusal: resp, last: true}
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 	r := &Request{
 		Method: in.Method, URI: in.RequestURI, Path: path, Host: in.Host,
-		Header: in.Header, Body: body, At: boottime.Now(), Conn: c.id,
+		Header: in.Header, Body: body, ReceivedAt: boottime.Now(), ConnID: c.id,
 	}
 	removeConnectionHeaders(r.Header)
 	return r
--- a/internal/instance/capacity_test.go
+++ b/internal/instance/capacity_test.go
@@ -178,7 +178,7 @@
 			return false
 		}
 		var ok bool
-		in.dispatcher.Read(func(now time.Time, n *core.Node) {
+		in.dispatcher.WithNode(func(now time.Time, n *core.Node) {
 			r := n.Roster()
 			ok = n.Confirmed(now) && len(r.Members) == c.ofPlace(in.cfg.Place) && len(r.Previous) == 0
 		})
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -143,7 +143,7 @@
 	root, complete := g.in.docs.Progress()
 	p.Root, p.Complete, p.Epoch = root, complete.Count(), complete.Epoch()
 	inPlace := g.inPlace(p.To)
-	g.in.dispatcher.Read(func(now time.Time, n *core.Node) {
+	g.in.dispatcher.WithNode(func(now time.Time, n *core.Node) {
 		p.Roster = n.Roster().Version
 		if p.Promise {
 			p.Promise = cause != nil && n.MayAck(now, cause.From, cause.Incarnation, cause.Roster)
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -262,7 +262,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-in.dispatcher.Waiting():
+		case <-in.dispatcher.TickNeeded():
 			due = earlier(due, boottime.Now().Add(tickBusy))
 		case <-t.C:
 			due = boottime.Now().Add(tickIdle)
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -225,7 +225,7 @@
 				t.Fatalf("got %d members in the roster of %s, want %d", members, in.cfg.ID, len(f.list))
 			}
 			time.Sleep(20 * time.Millisecond)
-			in.dispatcher.Read(func(_ time.Time, n *core.Node) { members = len(n.Roster().Members) })
+			in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { members = len(n.Roster().Members) })
 		}
 	}
 }
--- a/internal/instance/learn.go
+++ b/internal/instance/learn.go
@@ -124,7 +124,7 @@
 // because only the list has their addresses, and those that appear dead.
 func (in *Instance) rosterListReasons(known map[string]member.State) []listReason {
 	var roster owner.Roster
-	in.dispatcher.Read(func(_ time.Time, n *core.Node) { roster = n.Roster() })
+	in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { roster = n.Roster() })
 	var list []listReason
 	for _, f := range roster.Previous {
 		list = append(list, in.previousMember(f.Instance))
--- a/internal/instance/log.go
+++ b/internal/instance/log.go
@@ -6,7 +6,7 @@
 )
 
 func (in *Instance) platformFailed(call string, err error) {
-	in.cfg.Metrics.PlatformFailed(call)
+	in.cfg.Metrics.CountPlatformFailure(call)
 	if in.cfg.Log != nil {
 		in.cfg.Log.Warn("platform call failed", "call", call, "err", err)
 	}
@@ -35,7 +35,7 @@
 
 // logNotice logs a notice of a target about the requests that it accepts.
 func (in *Instance) logNotice(d core.ReportNotice) {
-	in.cfg.Metrics.Decided(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
+	in.cfg.Metrics.CountDecision(metrics.Decision{Kind: "notice", Service: d.Target.Service.String()})
 	if in.cfg.Log != nil {
 		in.cfg.Log.Info("target notice", "service", d.Target.Service, "target", d.Target.Name, "leaving", d.Notice.Leaving,
 			"limited", d.Notice.HasLimit, "limit", d.Notice.Limit, "rest", d.Notice.BackOff, "unread", d.Unreadable)
--- a/internal/instance/restore.go
+++ b/internal/instance/restore.go
@@ -225,7 +225,7 @@
 // roster returns the newest known roster of the place.
 func (in *Instance) roster() owner.Roster {
 	var r owner.Roster
-	in.dispatcher.Read(func(_ time.Time, n *core.Node) { r = n.Roster() })
+	in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { r = n.Roster() })
 	return r
 }
 
--- a/internal/instance/rooms.go
+++ b/internal/instance/rooms.go
@@ -84,7 +84,7 @@
 func (g *gossip) sendCapacity() {
 	var capacities []core.FreeSlots
 	var roster owner.Roster
-	g.in.dispatcher.Read(func(now time.Time, n *core.Node) { capacities, roster = n.FreeSlots(now), n.Roster() })
+	g.in.dispatcher.WithNode(func(now time.Time, n *core.Node) { capacities, roster = n.FreeSlots(now), n.Roster() })
 	g.setRoster(roster)
 	var peers []member.Member
 	g.udp.Do(func(_ time.Time, l *member.List) []member.Send {
--- a/internal/instance/roster.go
+++ b/internal/instance/roster.go
@@ -76,7 +76,7 @@
 // noteNewerRoster queues a peer of the place as a source if its roster is newer.
 func (in *Instance) noteNewerRoster(version uint64, peer docstore.Instance) {
 	var held uint64
-	in.dispatcher.Read(func(_ time.Time, n *core.Node) { held = n.Roster().Version })
+	in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { held = n.Roster().Version })
 	if version <= held {
 		return
 	}
@@ -118,7 +118,7 @@
 // confirmed reports whether the leases are confirmed now and for confirmMargin.
 func (in *Instance) confirmed() bool {
 	var ok bool
-	in.dispatcher.Read(func(now time.Time, n *core.Node) { ok = n.Confirmed(now.Add(confirmMargin)) })
+	in.dispatcher.WithNode(func(now time.Time, n *core.Node) { ok = n.Confirmed(now.Add(confirmMargin)) })
 	return ok
 }
 
--- a/internal/instance/status.go
+++ b/internal/instance/status.go
@@ -14,14 +14,14 @@
 // publishGauges keeps the gauges up to date.
 func (in *Instance) publishGauges(ctx context.Context) {
 	for ctx.Err() == nil {
-		in.cfg.Metrics.Show(in.gauges())
+		in.cfg.Metrics.SetGauges(in.gauges())
 		sleep(ctx, gaugeInterval)
 	}
 }
 
-func (in *Instance) gauges() metrics.State {
+func (in *Instance) gauges() metrics.Gauges {
 	st := in.Status()
-	state := metrics.State{
+	state := metrics.Gauges{
 		Queued: st.Queued, Peers: st.Peers, Confirmed: st.Confirmed, Counts: in.cfg.Checks.Counts(),
 	}
 	for _, s := range st.Services {
@@ -35,6 +35,6 @@
 // Status returns the node's current status.
 func (in *Instance) Status() core.Status {
 	var st core.Status
-	in.dispatcher.Read(func(now time.Time, n *core.Node) { st = n.Status(now) })
+	in.dispatcher.WithNode(func(now time.Time, n *core.Node) { st = n.Status(now) })
 	return st
 }
--- a/internal/instance/stop.go
+++ b/internal/instance/stop.go
@@ -39,7 +39,7 @@
 		sleep(ctx, stopPollInterval)
 		until, known := in.members.lastLookupExpiry()
 		var ownExpiry time.Time
-		in.dispatcher.Read(func(_ time.Time, n *core.Node) { ownExpiry, _ = n.LookupValidUntil(in.cfg.ID) })
+		in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { ownExpiry, _ = n.LookupValidUntil(in.cfg.ID) })
 		if now := in.now(); known && !now.Before(until) && !now.Before(ownExpiry) {
 			return
 		}
@@ -67,7 +67,7 @@
 func (in *Instance) openRequests() (int, bool) {
 	var open int
 	var idle bool
-	in.dispatcher.Read(func(_ time.Time, n *core.Node) { open, idle = n.InFlight(), n.Idle() })
+	in.dispatcher.WithNode(func(_ time.Time, n *core.Node) { open, idle = n.InFlight(), n.Idle() })
 	return open, idle
 }
 
--- a/internal/instance/world_test.go
+++ b/internal/instance/world_test.go
@@ -202,7 +202,7 @@
 	sum := 0
 	for _, s := range nodes {
 		if in := w.running[s.id]; in != nil {
-			in.dispatcher.Read(func(now time.Time, n *core.Node) {
+			in.dispatcher.WithNode(func(now time.Time, n *core.Node) {
 				for _, t := range n.Status(now).Targets {
 					sum += t.Usable
 				}
--- a/internal/logs/writer.go
+++ b/internal/logs/writer.go
@@ -18,8 +18,8 @@
 	maxPending = 512 << 10
 )
 
-// CloseTime is how long an exiting process waits for its last lines to be written.
-const CloseTime = 500 * time.Millisecond
+// CloseTimeout is how long an exiting process waits for its last lines to be written.
+const CloseTimeout = 500 * time.Millisecond
 
 // Writer buffers lines and writes them in the background. If the reader of the output
 // stops reading, lines are dropped, and Write doesn't block. It is safe for concurrent
--- a/internal/metrics/edge.go
+++ b/internal/metrics/edge.go
@@ -32,17 +32,17 @@
 	outcomeOverQuota = "over-quota"
 )
 
-// Edge holds the values of the gauges of an instance on the users' platform.
-type Edge struct {
-	Ready       bool
-	Version     uint64
-	Revision    uint64
-	Epoch       uint64
-	StoreAge    time.Duration
-	Instances   int
-	Connections int
-	Refusing    float64 // fraction of new requests that are refused, 0 to 1
-	Services    []EdgeService
+// EdgeGauges holds the values of the gauges of an instance on the users' platform.
+type EdgeGauges struct {
+	Ready         bool
+	ConfigVersion uint64
+	Revision      uint64
+	Epoch         uint64
+	StoreAge      time.Duration
+	Instances     int
+	Connections   int
+	OverloadShare float64 // fraction of new requests that are refused, 0 to 1
+	Services      []EdgeService
 }
 
 // EdgeService holds the values of a service's gauges.
@@ -52,15 +52,15 @@
 	Usable  int
 }
 
-// ShowEdge sets the gauges of an instance on the users' platform.
-func (s *Set) ShowEdge(e Edge) {
+// SetEdgeGauges sets the gauges of an instance on the users' platform.
+func (s *Set) SetEdgeGauges(e EdgeGauges) {
 	if s == nil {
 		return
 	}
 	for name, value := range map[string]float64{
-		nameReady: asFloat(e.Ready), nameVersion: float64(e.Version), nameRevision: float64(e.Revision), nameEpoch: float64(e.Epoch),
+		nameReady: asFloat(e.Ready), nameVersion: float64(e.ConfigVersion), nameRevision: float64(e.Revision), nameEpoch: float64(e.Epoch),
 		nameStoreAge: e.StoreAge.Seconds(), nameInstances: float64(e.Instances), nameConnections: float64(e.Connections),
-		nameOverloadShare: e.Refusing,
+		nameOverloadShare: e.OverloadShare,
 	} {
 		s.scope.Gauge(name).Update(value)
 	}
@@ -71,8 +71,8 @@
 	}
 }
 
-// Asked counts a request for which a token of its workspace's quota was requested.
-func (s *Set) Asked(workspace string, allowed bool) {
+// CountQuotaRequest counts a request for which a token of its workspace's quota was requested.
+func (s *Set) CountQuotaRequest(workspace string, allowed bool) {
 	if s == nil {
 		return
 	}
--- a/internal/metrics/edge_test.go
+++ b/internal/metrics/edge_test.go
@@ -11,8 +11,8 @@
 // The gauges of an instance on the users' platform are exported under their names.
 func TestEdgeGauges(t *testing.T) {
 	s := New()
-	s.ShowEdge(Edge{
-		Ready: true, Version: 7, Revision: 42, StoreAge: 1500 * time.Millisecond, Instances: 9, Connections: 3, Refusing: 0.25,
+	s.SetEdgeGauges(EdgeGauges{
+		Ready: true, ConfigVersion: 7, Revision: 42, StoreAge: 1500 * time.Millisecond, Instances: 9, Connections: 3, OverloadShare: 0.25,
 		Services: []EdgeService{{Name: "s", Targets: 4, Usable: 2}},
 	})
 	if err := s.Close(); err != nil { // reports the values that were set
@@ -29,14 +29,14 @@
 		}
 	}
 	var none *Set
-	none.ShowEdge(Edge{}) // no effect
+	none.SetEdgeGauges(EdgeGauges{}) // no effect
 }
 
 // Workspaces beyond maxWorkspaces share their counters.
 func TestQuotaCounters(t *testing.T) {
 	s := New()
 	for i := range maxWorkspaces + 50 {
-		s.Asked(fmt.Sprint("w", i), i%2 == 0)
+		s.CountQuotaRequest(fmt.Sprint("w", i), i%2 == 0)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
@@ -56,5 +56,5 @@
 		t.Errorf("got %d counters, want at most %d", got, limit)
 	}
 	var none *Set
-	none.Asked("w", true) // no effect
+	none.CountQuotaRequest("w", true) // no effect
 }
--- a/internal/metrics/set.go
+++ b/internal/metrics/set.go
@@ -93,8 +93,8 @@
 // Close reports the latest values once more and stops the periodic reports.
 func (s *Set) Close() error { return s.closer.Close() }
 
-// Decided counts a decision.
-func (s *Set) Decided(d Decision) {
+// CountDecision counts a decision.
+func (s *Set) CountDecision(d Decision) {
 	if s == nil {
 		return
 	}
@@ -110,8 +110,8 @@
 	c.Inc(1)
 }
 
-// Answered records the latency of an answered request.
-func (s *Set) Answered(service string, took time.Duration) {
+// RecordLatency records the latency of an answered request.
+func (s *Set) RecordLatency(service string, took time.Duration) {
 	if s == nil {
 		return
 	}
@@ -125,8 +125,8 @@
 	h.RecordValue(took.Seconds())
 }
 
-// PlatformFailed counts a failed call to the platform.
-func (s *Set) PlatformFailed(call string) {
+// CountPlatformFailure counts a failed call to the platform.
+func (s *Set) CountPlatformFailure(call string) {
 	if s == nil {
 		return
 	}
@@ -140,8 +140,8 @@
 	InFlight int // slots in use
 }
 
-// State holds the values of the gauges.
-type State struct {
+// Gauges holds the values of the gauges.
+type Gauges struct {
 	Services  []Service
 	Queued    int
 	Peers     int
@@ -149,8 +149,8 @@
 	Counts    []invariant.Count
 }
 
-// Show sets the gauges.
-func (s *Set) Show(st State) {
+// SetGauges sets the gauges.
+func (s *Set) SetGauges(st Gauges) {
 	if s == nil {
 		return
 	}
--- a/internal/metrics/set_test.go
+++ b/internal/metrics/set_test.go
@@ -11,11 +11,11 @@
 
 func TestScrape(t *testing.T) {
 	s := New()
-	s.Decided(Decision{Kind: "serve", Service: "shop/orders", Reason: "own-free"})
-	s.Decided(Decision{Kind: "serve", Service: "shop/orders", Reason: "own-free"})
-	s.Answered("shop/orders", 3*time.Millisecond)
-	s.PlatformFailed("watch")
-	s.Show(State{
+	s.CountDecision(Decision{Kind: "serve", Service: "shop/orders", Reason: "own-free"})
+	s.CountDecision(Decision{Kind: "serve", Service: "shop/orders", Reason: "own-free"})
+	s.RecordLatency("shop/orders", 3*time.Millisecond)
+	s.CountPlatformFailure("watch")
+	s.SetGauges(Gauges{
 		Services:  []Service{{Name: "shop/orders", Limit: 4, InFlight: 1}},
 		Confirmed: true,
 		Counts:    []invariant.Count{{Name: invariant.AtMostOnce, Checks: 7}},
@@ -42,8 +42,8 @@
 
 func TestNilSet(_ *testing.T) {
 	var s *Set
-	s.Decided(Decision{})
-	s.Answered("", 0)
-	s.PlatformFailed("")
-	s.Show(State{Queued: 1})
+	s.CountDecision(Decision{})
+	s.RecordLatency("", 0)
+	s.CountPlatformFailure("")
+	s.SetGauges(Gauges{Queued: 1})
 }
--- a/internal/once/book.go
+++ b/internal/once/book.go
@@ -9,8 +9,8 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-// Book holds the idempotency records of one incarnation's keys.
-type Book struct {
+// Table holds the idempotency records of one incarnation's keys.
+type Table struct {
 	cfg     Config
 	issuer  *Issuer
 	checks  *invariant.Counter
@@ -25,8 +25,8 @@
 
 // New returns an empty table for the incarnation of issuer. cfg must be valid;
 // checks may be nil.
-func New(cfg Config, issuer *Issuer, checks *invariant.Counter) *Book {
-	return &Book{
+func New(cfg Config, issuer *Issuer, checks *invariant.Counter) *Table {
+	return &Table{
 		cfg:     cfg,
 		issuer:  issuer,
 		checks:  checks,
@@ -36,7 +36,7 @@
 
 // Issue returns a new key that is valid until the given time, but for no longer
 // than Config.Life. A key takes no memory in the table until Begin.
-func (b *Book) Issue(now, until time.Time) Key {
+func (b *Table) Issue(now, until time.Time) Key {
 	now = b.monotonicNow(now)
 	last := now.Add(b.cfg.Life)
 	if until.After(last) {
@@ -48,13 +48,13 @@
 // Begin decides how to handle a request that carries key. After VerdictRun,
 // Dispatch must be called immediately before the first byte is sent to a target,
 // and Finish in every case.
-func (b *Book) Begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
+func (b *Table) Begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
 	v := b.begin(b.monotonicNow(now), key, fp, request)
 	b.counts[v.Kind]++
 	return v
 }
 
-func (b *Book) begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
+func (b *Table) begin(now time.Time, key Key, fp Fingerprint, request string) Verdict {
 	if kind := b.checkKey(key); kind != 0 {
 		return Verdict{Kind: kind}
 	}
@@ -79,10 +79,10 @@
 
 // checkKey checks where a key was issued and its MAC. It returns 0 if this incarnation
 // issued the key.
-func (b *Book) checkKey(key Key) VerdictKind {
+func (b *Table) checkKey(key Key) VerdictKind {
 	switch {
 	case key.instance == b.issuer.instance && key.incarnation < b.issuer.incarnation:
-		return VerdictGone
+		return VerdictHomeRestarted
 	case !b.issuer.IsHomeOf(key):
 		return VerdictForeign
 	case !b.issuer.Genuine(key):
@@ -92,7 +92,7 @@
 	}
 }
 
-func (b *Book) startFirst(now time.Time, key Key, fp Fingerprint, request string) Verdict {
+func (b *Table) startFirst(now time.Time, key Key, fp Fingerprint, request string) Verdict {
 	switch {
 	case !now.Before(key.Until()):
 		return Verdict{Kind: VerdictExpired}
@@ -109,7 +109,7 @@
 }
 
 // startAgain starts another attempt after an attempt that is proved not to have run.
-func (b *Book) startAgain(now time.Time, r *record, request string) Verdict {
+func (b *Table) startAgain(now time.Time, r *record, request string) Verdict {
 	if !now.Before(r.until) {
 		return Verdict{Kind: VerdictExpired}
 	}
@@ -119,7 +119,7 @@
 	return b.start(r, request)
 }
 
-func (b *Book) start(r *record, request string) Verdict {
+func (b *Table) start(r *record, request string) Verdict {
 	r.outcome = Outcome{}
 	r.attempt++
 	r.requestID = strings.Clone(request[:min(len(request), maxRequestID)])
@@ -130,7 +130,7 @@
 // Dispatch must be called immediately before the first byte is sent to a target,
 // and reports whether it may be sent. If the key's deadline has passed, the
 // attempt ends as OutcomeNotRun.
-func (b *Book) Dispatch(now time.Time, key Key, attempt uint32) bool {
+func (b *Table) Dispatch(now time.Time, key Key, attempt uint32) bool {
 	now = b.monotonicNow(now)
 	r := b.activeRecord(key, attempt)
 	if r == nil || r.dispatches > 0 {
@@ -150,7 +150,7 @@
 // Withdraw records proof that the dispatch of this attempt ran nothing. The same
 // attempt may then dispatch to another target. Without a proof, or for an attempt
 // that is not the running one, it changes nothing and returns false.
-func (b *Book) Withdraw(key Key, attempt uint32, proof Proof) bool {
+func (b *Table) Withdraw(key Key, attempt uint32, proof Proof) bool {
 	r := b.activeRecord(key, attempt)
 	if r == nil || proof == ProofNone {
 		return false
@@ -163,7 +163,7 @@
 // the one to report to callers: OutcomeNotRun without a proof after a dispatch
 // becomes OutcomeUnknown. For an attempt that is not the running one it changes
 // nothing and returns false.
-func (b *Book) Finish(now time.Time, key Key, attempt uint32, outcome Outcome) (Outcome, bool) {
+func (b *Table) Finish(now time.Time, key Key, attempt uint32, outcome Outcome) (Outcome, bool) {
 	b.monotonicNow(now)
 	r := b.activeRecord(key, attempt)
 	if r == nil {
@@ -183,7 +183,7 @@
 
 // activeRecord returns the record of the given attempt, or nil if that attempt is not
 // running.
-func (b *Book) activeRecord(key Key, attempt uint32) *record {
+func (b *Table) activeRecord(key Key, attempt uint32) *record {
 	if !b.issuer.Genuine(key) {
 		return nil
 	}
@@ -194,7 +194,7 @@
 	return r
 }
 
-func (b *Book) endAttempt(r *record, outcome Outcome) {
+func (b *Table) endAttempt(r *record, outcome Outcome) {
 	if outcome.Kind == OutcomeNotRun {
 		b.checks.Check(invariant.NotRunTrue, r.dispatches == 0, func() string {
 			return fmt.Sprintf("request %s recorded as not run after a dispatch", r.requestID)
@@ -212,7 +212,7 @@
 }
 
 // monotonicNow returns now, or the latest time observed if the clock was set back.
-func (b *Book) monotonicNow(now time.Time) time.Time {
+func (b *Table) monotonicNow(now time.Time) time.Time {
 	if now.After(b.latest) {
 		b.latest = now
 	}
--- a/internal/once/book_test.go
+++ b/internal/once/book_test.go
@@ -11,7 +11,7 @@
 	"github.com/firlever/firlever/internal/invariant"
 )
 
-func newTestTable(t testing.TB, cfg Config) *Book {
+func newTestTable(t testing.TB, cfg Config) *Table {
 	t.Helper()
 	checks := invariant.New(func(n invariant.Name, s string) { t.Errorf("%s: %s", n, s) })
 	return New(cfg, newIssuer(t, "home", 5), checks)
@@ -72,7 +72,7 @@
 		want VerdictKind
 	}{
 		"foreign":  {other, Fingerprint{}, VerdictForeign},
-		"gone":     {earlier, Fingerprint{}, VerdictGone},
+		"gone":     {earlier, Fingerprint{}, VerdictHomeRestarted},
 		"later":    {later, Fingerprint{}, VerdictForeign},
 		"forged":   {forged, Fingerprint{}, VerdictForged},
 		"mismatch": {used, Fingerprint{1}, VerdictMismatch},
--- a/internal/once/random_test.go
+++ b/internal/once/random_test.go
@@ -11,7 +11,7 @@
 
 // attempt is an attempt that a home allowed to run.
 type attempt struct {
-	book       *Book
+	book       *Table
 	key        Key
 	number     uint32
 	dispatched bool
@@ -30,7 +30,7 @@
 type simulation struct {
 	t            *rapid.T
 	now          time.Time
-	books        []*Book
+	books        []*Table
 	incarnations []uint64
 	keys         []Key
 	inTransit    []duplicate
@@ -180,7 +180,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := invariant.New(func(n invariant.Name, s string) { rt.Fatalf("%s: %s", n, s) })
 		sim := &simulation{
-			t: rt, now: start, books: make([]*Book, 3), incarnations: make([]uint64, 3),
+			t: rt, now: start, books: make([]*Table, 3), incarnations: make([]uint64, 3),
 			runs: make(map[Key]int), checks: checks,
 		}
 		for n := range sim.books {
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -19,17 +19,17 @@
 }
 
 // Stats returns the current numbers.
-func (b *Book) Stats() Stats {
+func (b *Table) Stats() Stats {
 	return Stats{Records: len(b.records), Running: b.running, Bytes: b.bytes, counts: b.counts}
 }
 
 // Close stops the start of new attempts. Running attempts continue, and Begin
 // still returns recorded outcomes.
-func (b *Book) Close() { b.closed = true }
+func (b *Table) Close() { b.closed = true }
 
 // Sweep drops the records whose deadline has passed, except for running ones, and
 // returns how many it dropped.
-func (b *Book) Sweep(now time.Time) int {
+func (b *Table) Sweep(now time.Time) int {
 	now = b.monotonicNow(now)
 	n := 0
 	for {
@@ -48,9 +48,9 @@
 
 // NextSweep returns the earliest deadline in the table, at which Sweep is due, or the
 // zero time if there is none.
-func (b *Book) NextSweep() time.Time { return b.expiry.Next() }
+func (b *Table) NextSweep() time.Time { return b.expiry.Next() }
 
-func (b *Book) drop(r *record) {
+func (b *Table) drop(r *record) {
 	b.bytes -= recordSize + r.outcome.size()
 	delete(b.records, r.number)
 }
--- a/internal/once/verdict.go
+++ b/internal/once/verdict.go
@@ -5,17 +5,17 @@
 
 // Kinds of verdict.
 const (
-	VerdictRun      VerdictKind = iota + 1 // to be run now, and ended by Finish
-	VerdictRunning                         // an attempt is running: wait for its outcome or retry later
-	VerdictAnswered                        // completed; Outcome holds the recorded answer
-	VerdictUnknown                         // may have run; this is final
-	VerdictExpired                         // past its deadline: will not run; an earlier outcome is not known
-	VerdictForged                          // authentication failed: not run
-	VerdictForeign                         // has another home: forward it there or answer unknown; must not run here
-	VerdictGone                            // issued by an earlier incarnation of this instance, whose records are lost: outcome unknown
-	VerdictMismatch                        // the key was used for a different request: this one was not run
-	VerdictFull                            // the table is full: not run
-	VerdictClosed                          // the home is stopping and starts no new attempts: not run
+	VerdictRun           VerdictKind = iota + 1 // to be run now, and ended by Finish
+	VerdictRunning                              // an attempt is running: wait for its outcome or retry later
+	VerdictAnswered                             // completed; Outcome holds the recorded answer
+	VerdictUnknown                              // may have run; this is final
+	VerdictExpired                              // past its deadline: will not run; an earlier outcome is not known
+	VerdictForged                               // authentication failed: not run
+	VerdictForeign                              // has another home: forward it there or answer unknown; must not run here
+	VerdictHomeRestarted                        // issued by an earlier incarnation of this instance, whose records are lost: outcome unknown
+	VerdictMismatch                             // the key was used for a different request: this one was not run
+	VerdictFull                                 // the table is full: not run
+	VerdictClosed                               // the home is stopping and starts no new attempts: not run
 	verdictKindCount
 )
 
--- a/internal/pace/link.go
+++ b/internal/pace/link.go
@@ -36,10 +36,10 @@
 	l.rate = rate
 }
 
-// Take reserves n bytes and returns when they may be sent: now if the link is free.
+// Reserve reserves n bytes and returns when they may be sent: now if the link is free.
 // Idle time earns no credit: any time window holds at most what the rate allows
 // plus one chunk.
-func (l *Link) Take(now time.Time, n int) time.Time {
+func (l *Link) Reserve(now time.Time, n int) time.Time {
 	if l.rate == 0 {
 		return now
 	}
@@ -51,8 +51,8 @@
 	return at
 }
 
-// Chunk returns the number of bytes to reserve at a time, no more than maxBytes.
-func (l *Link) Chunk(maxBytes int) int {
+// ChunkSize returns the number of bytes to reserve at a time, no more than maxBytes.
+func (l *Link) ChunkSize(maxBytes int) int {
 	if l.rate == 0 {
 		return maxBytes
 	}
--- a/internal/pace/link_test.go
+++ b/internal/pace/link_test.go
@@ -27,9 +27,9 @@
 			var l Link
 			l.SetRate(start, tt.rate)
 			for _, n := range tt.before {
-				l.Take(start, n)
+				l.Reserve(start, n)
 			}
-			if got := l.Take(start.Add(tt.later), 1).Sub(start); got != tt.want {
+			if got := l.Reserve(start.Add(tt.later), 1).Sub(start); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -51,9 +51,9 @@
 		t.Run(name, func(t *testing.T) {
 			var l Link
 			l.SetRate(start, 1000)
-			l.Take(start, 1000)
+			l.Reserve(start, 1000)
 			l.SetRate(start, tt.rate)
-			if got := l.Take(start, 1).Sub(start); got != tt.want {
+			if got := l.Reserve(start, 1).Sub(start); got != tt.want {
 				t.Errorf("got %v, want %v", got, tt.want)
 			}
 		})
@@ -67,12 +67,12 @@
 		var l Link
 		rate := rapid.Int64Range(100, 1<<24).Draw(t, "rate")
 		l.SetRate(start, rate)
-		chunk := l.Chunk(32 << 10)
+		chunk := l.ChunkSize(32 << 10)
 		now := start
 		var times []time.Time // of each chunk
 		for range rapid.IntRange(1, 100).Draw(t, "chunks") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			at := l.Take(now, chunk)
+			at := l.Reserve(now, chunk)
 			if at.Before(now) {
 				t.Fatalf("got %v, want no time before now", at)
 			}
