--- a/cmd/firlever/edge.go
+++ b/cmd/firlever/edge.go
@@ -66,7 +66,7 @@
 	if err := cfg.Check(); err != nil {
 		return &usageError{Command: cmd.CommandPath(), Reason: err.Error()}
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "valid; not used: %s\n", strings.Join(cfg.Settings.Unread, ", "))
+	fmt.Fprintf(cmd.OutOrStdout(), "valid; not used: %s\n", strings.Join(cfg.Settings.UnknownFields, ", "))
 	return nil
 }
 
@@ -103,7 +103,7 @@
 			return err
 		}
 	}
-	logger.Info("settings read", "path", flags.settings, "unread", settings.Unread)
+	logger.Info("settings read", "path", flags.settings, "unread", settings.UnknownFields)
 	logger.Info("started", "instance", settings.Instance, "domain", settings.Domain, "region", settings.Region,
 		"callers", settings.Callers, "peers", node.PeerAddress(), "store", settings.Store, "first", settings.FirstStart)
 	go node.WatchSettings(cmd.Context(), flags.settings)
--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -245,12 +245,12 @@
 
 // renew renews a registration, and reports whether it still exists. c.mu is held.
 func (c *Client) renew(ctx context.Context, reg registration) (bool, error) {
-	err := c.store.Keep(ctx, reg.lease)
+	err := c.store.Renew(ctx, reg.lease)
 	var epochChanged *platform.EpochError
 	switch {
 	case errors.As(err, &epochChanged):
 		return c.verify(ctx, reg)
-	case platform.LeaseGone(err):
+	case platform.LeaseLost(err):
 		return false, nil
 	}
 	return err == nil, err
--- a/internal/edge/admit.go
+++ b/internal/edge/admit.go
@@ -88,7 +88,7 @@
 // longer than the platform allows API keys to be trusted.
 func (n *Node) keysExpired() bool {
 	b := n.bounds.Load()
-	return b.KeysLapse && n.mirror.Age(boottime.Now()) > b.KeysFor
+	return b.KeysExpire && n.mirror.Age(boottime.Now()) > b.KeyLifetime
 }
 
 // regions returns the regions in which the request may be served, by its route and workspace.
--- a/internal/edge/admit_test.go
+++ b/internal/edge/admit_test.go
@@ -228,7 +228,7 @@
 		r.start()
 		r.waitUsable(1)
 		b := *r.node.bounds.Load()
-		b.KeysLapse, b.KeysFor = strict, 0
+		b.KeysExpire, b.KeyLifetime = strict, 0
 		r.node.bounds.Store(&b)
 		if got := r.sendWith(bearer1, "POST", "/get/x"); got.status != want {
 			t.Errorf("strict %t: got %+v, want %d", strict, got, want)
--- a/internal/edge/forward.go
+++ b/internal/edge/forward.go
@@ -70,8 +70,8 @@
 // timeout, whichever comes first.
 func deadlineOf(at time.Time, route *routes.Entry, info platform.Request) time.Time {
 	wait := defaultDeadline
-	if info.Left > 0 {
-		wait = info.Left
+	if info.Timeout > 0 {
+		wait = info.Timeout
 	}
 	if route.Timeout > 0 {
 		wait = min(wait, route.Timeout)
@@ -113,7 +113,7 @@
 		ctx = context.WithoutCancel(ctx)
 	}
 	header := p.in.Header.Clone()
-	platform.AddressTo(header, target.ID, boottime.Until(p.deadline))
+	platform.SetAttempt(header, target.ID, boottime.Until(p.deadline))
 	if p.rules.keys.KeyRequired() {
 		platform.SetWorkspace(header, p.workspaceName())
 	}
@@ -172,7 +172,7 @@
 	if r.resp != nil {
 		a := platform.ReadAnswer(r.resp.Status, r.resp.Header)
 		o.WarmIn = a.WarmIn
-		if a.Loaded {
+		if a.HasLoad {
 			o.Load = &steer.Load{Running: a.Load.Running, Waiting: a.Load.Waiting}
 		}
 	}
@@ -210,7 +210,7 @@
 // ownAnswer creates an answer that doesn't come from a target.
 func ownAnswer(info platform.Request, status int) *http1.Response {
 	resp := &http1.Response{Status: status, Header: make(http.Header)}
-	platform.Echo(resp.Header, info.ID)
+	platform.SetRequestID(resp.Header, info.ID)
 	return resp
 }
 
@@ -218,7 +218,7 @@
 func (n *Node) refuse(r *http1.Request, info platform.Request, why *refusal, fields ...any) *http1.Response {
 	resp := ownAnswer(info, why.status)
 	if why.retryAfter > 0 {
-		platform.RetryAfter(resp.Header, why.retryAfter)
+		platform.SetRetryAfter(resp.Header, why.retryAfter)
 	}
 	n.logRefusal(r, info, why, fields)
 	return resp
--- a/internal/edge/node.go
+++ b/internal/edge/node.go
@@ -77,7 +77,7 @@
 		evacuated: make(map[string]bool), answerSizes: make(map[string]float64),
 		successLimiter: logs.NewLimiter(cfg.SuccessLogRate), failureLimiter: logs.NewLimiter(failureLogRate),
 	}
-	n.store.Note(n.countStoreCall)
+	n.store.OnCallDone(n.countStoreCall)
 	n.processStart = time.Now().UnixNano()
 	if n.quotas, err = n.newQuotas(); err != nil {
 		return nil, errors.Annotate(err, "edge.New")
--- a/internal/edge/notice.go
+++ b/internal/edge/notice.go
@@ -14,7 +14,7 @@
 // whether the answer belongs to the request.
 func (n *Node) handleAnswerHeader(p *pendingRequest, target steer.Target, sent time.Time, status int, h http.Header) bool {
 	a := platform.ReadAnswer(status, h)
-	if !a.For(p.info.ID) {
+	if !a.BelongsTo(p.info.ID) {
 		return false
 	}
 	if status != http.StatusMisdirectedRequest { // then the notice is another target's
@@ -26,19 +26,19 @@
 // applyNotice applies what a target announces about the requests that it accepts.
 func (n *Node) applyNotice(p *pendingRequest, target steer.Target, sent time.Time, status int, a platform.Answer) {
 	now := boottime.Now()
-	success := status < http.StatusMultipleChoices && a.Signed && a.Unread == nil
+	success := status < http.StatusMultipleChoices && a.Signed && a.InvalidHeaders == nil
 	n.mu.Lock()
 	changes := n.fleet.ApplyNotice(now, target, sent, a.Notice, success)
 	n.mu.Unlock()
 	for _, change := range changes {
 		n.logNotice(now, steer.ConstraintUpdate{Target: target, Change: change, Limit: a.Notice.Limit}, "rest", a.Notice.BackOff, "id", p.info.ID, "status", status)
 	}
-	if a.Unread == nil {
+	if a.InvalidHeaders == nil {
 		return
 	}
 	n.cfg.Metrics.CountDecision(metrics.Decision{Kind: "notice", Service: target.Service, Reason: "unreadable"})
 	if suppressed, ok := n.failureLimiter.Allow(now); ok {
-		n.cfg.Log.Warn("target notice unreadable", "target", target.ID, "headers", a.Unread, "id", p.info.ID, "suppressed", suppressed)
+		n.cfg.Log.Warn("target notice unreadable", "target", target.ID, "headers", a.InvalidHeaders, "id", p.info.ID, "suppressed", suppressed)
 	}
 }
 
--- a/internal/edge/pass.go
+++ b/internal/edge/pass.go
@@ -43,7 +43,7 @@
 		if p.choice.Reason == "" {
 			p.choice.RetryAfter = n.backOff(p)
 		}
-		platform.RetryAfter(resp.Header, max(p.choice.RetryAfter, minRetryAfter))
+		platform.SetRetryAfter(resp.Header, max(p.choice.RetryAfter, minRetryAfter))
 	}
 	return resp
 }
--- a/internal/edge/quota.go
+++ b/internal/edge/quota.go
@@ -49,7 +49,7 @@
 		return nil
 	}
 	resp := ownAnswer(info, http.StatusTooManyRequests)
-	platform.RetryAfter(resp.Header, d.RetryAfter)
+	platform.SetRetryAfter(resp.Header, d.RetryAfter)
 	n.logOverQuota(r, info, a, d)
 	return resp
 }
--- a/internal/edge/register.go
+++ b/internal/edge/register.go
@@ -99,12 +99,12 @@
 
 // renew renews the lease. It returns whether the record still exists under it.
 func (r *registrar) renew(ctx context.Context) (bool, error) {
-	err := r.node.store.Keep(ctx, r.lease)
+	err := r.node.store.Renew(ctx, r.lease)
 	var restored *platform.EpochError
 	switch {
 	case errors.As(err, &restored):
 		return r.verify(ctx)
-	case platform.LeaseGone(err):
+	case platform.LeaseLost(err):
 		r.node.cfg.Log.Warn("lease ended", "lease", r.lease.Number())
 		return false, nil
 	}
@@ -181,7 +181,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	err := r.write(ctx, r.lease, true)
-	if platform.LeaseGone(err) {
+	if platform.LeaseLost(err) {
 		r.lease = platform.Lease{}
 	}
 	if err != nil {
--- a/internal/edge/suspend_test.go
+++ b/internal/edge/suspend_test.go
@@ -34,7 +34,7 @@
 	r.register("a", r.target("good").address, "n1", "ready")
 	r.start()
 	b := *r.node.bounds.Load()
-	b.KeysLapse, b.KeysFor = true, 5*time.Second
+	b.KeysExpire, b.KeyLifetime = true, 5*time.Second
 	r.node.bounds.Store(&b)
 	const key = "Authorization: Bearer k1\r\n"
 	r.eventually("it is served", func() bool { return r.sendWith(key, "GET", "/get/x").status == http.StatusOK })
--- a/internal/edge/teller.go
+++ b/internal/edge/teller.go
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	at, err := t.put(ctx, batch)
-	if platform.LeaseGone(err) {
+	if platform.LeaseLost(err) {
 		clear(t.leases)
 		at, err = t.put(ctx, batch)
 	}
--- a/internal/mirror/mirror.go
+++ b/internal/mirror/mirror.go
@@ -243,7 +243,7 @@
 	if !m.view.isRestored(at) {
 		return
 	}
-	m.store.Reached(at.Epoch())
+	m.store.ObserveEpoch(at.Epoch())
 	m.sink.Restored(m.Revision(), at.Epoch())
 }
 
