--- a/cmd/firlever/config.go
+++ b/cmd/firlever/config.go
@@ -181,7 +181,7 @@
 					return err
 				}
 				if asJSON {
-					return writeJSON(cmd.OutOrStdout(), operator.List{Documents: list})
+					return writeJSON(cmd.OutOrStdout(), operator.DocumentList{Documents: list})
 				}
 				return writeVersions(cmd.OutOrStdout(), list)
 			})
--- a/cmd/firlever/config_status.go
+++ b/cmd/firlever/config_status.go
@@ -59,7 +59,7 @@
 			fmt.Fprintf(t, "%s\t\t%s\n", r.Instance, r.Error)
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d", r.Instance, r.Status.Place, r.Status.Root, r.Status.Count)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d", r.Instance, r.Status.Place, r.Status.DocumentsHash, r.Status.DocumentCount)
 		for _, p := range paths {
 			fmt.Fprintf(t, "\t%s", versionAt(r.Status.Documents, p))
 		}
--- a/cmd/firlever/exit.go
+++ b/cmd/firlever/exit.go
@@ -38,7 +38,7 @@
 type unknownOutcomeError struct{ operator.Change }
 
 func (e *unknownOutcomeError) Error() string {
-	return fmt.Sprintf("not yet known whether write %s to %s landed: %s", e.Write, e.Path, e.Reason)
+	return fmt.Sprintf("not yet known whether write %s to %s landed: %s", e.WriteID, e.Path, e.Reason)
 }
 
 // exitCode returns the exit code for the error of a command.
--- a/cmd/firlever/main_test.go
+++ b/cmd/firlever/main_test.go
@@ -67,11 +67,11 @@
 	status := func() operator.Status {
 		mu.Lock()
 		defer mu.Unlock()
-		s := operator.Status{Instance: "i1", Place: "hob-a", Ready: true, Root: "abcd", Documents: operator.Versions(docs)}
+		s := operator.Status{Instance: "i1", Place: "hob-a", Ready: true, DocumentsHash: "abcd", Documents: operator.Versions(docs)}
 		s.Services = []operator.Service{{Service: "payments/ledger-view", Place: "hob-a", Load: operator.Load{Limit: 2, Headroom: 1}}}
 		s.Targets = []operator.Target{{Name: "t1", Owner: "i1", Service: "payments/ledger-view"}}
 		for _, d := range snapshot.Drains() {
-			s.Drains = append(s.Drains, operator.Drain{Path: d.Path, Place: d.Drain.Place, Left: 3, Reason: d.Drain.Reason})
+			s.Drains = append(s.Drains, operator.Drain{Path: d.Path, Place: d.Drain.Place, Remaining: 3, Reason: d.Drain.Reason})
 		}
 		return s
 	}
@@ -90,7 +90,7 @@
 			s := status()
 			return []operator.Report{{Instance: "i1", Status: &s}, {Instance: "i2", Error: "no answer"}}
 		},
-		Metrics: http.NotFoundHandler(), Ready: func() error { return nil }, Complete: func() error { return nil },
+		Metrics: http.NotFoundHandler(), Ready: func() error { return nil }, SettingsComplete: func() error { return nil },
 		Log: log.New(io.Discard), Bootstrap: settings.HashToken("first"),
 	})
 	if err != nil {
--- a/cmd/firlever/send.go
+++ b/cmd/firlever/send.go
@@ -19,7 +19,7 @@
 	if !isConclusive(err) {
 		change, err = client.Put(ctx, doc, writeID, false)
 		if !isRetryConclusive(err) {
-			change = operator.Change{Path: doc.Path, Write: writeID, Outcome: docstore.Unknown.String(), Reason: err.Error()}
+			change = operator.Change{Path: doc.Path, WriteID: writeID, Outcome: docstore.Unknown.String(), Reason: err.Error()}
 			err = nil
 		}
 	}
--- a/cmd/firlever/status.go
+++ b/cmd/firlever/status.go
@@ -86,13 +86,13 @@
 			fmt.Fprintf(w, "%s\t(all)\t%s\t%s\t\t\n", p.Name, r.Instance, loadCells(p.Load))
 		}
 		for _, s := range r.Status.Services {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Place, s.Service, r.Instance, loadCells(s.Load), s.Shifted, s.Cap)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%.1f\t%d\n", s.Place, s.Service, r.Instance, loadCells(s.Load), s.Shifted, s.MaxShiftGrowth)
 		}
 	}
 }
 
 func loadCells(l operator.Load) string {
-	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d", l.Limit, l.Use, l.Queued, l.Free, l.Headroom)
+	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d", l.Limit, l.InFlight, l.Queued, l.Free, l.Headroom)
 }
 
 // writeTargets writes each target once, with the state that its owner reports.
@@ -107,7 +107,7 @@
 				continue
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%v\n",
-				t.Name, t.Service, t.Place, t.Address, t.Owner, t.Allowance, t.Use, t.Health, t.Drained)
+				t.Name, t.Service, t.Place, t.Address, t.Owner, t.Allowance, t.InFlight, t.Health, t.Drained)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		if !d.Finish.IsZero() {
 			finish = d.Finish.Format(time.TimeOnly)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drainSubject(d), d.Left, finish, d.Reason)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", d.Path, drainSubject(d), d.Remaining, finish, d.Reason)
 	}
 }
 
@@ -144,7 +144,7 @@
 				all = append(all, d)
 				continue
 			}
-			all[i].Left += d.Left
+			all[i].Remaining += d.Remaining
 			if d.Finish.After(all[i].Finish) {
 				all[i].Finish = d.Finish
 			}
--- a/internal/docstore/client.go
+++ b/internal/docstore/client.go
@@ -138,7 +138,7 @@
 	}
 	expected := e.Version - 1
 	if current.Version != expected {
-		return Entry{}, &ConflictError{Path: e.Path, Want: expected, Now: current}
+		return Entry{}, &ConflictError{Path: e.Path, Expected: expected, Current: current}
 	}
 	if e.Revision, err = c.put(ctx, e, changed); err != nil {
 		return Entry{}, swapError(call, e.Path, expected, err)
@@ -326,7 +326,7 @@
 	for _, item := range conflict.Items {
 		current, err := decodeEntry(item)
 		if err == nil && current.Path == path {
-			return &ConflictError{Path: path, Want: expected, Now: current}
+			return &ConflictError{Path: path, Expected: expected, Current: current}
 		}
 	}
 	return &UncertainError{Path: path, Err: err}
--- a/internal/docstore/client_test.go
+++ b/internal/docstore/client_test.go
@@ -126,8 +126,8 @@
 			if e.Version != tt.want || e.Deleted != (tt.delete && tt.want > 0) {
 				t.Errorf("got %+v, want version %d", e, tt.want)
 			}
-			if conflict != nil && conflict.Now.Version != 3 {
-				t.Errorf("got a conflict with %d, want 3", conflict.Now.Version)
+			if conflict != nil && conflict.Current.Version != 3 {
+				t.Errorf("got a conflict with %d, want 3", conflict.Current.Version)
 			}
 		})
 	}
--- a/internal/docstore/document.go
+++ b/internal/docstore/document.go
@@ -87,7 +87,7 @@
 	if current.Version != doc.Version {
 		return p.resolve(current)
 	}
-	p.value, err = EncodeDocument(doc, append([]string{writeID}, Writes(current)...))
+	p.value, err = EncodeDocument(doc, append([]string{writeID}, WriteIDs(current)...))
 	if err != nil {
 		return PutResult{Outcome: Refused}, err
 	}
@@ -115,7 +115,7 @@
 		}
 		var conflict *ConflictError
 		if errors.As(err, &conflict) {
-			return p.resolve(conflict.Now)
+			return p.resolve(conflict.Current)
 		}
 		var uncertain *UncertainError
 		p.uncertain = p.uncertain || errors.As(err, &uncertain)
@@ -140,7 +140,7 @@
 	if current.Version < created {
 		return PutResult{Outcome: Refused, Newer: current}, p.conflictError(current)
 	}
-	writes := Writes(current)
+	writes := WriteIDs(current)
 	age := current.Version - created // number of later writes to the path
 	recorded := age < uint64(len(writes))
 	if recorded && writes[age] == p.writeID {
@@ -153,7 +153,7 @@
 }
 
 func (p *documentWrite) conflictError(current Entry) error {
-	return &ConflictError{Path: p.doc.Path, Want: p.doc.Version, Now: current}
+	return &ConflictError{Path: p.doc.Path, Expected: p.doc.Version, Current: current}
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/docstore/document_test.go
+++ b/internal/docstore/document_test.go
@@ -187,7 +187,7 @@
 			}
 			return
 		}
-		e.Value, err = docstore.EncodeDocument(doc, docstore.Writes(e))
+		e.Value, err = docstore.EncodeDocument(doc, docstore.WriteIDs(e))
 		var large *docstore.TooLargeError
 		if errors.As(err, &large) {
 			return
--- a/internal/docstore/envelope.go
+++ b/internal/docstore/envelope.go
@@ -76,9 +76,9 @@
 	return doc, nil
 }
 
-// Writes returns the IDs of the latest writes to a document's path, newest
+// WriteIDs returns the IDs of the latest writes to a document's path, newest
 // first; none if the value does not hold them.
-func Writes(e Entry) []string {
+func WriteIDs(e Entry) []string {
 	if e.Deleted {
 		return nil
 	}
--- a/internal/docstore/errors.go
+++ b/internal/docstore/errors.go
@@ -10,13 +10,13 @@
 // ConflictError reports that the path is not at the version that a write expected. It holds
 // the entry as it is instead.
 type ConflictError struct {
-	Path string
-	Want uint64 // version that the write expected
-	Now  Entry
+	Path     string
+	Expected uint64 // version that the write expected
+	Current  Entry
 }
 
 func (e *ConflictError) Error() string {
-	return fmt.Sprintf("docstore: %s is at version %d, not %d", e.Path, e.Now.Version, e.Want)
+	return fmt.Sprintf("docstore: %s is at version %d, not %d", e.Path, e.Current.Version, e.Expected)
 }
 
 // UncertainError reports that a write got no answer, so it may have been applied.
--- a/internal/docstore/store.go
+++ b/internal/docstore/store.go
@@ -22,15 +22,15 @@
 // Instance is one registration in the platform's list of instances. The list lags
 // behind registrations.
 type Instance struct {
-	ID          string `json:"id"`
-	Incarnation uint64 `json:"incarnation"` // increases with each start of the process
-	Address     string `json:"address"`     // for peers, IP:port
-	Callers     string `json:"callers"`     // for callers, IP:port
-	Operators   string `json:"operators"`   // for operators, IP:port
-	Place       string `json:"place"`
-	Domain      string `json:"domain"`
-	Region      string `json:"region"`
-	Leaving     bool   `json:"leaving,omitempty"`
+	ID               string `json:"id"`
+	Incarnation      uint64 `json:"incarnation"` // increases with each start of the process
+	PeerAddress      string `json:"address"`     // for peers, IP:port
+	CallersAddress   string `json:"callers"`     // for callers, IP:port
+	OperatorsAddress string `json:"operators"`   // for operators, IP:port
+	Place            string `json:"place"`
+	Domain           string `json:"domain"`
+	Region           string `json:"region"`
+	Leaving          bool   `json:"leaving,omitempty"`
 }
 
 // Store is all that firlever requires of a platform's store. Another key-value service can
--- a/internal/instance/gossip.go
+++ b/internal/instance/gossip.go
@@ -279,7 +279,7 @@
 			continue
 		}
 		peers = append(peers, core.Peer{
-			ID: m.ID, Incarnation: m.Incarnation, Address: m.Address, CallersAddress: m.Callers,
+			ID: m.ID, Incarnation: m.Incarnation, Address: m.PeerAddress, CallersAddress: m.CallersAddress,
 			Place: m.Place, Domain: m.Domain, Region: m.Region, Leaving: m.State == member.Leaving,
 		})
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -212,7 +212,7 @@
 func (in *Instance) self() docstore.Instance {
 	return docstore.Instance{
 		ID: in.cfg.ID, Incarnation: in.incarnation,
-		Address: in.cfg.AdvertisePeers, Callers: in.cfg.AdvertiseCallers, Operators: in.cfg.Operators,
+		PeerAddress: in.cfg.AdvertisePeers, CallersAddress: in.cfg.AdvertiseCallers, OperatorsAddress: in.cfg.Operators,
 		Place: in.cfg.Place, Domain: in.cfg.Domain, Region: in.cfg.Region,
 	}
 }
--- a/internal/instance/instance_test.go
+++ b/internal/instance/instance_test.go
@@ -182,7 +182,7 @@
 			}
 			in.Start()
 			defer in.Kill()
-			if got, want := in.self().Address, firstNonEmpty(tt.want, in.Peers()); got != want {
+			if got, want := in.self().PeerAddress, firstNonEmpty(tt.want, in.Peers()); got != want {
 				t.Errorf("got %s, want %s", got, want)
 			}
 		})
--- a/internal/instance/operators.go
+++ b/internal/instance/operators.go
@@ -45,17 +45,17 @@
 		in.metrics = set
 	}
 	s, err := operator.New(operator.Config{
-		Store:     in.operatorStore(),
-		Snapshot:  in.snapshot,
-		Documents: in.docs.Documents,
-		Apply:     in.applyDocuments,
-		Status:    in.operatorStatus,
-		Fleet:     operator.Gather(in.fleet),
-		Metrics:   set.Handler(),
-		Ready:     in.ready,
-		Complete:  in.checkComplete,
-		Log:       logger,
-		Bootstrap: in.cfg.Bootstrap,
+		Store:            in.operatorStore(),
+		Snapshot:         in.snapshot,
+		Documents:        in.docs.Documents,
+		Apply:            in.applyDocuments,
+		Status:           in.operatorStatus,
+		Fleet:            operator.Gather(in.fleet),
+		Metrics:          set.Handler(),
+		Ready:            in.ready,
+		SettingsComplete: in.checkComplete,
+		Log:              logger,
+		Bootstrap:        in.cfg.Bootstrap,
 	})
 	if err != nil {
 		return nil, errors.Annotate(err, "Instance.operatorHandler")
@@ -105,18 +105,18 @@
 	r := operator.Status{
 		Instance: in.cfg.ID, Incarnation: in.incarnation,
 		Place: in.cfg.Place, Domain: in.cfg.Domain, Region: in.cfg.Region,
-		Ready: true, Root: fmt.Sprintf("%016x", in.docs.Root()),
+		Ready: true, DocumentsHash: fmt.Sprintf("%016x", in.docs.Root()),
 		Documents:  operator.Versions(in.docs.Documents()),
 		Invariants: in.cfg.Checks.Counts(),
 	}
-	r.Count = len(r.Documents)
+	r.DocumentCount = len(r.Documents)
 	if err := in.ready(); err != nil {
 		r.Ready, r.Reason = false, err.Error()
 	} else if !st.Confirmed {
 		r.Reason = (&NoLeaseError{}).Error()
 	}
 	for _, m := range in.members.Members() {
-		r.Peers = append(r.Peers, operator.Peer{ID: m.ID, Address: m.Address, Place: m.Place, State: m.State.String()})
+		r.Peers = append(r.Peers, operator.Peer{ID: m.ID, Address: m.PeerAddress, Place: m.Place, State: m.State.String()})
 	}
 	in.reportLoad(&r, st)
 	in.reportDrains(&r, st)
@@ -127,13 +127,13 @@
 func (in *Instance) reportLoad(r *operator.Status, st core.Status) {
 	place := operator.Place{Name: in.cfg.Place}
 	for _, s := range st.Services {
-		load := operator.Load{Limit: s.Usable, Use: s.InFlight, Free: s.Free, Headroom: max(s.Usable-s.InFlight, 0)}
+		load := operator.Load{Limit: s.Usable, InFlight: s.InFlight, Free: s.Free, Headroom: max(s.Usable-s.InFlight, 0)}
 		r.Services = append(r.Services, operator.Service{
 			Service: s.Service.String(), Place: in.cfg.Place, Load: load,
-			Shifted: float64(s.Shifted), Cap: s.Cap,
+			Shifted: float64(s.Shifted), MaxShiftGrowth: s.Cap,
 		})
 		place.Limit += load.Limit
-		place.Use += load.Use
+		place.InFlight += load.InFlight
 		place.Free += load.Free
 		place.Headroom += load.Headroom
 	}
@@ -142,7 +142,7 @@
 	for _, t := range st.Targets {
 		r.Targets = append(r.Targets, operator.Target{
 			Name: t.Key.Name, Service: t.Key.Service.String(), Place: in.cfg.Place, Address: t.Address,
-			Owner: t.Owner, Allowance: t.Usable, Use: t.InFlight, Health: t.Health, Drained: t.Drained,
+			Owner: t.Owner, Allowance: t.Usable, InFlight: t.InFlight, Health: t.Health, Drained: t.Drained,
 		})
 	}
 }
@@ -161,14 +161,14 @@
 		var wait time.Duration
 		for _, t := range st.Targets {
 			if drainApplies(drain, in.cfg.Place, t) {
-				drain.Left += t.InFlight
+				drain.Remaining += t.InFlight
 				wait = max(wait, t.AverageLatency*finishFactor)
 			}
 		}
 		if drain.Instance == in.cfg.ID {
-			drain.Left, wait = st.InFlight, in.predictedWait(st)
+			drain.Remaining, wait = st.InFlight, in.predictedWait(st)
 		}
-		if drain.Left > 0 && wait > 0 {
+		if drain.Remaining > 0 && wait > 0 {
 			drain.Finish = in.now().Add(wait)
 		}
 		r.Drains = append(r.Drains, drain)
--- a/internal/instance/recovery_test.go
+++ b/internal/instance/recovery_test.go
@@ -170,7 +170,7 @@
 		}))
 		w.waitFor(3*time.Second, "out of look-ups", func() bool { return !w.inLookups(s) })
 		drains := w.running[s.id].operatorStatus().Drains
-		if len(drains) != 1 || drains[0].Left != 0 || drains[0].Instance != s.id {
+		if len(drains) != 1 || drains[0].Remaining != 0 || drains[0].Instance != s.id {
 			t.Errorf("got drains %+v, want nothing left at %s", drains, s.id)
 		}
 		if _, err := docstore.DeleteDocument(context.Background(), w.kv, "/drains/x", 1, "undo"); err != nil {
--- a/internal/instance/rooms.go
+++ b/internal/instance/rooms.go
@@ -98,6 +98,6 @@
 	p := &wire.Packet{From: g.in.cfg.ID, Incarnation: g.in.incarnation}
 	peer.SetFreeSlots(p, picked)
 	for _, m := range peers {
-		g.udp.Send(m.Address, p)
+		g.udp.Send(m.PeerAddress, p)
 	}
 }
--- a/internal/instance/roster.go
+++ b/internal/instance/roster.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	path := rosterRoot + in.cfg.Place
-	resp, err := in.peerClient(p.Address).Fetch(ctx, &wire.FetchRequest{Paths: []string{path}})
+	resp, err := in.peerClient(p.PeerAddress).Fetch(ctx, &wire.FetchRequest{Paths: []string{path}})
 	if err != nil || len(resp.Documents) != 1 || resp.Documents[0].Path != path {
 		return false
 	}
--- a/internal/instance/start.go
+++ b/internal/instance/start.go
@@ -89,7 +89,7 @@
 	list := make([]docstore.Instance, 0, len(resp.Members))
 	for _, m := range resp.Members {
 		list = append(list, docstore.Instance{
-			ID: m.Id, Incarnation: m.Incarnation, Address: m.Address, Callers: m.Callers, Operators: m.Operators,
+			ID: m.Id, Incarnation: m.Incarnation, PeerAddress: m.Address, CallersAddress: m.Callers, OperatorsAddress: m.Operators,
 			Place: m.Place, Domain: m.Domain, Region: m.Region, Leaving: m.Leaving,
 		})
 	}
@@ -102,7 +102,7 @@
 	var news []*wire.News
 	for _, p := range in.fleet(context.Background()) {
 		news = append(news, &wire.News{
-			Id: p.ID, Incarnation: p.Incarnation, Address: p.Address, Callers: p.Callers, Operators: p.Operators,
+			Id: p.ID, Incarnation: p.Incarnation, Address: p.PeerAddress, Callers: p.CallersAddress, Operators: p.OperatorsAddress,
 			Place: p.Place, Domain: p.Domain, Region: p.Region, Leaving: p.Leaving,
 		})
 	}
@@ -125,7 +125,7 @@
 	}
 	for _, m := range in.members.Members() {
 		if m.State != member.Dead {
-			add(m.Address)
+			add(m.PeerAddress)
 		}
 	}
 	rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
--- a/internal/instance/sync.go
+++ b/internal/instance/sync.go
@@ -41,7 +41,7 @@
 		case <-ctx.Done():
 			return
 		case p := <-in.divergedPeers:
-			if err := in.pull(ctx, p.Address); err != nil && in.cfg.Log != nil {
+			if err := in.pull(ctx, p.PeerAddress); err != nil && in.cfg.Log != nil {
 				in.cfg.Log.Debug("sync failed", "instance", p.ID, "err", err)
 			}
 		}
@@ -135,7 +135,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 			defer cancel()
-			in.peerClient(m.Address).Push(ctx, &wire.PushRequest{Documents: docs})
+			in.peerClient(m.PeerAddress).Push(ctx, &wire.PushRequest{Documents: docs})
 		}()
 	}
 }
--- a/internal/member/begin_test.go
+++ b/internal/member/begin_test.go
@@ -46,7 +46,7 @@
 // startPlace starts the two instances, and partitions the first from all but the second.
 func startPlace(t *testing.T, w *network, first, second docstore.Instance, seeds []string, holders, lost int) {
 	beyond := func(from, to string) bool {
-		return from == first.Address && to != second.Address || to == first.Address && from != second.Address
+		return from == first.PeerAddress && to != second.PeerAddress || to == first.PeerAddress && from != second.PeerAddress
 	}
 	if holders == 0 {
 		w.drop = beyond
@@ -57,12 +57,12 @@
 		t.Fatalf("got %d instances of the place held beyond it, want %d", got, holders)
 	}
 	w.drop = func(from, to string) bool {
-		if to == second.Address && lost > 0 {
+		if to == second.PeerAddress && lost > 0 {
 			lost--
 			return true
 		}
 		return beyond(from, to)
 	}
 	w.add(second, seeds...)
-	w.tickAt(second.Address, w.now)
+	w.tickAt(second.PeerAddress, w.now)
 }
--- a/internal/member/config.go
+++ b/internal/member/config.go
@@ -113,17 +113,17 @@
 const maxName = 64
 
 func validInstance(in docstore.Instance) bool {
-	for _, s := range []string{in.ID, in.Address, in.Place, in.Domain} {
+	for _, s := range []string{in.ID, in.PeerAddress, in.Place, in.Domain} {
 		if s == "" || len(s) > maxName {
 			return false
 		}
 	}
-	for _, s := range []string{in.Callers, in.Operators, in.Region} {
+	for _, s := range []string{in.CallersAddress, in.OperatorsAddress, in.Region} {
 		if len(s) > maxName {
 			return false
 		}
 	}
-	return validAddress(in.Address)
+	return validAddress(in.PeerAddress)
 }
 
 func validAddress(s string) bool {
--- a/internal/member/indirect.go
+++ b/internal/member/indirect.go
@@ -58,8 +58,8 @@
 				continue
 			}
 			req := l.packet(h, wire.Kind_KIND_PING_REQ, p.sequence)
-			req.Target, req.TargetAddress = target.in.ID, target.in.Address
-			sends = append(sends, Send{To: h.in.Address, Packet: l.addQueued(req, h)})
+			req.Target, req.TargetAddress = target.in.ID, target.in.PeerAddress
+			sends = append(sends, Send{To: h.in.PeerAddress, Packet: l.addQueued(req, h)})
 		}
 	}
 	p.helpersAsked = len(sends)
@@ -95,7 +95,7 @@
 		if m, ok := l.members[r.asker]; ok {
 			nack := l.packet(m, wire.Kind_KIND_NACK, r.askerSequence)
 			nack.Target = r.target
-			sends = append(sends, Send{To: m.in.Address, Packet: l.addQueued(nack, m)})
+			sends = append(sends, Send{To: m.in.PeerAddress, Packet: l.addQueued(nack, m)})
 		}
 	}
 	l.relays = slices.DeleteFunc(l.relays, func(r relayedPing) bool { return !now.Before(r.expiresAt) })
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -28,7 +28,7 @@
 				t.Errorf("got %d suspicions without a fault, want 0", got)
 			}
 			in := instance(1, perPlace, placesPerDomain)
-			w.lists[in.Address] = nil
+			w.lists[in.PeerAddress] = nil
 			took := w.runUntil(tt.most, func() bool { return w.allHold(in.ID, Dead) })
 			t.Logf("dead everywhere after %s", took)
 			if !w.allHold(in.ID, Dead) {
@@ -37,13 +37,13 @@
 			in.Incarnation++
 			w.add(in, address(0))
 			took = w.runUntil(tt.most, func() bool {
-				return w.allHold(in.ID, Alive) && len(w.lists[in.Address].Members()) == tt.n-1
+				return w.allHold(in.ID, Alive) && len(w.lists[in.PeerAddress].Members()) == tt.n-1
 			})
 			t.Logf("restart known everywhere, and all members held, after %s", took)
 			if !w.allHold(in.ID, Alive) || w.count(Restarted) != tt.n-1 {
 				t.Errorf("got %d restarts after %s, want %d", w.count(Restarted), took, tt.n-1)
 			}
-			if got := len(w.lists[in.Address].Members()); got != tt.n-1 {
+			if got := len(w.lists[in.PeerAddress].Members()); got != tt.n-1 {
 				t.Errorf("got %d members at the new incarnation, want %d", got, tt.n-1)
 			}
 		})
@@ -55,19 +55,19 @@
 	w.start(10, perPlace, placesPerDomain)
 	w.run(5 * time.Second)
 	in := instance(4, perPlace, placesPerDomain)
-	w.paused[in.Address] = true
+	w.paused[in.PeerAddress] = true
 	w.run(10 * time.Second)
 	if !w.allHold(in.ID, Dead) {
 		t.Error("got a paused instance held alive, want dead")
 	}
-	w.paused[in.Address] = false
+	w.paused[in.PeerAddress] = false
 	took := w.runUntil(6*time.Second, func() bool { return w.allHold(in.ID, Alive) })
 	t.Logf("alive everywhere %s after it resumed", took)
 	if !w.allHold(in.ID, Alive) {
 		t.Error("got the resumed instance not alive everywhere, want alive")
 	}
 	kinds := map[ChangeKind]int{}
-	for i, c := range w.changes[in.Address] {
+	for i, c := range w.changes[in.PeerAddress] {
 		if c.Kind == Resumed && kinds[Refuted] > 0 {
 			t.Errorf("got a refutation before change %d, want the resumption first", i)
 		}
@@ -152,7 +152,7 @@
 	w.start(95, perPlace, placesPerDomain)
 	w.run(5 * time.Second)
 	in := instance(7, perPlace, placesPerDomain)
-	w.send(in.Address, w.lists[in.Address].Leave(w.now))
+	w.send(in.PeerAddress, w.lists[in.PeerAddress].Leave(w.now))
 	took := w.runUntil(5*time.Second, func() bool { return w.allHold(in.ID, Leaving) })
 	t.Logf("leaving everywhere after %s", took)
 	if !w.allHold(in.ID, Leaving) {
@@ -274,7 +274,7 @@
 	if m, _ := l.Get(departed.ID); m.State != Alive {
 		t.Errorf("got %s for an instance missing in the list, want alive", m.State)
 	}
-	w.lists[departed.Address] = nil
+	w.lists[departed.PeerAddress] = nil
 	w.run(15 * time.Second)
 	if m, _ := l.Get(departed.ID); m.State != Dead {
 		t.Errorf("got %s, want dead", m.State)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -109,7 +109,7 @@
 		State: m.state, Leaving: m.in.Leaving,
 	}
 	if full {
-		n.Address, n.Callers, n.Operators = m.in.Address, m.in.Callers, m.in.Operators
+		n.Address, n.Callers, n.Operators = m.in.PeerAddress, m.in.CallersAddress, m.in.OperatorsAddress
 		n.Place, n.Domain, n.Region = m.in.Place, m.in.Domain, m.in.Region
 	}
 	return n
@@ -118,7 +118,7 @@
 func instanceOf(n *wire.News) docstore.Instance {
 	return docstore.Instance{
 		ID: n.GetId(), Incarnation: n.GetIncarnation(), Leaving: n.GetLeaving(),
-		Address: n.GetAddress(), Callers: n.GetCallers(), Operators: n.GetOperators(),
+		PeerAddress: n.GetAddress(), CallersAddress: n.GetCallers(), OperatorsAddress: n.GetOperators(),
 		Place: n.GetPlace(), Domain: n.GetDomain(), Region: n.GetRegion(),
 	}
 }
--- a/internal/member/network_test.go
+++ b/internal/member/network_test.go
@@ -73,7 +73,7 @@
 	place := i / perPlace
 	return docstore.Instance{
 		ID: fmt.Sprintf("entry-%04d", i), Incarnation: uint64(start.UnixNano()),
-		Address: address(i), Callers: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250+1), Operators: fmt.Sprintf("10.0.%d.%d:8081", i/250, i%250+1),
+		PeerAddress: address(i), CallersAddress: fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250+1), OperatorsAddress: fmt.Sprintf("10.0.%d.%d:8081", i/250, i%250+1),
 		Place: fmt.Sprintf("place-%03d", place), Domain: fmt.Sprintf("domain-%02d", place/placesPerDomain), Region: "region-1",
 	}
 }
@@ -94,11 +94,11 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.lists[in.Address] == nil {
-		w.order = append(w.order, in.Address)
+	if w.lists[in.PeerAddress] == nil {
+		w.order = append(w.order, in.PeerAddress)
 	}
-	w.lists[in.Address] = l
-	w.tickAt(in.Address, w.now.Add(time.Duration(w.rng.IntN(1000))*time.Millisecond))
+	w.lists[in.PeerAddress] = l
+	w.tickAt(in.PeerAddress, w.now.Add(time.Duration(w.rng.IntN(1000))*time.Millisecond))
 	return l
 }
 
--- a/internal/member/probe.go
+++ b/internal/member/probe.go
@@ -204,7 +204,7 @@
 	}
 	to := l.cfg.Seeds[l.seedPings%len(l.cfg.Seeds)]
 	l.seedPings++
-	if to == l.self.in.Address {
+	if to == l.self.in.PeerAddress {
 		return nil
 	}
 	p := l.newProbe(now, nil)
@@ -220,7 +220,7 @@
 
 func (l *List) probe(now time.Time, m *member) Send {
 	p := l.newProbe(now, m)
-	return Send{To: m.in.Address, Packet: l.ping(now, m, p.sequence)}
+	return Send{To: m.in.PeerAddress, Packet: l.ping(now, m, p.sequence)}
 }
 
 func (l *List) newProbe(now time.Time, m *member) *probe {
--- a/internal/member/receive.go
+++ b/internal/member/receive.go
@@ -102,7 +102,7 @@
 func (l *List) handle(now time.Time, m *member, p *wire.Packet) ([]Send, error) {
 	switch p.GetKind() {
 	case wire.Kind_KIND_PING:
-		return []Send{{To: m.in.Address, Packet: l.ack(now, m, p)}}, nil
+		return []Send{{To: m.in.PeerAddress, Packet: l.ack(now, m, p)}}, nil
 	case wire.Kind_KIND_PING_REQ:
 		return l.pingOnBehalf(now, m, p)
 	case wire.Kind_KIND_ACK:
@@ -161,7 +161,7 @@
 	target, ok := l.members[p.GetTarget()]
 	to := p.GetTargetAddress()
 	if ok {
-		to = target.in.Address
+		to = target.in.PeerAddress
 	}
 	if !validAddress(to) || p.GetTarget() == l.self.in.ID || p.GetTarget() == "" {
 		return nil, &PacketError{From: asker.in.ID, Reason: Malformed}
@@ -195,5 +195,5 @@
 	}
 	ack := l.packet(asker, wire.Kind_KIND_ACK, r.askerSequence)
 	ack.Target = r.target
-	return []Send{{To: asker.in.Address, Packet: l.addQueued(ack, asker)}}, nil
+	return []Send{{To: asker.in.PeerAddress, Packet: l.addQueued(ack, asker)}}, nil
 }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -80,7 +80,7 @@
 func (c *Client) List(ctx context.Context, prefix string, inForce bool) ([]Version, error) {
 	query := sourceQuery(inForce)
 	query.Set("prefix", prefix)
-	var list List
+	var list DocumentList
 	err := c.get(ctx, "/v1/documents", query, &list)
 	return list.Documents, err
 }
@@ -112,8 +112,8 @@
 	return change, err
 }
 
-// Write returns the outcome of an earlier change to the document at path, over version.
-func (c *Client) Write(ctx context.Context, writeID, path string, version uint64) (Change, error) {
+// ResolveWrite returns the outcome of an earlier change to the document at path, over version.
+func (c *Client) ResolveWrite(ctx context.Context, writeID, path string, version uint64) (Change, error) {
 	query := url.Values{"path": {path}, "version": {strconv.FormatUint(version, 10)}}
 	var change Change
 	err := c.get(ctx, "/v1/writes/"+url.PathEscape(writeID), query, &change)
--- a/internal/operator/client_test.go
+++ b/internal/operator/client_test.go
@@ -276,8 +276,8 @@
 	stopped.Close()
 	gather := Gather(func(context.Context) []docstore.Instance {
 		return []docstore.Instance{
-			{ID: "b", Operators: stopped.Listener.Addr().String()},
-			{ID: "a", Operators: server.Listener.Addr().String()},
+			{ID: "b", OperatorsAddress: stopped.Listener.Addr().String()},
+			{ID: "a", OperatorsAddress: server.Listener.Addr().String()},
 		}
 	})
 	got := gather(withBearer(t.Context(), "payments-read"))
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -30,10 +30,10 @@
 	Fleet   func(ctx context.Context) []Report
 	Metrics http.Handler
 	Ready   func() error // nil, or why the instance should receive no requests
-	// Complete returns nil, or why changes can't be checked at this instance: it has not
+	// SettingsComplete returns nil, or why changes can't be checked at this instance: it has not
 	// received all settings since its start.
-	Complete func() error
-	Log      *log.Logger
+	SettingsComplete func() error
+	Log              *log.Logger
 
 	// Bootstrap is the hex SHA-256 of a token that is authorized for everything as
 	// long as the system team has no token of its own.
@@ -63,9 +63,9 @@
 	require(c.Fleet != nil, "fleet")
 	require(c.Metrics != nil, "metrics")
 	require(c.Ready != nil, "ready")
-	require(c.Complete != nil, "complete")
+	require(c.SettingsComplete != nil, "complete")
 	require(c.Log != nil, "log")
-	if c.Bootstrap != "" && !ValidHash(c.Bootstrap) {
+	if c.Bootstrap != "" && !ValidTokenHash(c.Bootstrap) {
 		faults = append(faults, "bootstrap is not a SHA-256 in 64 lower-case hex digits")
 	}
 	if faults != nil {
@@ -74,9 +74,9 @@
 	return nil
 }
 
-// ValidHash reports whether s is the hash of a non-empty token, in the format of a
+// ValidTokenHash reports whether s is the hash of a non-empty token, in the format of a
 // team's document.
-func ValidHash(s string) bool {
+func ValidTokenHash(s string) bool {
 	raw, err := hex.DecodeString(s)
 	return err == nil && hex.EncodeToString(raw) == s && len(s) == len(settings.HashToken("")) && s != settings.HashToken("")
 }
--- a/internal/operator/documents.go
+++ b/internal/operator/documents.go
@@ -10,8 +10,8 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// List is the response to a request for a list of documents.
-type List struct {
+// DocumentList is the response to a request for a list of documents.
+type DocumentList struct {
 	Documents []Version `json:"documents"`
 }
 
@@ -89,7 +89,7 @@
 		p, err := settings.ParsePath(doc.Path)
 		return err == nil && a.authorizePath(p, settings.RoleRead) == nil
 	})
-	sendJSON(w, http.StatusOK, List{Documents: Versions(docs)})
+	sendJSON(w, http.StatusOK, DocumentList{Documents: Versions(docs)})
 	return nil
 }
 
--- a/internal/operator/gather.go
+++ b/internal/operator/gather.go
@@ -40,9 +40,9 @@
 func queryStatus(ctx context.Context, instance docstore.Instance) Report {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
-	client := NewClient(instance.Operators, bearerFrom(ctx))
+	client := NewClient(instance.OperatorsAddress, bearerFrom(ctx))
 	defer client.Close()
-	report := Report{Instance: instance.ID, Address: instance.Operators}
+	report := Report{Instance: instance.ID, Address: instance.OperatorsAddress}
 	status, err := client.Status(ctx)
 	if err != nil {
 		report.Error = err.Error()
--- a/internal/operator/problem.go
+++ b/internal/operator/problem.go
@@ -57,7 +57,7 @@
 	Code    Code    `json:"code"`
 	Reason  string  `json:"reason"`
 	Outcome string  `json:"outcome,omitempty"` // of a change: refused or unknown
-	Write   string  `json:"write,omitempty"`
+	WriteID string  `json:"write,omitempty"`
 	Path    string  `json:"path,omitempty"`
 	Version uint64  `json:"version,omitempty"` // current version
 	Deleted bool    `json:"deleted,omitempty"`
@@ -130,8 +130,8 @@
 }
 
 func conflictProblem(err *docstore.ConflictError) *Problem {
-	p := &Problem{Code: CodeConflict, Reason: err.Error(), Path: err.Path, Version: err.Now.Version}
-	doc, decodeErr := docstore.DecodeDocument(err.Now)
+	p := &Problem{Code: CodeConflict, Reason: err.Error(), Path: err.Path, Version: err.Current.Version}
+	doc, decodeErr := docstore.DecodeDocument(err.Current)
 	if decodeErr != nil {
 		p.Reason += "; " + decodeErr.Error()
 		return p
--- a/internal/operator/server_test.go
+++ b/internal/operator/server_test.go
@@ -62,7 +62,7 @@
 	b.server, err = New(Config{
 		Store: b.store, Snapshot: b.inForce, Documents: b.documents, Apply: b.apply,
 		Status: b.status, Fleet: b.fleet, Metrics: http.NotFoundHandler(),
-		Ready: func() error { return b.ready }, Complete: func() error { return b.ready }, Log: log.New(&b.log), Bootstrap: settings.HashToken("first"),
+		Ready: func() error { return b.ready }, SettingsComplete: func() error { return b.ready }, Log: log.New(&b.log), Bootstrap: settings.HashToken("first"),
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operator/status.go
+++ b/internal/operator/status.go
@@ -12,22 +12,22 @@
 
 // Status is the state of one instance at one moment, as observed by that instance.
 type Status struct {
-	Instance    string            `json:"instance"`
-	Incarnation uint64            `json:"incarnation"`
-	Place       string            `json:"place"`
-	Domain      string            `json:"domain"`
-	Region      string            `json:"region"`
-	Ready       bool              `json:"ready"`
-	Reason      string            `json:"reason,omitempty"` // why it is not ready
-	Root        string            `json:"root"`             // hash over the versions of all documents, in hex
-	Count       int               `json:"count"`            // number of documents, including deleted ones
-	Documents   []Version         `json:"documents,omitempty"`
-	Peers       []Peer            `json:"peers,omitempty"`
-	Places      []Place           `json:"places,omitempty"`
-	Services    []Service         `json:"services,omitempty"`
-	Targets     []Target          `json:"targets,omitempty"`
-	Drains      []Drain           `json:"drains,omitempty"`
-	Invariants  []invariant.Count `json:"invariants,omitempty"`
+	Instance      string            `json:"instance"`
+	Incarnation   uint64            `json:"incarnation"`
+	Place         string            `json:"place"`
+	Domain        string            `json:"domain"`
+	Region        string            `json:"region"`
+	Ready         bool              `json:"ready"`
+	Reason        string            `json:"reason,omitempty"` // why it is not ready
+	DocumentsHash string            `json:"root"`             // hash over the versions of all documents, in hex
+	DocumentCount int               `json:"count"`            // number of documents, including deleted ones
+	Documents     []Version         `json:"documents,omitempty"`
+	Peers         []Peer            `json:"peers,omitempty"`
+	Places        []Place           `json:"places,omitempty"`
+	Services      []Service         `json:"services,omitempty"`
+	Targets       []Target          `json:"targets,omitempty"`
+	Drains        []Drain           `json:"drains,omitempty"`
+	Invariants    []invariant.Count `json:"invariants,omitempty"`
 }
 
 // Version is the version in force of one document.
@@ -48,7 +48,7 @@
 // Load is the use of a limit, in requests.
 type Load struct {
 	Limit    int `json:"limit"`
-	Use      int `json:"use"` // in flight
+	InFlight int `json:"use"` // in flight
 	Queued   int `json:"queued"`
 	Free     int `json:"free"`     // free slots
 	Headroom int `json:"headroom"` // Limit less requests in flight and less drained or unavailable slots
@@ -65,8 +65,8 @@
 	Service string `json:"service"` // team/name
 	Place   string `json:"place"`
 	Load
-	Shifted float64 `json:"shifted"` // current rate of shifted requests/s
-	Cap     int     `json:"cap"`     // requests/s by which Shifted may grow each second
+	Shifted        float64 `json:"shifted"` // current rate of shifted requests/s
+	MaxShiftGrowth int     `json:"cap"`     // requests/s by which Shifted may grow each second
 }
 
 // Target is the state of one target.
@@ -77,21 +77,21 @@
 	Address   string `json:"address"`
 	Owner     string `json:"owner"`     // instance that sends to it; empty if none
 	Allowance int    `json:"allowance"` // maximum requests in flight from the owner
-	Use       int    `json:"use"`       // in flight; reported only by the owner
+	InFlight  int    `json:"use"`       // in flight; reported only by the owner
 	Health    string `json:"health"`
 	Drained   bool   `json:"drained"`
 }
 
 // Drain is a drain in progress.
 type Drain struct {
-	Path     string    `json:"path"`
-	Place    string    `json:"place,omitempty"`
-	Instance string    `json:"instance,omitempty"`
-	Service  string    `json:"service,omitempty"` // team/name
-	Target   string    `json:"target,omitempty"`
-	Reason   string    `json:"reason,omitempty"`
-	Left     int       `json:"left"`            // remaining requests in flight
-	Finish   time.Time `json:"finish,omitzero"` // predicted; zero if unknown
+	Path      string    `json:"path"`
+	Place     string    `json:"place,omitempty"`
+	Instance  string    `json:"instance,omitempty"`
+	Service   string    `json:"service,omitempty"` // team/name
+	Target    string    `json:"target,omitempty"`
+	Reason    string    `json:"reason,omitempty"`
+	Remaining int       `json:"left"`            // remaining requests in flight
+	Finish    time.Time `json:"finish,omitzero"` // predicted; zero if unknown
 }
 
 // Report is the status of one instance, or why it is not available.
--- a/internal/operator/writes.go
+++ b/internal/operator/writes.go
@@ -19,7 +19,7 @@
 // to a refused change is a Problem.
 type Change struct {
 	Path    string `json:"path"`
-	Write   string `json:"write"`
+	WriteID string `json:"write"`
 	Outcome string `json:"outcome"`
 	Version uint64 `json:"version,omitempty"` // created by the change, if accepted
 	Reason  string `json:"reason,omitempty"`  // why the outcome is unknown
@@ -38,7 +38,7 @@
 	case s.changeSlots <- struct{}{}:
 		defer func() { <-s.changeSlots }()
 	default:
-		return &Problem{Code: CodeBusy, Reason: "too many concurrent changes", Write: c.writeID}
+		return &Problem{Code: CodeBusy, Reason: "too many concurrent changes", WriteID: c.writeID}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), changeTimeout)
 	defer cancel()
@@ -73,7 +73,7 @@
 // it. The change is refused until the instance has received all settings, as the check would
 // be incomplete.
 func (s *Server) checkAndWrite(ctx context.Context, c change) (docstore.PutResult, error) {
-	if err := s.cfg.Complete(); err != nil {
+	if err := s.cfg.SettingsComplete(); err != nil {
 		return docstore.PutResult{Outcome: docstore.Refused}, &Problem{Code: CodeUnavailable, Reason: err.Error()}
 	}
 	if err := s.cfg.Snapshot().Check(c.document()); err != nil {
@@ -90,7 +90,7 @@
 }
 
 func sendOutcome(w http.ResponseWriter, c change, result docstore.PutResult, err error) error {
-	response := Change{Path: c.path.String(), Write: c.writeID, Outcome: result.Outcome.String(), Version: result.Version}
+	response := Change{Path: c.path.String(), WriteID: c.writeID, Outcome: result.Outcome.String(), Version: result.Version}
 	switch result.Outcome {
 	case docstore.Accepted:
 		w.Header().Set("ETag", FormatVersion(result.Version))
@@ -98,7 +98,7 @@
 		return nil
 	case docstore.Refused:
 		p := *newProblem(err)
-		p.Outcome, p.Write, p.Path = response.Outcome, c.writeID, response.Path
+		p.Outcome, p.WriteID, p.Path = response.Outcome, c.writeID, response.Path
 		return &p
 	}
 	if err != nil {
--- a/internal/peer/udp_test.go
+++ b/internal/peer/udp_test.go
@@ -67,7 +67,7 @@
 func newList(t *testing.T, id, addr string, seeds ...string) *member.List {
 	t.Helper()
 	l, err := member.New(member.Config{
-		Self:  docstore.Instance{ID: id, Incarnation: 1, Address: addr, Place: "bne-north", Domain: "bne"},
+		Self:  docstore.Instance{ID: id, Incarnation: 1, PeerAddress: addr, Place: "bne-north", Domain: "bne"},
 		Seeds: seeds,
 	}, time.Now())
 	if err != nil {
