--- a/cmd/firlever/explain.go
+++ b/cmd/firlever/explain.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	story := explain.Story(lines, id)
+	story := explain.Timeline(lines, id)
 	if story == nil {
 		return &requestNotFoundError{ID: id}
 	}
@@ -116,7 +116,7 @@
 	for _, g := range explain.Groups(explain.Between(lines, from, until), fields) {
 		n := float64(g.Count)
 		fmt.Fprintf(w, "%s\t%d\t%.2f\t%s\t%s\t%.2f\t\n", strings.Join(g.Values, "\t"), g.Count,
-			float64(g.Late)/n, g.Wait.Round(time.Millisecond), g.Took.Round(time.Millisecond), float64(g.Fresh)/n)
+			float64(g.Late)/n, g.PredictedWait.Round(time.Millisecond), g.Took.Round(time.Millisecond), float64(g.FreshLoad)/n)
 	}
 	return w.Flush()
 }
--- a/internal/demo/crash.go
+++ b/internal/demo/crash.go
@@ -93,7 +93,7 @@
 	c.times[place] = append(c.times[place], now)
 	n := len(c.times[place])
 	overdue := n > crashesToDetect && now.After(c.times[place][crashesToDetect-1].Add(propagationTime))
-	checks.Check(invariant.Contained, !overdue, func() string {
+	checks.Check(invariant.PoisonSuppressed, !overdue, func() string {
 		return fmt.Sprintf("one request has crashed %d targets of %s, the last %s after the third", n, place, now.Sub(c.times[place][crashesToDetect-1]))
 	})
 }
--- a/internal/demo/crash_test.go
+++ b/internal/demo/crash_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range rep.Invariants {
-		if c.Name == invariant.Contained && c.Checks < crashesToDetect {
+		if c.Name == invariant.PoisonSuppressed && c.Checks < crashesToDetect {
 			t.Errorf("got %d crashed targets, want at least %d", c.Checks, crashesToDetect)
 		}
 		if c.Violations > 0 {
--- a/internal/demo/notice_test.go
+++ b/internal/demo/notice_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range rep.Invariants {
-		if c.Name == invariant.Wanted && c.Checks == 0 {
+		if c.Name == invariant.WithinNotices && c.Checks == 0 {
 			t.Error("got no request at a target that had announced a notice")
 		}
 		if c.Violations > 0 {
--- a/internal/emulator/target/notice.go
+++ b/internal/emulator/target/notice.go
@@ -98,5 +98,5 @@
 func (j *Journal) Wanted(ok bool, now time.Time, detail func() string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.check(invariant.Wanted, ok, now, detail)
+	j.check(invariant.WithinNotices, ok, now, detail)
 }
--- a/internal/explain/groups.go
+++ b/internal/explain/groups.go
@@ -9,12 +9,12 @@
 
 // Group summarises the requests whose lines have the same values in some fields.
 type Group struct {
-	Values []string      // of the fields, in the order given to Groups
-	Count  int           // number of requests
-	Late   int           // requests that ended because their deadline had passed
-	Wait   time.Duration // mean predicted wait for a slot
-	Took   time.Duration // mean time from reading the request to its response
-	Fresh  int           // requests whose target reported its load less than freshLoad before
+	Values        []string      // of the fields, in the order given to Groups
+	Count         int           // number of requests
+	Late          int           // requests that ended because their deadline had passed
+	PredictedWait time.Duration // mean predicted wait for a slot
+	Took          time.Duration // mean time from reading the request to its response
+	FreshLoad     int           // requests whose target reported its load less than freshLoad before
 }
 
 // freshLoad is the age below which a load report counts as fresh, as in the metrics.
@@ -45,7 +45,7 @@
 	}
 	list := make([]Group, 0, len(byValues))
 	for _, g := range byValues {
-		g.Wait /= time.Duration(g.Count)
+		g.PredictedWait /= time.Duration(g.Count)
 		g.Took /= time.Duration(g.Count)
 		list = append(list, *g)
 	}
@@ -56,13 +56,13 @@
 // add adds a request. Wait and Took hold sums until Groups divides them.
 func (g *Group) add(l Line) {
 	g.Count++
-	g.Wait += l.duration("wait")
+	g.PredictedWait += l.duration("wait")
 	g.Took += l.duration("took")
 	if l.Field("ending") == "late" {
 		g.Late++
 	}
 	if age := l.duration("load-age"); age >= 0 && age < freshLoad && l.Field("load-age") != "" {
-		g.Fresh++
+		g.FreshLoad++
 	}
 }
 
--- a/internal/explain/groups_test.go
+++ b/internal/explain/groups_test.go
@@ -17,8 +17,8 @@
 // Checks that each request that was sent to a target is counted once, in its group,
 // and that lines of attempts and of requests without a target are not.
 func TestGroups(t *testing.T) {
-	domain1 := Group{Count: 2, Wait: 25 * time.Millisecond, Took: 200 * time.Millisecond, Fresh: 1}
-	domain2 := Group{Count: 1, Late: 1, Wait: 600 * time.Millisecond, Took: 3 * time.Second}
+	domain1 := Group{Count: 2, PredictedWait: 25 * time.Millisecond, Took: 200 * time.Millisecond, FreshLoad: 1}
+	domain2 := Group{Count: 1, Late: 1, PredictedWait: 600 * time.Millisecond, Took: 3 * time.Second}
 	withValues := func(g Group, values ...string) Group {
 		g.Values = values
 		return g
@@ -32,7 +32,7 @@
 		"by domain":   {[]string{"domain"}, time.Time{}, time.Time{}, []Group{withValues(domain1, "d1"), withValues(domain2, "d2")}},
 		"by two":      {[]string{"source", "domain"}, time.Time{}, time.Time{}, []Group{withValues(domain1, "a.log", "d1"), withValues(domain2, "a.log", "d2")}},
 		"from":        {[]string{"domain"}, second.Add(time.Second), time.Time{}, []Group{withValues(domain2, "d2")}},
-		"until":       {[]string{"id"}, second, second.Add(time.Second), []Group{{Values: []string{"2"}, Count: 1, Wait: 50 * time.Millisecond, Took: 300 * time.Millisecond}}},
+		"until":       {[]string{"id"}, second, second.Add(time.Second), []Group{{Values: []string{"2"}, Count: 1, PredictedWait: 50 * time.Millisecond, Took: 300 * time.Millisecond}}},
 		"no such one": {[]string{"domain"}, second.Add(time.Hour), time.Time{}, []Group{}},
 	}
 	for name, tt := range tests {
--- a/internal/explain/story.go
+++ b/internal/explain/story.go
@@ -82,10 +82,10 @@
 	"machine was suspended": true,
 }
 
-// Story returns the lines that explain a request, ordered by time, or nil if no
+// Timeline returns the lines that explain a request, ordered by time, or nil if no
 // line has its ID. Lines about its fingerprint are included from all instances and
 // at any time.
-func Story(lines []Line, id string) []Line {
+func Timeline(lines []Line, id string) []Line {
 	sources, targets, fingerprints := make(map[string]bool), make(map[string]bool), make(map[string]bool)
 	var first, last time.Time
 	for _, l := range lines {
--- a/internal/explain/story_test.go
+++ b/internal/explain/story_test.go
@@ -32,7 +32,7 @@
 func TestStory(t *testing.T) {
 	lines := append(read(t, logs, "a"), read(t, strings.ReplaceAll(logs, "q1", "q9"), "b")...)
 	want := []string{"configuration in force", "attempt", "request", "target ejected", "loads not exchanged", "store lost"}
-	story := Story(lines, "q1")
+	story := Timeline(lines, "q1")
 	var got []string
 	for _, l := range story {
 		got = append(got, l.Field("msg"))
@@ -43,7 +43,7 @@
 	if strings.Join(got, ",") != strings.Join(want, ",") {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := Story(lines, "none"); got != nil {
+	if got := Timeline(lines, "none"); got != nil {
 		t.Errorf("got %d lines for an unknown request", len(got))
 	}
 }
@@ -59,7 +59,7 @@
 `
 	const ownInstance = "time=2026-01-01T00:05:00Z level=warn msg=request id=q3 print=7a status=503 ending=ends-targets\n"
 	var got []string
-	for _, l := range Story(append(read(t, otherInstance, "a"), read(t, ownInstance, "b")...), "q3") {
+	for _, l := range Timeline(append(read(t, otherInstance, "a"), read(t, ownInstance, "b")...), "q3") {
 		got = append(got, l.Field("msg")+" "+l.Field("target"))
 	}
 	want := []string{"target ended t8", "request ends targets ", "request "}
@@ -91,7 +91,7 @@
 			return
 		}
 		for _, l := range lines {
-			if id := l.Field("id"); id != "" && len(Story(lines, id)) == 0 {
+			if id := l.Field("id"); id != "" && len(Timeline(lines, id)) == 0 {
 				t.Errorf("got no lines for request %q", id)
 			}
 		}
@@ -110,7 +110,7 @@
 	const otherInstance = `time=2026-01-01T00:04:00Z level=info msg="target notice" target=t1 news=limits limit=6 id=q3
 `
 	var got []string
-	for _, l := range Story(append(read(t, ownInstance, "a"), read(t, otherInstance, "b")...), "q1") {
+	for _, l := range Timeline(append(read(t, ownInstance, "a"), read(t, otherInstance, "b")...), "q1") {
 		got = append(got, strings.Join([]string{l.Field("msg"), l.Field("target"), l.Field("limit"), l.Field("rest")}, " "))
 	}
 	want := []string{"target notice t1 5 ", "target notice t2  3s", "request   "}
--- a/internal/invariant/counter.go
+++ b/internal/invariant/counter.go
@@ -10,22 +10,22 @@
 
 // The invariants, each checked where the decision is made.
 const (
-	ShiftCap      Name = "shift-cap"      // a traffic shift never exceeds its cap
-	RegionLimit   Name = "region-limit"   // no steering decision overloads a place or region
-	WholeAnswer   Name = "whole-answer"   // a caller receives the complete response to its own request
-	NotRunTrue    Name = "not-run-true"   // a request refused as not run has not run
-	AtMostOnce    Name = "at-most-once"   // a non-idempotent request runs at most once
-	Leaving       Name = "leaving"        // a leaving target receives no new requests
-	GracefulStop  Name = "graceful-stop"  // a planned stop aborts no request
-	ConfigForward Name = "config-forward" // an accepted configuration never reverts
-	Contained     Name = "contained"      // a poison request, which crashes the targets that run it, is suppressed
-	Wanted        Name = "wanted"         // a target receives only requests that its notices allow
+	ShiftCap         Name = "shift-cap"      // a traffic shift never exceeds its cap
+	RegionLimit      Name = "region-limit"   // no steering decision overloads a place or region
+	WholeAnswer      Name = "whole-answer"   // a caller receives the complete response to its own request
+	NotRunTrue       Name = "not-run-true"   // a request refused as not run has not run
+	AtMostOnce       Name = "at-most-once"   // a non-idempotent request runs at most once
+	Leaving          Name = "leaving"        // a leaving target receives no new requests
+	GracefulStop     Name = "graceful-stop"  // a planned stop aborts no request
+	ConfigForward    Name = "config-forward" // an accepted configuration never reverts
+	PoisonSuppressed Name = "contained"      // a poison request, which crashes the targets that run it, is suppressed
+	WithinNotices    Name = "wanted"         // a target receives only requests that its notices allow
 )
 
 // allNames lists all invariants in the order in which Counts returns them.
 var allNames = [...]Name{
 	ShiftCap, RegionLimit, WholeAnswer, NotRunTrue,
-	AtMostOnce, Leaving, GracefulStop, ConfigForward, Contained, Wanted,
+	AtMostOnce, Leaving, GracefulStop, ConfigForward, PoisonSuppressed, WithinNotices,
 }
 
 // Count holds the counts of one invariant.
