--- a/cmd/firlever/compare.go
+++ b/cmd/firlever/compare.go
@@ -71,7 +71,7 @@
 	for _, rate := range f.rates {
 		for _, policy := range f.policies {
 			cfg := demo.Config{
-				Name: filepath.Base(f.settings), Documents: docs, For: f.duration, Rate: rate,
+				Name: filepath.Base(f.settings), Documents: docs, Duration: f.duration, Rate: rate,
 				Seed: f.seed, Policy: core.Policy(policy), Faults: kinds,
 			}
 			if err := writeRun(cmd.Context(), t, cfg); err != nil {
--- a/cmd/firlever/demo.go
+++ b/cmd/firlever/demo.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	cfg := demo.Config{
-		Name: filepath.Base(f.settings), Documents: docs, For: f.duration, Rate: f.rate,
+		Name: filepath.Base(f.settings), Documents: docs, Duration: f.duration, Rate: f.rate,
 		Seed: f.seed, Policy: core.Policy(f.policy), Faults: kinds,
 	}
 	if f.verbose {
--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -19,7 +19,7 @@
 type Config struct {
 	Name      string              // name of the deployment in the report
 	Documents []settings.Document // the operators' documents
-	For       time.Duration       // how long callers send requests
+	Duration  time.Duration       // how long callers send requests
 	Rate      float64             // load as a fraction of the sites' capacity
 	Seed      uint64              // of arrivals, service times and the schedule of faults
 	Policy    core.Policy
@@ -36,8 +36,8 @@
 
 // Defaults sets the fields that are zero.
 func (c *Config) Defaults() {
-	if c.For == 0 {
-		c.For = 10 * time.Second
+	if c.Duration == 0 {
+		c.Duration = 10 * time.Second
 	}
 	if c.Rate == 0 {
 		c.Rate = 0.5
@@ -65,7 +65,7 @@
 	}
 	policies := []core.Policy{core.PolicyOwner, core.PolicyRandom, core.PolicyTwoChoices}
 	check(len(c.Documents) > 0, "there are no documents")
-	check(c.For >= minDuration && c.For <= maxDuration, "for is %s, want %s to %s", c.For, minDuration, maxDuration)
+	check(c.Duration >= minDuration && c.Duration <= maxDuration, "for is %s, want %s to %s", c.Duration, minDuration, maxDuration)
 	check(c.Rate > 0 && c.Rate <= maxRate, "rate is %g, want more than 0, at most %g", c.Rate, maxRate)
 	check(slices.Contains(policies, c.Policy), "policy is %q, want one of %v", c.Policy, policies)
 	for _, k := range c.Faults {
--- a/internal/demo/crash_test.go
+++ b/internal/demo/crash_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	rep, err := Run(t.Context(), Config{
-		Name: "moreton-bay", Documents: docs, For: 6 * time.Second, Rate: 0.2, Seed: 1, Faults: []FaultKind{FaultCrash},
+		Name: "moreton-bay", Documents: docs, Duration: 6 * time.Second, Rate: 0.2, Seed: 1, Faults: []FaultKind{FaultCrash},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -167,7 +167,7 @@
 }
 
 func TestConfigFaults(t *testing.T) {
-	cfg := Config{For: time.Second, Rate: 9, Policy: "best", Faults: []FaultKind{"flood"}}
+	cfg := Config{Duration: time.Second, Rate: 9, Policy: "best", Faults: []FaultKind{"flood"}}
 	cfg.Defaults()
 	err := cfg.Validate()
 	for _, want := range []string{"documents", "for is 1s", "rate is 9", "policy", "flood"} {
--- a/internal/demo/inject.go
+++ b/internal/demo/inject.go
@@ -49,7 +49,7 @@
 	for _, p := range r.f.instances.running() {
 		ids = append(ids, p.id)
 	}
-	list := schedule(r.f.cfg.Seed, r.f.cfg.Faults, r.f.snapshot.Places(), ids, r.f.cfg.For)
+	list := schedule(r.f.cfg.Seed, r.f.cfg.Faults, r.f.snapshot.Places(), ids, r.f.cfg.Duration)
 	var wg sync.WaitGroup
 	for _, fault := range list {
 		wg.Go(func() {
@@ -185,7 +185,7 @@
 	r.sleepUntil(ctx, max(fault.Back, accepted.Sub(r.start)+drainDeadline+drainObservation))
 	r.f.journal.ClearLeaving(scope)
 	r.recordDrain(scope, accepted)
-	return r.retryWrite(ctx, r.f.cfg.For+stopTimeout, func() error {
+	return r.retryWrite(ctx, r.f.cfg.Duration+stopTimeout, func() error {
 		_, err := docstore.DeleteDocument(ctx, r.f.store, path, result.Version, "demo-undrain")
 		return err
 	})
@@ -238,7 +238,7 @@
 	path := settings.BlocksPath("demo")
 	var version uint64
 	for n, part := 1, changeInterval; part < changeEnd; n, part = n+1, part+changeInterval {
-		if !r.sleepUntil(ctx, fraction(r.f.cfg.For, part)) {
+		if !r.sleepUntil(ctx, fraction(r.f.cfg.Duration, part)) {
 			return
 		}
 		body := fmt.Appendf(nil, "blocks:\n  - {prefix: 192.0.2.%d/32, place: %s}\n", n, r.f.snapshot.Places()[0])
--- a/internal/demo/notice_test.go
+++ b/internal/demo/notice_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	rep, err := Run(t.Context(), Config{
-		Name: "moreton-bay", Documents: docs, For: 8 * time.Second, Rate: 0.2, Seed: 1,
+		Name: "moreton-bay", Documents: docs, Duration: 8 * time.Second, Rate: 0.2, Seed: 1,
 		Faults: []FaultKind{FaultNotice, FaultKill, FaultPlatform},
 	})
 	if err != nil {
--- a/internal/demo/plan.go
+++ b/internal/demo/plan.go
@@ -66,13 +66,13 @@
 	var list []load.Stream
 	path, nonIdempotent := p.oncePaths[service.ID()]
 	if nonIdempotent {
-		s := stream(service, place, rate*nonIdempotentShare, w.Sizes[0])
+		s := stream(service, place, rate*nonIdempotentShare, w.AnswerSizes[0])
 		s.Method, s.Path, s.Body, s.Idempotent = http.MethodPost, path, nonIdempotentBody, false
 		list = append(list, s)
 		rate *= 1 - nonIdempotentShare
 	}
-	for _, size := range w.Sizes {
-		list = append(list, stream(service, place, rate/float64(len(w.Sizes)), size))
+	for _, size := range w.AnswerSizes {
+		list = append(list, stream(service, place, rate/float64(len(w.AnswerSizes)), size))
 	}
 	return list
 }
@@ -94,7 +94,7 @@
 	}
 	var list []load.Stream
 	for _, place := range service.Places() {
-		s := stream(service, place, directRate, p.profile.work(service).Sizes[0])
+		s := stream(service, place, directRate, p.profile.work(service).AnswerSizes[0])
 		s.Service = directName(service.ID())
 		list = append(list, s)
 	}
--- a/internal/demo/profile.go
+++ b/internal/demo/profile.go
@@ -12,31 +12,31 @@
 // by the users. The service times are assumed, and long enough for one machine to
 // send a load of half the capacity.
 type Profile struct {
-	Latency    link.Latency
-	Connection time.Duration // cost of a new connection to a target
-	Probe      time.Duration // cost of one health or load answer
-	Instances  int
-	Work       map[string]Work // by the service's name
+	Latency        link.Latency
+	ConnectionCost time.Duration // cost of a new connection to a target
+	ProbeCost      time.Duration // cost of one health or load answer
+	Instances      int
+	Work           map[string]Work // by the service's name
 }
 
 // Work describes the cost of one request of a service at its target.
 type Work struct {
-	Mean  time.Duration // mean service time of a warm target, without sending the body
-	Sizes []int64       // sizes of answers in bytes; requests are divided equally among them
-	Pace  int64         // bytes/s of one answer; 0 sets no limit
+	MeanServiceTime time.Duration // mean service time of a warm target, without sending the body
+	AnswerSizes     []int64       // sizes of answers in bytes; requests are divided equally among them
+	Pace            int64         // bytes/s of one answer; 0 sets no limit
 }
 
 // slotTime returns how long an average request occupies a slot.
 func (w Work) slotTime() time.Duration {
 	if w.Pace == 0 {
-		return w.Mean
+		return w.MeanServiceTime
 	}
 	var sum int64
-	for _, n := range w.Sizes {
+	for _, n := range w.AnswerSizes {
 		sum += n
 	}
-	mean := float64(sum) / float64(len(w.Sizes))
-	return w.Mean + time.Duration(mean/float64(w.Pace)*float64(time.Second))
+	mean := float64(sum) / float64(len(w.AnswerSizes))
+	return w.MeanServiceTime + time.Duration(mean/float64(w.Pace)*float64(time.Second))
 }
 
 // Sizes of answers in bytes.
@@ -51,24 +51,24 @@
 // profiles holds the profiles of the users' deployments.
 var profiles = []Profile{
 	{
-		Latency:    link.Latency{Region: 1500 * time.Microsecond, InterRegion: 20 * time.Millisecond, Caller: time.Millisecond},
-		Connection: time.Millisecond,
-		Instances:  10,
+		Latency:        link.Latency{Region: 1500 * time.Microsecond, InterRegion: 20 * time.Millisecond, Caller: time.Millisecond},
+		ConnectionCost: time.Millisecond,
+		Instances:      10,
 		Work: map[string]Work{
-			"fleetwatch": {Mean: 30 * time.Millisecond, Sizes: smallAnswers},
-			"runorder":   {Mean: 45 * time.Millisecond, Sizes: smallAnswers},
-			"chartstore": {Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate},
+			"fleetwatch": {MeanServiceTime: 30 * time.Millisecond, AnswerSizes: smallAnswers},
+			"runorder":   {MeanServiceTime: 45 * time.Millisecond, AnswerSizes: smallAnswers},
+			"chartstore": {MeanServiceTime: 40 * time.Millisecond, AnswerSizes: largeAnswers, Pace: bulkRate},
 		},
 	},
 	{
-		Latency:    link.Latency{Region: time.Millisecond, InterRegion: 12 * time.Millisecond, Caller: 3 * time.Millisecond},
-		Connection: time.Millisecond,
-		Probe:      6 * time.Millisecond,
-		Instances:  9,
+		Latency:        link.Latency{Region: time.Millisecond, InterRegion: 12 * time.Millisecond, Caller: 3 * time.Millisecond},
+		ConnectionCost: time.Millisecond,
+		ProbeCost:      6 * time.Millisecond,
+		Instances:      9,
 		Work: map[string]Work{
-			"ledger-view":  {Mean: 20 * time.Millisecond, Sizes: smallAnswers},
-			"lodge-pay":    {Mean: 40 * time.Millisecond, Sizes: smallAnswers},
-			"bundle-serve": {Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate},
+			"ledger-view":  {MeanServiceTime: 20 * time.Millisecond, AnswerSizes: smallAnswers},
+			"lodge-pay":    {MeanServiceTime: 40 * time.Millisecond, AnswerSizes: smallAnswers},
+			"bundle-serve": {MeanServiceTime: 40 * time.Millisecond, AnswerSizes: largeAnswers, Pace: bulkRate},
 		},
 	},
 }
@@ -93,7 +93,7 @@
 		return w
 	}
 	if service.Bulk() {
-		return Work{Mean: 40 * time.Millisecond, Sizes: largeAnswers, Pace: bulkRate}
+		return Work{MeanServiceTime: 40 * time.Millisecond, AnswerSizes: largeAnswers, Pace: bulkRate}
 	}
-	return Work{Mean: 10 * time.Millisecond, Sizes: smallAnswers}
+	return Work{MeanServiceTime: 10 * time.Millisecond, AnswerSizes: smallAnswers}
 }
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -39,11 +39,11 @@
 // Added is the latency that the instance between caller and target adds to the
 // median. The other latencies are medians too, unless stated otherwise.
 type Added struct {
-	Service string  `json:"service"`
-	Direct  float64 `json:"direct"`
-	Through float64 `json:"through"`
-	Added   float64 `json:"added"`
-	Slow    float64 `json:"slow"` // p99 of the direct calls; far above their median on a busy machine
+	Service   string  `json:"service"`
+	Direct    float64 `json:"direct"`
+	Through   float64 `json:"through"`
+	Added     float64 `json:"added"`
+	DirectP99 float64 `json:"slow"` // p99 of the direct calls; far above their median on a busy machine
 }
 
 // Headroom compares the peak of requests at a place, or of a service at it, with the limit.
@@ -58,11 +58,11 @@
 // Shift counts the requests of a service that were shifted to a place, as its
 // targets received them.
 type Shift struct {
-	Place   string `json:"place"`
-	Service string `json:"service"`
-	Cap     int    `json:"cap"`
-	Growth  int    `json:"growth"` // largest growth from one second to the next
-	Total   int    `json:"total"`
+	Place     string `json:"place"`
+	Service   string `json:"service"`
+	Cap       int    `json:"cap"`
+	MaxGrowth int    `json:"growth"` // largest growth from one second to the next
+	Total     int    `json:"total"`
 }
 
 func (r *run) report(result *load.Report) *Report {
@@ -122,7 +122,7 @@
 		rep.Wrong += s.Wrong
 	}
 	if ok && direct > 0 {
-		rep.Added = &Added{Service: measured.ID().String(), Direct: direct, Through: through, Added: through - direct, Slow: slow}
+		rep.Added = &Added{Service: measured.ID().String(), Direct: direct, Through: through, Added: through - direct, DirectP99: slow}
 	}
 }
 
@@ -165,7 +165,7 @@
 			for _, n := range r.f.journal.Shifts(s.Service, place) {
 				s.Total += n
 			}
-			s.Growth = r.f.journal.ShiftGrowth(s.Service, place)
+			s.MaxGrowth = r.f.journal.ShiftGrowth(s.Service, place)
 			if s.Total > 0 {
 				list = append(list, s)
 			}
--- a/internal/demo/restore_test.go
+++ b/internal/demo/restore_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	rep, err := Run(t.Context(), Config{
-		Name: "moreton-bay", Documents: docs, For: 10 * time.Second, Rate: 0.2, Seed: 1,
+		Name: "moreton-bay", Documents: docs, Duration: 10 * time.Second, Rate: 0.2, Seed: 1,
 		Faults: []FaultKind{FaultRestore, FaultKill, FaultDrain},
 	})
 	if err != nil {
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -65,7 +65,7 @@
 	}
 	defer c.close()
 	plan := load.Plan{
-		Streams: r.planner.streams(), For: r.f.cfg.For, Ramp: min(rampTime, r.f.cfg.For/2),
+		Streams: r.planner.streams(), For: r.f.cfg.Duration, Ramp: min(rampTime, r.f.cfg.Duration/2),
 		Seed: r.f.cfg.Seed, Prefix: idPrefix, Clock: r.f.clock,
 	}
 	r.start = time.Now()
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -35,7 +35,7 @@
 func (rep *Report) writeAdded(w io.Writer) {
 	if a := rep.Added; a != nil {
 		fmt.Fprintf(w, "\n%s: median %.2f ms, direct calls over the same links %.2f ms (p99 %.2f ms), added %.2f ms\n",
-			a.Service, a.Through, a.Direct, a.Slow, a.Added)
+			a.Service, a.Through, a.Direct, a.DirectP99, a.Added)
 	}
 }
 
@@ -56,7 +56,7 @@
 	}
 	fmt.Fprintln(w, "place\tservice\tshifted\tcap\tmost growth in 1 s\t")
 	for _, s := range rep.Shifts {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", s.Place, s.Service, s.Total, s.Cap, s.Growth)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t\n", s.Place, s.Service, s.Total, s.Cap, s.MaxGrowth)
 	}
 }
 
--- a/internal/demo/target.go
+++ b/internal/demo/target.go
@@ -52,8 +52,8 @@
 	return target.Config{
 		Service: service.ID().String(), Place: place, Name: t.Name,
 		Slots: t.Slots, Connections: t.Connections,
-		ConnectionCost: f.profile.Connection, ProbeCost: f.profile.Probe,
-		Mean: w.Mean, Spread: serviceTimeSigma, Seed: f.cfg.Seed + f.targetsStarted,
+		ConnectionCost: f.profile.ConnectionCost, ProbeCost: f.profile.ProbeCost,
+		Mean: w.MeanServiceTime, Spread: serviceTimeSigma, Seed: f.cfg.Seed + f.targetsStarted,
 		Cold: coldFactor, WarmRequests: coldRequests, WarmFor: coldTime,
 		Pace: w.Pace, Report: target.Report{Lag: reportLag}, Clock: f.clock,
 	}
