--- a/internal/core/crash.go
+++ b/internal/core/crash.go
@@ -25,10 +25,10 @@
 
 // crashTracker is what the node has recorded about requests that crash targets.
 type crashTracker struct {
-	book       *crash.Registry
+	registry   *crash.Registry
 	recent     crash.Recent
 	aborts     map[owner.TargetKey]*abortedExchange
-	reports    []storedReport // reports held by book, by expiry time
+	reports    []storedReport // reports held by registry, by expiry time
 	lastReport int            // number of this instance's last report
 }
 
@@ -72,13 +72,13 @@
 func (CrashesReceived) event() {}
 
 func newCrashTracker() crashTracker {
-	return crashTracker{book: crash.NewRegistry(), aborts: make(map[owner.TargetKey]*abortedExchange)}
+	return crashTracker{registry: crash.NewRegistry(), aborts: make(map[owner.TargetKey]*abortedExchange)}
 }
 
 // refusePoison refuses a request that crashes the targets that run it, whatever its
 // origin. It reports whether it refused the request.
 func (n *Node) refusePoison(now time.Time, f *inFlight) bool {
-	if n.crashes.book.PoisonRequests()[f.req.CrashFingerprint] == 0 {
+	if n.crashes.registry.PoisonRequests()[f.req.CrashFingerprint] == 0 {
 		return false
 	}
 	f.lowerRetryAt(now.Add(crashRetention))
@@ -122,13 +122,13 @@
 	n.notifyAll(CrashUpdate{Place: n.cfg.Place, Reports: []CrashReport{r}})
 }
 
-// storeReport adds a report to the book. It returns false if the book already has it.
+// storeReport adds a report to the registry. It returns false if the registry already has it.
 func (n *Node) storeReport(now time.Time, r CrashReport) bool {
 	e := &n.crashes
 	if slices.ContainsFunc(e.reports, func(m storedReport) bool { return m.report.Key == r.Key }) {
 		return false
 	}
-	e.book.Put(r.Key, crash.Unwritten, r.Report)
+	e.registry.Put(r.Key, crash.Unwritten, r.Report)
 	e.reports = append(e.reports, storedReport{until: now.Add(crashRetention), report: r})
 	if len(e.reports) > crash.MaxReports {
 		n.dropOldestReport()
@@ -138,7 +138,7 @@
 
 func (n *Node) dropOldestReport() {
 	e := &n.crashes
-	e.book.Remove(e.reports[0].report.Key)
+	e.registry.Remove(e.reports[0].report.Key)
 	e.reports = e.reports[1:]
 }
 
@@ -159,11 +159,11 @@
 	}
 	p := f.req.CrashFingerprint
 	n.crashes.recent.Add(now, p)
-	count := n.crashes.book.CrashCount(p)
+	count := n.crashes.registry.CrashCount(p)
 	if count == 0 {
 		return
 	}
-	n.crashes.book.RecordSuccess(p, crash.Unwritten)
+	n.crashes.registry.RecordSuccess(p, crash.Unwritten)
 	if count >= minCrashesToReport {
 		n.notifyAll(CrashUpdate{Place: n.cfg.Place, Answered: []crash.Fingerprint{p}})
 	}
@@ -179,7 +179,7 @@
 		}
 	}
 	for _, p := range update.Answered {
-		n.crashes.book.RecordSuccess(p, crash.Unwritten)
+		n.crashes.registry.RecordSuccess(p, crash.Unwritten)
 	}
 	if update.Place != "" && update.Place != n.cfg.Place && len(relay.Reports)+len(relay.Answered) > 0 {
 		n.notify(n.peers.byPlace[n.cfg.Place], relay)
@@ -224,7 +224,7 @@
 	for _, m := range n.crashes.reports {
 		// Requests that were answered since are left out, as the new instance has no record
 		// of those answers.
-		r := CrashReport{Key: m.report.Key, Report: n.crashes.book.Report(m.report.Key)}
+		r := CrashReport{Key: m.report.Key, Report: n.crashes.registry.Report(m.report.Key)}
 		if len(r.Fingerprints) > 0 {
 			update.Reports = append(update.Reports, r)
 		}
--- a/internal/crash/capacity_test.go
+++ b/internal/crash/capacity_test.go
@@ -18,17 +18,17 @@
 func BenchmarkCapacityJudge(b *testing.B) {
 	for _, crashes := range []int{8, 64, MaxReports} {
 		b.Run(fmt.Sprint(crashes, "ends"), func(b *testing.B) {
-			book := NewRegistry()
+			registry := NewRegistry()
 			for i := range crashes {
 				fingerprints := []Fingerprint{Fingerprint(i % 4)}
 				for k := range 9 { // as many as a target runs at once
 					fingerprints = append(fingerprints, Fingerprint(1000+10*i+k))
 				}
-				book.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Fingerprints: fingerprints})
+				registry.Put(fmt.Sprint(i), revisionAt(uint64(i+1)), Report{Target: fmt.Sprint("t", i), Fingerprints: fingerprints})
 			}
 			for b.Loop() {
-				book.stale = true
-				book.PoisonRequests()
+				registry.stale = true
+				registry.PoisonRequests()
 			}
 		})
 	}
--- a/internal/crash/book.go
+++ b/internal/crash/registry.go
@@ -79,60 +79,60 @@
 }
 
 // Put adds a report under its key. If the key exists, only the revision of its report is updated.
-func (b *Registry) Put(key string, revision platform.Revision, r Report) {
-	if old, ok := b.reports[key]; ok {
+func (reg *Registry) Put(key string, revision platform.Revision, r Report) {
+	if old, ok := reg.reports[key]; ok {
 		old.revision = platform.Later(old.revision, revision)
 		return
 	}
 	e := &entry{revision: revision, target: r.Target, fingerprints: make(map[Fingerprint]bool)}
 	for _, p := range r.Fingerprints[:min(len(r.Fingerprints), maxFingerprints)] {
-		if e.after(b.answered[p]) && !e.fingerprints[p] {
+		if e.after(reg.answered[p]) && !e.fingerprints[p] {
 			e.fingerprints[p] = true
-			b.addCrash(e.target, p)
+			reg.addCrash(e.target, p)
 		}
 	}
-	b.reports[key] = e
-	if len(b.reports) > MaxReports {
-		b.Remove(b.oldestReport())
+	reg.reports[key] = e
+	if len(reg.reports) > MaxReports {
+		reg.Remove(reg.oldestReport())
 	}
 }
 
 // addCrash records that one more report lists the request at a crashed target.
-func (b *Registry) addCrash(target string, p Fingerprint) {
-	if b.crashes[target] == nil {
-		b.crashes[target] = make(map[Fingerprint]int)
+func (reg *Registry) addCrash(target string, p Fingerprint) {
+	if reg.crashes[target] == nil {
+		reg.crashes[target] = make(map[Fingerprint]int)
 	}
-	b.crashes[target][p]++
-	if b.crashes[target][p] == 1 {
-		b.crashCounts[p]++
+	reg.crashes[target][p]++
+	if reg.crashes[target][p] == 1 {
+		reg.crashCounts[p]++
 	}
-	b.stale = true
+	reg.stale = true
 }
 
 // clear removes a request from a report.
-func (b *Registry) clear(e *entry, p Fingerprint) {
+func (reg *Registry) clear(e *entry, p Fingerprint) {
 	if !e.fingerprints[p] {
 		return
 	}
 	delete(e.fingerprints, p)
-	b.stale = true
-	requests := b.crashes[e.target]
+	reg.stale = true
+	requests := reg.crashes[e.target]
 	if requests[p]--; requests[p] > 0 {
 		return
 	}
 	delete(requests, p)
 	if len(requests) == 0 {
-		delete(b.crashes, e.target)
+		delete(reg.crashes, e.target)
 	}
-	if b.crashCounts[p]--; b.crashCounts[p] == 0 {
-		delete(b.crashCounts, p)
+	if reg.crashCounts[p]--; reg.crashCounts[p] == 0 {
+		delete(reg.crashCounts, p)
 	}
 }
 
 // Report returns the report with the given key, without the requests that were answered
 // successfully later. It is empty if the key is unknown.
-func (b *Registry) Report(key string) Report {
-	e, ok := b.reports[key]
+func (reg *Registry) Report(key string) Report {
+	e, ok := reg.reports[key]
 	if !ok {
 		return Report{}
 	}
@@ -140,10 +140,10 @@
 }
 
 // oldestReport returns the key of the oldest report.
-func (b *Registry) oldestReport() string {
+func (reg *Registry) oldestReport() string {
 	first := ""
-	for key, e := range b.reports {
-		old := b.reports[first]
+	for key, e := range reg.reports {
+		old := reg.reports[first]
 		if old == nil || cmp.Or(e.compare(old), cmp.Compare(key, first)) < 0 {
 			first = key
 		}
@@ -153,91 +153,91 @@
 
 // Remove removes a report. A request that was poison by a removed report counts as poison again
 // after one more crash.
-func (b *Registry) Remove(key string) {
-	e, ok := b.reports[key]
+func (reg *Registry) Remove(key string) {
+	e, ok := reg.reports[key]
 	if !ok {
 		return
 	}
-	guilty := b.PoisonRequests()
+	guilty := reg.PoisonRequests()
 	for p := range maps.Clone(e.fingerprints) {
 		if guilty[p] > 0 {
-			b.removed = append(b.removed, p)
+			reg.removed = append(reg.removed, p)
 		}
-		b.clear(e, p)
+		reg.clear(e, p)
 	}
-	delete(b.reports, key)
+	delete(reg.reports, key)
 }
 
 // RecordSuccess records that a target answered a request successfully at a revision, which shows that
 // earlier crashes had another cause. Without a revision, all existing reports count as earlier.
-func (b *Registry) RecordSuccess(p Fingerprint, revision platform.Revision) {
+func (reg *Registry) RecordSuccess(p Fingerprint, revision platform.Revision) {
 	if !revision.IsZero() {
-		b.answered[p] = platform.Later(b.answered[p], revision)
+		reg.answered[p] = platform.Later(reg.answered[p], revision)
 	}
-	if len(b.answered) > maxAnswered {
-		b.evictOldestAnswer()
+	if len(reg.answered) > maxAnswered {
+		reg.evictOldestAnswer()
 	}
-	for _, e := range b.reports {
+	for _, e := range reg.reports {
 		if revision.IsZero() || e.before(revision) {
-			b.clear(e, p)
+			reg.clear(e, p)
 		}
 	}
 	same := func(f Fingerprint) bool { return f == p }
-	b.previous = slices.DeleteFunc(b.previous, same)
-	b.removed = slices.DeleteFunc(b.removed, same)
+	reg.previous = slices.DeleteFunc(reg.previous, same)
+	reg.removed = slices.DeleteFunc(reg.removed, same)
 }
 
 // evictOldestAnswer removes the oldest entry of answered.
-func (b *Registry) evictOldestAnswer() {
-	fingerprints := slices.Sorted(maps.Keys(b.answered))
-	delete(b.answered, slices.MinFunc(fingerprints, func(x, y Fingerprint) int { return b.answered[x].Compare(b.answered[y]) }))
+func (reg *Registry) evictOldestAnswer() {
+	fingerprints := slices.Sorted(maps.Keys(reg.answered))
+	delete(reg.answered, slices.MinFunc(fingerprints, func(x, y Fingerprint) int { return reg.answered[x].Compare(reg.answered[y]) }))
 }
 
 // CrashCount returns how many targets crashed with the request in flight.
-func (b *Registry) CrashCount(p Fingerprint) int { return b.crashCounts[p] }
+func (reg *Registry) CrashCount(p Fingerprint) int { return reg.crashCounts[p] }
 
 // PoisonRequests returns the requests that crash targets, each with the number of targets that it
 // crashed. The returned map is not modified later.
-func (b *Registry) PoisonRequests() map[Fingerprint]int {
-	b.refresh()
-	return b.poison
+func (reg *Registry) PoisonRequests() map[Fingerprint]int {
+	reg.refresh()
+	return reg.poison
 }
 
 // refresh recomputes poison if it is stale, and moves requests that are no longer poison, because
 // their reports were removed, to previous.
-func (b *Registry) refresh() {
-	if !b.stale {
+func (reg *Registry) refresh() {
+	if !reg.stale {
 		return
 	}
-	b.stale = false
-	b.findPoison()
-	for _, p := range b.removed {
-		if b.poison[p] == 0 && !slices.Contains(b.previous, p) {
-			b.previous = append(b.previous, p)
+	reg.stale = false
+	reg.findPoison()
+	for _, p := range reg.removed {
+		if reg.poison[p] == 0 && !slices.Contains(reg.previous, p) {
+			reg.previous = append(reg.previous, p)
 		}
 	}
-	b.previous = b.previous[max(0, len(b.previous)-maxPrevious):]
-	b.removed = nil
+	reg.previous = reg.previous[max(0, len(reg.previous)-maxPrevious):]
+	reg.removed = nil
 }
 
 // findPoison finds the requests that explain the crashes. It takes the request that was at most
 // of the crashed targets, leaves out these targets, and repeats. Requests that were there by
 // chance therefore don't count.
-func (b *Registry) findPoison() {
-	b.poison = make(map[Fingerprint]int)
+func (reg *Registry) findPoison() {
+	reg.poison = make(map[Fingerprint]int)
 	var unexplained map[string]map[Fingerprint]int // targets whose crash is not explained yet; nil for all
-	for counts := b.crashCounts; ; counts = countTargets(unexplained) {
-		most, ok := b.mostCrashes(counts)
+	for counts := reg.crashCounts; ; counts = countTargets(unexplained) {
+		most, ok := reg.mostCrashes(counts)
 		if !ok {
 			return // usually at once, as few requests are at several crashing targets
 		}
 		if unexplained == nil {
-			unexplained = maps.Clone(b.crashes)
+			unexplained = maps.Clone(reg.crashes)
 		}
 		tied, rivals := findTied(unexplained, counts, most)
 		if rivals == 0 || counts[most] >= minTiedCrashes {
 			for _, p := range tied {
-				b.poison[p] = counts[p]
+				reg.poison[p] = counts[p]
 			}
 		}
 		maps.DeleteFunc(unexplained, func(_ string, fingerprints map[Fingerprint]int) bool { return fingerprints[most] > 0 })
@@ -246,9 +246,9 @@
 
 // mostCrashes returns the request with the most crashed targets, among those with enough crashes
 // to count as a cause.
-func (b *Registry) mostCrashes(counts map[Fingerprint]int) (most Fingerprint, found bool) {
+func (reg *Registry) mostCrashes(counts map[Fingerprint]int) (most Fingerprint, found bool) {
 	for p, n := range counts {
-		if n < minCrashes && !slices.Contains(b.previous, p) {
+		if n < minCrashes && !slices.Contains(reg.previous, p) {
 			continue
 		}
 		if !found || n > counts[most] || n == counts[most] && p < most {
--- a/internal/deadline/heap.go
+++ b/internal/deadline/heap.go
@@ -12,7 +12,7 @@
 // Item is an element of a Heap. Its deadline must not change while it is in the heap.
 type Item interface {
 	Deadline() time.Time
-	// Place returns where the heap stores the item's index; Absent if it is in no heap.
+	// Place returns where the heap stores the item's index; NotInHeap if it is in no heap.
 	Place() *int
 }
 
--- a/internal/edge/crash.go
+++ b/internal/edge/crash.go
@@ -49,8 +49,8 @@
 	registry   *crash.Registry            // guarded by mu
 	recent     crash.Recent               // guarded by mu
 	aborted    map[string]*abortGroup     // by ID of the target; guarded by mu
-	retained   map[string]retention       // the reports in registry, by key; crash.MostReports at most; guarded by mu
-	published  map[string]publishedAnswer // answers that this instance has published, by key; crash.MostReports at most; guarded by mu
+	retained   map[string]retention       // the reports in registry, by key; crash.MaxReports at most; guarded by mu
+	published  map[string]publishedAnswer // answers that this instance has published, by key; crash.MaxReports at most; guarded by mu
 	lastReport int                        // number of the last report; guarded by mu
 }
 
--- a/internal/health/config.go
+++ b/internal/health/config.go
@@ -7,7 +7,7 @@
 	"github.com/juju/errors"
 )
 
-// Config configures a Book. Its durations are added to the current time when an event is
+// Config configures a Tracker. Its durations are added to the current time when an event is
 // recorded.
 type Config struct {
 	Failures int // consecutive failures that eject a target
--- a/internal/health/figures_test.go
+++ b/internal/health/figures_test.go
@@ -20,15 +20,15 @@
 	}
 }
 
-func leastSlots(book *Tracker[int]) int {
+func leastSlots(tracker *Tracker[int]) int {
 	least := 10 * allowance
 	for at := time.Duration(0); at < time.Minute; at += 50 * time.Millisecond {
 		now, sum := begin.Add(at), 0
 		for key := range 10 {
-			n := book.Weight(now, key, allowance)
+			n := tracker.Weight(now, key, allowance)
 			sum += n
 			if n > 0 {
-				book.Observe(now, key, Failed, 0)
+				tracker.Observe(now, key, Failed, 0)
 			}
 		}
 		least = min(least, sum)
@@ -55,7 +55,7 @@
 	}
 }
 
-func coldLatencies(book *Tracker[int]) []time.Duration {
+func coldLatencies(tracker *Tracker[int]) []time.Duration {
 	type request struct{ from, done time.Time }
 	var inFlight []request
 	var took []time.Duration
@@ -66,11 +66,11 @@
 			if r.done.After(now) {
 				return false
 			}
-			book.Observe(now, 0, OK, now.Sub(r.from))
+			tracker.Observe(now, 0, OK, now.Sub(r.from))
 			took = append(took, now.Sub(r.from))
 			return true
 		})
-		for len(inFlight) < book.Weight(now, 0, allowance) {
+		for len(inFlight) < tracker.Weight(now, 0, allowance) {
 			done := now.Add(10 * time.Millisecond)
 			if debt += miss; debt >= 1 {
 				debt--
--- a/internal/health/book.go
+++ b/internal/health/tracker.go
@@ -50,7 +50,7 @@
 	targets []*target[K] // sorted by compare, each key once
 }
 
-// New returns a Book without targets. compare orders the keys. It returns a *ConfigError if
+// New returns a Tracker without targets. compare orders the keys. It returns a *ConfigError if
 // cfg is invalid.
 func New[K comparable](cfg Config, compare func(a, b K) int, rng *rand.Rand) (*Tracker[K], error) {
 	cfg.Defaults()
@@ -62,51 +62,51 @@
 
 // Add adds a target, if it isn't there yet. A warm target is known to have served requests
 // lately; others start cold, with one slot.
-func (b *Tracker[K]) Add(now time.Time, key K, warm bool) {
-	b.followClock(now)
-	i, ok := b.find(key)
+func (tr *Tracker[K]) Add(now time.Time, key K, warm bool) {
+	tr.followClock(now)
+	i, ok := tr.find(key)
 	if ok {
 		return
 	}
-	t := &target[K]{key: key, coldAt: now.Add(b.cfg.Idle), agingAt: now.Add(b.cfg.Silent)}
-	t.setOpenSlots(now, 1, b.cfg.Step)
+	t := &target[K]{key: key, coldAt: now.Add(tr.cfg.Idle), agingAt: now.Add(tr.cfg.Silent)}
+	t.setOpenSlots(now, 1, tr.cfg.Step)
 	if warm {
 		t.openSlots = unlimitedSlots
 	}
-	b.targets = slices.Insert(b.targets, i, t)
+	tr.targets = slices.Insert(tr.targets, i, t)
 }
 
 // Remove removes a target.
-func (b *Tracker[K]) Remove(key K) {
-	if i, ok := b.find(key); ok {
-		b.targets = slices.Delete(b.targets, i, i+1)
+func (tr *Tracker[K]) Remove(key K) {
+	if i, ok := tr.find(key); ok {
+		tr.targets = slices.Delete(tr.targets, i, i+1)
 	}
 }
 
 // Observe records the outcome of one of the owner's own requests or probes. latency is used
 // only for OK.
-func (b *Tracker[K]) Observe(now time.Time, key K, o Outcome, latency time.Duration) {
-	t := b.get(now, key)
+func (tr *Tracker[K]) Observe(now time.Time, key K, o Outcome, latency time.Duration) {
+	t := tr.get(now, key)
 	if t == nil {
 		return
 	}
-	b.recordSignal(now, t)
-	t.freshUntil = now.Add(b.cfg.Fresh)
-	t.coldAt = now.Add(b.cfg.Idle)
+	tr.recordSignal(now, t)
+	t.freshUntil = now.Add(tr.cfg.Fresh)
+	t.coldAt = now.Add(tr.cfg.Idle)
 	switch o {
 	case OK:
-		b.recordSuccess(now, t, latency)
+		tr.recordSuccess(now, t, latency)
 	case Refused:
-		t.shrink(now, b.cfg.Step)
+		t.shrink(now, tr.cfg.Step)
 	default:
-		b.recordFailure(now, t)
+		tr.recordFailure(now, t)
 	}
 }
 
 // Probed records the result of GET /health. For an ejected target whose ejection time has
 // passed, it ends or renews the ejection; it has no effect on other targets.
-func (b *Tracker[K]) Probed(now time.Time, key K, healthy bool) {
-	t := b.get(now, key)
+func (tr *Tracker[K]) Probed(now time.Time, key K, healthy bool) {
+	t := tr.get(now, key)
 	if t == nil || !t.ejected || now.Before(t.ejectedUntil) {
 		return
 	}
@@ -114,54 +114,54 @@
 	if healthy {
 		outcome = OK
 	}
-	b.Observe(now, key, outcome, t.latency)
+	tr.Observe(now, key, outcome, t.latency)
 }
 
 // SetOwned sets whether this instance uses a target. Targets that are added count as used. Only
 // used targets count for the bound on ejections.
-func (b *Tracker[K]) SetOwned(key K, own bool) {
-	if i, ok := b.find(key); ok {
-		b.targets[i].notOwned = !own
+func (tr *Tracker[K]) SetOwned(key K, own bool) {
+	if i, ok := tr.find(key); ok {
+		tr.targets[i].notOwned = !own
 	}
 }
 
 // RecordReport records a target's report about itself. It only lowers the weight, while no own
 // observation is recent; it neither ejects a target nor ends an ejection.
-func (b *Tracker[K]) RecordReport(now time.Time, key K, healthy bool, slots, busy int) {
-	t := b.get(now, key)
+func (tr *Tracker[K]) RecordReport(now time.Time, key K, healthy bool, slots, busy int) {
+	t := tr.get(now, key)
 	if t == nil {
 		return
 	}
-	b.recordSignal(now, t)
+	tr.recordSignal(now, t)
 	t.reported, t.reportedHealthy, t.reportedSlots, t.reportedBusy = true, healthy, slots, busy
 }
 
 // Weight returns how many slots of a target may be used now, 0 to allowance. It stores the
 // allowance as the limit to which a cold target grows.
-func (b *Tracker[K]) Weight(now time.Time, key K, allowance int) int {
-	t := b.get(now, key)
+func (tr *Tracker[K]) Weight(now time.Time, key K, allowance int) int {
+	t := tr.get(now, key)
 	if t == nil || allowance <= 0 {
 		return 0
 	}
 	t.allowance = allowance
-	n, _ := b.usable(now, t)
+	n, _ := tr.usable(now, t)
 	return n
 }
 
 // State returns the basis of a target's weight, for log lines.
-func (b *Tracker[K]) State(now time.Time, key K) State {
-	t := b.get(now, key)
+func (tr *Tracker[K]) State(now time.Time, key K) State {
+	t := tr.get(now, key)
 	if t == nil {
 		return Unknown
 	}
-	_, state := b.usable(now, t)
+	_, state := tr.usable(now, t)
 	return state
 }
 
 // Latency returns the recent average latency of a target's answers, 0 before the first.
-func (b *Tracker[K]) Latency(key K) time.Duration {
-	if i, ok := b.find(key); ok {
-		return b.targets[i].latency
+func (tr *Tracker[K]) Latency(key K) time.Duration {
+	if i, ok := tr.find(key); ok {
+		return tr.targets[i].latency
 	}
 	return 0
 }
@@ -169,45 +169,45 @@
 // ProbesDue returns the ejected targets to probe now, each by one real idempotent request
 // or by GET /health, in the order of the keys. The result must be passed to Observe or
 // Probed. A target is returned again if none was in time.
-func (b *Tracker[K]) ProbesDue(now time.Time) []K {
-	b.followClock(now)
+func (tr *Tracker[K]) ProbesDue(now time.Time) []K {
+	tr.followClock(now)
 	var keys []K
-	for _, t := range b.targets {
+	for _, t := range tr.targets {
 		if !t.ejected || now.Before(t.ejectedUntil) || now.Before(t.probeDeadline) {
 			continue
 		}
-		t.probeDeadline = now.Add(b.cfg.Probe)
+		t.probeDeadline = now.Add(tr.cfg.Probe)
 		keys = append(keys, t.key)
 	}
 	return keys
 }
 
-func (b *Tracker[K]) find(key K) (int, bool) {
-	return slices.BinarySearchFunc(b.targets, key, func(t *target[K], key K) int {
-		return b.compare(t.key, key)
+func (tr *Tracker[K]) find(key K) (int, bool) {
+	return slices.BinarySearchFunc(tr.targets, key, func(t *target[K], key K) int {
+		return tr.compare(t.key, key)
 	})
 }
 
 // get returns the target of key at now, or nil if it was not added.
-func (b *Tracker[K]) get(now time.Time, key K) *target[K] {
-	b.followClock(now)
-	i, ok := b.find(key)
+func (tr *Tracker[K]) get(now time.Time, key K) *target[K] {
+	tr.followClock(now)
+	i, ok := tr.find(key)
 	if !ok {
 		return nil
 	}
-	return b.targets[i]
+	return tr.targets[i]
 }
 
 // followClock moves all deadlines back if the clock was set back by more than maxClockStep.
-func (b *Tracker[K]) followClock(now time.Time) {
-	back := now.Sub(b.latest)
-	if !b.latest.IsZero() && back < -maxClockStep {
-		for _, t := range b.targets {
+func (tr *Tracker[K]) followClock(now time.Time) {
+	back := now.Sub(tr.latest)
+	if !tr.latest.IsZero() && back < -maxClockStep {
+		for _, t := range tr.targets {
 			t.shiftDeadlines(back)
 		}
-		b.latest = now
+		tr.latest = now
 	}
-	if now.After(b.latest) {
-		b.latest = now
+	if now.After(tr.latest) {
+		tr.latest = now
 	}
 }
--- a/internal/instance/probe.go
+++ b/internal/instance/probe.go
@@ -51,7 +51,7 @@
 }
 
 // probeOnce sends a health check to a target and, if it is answered, requests its load
-// report. If the probe's Look is set, it first opens a new connection: a refused one shows
+// report. If the probe's NewConnection is set, it first opens a new connection: a refused one shows
 // that the target's process has ended, which kept connections may not show.
 func (in *Instance) probeOnce(ctx context.Context, p core.Probe) core.Probed {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
--- a/internal/once/random_test.go
+++ b/internal/once/random_test.go
@@ -11,7 +11,7 @@
 
 // attempt is an attempt that a home allowed to run.
 type attempt struct {
-	book       *Table
+	table      *Table
 	key        Key
 	number     uint32
 	dispatched bool
@@ -30,7 +30,7 @@
 type simulation struct {
 	t            *rapid.T
 	now          time.Time
-	books        []*Table
+	tables       []*Table
 	incarnations []uint64
 	keys         []Key
 	inTransit    []duplicate
@@ -46,11 +46,11 @@
 	if err != nil {
 		sim.t.Fatal(err)
 	}
-	old := sim.books[n]
-	sim.books[n] = New(cfg, i, sim.checks)
+	old := sim.tables[n]
+	sim.tables[n] = New(cfg, i, sim.checks)
 	alive := sim.attempts[:0]
 	for _, a := range sim.attempts {
-		if a.book != old {
+		if a.table != old {
 			alive = append(alive, a)
 		}
 	}
@@ -64,17 +64,17 @@
 }
 
 func (sim *simulation) deliver(m duplicate) {
-	b := sim.books[m.instance]
+	b := sim.tables[m.instance]
 	v := b.Begin(sim.now, m.key, m.fp, "r")
 	switch v.Kind {
 	case VerdictForeign:
-		for n, home := range sim.books {
+		for n, home := range sim.tables {
 			if home.issuer.IsHomeOf(m.key) {
 				sim.inTransit = append(sim.inTransit, duplicate{m.key, n, m.fp})
 			}
 		}
 	case VerdictRun:
-		sim.attempts = append(sim.attempts, attempt{book: b, key: m.key, number: v.Attempt})
+		sim.attempts = append(sim.attempts, attempt{table: b, key: m.key, number: v.Attempt})
 	case VerdictFull, VerdictForged, VerdictClosed:
 		sim.checkNotRun(m.key, v.Kind.String())
 	case VerdictAnswered:
@@ -86,7 +86,7 @@
 
 func (sim *simulation) dispatch(n int) {
 	a := &sim.attempts[n]
-	if !a.book.Dispatch(sim.now, a.key, a.number) {
+	if !a.table.Dispatch(sim.now, a.key, a.number) {
 		return
 	}
 	a.dispatched = true
@@ -102,7 +102,7 @@
 		if a.refused {
 			proof = ProofRefusal
 		}
-		a.dispatched = !a.book.Withdraw(a.key, a.number, proof)
+		a.dispatched = !a.table.Withdraw(a.key, a.number, proof)
 	}
 }
 
@@ -117,7 +117,7 @@
 	case a.dispatched && rapid.Bool().Draw(sim.t, "lost"):
 		o.Kind = OutcomeUnknown
 	}
-	got, ok := a.book.Finish(sim.now, a.key, a.number, o)
+	got, ok := a.table.Finish(sim.now, a.key, a.number, o)
 	if ok && got.Kind == OutcomeNotRun {
 		sim.checkNotRun(a.key, "finish")
 	}
@@ -127,7 +127,7 @@
 }
 
 func (sim *simulation) check() {
-	for _, b := range sim.books {
+	for _, b := range sim.tables {
 		s := b.Stats()
 		if s.Records > b.cfg.Records || s.Bytes > b.cfg.Bytes {
 			sim.t.Fatalf("got %+v, want it within %+v", s, b.cfg)
@@ -150,17 +150,17 @@
 	pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "pick") }
 	switch action := rapid.IntRange(0, 15).Draw(t, "action"); {
 	case action == 0:
-		sim.restart(pick(len(sim.books)))
+		sim.restart(pick(len(sim.tables)))
 	case action == 1:
 		sim.now = sim.now.Add(time.Duration(rapid.IntRange(-4000, 4000).Draw(t, "ms")) * time.Millisecond)
 	case action == 2:
-		sim.books[pick(len(sim.books))].Sweep(sim.now)
+		sim.tables[pick(len(sim.tables))].Sweep(sim.now)
 	case action == 3 || len(sim.keys) == 0:
 		life := time.Duration(rapid.IntRange(1, 9).Draw(t, "life")) * time.Second
-		sim.keys = append(sim.keys, sim.books[pick(len(sim.books))].Issue(sim.now, sim.now.Add(life)))
+		sim.keys = append(sim.keys, sim.tables[pick(len(sim.tables))].Issue(sim.now, sim.now.Add(life)))
 	case action < 7:
 		fp := Fingerprint{byte(rapid.IntRange(0, 9).Draw(t, "fingerprint") / 9)}
-		sim.inTransit = append(sim.inTransit, duplicate{sim.keys[pick(len(sim.keys))], pick(len(sim.books)), fp})
+		sim.inTransit = append(sim.inTransit, duplicate{sim.keys[pick(len(sim.keys))], pick(len(sim.tables)), fp})
 	case action < 11 && len(sim.inTransit) > 0:
 		n := pick(len(sim.inTransit))
 		m := sim.inTransit[n]
@@ -180,10 +180,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		checks := invariant.New(func(n invariant.Name, s string) { rt.Fatalf("%s: %s", n, s) })
 		sim := &simulation{
-			t: rt, now: start, books: make([]*Table, 3), incarnations: make([]uint64, 3),
+			t: rt, now: start, tables: make([]*Table, 3), incarnations: make([]uint64, 3),
 			runs: make(map[Key]int), checks: checks,
 		}
-		for n := range sim.books {
+		for n := range sim.tables {
 			sim.restart(n)
 		}
 		for range rapid.IntRange(50, 300).Draw(rt, "steps") {
--- a/internal/once/sweep.go
+++ b/internal/once/sweep.go
@@ -19,38 +19,38 @@
 }
 
 // Stats returns the current numbers.
-func (b *Table) Stats() Stats {
-	return Stats{Records: len(b.records), Running: b.running, Bytes: b.bytes, counts: b.counts}
+func (t *Table) Stats() Stats {
+	return Stats{Records: len(t.records), Running: t.running, Bytes: t.bytes, counts: t.counts}
 }
 
 // Close stops the start of new attempts. Running attempts continue, and Begin
 // still returns recorded outcomes.
-func (b *Table) Close() { b.closed = true }
+func (t *Table) Close() { t.closed = true }
 
 // Sweep drops the records whose deadline has passed, except for running ones, and
 // returns how many it dropped.
-func (b *Table) Sweep(now time.Time) int {
-	now = b.monotonicNow(now)
+func (t *Table) Sweep(now time.Time) int {
+	now = t.monotonicNow(now)
 	n := 0
 	for {
-		r, due := b.expiry.Due(now)
+		r, due := t.expiry.Due(now)
 		if !due {
 			return n
 		}
-		b.expiry.Pop()
+		t.expiry.Pop()
 		if r.running() {
 			continue // Finish pushes it again
 		}
-		b.drop(r)
+		t.drop(r)
 		n++
 	}
 }
 
 // NextSweep returns the earliest deadline in the table, at which Sweep is due, or the
 // zero time if there is none.
-func (b *Table) NextSweep() time.Time { return b.expiry.Next() }
+func (t *Table) NextSweep() time.Time { return t.expiry.Next() }
 
-func (b *Table) drop(r *record) {
-	b.bytes -= recordSize + r.outcome.size()
-	delete(b.records, r.number)
+func (t *Table) drop(r *record) {
+	t.bytes -= recordSize + r.outcome.size()
+	delete(t.records, r.number)
 }
--- a/internal/once/book_test.go
+++ b/internal/once/table_test.go
@@ -177,32 +177,32 @@
 
 func measureRecordBytes(b *testing.B, records int) float64 {
 	request := strings.Repeat("r", 32)
-	book := newTestTable(b, Config{Records: records, Bytes: records * recordSize, Life: time.Minute})
+	table := newTestTable(b, Config{Records: records, Bytes: records * recordSize, Life: time.Minute})
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for range records {
-		k := book.Issue(start, start.Add(time.Minute))
-		v := book.Begin(start, k, Fingerprint{}, request)
-		book.Dispatch(start, k, v.Attempt)
-		book.Finish(start, k, v.Attempt, Outcome{Kind: OutcomeAnswered, Status: 200})
+		k := table.Issue(start, start.Add(time.Minute))
+		v := table.Begin(start, k, Fingerprint{}, request)
+		table.Dispatch(start, k, v.Attempt)
+		table.Finish(start, k, v.Attempt, Outcome{Kind: OutcomeAnswered, Status: 200})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(book)
+	runtime.KeepAlive(table)
 	return float64(after.HeapAlloc-before.HeapAlloc) / float64(records)
 }
 
 // BenchmarkBegin measures the processor time of one request from issue to sweep.
 func BenchmarkBegin(b *testing.B) {
-	book := newTestTable(b, Config{Records: 1 << 30, Bytes: 1 << 40, Life: time.Minute})
+	table := newTestTable(b, Config{Records: 1 << 30, Bytes: 1 << 40, Life: time.Minute})
 	now := start
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		k := book.Issue(now, now.Add(time.Second))
-		v := book.Begin(now, k, Fingerprint{}, "r")
-		book.Dispatch(now, k, v.Attempt)
-		book.Finish(now, k, v.Attempt, Outcome{Kind: OutcomeAnswered, Status: 200})
-		book.Sweep(now)
+		k := table.Issue(now, now.Add(time.Second))
+		v := table.Begin(now, k, Fingerprint{}, "r")
+		table.Dispatch(now, k, v.Attempt)
+		table.Finish(now, k, v.Attempt, Outcome{Kind: OutcomeAnswered, Status: 200})
+		table.Sweep(now)
 	}
 }
--- a/internal/owner/capacity_test.go
+++ b/internal/owner/capacity_test.go
@@ -8,11 +8,11 @@
 	"github.com/firlever/firlever/pkg/settings"
 )
 
-// capacityBook returns the state of one instance that owns its part of the given
+// capacityTable returns the state of one instance that owns its part of the given
 // number of targets, in a place with the given number of instances.
-func capacityBook(b *testing.B, targets, instances int) (*Table, Roster) {
+func capacityTable(b *testing.B, targets, instances int) (*Table, Roster) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	book, err := New(Config{Self: "entry-000", Incarnation: 1, Place: "here"})
+	table, err := New(Config{Self: "entry-000", Incarnation: 1, Place: "here"})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -27,17 +27,17 @@
 			b.Fatal(err)
 		}
 	}
-	book.SetSpecs(now, specs)
-	book.SetRoster(now, r)
-	return book, r
+	table.SetSpecs(now, specs)
+	table.SetRoster(now, r)
+	return table, r
 }
 
 func benchRoster(b *testing.B, targets, instances int) {
-	book, r := capacityBook(b, targets, instances)
+	table, r := capacityTable(b, targets, instances)
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for b.Loop() {
 		r.Version++
-		book.SetRoster(now, r)
+		table.SetRoster(now, r)
 	}
 }
 
@@ -61,7 +61,7 @@
 func BenchmarkCapacityRosterSize(b *testing.B) {
 	for _, n := range []int{3, 9, 27} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			_, r := capacityBook(b, 1, n)
+			_, r := capacityTable(b, 1, n)
 			for range b.N {
 				value, err := r.Encode()
 				if err != nil {
--- a/internal/owner/model_test.go
+++ b/internal/owner/model_test.go
@@ -50,7 +50,7 @@
 type node struct {
 	id             int
 	inc            uint64
-	book           *Table
+	table          *Table
 	rate           float64
 	offset         time.Duration
 	specs          int // index of the settings in force
@@ -113,14 +113,14 @@
 	n.rate = []float64{1, 1 + modelSkew, 1, 1 + modelSkew/2}[m.rng.IntN(4)]
 	n.offset = time.Duration(m.rng.Int64N(int64(24 * time.Hour)))
 	checks := invariant.New(func(name invariant.Name, s string) { m.fail("%s: %s", name, s) })
-	book, err := New(Config{
+	table, err := New(Config{
 		Self: n.name(), Incarnation: n.inc, Place: "p", ListProves: true, Lag: modelLag, Settle: modelSettle, Skew: modelSkew, Checks: checks,
 	})
 	if err != nil {
 		m.fail("New: %v", err)
 	}
-	n.book = book
-	book.SetSpecs(m.local(n), specsOf(modelSpecs[m.specs]))
+	n.table = table
+	table.SetSpecs(m.local(n), specsOf(modelSpecs[m.specs]))
 	m.nodes, m.live[id] = append(m.nodes, n), n
 }
 
@@ -184,7 +184,7 @@
 		n.inFlight = slices.DeleteFunc(n.inFlight, func(d dispatch) bool {
 			over := m.now >= d.end
 			if !n.dead && !n.paused && (over || m.rng.IntN(60) == 0) {
-				n.book.Done(d.key)
+				n.table.Done(d.key)
 				return true
 			}
 			return over && n.dead
@@ -195,7 +195,7 @@
 // fillSlots takes every slot that the node may take.
 func (m *model) fillSlots(n *node) {
 	for _, s := range specsOf(modelSpecs[n.specs]) {
-		for n.book.Take(m.local(n), s.Key) {
+		for n.table.Take(m.local(n), s.Key) {
 			m.taken++
 			life := time.Duration(float64(modelTimeout) / n.rate)
 			n.inFlight = append(n.inFlight, dispatch{key: s.Key, end: m.now + life})
@@ -237,8 +237,8 @@
 // tick does the periodic work of the instance that embeds the package under test.
 func (m *model) tick(n *node) {
 	m.read(n)
-	release := n.book.Release()
-	roster, sent := n.book.Roster(), m.local(n)
+	release := n.table.Release()
+	roster, sent := n.table.Roster(), m.local(n)
 	for _, o := range m.live {
 		if o != nil && o != n {
 			m.post(n.id, o.id, o, func() { m.heartbeat(o, n, release, roster, sent) })
@@ -250,16 +250,16 @@
 func (m *model) heartbeat(n, from *node, release Release, roster Roster, sent time.Time) {
 	now := m.local(n)
 	if m.gossip && m.rng.IntN(3) == 0 {
-		n.book.SetRoster(now, roster)
+		n.table.SetRoster(now, roster)
 	}
-	n.book.RecordRelease(now, release)
-	if !n.book.MayAck(now, from.name(), from.inc, release.Version) {
+	n.table.RecordRelease(now, release)
+	if !n.table.MayAck(now, from.name(), from.inc, release.Version) {
 		return
 	}
-	back := n.book.Release()
+	back := n.table.Release()
 	m.post(n.id, from.id, from, func() {
-		from.book.RecordAck(n.name(), n.inc, sent, back.Version)
-		from.book.RecordRelease(m.local(from), back)
+		from.table.RecordAck(n.name(), n.inc, sent, back.Version)
+		from.table.RecordRelease(m.local(from), back)
 	})
 }
 
@@ -281,9 +281,9 @@
 			if roster.Version == 0 {
 				return
 			}
-			n.book.SetRoster(m.local(n), roster)
-			n.book.Confirm(sent, roster.Version)
-			n.book.RecordList(m.local(n), sent, 1, list)
+			n.table.SetRoster(m.local(n), roster)
+			n.table.Confirm(sent, roster.Version)
+			n.table.RecordList(m.local(n), sent, 1, list)
 		})
 	})
 }
@@ -303,7 +303,7 @@
 
 // updateRoster writes a new roster if one is needed.
 func (m *model) updateRoster(n *node) {
-	r, now := n.book.Roster(), m.local(n)
+	r, now := n.table.Roster(), m.local(n)
 	own, in := r.Member(n.name())
 	in = in && own.Incarnation == n.inc
 	switch {
@@ -315,18 +315,18 @@
 		next, err := r.MarkLeaving(n.name(), n.inc)
 		m.write(n, next, err)
 		return
-	case in && own.Leaving() && n.book.Idle():
+	case in && own.Leaving() && n.table.Idle():
 		next, err := r.Remove(n.name(), n.inc, true)
 		m.write(n, next, err)
 		return
 	}
-	if entries := n.book.FinishedPrevious(now); in && len(entries) > 0 {
+	if entries := n.table.FinishedPrevious(now); in && len(entries) > 0 {
 		m.write(n, r.WithoutPrevious(entries), nil)
 		return
 	}
 	for _, o := range r.Members {
-		if m.suspects(n, o) && n.book.Removable(now, o.Instance) {
-			next, err := n.book.Remove(now, o.Instance)
+		if m.suspects(n, o) && n.table.Removable(now, o.Instance) {
+			next, err := n.table.Remove(now, o.Instance)
 			m.write(n, next, err)
 			return
 		}
@@ -362,7 +362,7 @@
 func (m *model) applySpecs(n *node) {
 	if n.specs != m.specs && !n.paused {
 		n.specs = m.specs
-		n.book.SetSpecs(m.local(n), specsOf(modelSpecs[n.specs]))
+		n.table.SetSpecs(m.local(n), specsOf(modelSpecs[n.specs]))
 	}
 }
 
--- a/internal/owner/said_test.go
+++ b/internal/owner/release_test.go
@@ -37,7 +37,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := bookOf(t, "b", key)
+			b := tableOf(t, "b", key)
 			b.SetRoster(at(0), two)
 			b.RecordRelease(at(0), held)
 			b.Confirm(at(1), two.Version)
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			short := TargetKey{Service: service, Name: "short"}
-			b := bookOf(t, "a", short)
+			b := tableOf(t, "a", short)
 			b.SetSpecs(at(0), []Spec{
 				{Key: short, Allowance: 10, Quota: tt.quota, Timeout: 2 * time.Second},
 				{Key: TargetKey{Service: service, Name: "long"}, Allowance: 10, Quota: tt.quota, Timeout: 10 * time.Minute},
--- a/internal/owner/scene_test.go
+++ b/internal/owner/scene_test.go
@@ -37,7 +37,7 @@
 	return TargetKey{}
 }
 
-func bookOf(t *testing.T, self string, key TargetKey) *Table {
+func tableOf(t *testing.T, self string, key TargetKey) *Table {
 	t.Helper()
 	fail := func(n invariant.Name, s string) { t.Errorf("%s: %s", n, s) }
 	b, err := New(Config{Self: self, Incarnation: 1, Place: "p", ListProves: true, Checks: invariant.New(fail)})
@@ -64,7 +64,7 @@
 	one := join(t, Roster{}, "a")
 	two := join(t, one, "b")
 	three := join(t, two, "c")
-	a, c := bookOf(t, "a", key), bookOf(t, "c", key)
+	a, c := tableOf(t, "a", key), tableOf(t, "c", key)
 	a.SetRoster(at(0), one)
 	for range 4 {
 		a.Take(at(0), key)
@@ -144,7 +144,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			b := bookOf(t, "b", key)
+			b := tableOf(t, "b", key)
 			b.SetRoster(at(0), two)
 			b.SetRoster(at(0), cut)
 			tt.step(b)
@@ -181,7 +181,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			a := bookOf(t, "a", key)
+			a := tableOf(t, "a", key)
 			a.SetRoster(at(0), two)
 			tt.step(a)
 			if got := a.LeaseState(at(10)); got != tt.want {
@@ -199,7 +199,7 @@
 func TestRemovable(t *testing.T) {
 	key := keyOf(t, "a", "b")
 	two := join(t, join(t, Roster{}, "a"), "b")
-	b := bookOf(t, "b", key)
+	b := tableOf(t, "b", key)
 	b.SetRoster(at(0), two)
 	want := func(when string, got, want bool) {
 		t.Helper()
@@ -223,7 +223,7 @@
 // even while new ones keep arriving.
 func TestCharges(t *testing.T) {
 	x, y := TargetKey{Service: service, Name: "x"}, TargetKey{Service: service, Name: "y"}
-	b := bookOf(t, "a", x)
+	b := tableOf(t, "a", x)
 	b.SetRoster(at(0), join(t, Roster{}, "a"))
 	set := func(now time.Time, quotaX, quotaY int) {
 		b.SetSpecs(now, []Spec{{Key: x, Allowance: 9, Quota: quotaX}, {Key: y, Allowance: 9, Quota: quotaY}})
@@ -246,7 +246,7 @@
 
 // TestPick checks that equal targets are used evenly, and full ones not at all.
 func TestPick(t *testing.T) {
-	b := bookOf(t, "a", TargetKey{Service: service, Name: "x"})
+	b := tableOf(t, "a", TargetKey{Service: service, Name: "x"})
 	var specs []Spec
 	for i := range 4 {
 		key := TargetKey{Service: service, Name: fmt.Sprint(i)}
--- a/internal/steer/pick.go
+++ b/internal/steer/pick.go
@@ -40,7 +40,7 @@
 	Home           bool          // whether the target is the object's home among all targets
 	Cold           bool          // whether the target was cold
 	TargetLoad     int           // estimated requests at the target, running and waiting
-	TypicalLoad    float64       // typical load of the service's targets per slot; replaces the target's own as Age grows
+	TypicalLoad    float64       // typical load of the service's targets per slot; replaces the target's own as LoadAge grows
 	LoadAge        time.Duration // time since the target last reported its load; -1 if it never did
 	LimitShare     *LimitShare   // limit of the target and this instance's share; nil if there is none
 	HedgeAt        time.Time     // time after which an answer is unlikely; another target may then be tried in parallel
--- a/internal/targets/client.go
+++ b/internal/targets/client.go
@@ -98,7 +98,7 @@
 // Unwrap returns the cause.
 func (e *NoAnswerError) Unwrap() error { return e.Err }
 
-// Send makes one attempt. Its errors are *NotSentError or *LostError. An attempt that
+// Send makes one attempt. Its errors are *NotSentError or *NoAnswerError. An attempt that
 // failed sends nothing afterwards. If the attempt is aborted after it was sent, or its
 // answer is not read to the end, onEnd is called once, when the target has closed its
 // connection too or no longer can be expected to. onEnd may be nil.
