--- a/internal/instance/watch.go
+++ b/internal/instance/watch.go
@@ -16,8 +16,8 @@
 const (
 	watchWait    = 20 * time.Second // longest wait of one watch call
 	callTimeout  = 2 * time.Second  // timeout of any other call, added to the wait of a watch
-	backoffMin   = 200 * time.Millisecond
-	backoffMax   = 10 * time.Second
+	minBackoff   = 200 * time.Millisecond
+	maxBackoff   = 10 * time.Second
 	watcherCheck = time.Second            // interval at which instances that do not watch check whether they should
 	watchPause   = 600 * time.Millisecond // pause after changes, so that a series of them does not cost a call each
 	watchers     = 2                      // instances of a domain that watch the platform's store; the others get changes from peers
@@ -34,7 +34,7 @@
 
 // step returns the next wait.
 func (b *backoff) step() time.Duration {
-	b.next = min(max(b.next*2, backoffMin), backoffMax)
+	b.next = min(max(b.next*2, minBackoff), maxBackoff)
 	return jittered(b.next)
 }
 
